--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -12,7 +12,7 @@
 use super::choose::{self, Choice};
 use super::event::{Arrival, Outgoing, RelayEffect, Task};
 use super::instance::Work;
-use super::{Attempt, Call, RelayTimer, gossip, millis, note, parts, span};
+use super::{Attempt, Call, RelayTimer, gossip, millis, note, prefix_cache, span};
 use crate::error::{Kind, Ran};
 
 /// Calls a host holds at once: a hundred times what one serves in its links' worst second.
@@ -191,7 +191,7 @@
     instance.own = instance.own.plus(choice.work);
     instance.limit.spend(now);
     if let Some(prompt) = &call.prompt {
-        parts::put(instance, prompt, now, span(choice.expected));
+        prefix_cache::put(instance, prompt, now, span(choice.expected));
     }
     let attempt = core.relay.attempts.insert(Attempt {
         call: key,
--- a/src/core/relay/choose/handover.rs
+++ b/src/core/relay/choose/handover.rs
@@ -2,9 +2,9 @@
 
 use super::super::event::{Stage, Task};
 use super::super::instance::Work;
-use super::super::{Call, Reads, load, parts};
+use super::super::{Call, Reads, load, prefix_cache};
 use super::{
-    Choice, crossing, crowded, displaced, none, policy, queued, silence, spread, takers, transfer,
+    Choice, crossing, crowded, displaced, none, policy, queued, sampling, silence, takers, transfer,
 };
 use crate::core::Core;
 use crate::core::effect::Refusal;
@@ -37,7 +37,7 @@
     };
     let prompt = call.prompt.clone().unwrap_or_default();
     let engines = takers(core, call, Some(Stage::Decode));
-    let engines = spread::drawn(core, key, &prompt, engines);
+    let engines = sampling::drawn(core, key, &prompt, engines);
     let call = &core.relay.calls[key];
     let source = core.relay.instances.arena.get(cache.engine);
     let waits = source.map_or(0.0, |instance| instance.link.wait(core.now));
@@ -61,7 +61,7 @@
             ..Reads::default()
         };
         let expected = own + reads.before;
-        let brought = parts::missing(instance, &prompt);
+        let brought = prefix_cache::missing(instance, &prompt);
         let cost = expected + crowded(instance) + displaced(learned, brought) + instance.risk()
             - instance.limit.preference(core.now)
             + crossing(core, call, instance, policy);
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -2,7 +2,7 @@
 
 mod handover;
 mod plain;
-mod spread;
+mod sampling;
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 use super::event::{Prompt, Stage, Task};
 use super::instance::{Instance, Work};
 use super::model::Learned;
-use super::parts::{Fetch, Holder};
-use super::{Call, Reads, load, millis, parts, span};
+use super::prefix_cache::{Fetch, Holder};
+use super::{Call, Reads, load, millis, prefix_cache, span};
 use crate::error::Kind;
 use crate::settings::relay::Policy;
 
@@ -189,7 +189,7 @@
     let policy = policy(core);
     let engines = [Stage::Prefill, Stage::Decode].map(|stage| {
         let takers = takers(core, &core.relay.calls[key], Some(stage));
-        spread::drawn(core, key, &prompt, takers)
+        sampling::drawn(core, key, &prompt, takers)
     });
     let call = &core.relay.calls[key];
     let handover = handover::expected(core, call);
@@ -197,7 +197,7 @@
     let left = millis(call.end.since(core.now));
     let spent = millis(core.now.since(call.arrived));
     let wanted = millis(call.route.target) * policy.patience - spent;
-    let holders = parts::holders(core, call, &prompt);
+    let holders = prefix_cache::holders(core, call, &prompt);
     let mut ways = Vec::new();
     for (stage, engines) in [Stage::Prefill, Stage::Decode].into_iter().zip(engines) {
         if stage == Stage::Prefill && handover.is_none() {
@@ -272,9 +272,9 @@
 ) -> Way {
     let instance = &core.relay.instances.arena[backend];
     let stage = instance.stage.unwrap_or(Stage::Decode);
-    let unread = parts::unread(instance, prompt);
+    let unread = prefix_cache::unread(instance, prompt);
     let fetch = engine(core, call)
-        .and_then(|engine| parts::fetch(instance, backend, unread, prompt, holders, engine));
+        .and_then(|engine| prefix_cache::fetch(instance, backend, unread, prompt, holders, engine));
     let work = instance.work();
     let reads = Reads {
         unread: unread - fetch.map_or(0, |fetch| fetch.tokens),
@@ -375,5 +375,5 @@
 
 /// Returns the milliseconds that the transfer of a prompt's KV cache takes.
 fn transfer(core: &Core, call: &Call, prompt: &Prompt) -> f64 {
-    engine(core, call).map_or(0.0, |engine| parts::transfer(engine, prompt.tokens))
+    engine(core, call).map_or(0.0, |engine| prefix_cache::transfer(engine, prompt.tokens))
 }
--- a/src/core/relay/choose/spread.rs
+++ b/src/core/relay/choose/sampling.rs
@@ -10,7 +10,7 @@
 
 use super::super::super::Core;
 use super::super::event::Prompt;
-use super::super::{Call, gossip, parts};
+use super::super::{Call, gossip, prefix_cache};
 use crate::core::key::{BackendKey, CallKey};
 
 /// Requests of other hosts that may go to one server unheard, on average over the drawn ones.
@@ -39,7 +39,7 @@
     let rest = all.split_off(most);
     let holds = |key: &BackendKey| {
         let instance = &core.relay.instances.arena[*key];
-        parts::unread(instance, prompt) <= prompt.tokens / 2
+        prefix_cache::unread(instance, prompt) <= prompt.tokens / 2
     };
     all.extend(rest.into_iter().filter(holds));
     all
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -25,7 +25,7 @@
 use super::event::{CrashReport, Gossip, GossipKind, LoadReport, PrefixReport, RelayEffect};
 use super::instance::Work;
 use super::peers::Peer;
-use super::{RelayTimer, limit, load, parts, peers, span, view, wake};
+use super::{RelayTimer, limit, load, peers, prefix_cache, span, view, wake};
 
 /// Time between two messages to the other hosts.
 ///
@@ -176,7 +176,7 @@
         engines.map(|engine| engine.memory).max()
     });
     for instance in core.relay.instances.arena.values_mut() {
-        parts::forget(instance, memory.unwrap_or(0), core.now);
+        prefix_cache::forget(instance, memory.unwrap_or(0), core.now);
     }
 }
 
@@ -398,6 +398,6 @@
         let learned = core.relay.model.of(&instance.service);
         let wait = span(load::reading(learned, instance, instance.work().tokens));
         let ready = core.now.after(wait);
-        parts::note(instance, part.part, part.tokens.into(), core.now, ready);
+        prefix_cache::note(instance, part.part, part.tokens.into(), core.now, ready);
     }
 }
--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -10,7 +10,7 @@
 use super::event::{Changes, Entry, LoadReport, Stage};
 use super::limit::Limit;
 use super::model::{Link, Pace};
-use super::parts::Part;
+use super::prefix_cache::Part;
 use crate::core::key::{BackendKey, HostKey};
 use crate::core::time::Time;
 
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -17,9 +17,9 @@
 pub mod limit;
 mod load;
 mod model;
-mod parts;
 mod peers;
-mod split;
+mod planner;
+mod prefix_cache;
 #[cfg(test)]
 mod tests;
 mod view;
@@ -195,7 +195,7 @@
     /// Requests that backend servers died of.
     pub killers: killer::Killers,
     /// Stages of engines.
-    pub split: split::Split,
+    pub split: planner::Split,
     /// What work takes at engines.
     pub model: model::Model,
 }
@@ -221,7 +221,7 @@
 pub fn start(core: &mut Core, out: &mut Effects) {
     view::start(core, out);
     peers::start(core, out);
-    split::start(core, out);
+    planner::start(core, out);
     note(
         out,
         log::Level::Info,
@@ -249,13 +249,13 @@
         RelayEvent::Era(era) => view::era::seen(core, era, view::era::ANSWER, out),
         RelayEvent::Store { number, answer } => view::answered(core, number, answer, out),
         RelayEvent::Reported { instance, report } => {
-            split::reported(core, &instance, report, out);
+            planner::reported(core, &instance, report, out);
         }
         RelayEvent::Ordered {
             instance,
             fence,
             result,
-        } => split::ordered(core, &instance, fence, result, out),
+        } => planner::ordered(core, &instance, fence, result, out),
         RelayEvent::Reloaded(settings) => reloaded(core, *settings, out),
         RelayEvent::Gossiped(message) => gossip::receive(core, *message, out),
     }
@@ -272,8 +272,8 @@
         RelayTimer::Follow(last) => view::follow(core, last, out),
         RelayTimer::Probe => view::probe::probe(core, out),
         RelayTimer::Overdue => view::probe::overdue(core, out),
-        RelayTimer::Plan => split::plan(core, out),
-        RelayTimer::Authority => split::renew(core, out),
+        RelayTimer::Plan => planner::plan(core, out),
+        RelayTimer::Authority => planner::renew(core, out),
     }
 }
 
@@ -294,7 +294,7 @@
     match job {
         RelayJob::Secret => {}
         RelayJob::Lease | RelayJob::Register => peers::reply(core, job, reply, out),
-        RelayJob::AuthorityLease(_) | RelayJob::Authority => split::reply(core, job, reply, out),
+        RelayJob::AuthorityLease(_) | RelayJob::Authority => planner::reply(core, job, reply, out),
     }
 }
 
@@ -307,7 +307,7 @@
     let beliefs = core.relay.instances.changed(&mut changes, era, core.now);
     note_beliefs(beliefs, out);
     peers::changed(core, &changes, out);
-    split::changed(core, &changes, out);
+    planner::changed(core, &changes, out);
 }
 
 fn note_beliefs(beliefs: Vec<instance::Belief>, out: &mut Effects) {
--- a/src/core/relay/model/mod.rs
+++ b/src/core/relay/model/mod.rs
@@ -3,16 +3,16 @@
 //! Engines are not described: neither how fast they read, nor how much one differs from another.
 //! Nothing here knows of requests or hosts; the caller brings measurements and asks for times.
 
+mod attention;
 mod link;
-mod square;
 #[cfg(test)]
 mod tests;
 
 use std::collections::BTreeMap;
 
 use super::event::Stage;
+use attention::Square;
 pub use link::Link;
-use square::Square;
 
 /// Milliseconds a token takes at an engine that prefills, and at one that generates, before any
 /// was measured: 40 tokens a millisecond, and less than half of it where others are generated for.
@@ -189,7 +189,7 @@
             clippy::cast_sign_loss,
             reason = "some ten thousand tokens, never below zero"
         )]
-        let more = (self.square.factor() * square::pairs(unread, held)) as u64;
+        let more = (self.square.factor() * attention::pairs(unread, held)) as u64;
         unread.saturating_add(more)
     }
 
--- a/src/core/relay/model/tests.rs
+++ b/src/core/relay/model/tests.rs
@@ -17,7 +17,7 @@
 
 impl Truth {
     fn took(self, unread: u64, held: u64, ahead: u64) -> f64 {
-        let pairs = super::square::pairs(unread, held);
+        let pairs = super::attention::pairs(unread, held);
         let work = unread as f64 + self.factor * pairs + ahead as f64;
         self.base + work * self.token * self.slow
     }
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -16,7 +16,7 @@
 use super::event::{Changes, LoadReport, PrefixReport, PromptPart, RelayEffect};
 use super::gossip::{Aggregator, PendingUpdates};
 use super::instance::short;
-use super::{RelayJob, RelayTimer, gossip, job, limit, note, parts, wake};
+use super::{RelayJob, RelayTimer, gossip, job, limit, note, prefix_cache, wake};
 use crate::store::{Compare, Op, Txn};
 
 /// Life of the lease of a registration.
@@ -104,8 +104,11 @@
 
     /// Notes which prompt parts went to an engine.
     pub fn sent(&mut self, parts: Option<&Vec<PromptPart>>, instance: u32) {
-        let shared = parts.map_or(&[][..], |parts| parts::shared(parts));
-        for part in shared.iter().filter(|part| part.tokens >= parts::LEAST) {
+        let shared = parts.map_or(&[][..], |parts| prefix_cache::shared(parts));
+        for part in shared
+            .iter()
+            .filter(|part| part.tokens >= prefix_cache::LEAST)
+        {
             self.parts.push(PrefixReport {
                 part: part.id,
                 tokens: u32::try_from(part.tokens).unwrap_or(u32::MAX),
--- a/src/core/relay/tests/mod.rs
+++ b/src/core/relay/tests/mod.rs
@@ -9,11 +9,11 @@
 mod handover;
 mod limit;
 mod load;
-mod parts;
-mod plan;
+mod planner;
+mod prefix_cache;
 mod register;
 mod request;
-mod spread;
+mod sampling;
 mod stream;
 mod view;
 
--- a/src/core/relay/view/era.rs
+++ b/src/core/relay/view/era.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 
 use super::super::event::RelayEffect;
-use super::super::{RelayTimer, note, peers, split, wake};
+use super::super::{RelayTimer, note, peers, planner, wake};
 use super::{ask, pause};
 use crate::core::effect::Effect;
 use crate::core::{Core, Effects};
@@ -51,7 +51,7 @@
         ("at", core.relay.view.at.to_string().into()),
     ];
     note(out, log::Level::Warn, "store.era", fields);
-    split::forget(core, out);
+    planner::forget(core, out);
     peers::forget_lease(core);
     let asked = core.relay.view.restart();
     if let Some(number) = asked {
