--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -4,13 +4,15 @@
 use super::super::event::Break;
 use super::super::key::{AttemptKey, BackendKey, CallKey};
 use super::super::{Core, Effects};
-use super::call::{close, dispatch, end, give_up, prefilled as count_prefilled, refuse};
+use super::call::{
+    close_attempt, dispatch, end, give_up, refuse, release_prefill_work as count_prefilled,
+};
 use super::event::{RelayEffect, Task};
 use super::{Cache, Repeat, load, millis, note};
 use crate::error::{Kind, Ran};
 
 /// HTTP statuses from here on are failures of the backend server.
-const FAILURES: u16 = 500;
+const MIN_FAILURE_STATUS: u16 = 500;
 
 /// Takes in that an engine holds the KV cache of a prompt: another one goes on from it.
 pub(super) fn prefilled(core: &mut Core, key: AttemptKey, handle: Box<str>, out: &mut Effects) {
@@ -20,8 +22,8 @@
     };
     let (call, engine) = (attempt.call, attempt.backend);
     let took = millis(now.since(attempt.sent));
-    load::measured(core, key, took, out);
-    close(core, key);
+    load::record_first_answer(core, key, took, out);
+    close_attempt(core, key);
     if let Some(instance) = core.relay.instances.arena.get_mut(engine) {
         instance.works();
         core.relay.calls[call].cache = Some(Cache {
@@ -41,16 +43,16 @@
     };
     let (call, backend) = (attempt.call, attempt.backend);
     let took = millis(core.now.since(attempt.sent));
-    load::measured(core, key, took, out);
-    close(core, key);
-    let failed = status >= FAILURES;
+    load::record_first_answer(core, key, took, out);
+    close_attempt(core, key);
+    let failed = status >= MIN_FAILURE_STATUS;
     if let Some(instance) = core.relay.instances.arena.get_mut(backend) {
         instance.works();
     }
-    if failed && may_repeat(core, call) && !core.relay.calls[call].delivered {
+    if failed && may_retry(core, call) && !core.relay.calls[call].delivered {
         core.relay.calls[call].tried.push(backend);
-        note_retry(core, call, &format!("answered {status}"), out);
-        if again_possible(core, call) {
+        log_retry(core, call, &format!("answered {status}"), out);
+        if has_time_left(core, call) {
             dispatch(core, call, out);
             return;
         }
@@ -66,7 +68,7 @@
         );
         return;
     }
-    core.relay.killers.cleared(core.relay.calls[call].print);
+    core.relay.killers.clear(core.relay.calls[call].print);
     out.push(Effect::Relay(RelayEffect::Pass(call)));
     let outcome = if failed { "failed-there" } else { "answered" };
     end(core, call, outcome, Ran::Yes, out);
@@ -76,7 +78,7 @@
 ///
 /// After a stream was taken up again the new run may begin with events that the caller has; one
 /// that leaves out some would tear a hole into the answer.
-pub(super) fn piece(core: &mut Core, key: AttemptKey, number: u64, out: &mut Effects) {
+pub(super) fn stream_event(core: &mut Core, key: AttemptKey, number: u64, out: &mut Effects) {
     let now = core.now;
     let Some(attempt) = core.relay.attempts.get_mut(key) else {
         return;
@@ -88,10 +90,10 @@
     attempt.last = now;
     if !first && let Some(instance) = core.relay.instances.arena.get_mut(backend) {
         let learned = core.relay.model.of_mut(&instance.service);
-        learned.paused(pause, &mut instance.pace);
+        learned.record_event_gap(pause, &mut instance.pace);
     }
     if first {
-        load::measured(core, key, took, out);
+        load::record_first_answer(core, key, took, out);
         count_prefilled(core, key);
         if let Some(instance) = core.relay.instances.arena.get_mut(backend) {
             instance.works();
@@ -124,18 +126,18 @@
 }
 
 /// The stream ended as it should.
-pub(super) fn whole(core: &mut Core, key: AttemptKey, out: &mut Effects) {
-    let Some(attempt) = close(core, key) else {
+pub(super) fn stream_completed(core: &mut Core, key: AttemptKey, out: &mut Effects) {
+    let Some(attempt) = close_attempt(core, key) else {
         return;
     };
     let call = attempt.call;
-    core.relay.killers.cleared(core.relay.calls[call].print);
+    core.relay.killers.clear(core.relay.calls[call].print);
     out.push(Effect::Relay(RelayEffect::Finish(call)));
     end(core, call, "answered", Ran::Yes, out);
 }
 
 /// Takes in the end of an attempt without a whole answer.
-pub(super) fn broke(
+pub(super) fn attempt_failed(
     core: &mut Core,
     key: AttemptKey,
     ran: Ran,
@@ -143,7 +145,7 @@
     detail: &str,
     out: &mut Effects,
 ) {
-    let Some(attempt) = close(core, key) else {
+    let Some(attempt) = close_attempt(core, key) else {
         return;
     };
     out.push(Effect::Relay(RelayEffect::Cancel(key)));
@@ -151,8 +153,8 @@
     let source = core.relay.calls[call].cache.as_ref();
     let source = source.map(|cache| cache.engine);
     let source = source.filter(|_| matches!(attempt.task, Task::Decode { .. }));
-    if !spoiled(core, source, how) {
-        blame(core, backend, how, out);
+    if !blames_source(core, source, how) {
+        record_failure(core, backend, how, out);
     }
     note(
         out,
@@ -168,7 +170,7 @@
                     .get(backend)
                     .map_or("".into(), |i| i.id.clone()),
             ),
-            ("task", super::call::task_word(&attempt.task).into()),
+            ("task", super::call::task_name(&attempt.task).into()),
             ("how", format!("{how:?}").into()),
             ("ran", ran.word().into()),
             (
@@ -179,7 +181,7 @@
         ],
     );
     if how == Break::Cut {
-        super::killer::suspect(core, call, backend, out);
+        super::poison::report_crash(core, call, backend, out);
     }
     let entry = &mut core.relay.calls[call];
     entry.tried.push(backend);
@@ -189,7 +191,7 @@
             if how != Break::Unreachable {
                 entry.arrivals += 1;
             }
-            go_on(core, call, detail, out);
+            retry_or_refuse(core, call, detail, out);
         }
         Task::Whole | Task::Decode { .. } => {
             if ran == Ran::No {
@@ -200,11 +202,11 @@
                     // Whatever it refused for, the KV cache cannot be counted on any more.
                     entry.cache = None;
                 }
-                go_on(core, call, detail, out);
-            } else if may_repeat(core, call) {
+                retry_or_refuse(core, call, detail, out);
+            } else if may_retry(core, call) {
                 core.relay.calls[call].cache = None;
-                note_retry(core, call, detail, out);
-                go_on(core, call, detail, out);
+                log_retry(core, call, detail, out);
+                retry_or_refuse(core, call, detail, out);
             } else {
                 let kind = if how == Break::Silent {
                     Kind::Silent
@@ -222,22 +224,22 @@
 ///
 /// An engine may drop what it has read at once, or its link may hold up transfers for seconds: each
 /// engine that is sent there refuses, and would be avoided for it, one after the other.
-fn spoiled(core: &mut Core, source: Option<BackendKey>, how: Break) -> bool {
+fn blames_source(core: &mut Core, source: Option<BackendKey>, how: Break) -> bool {
     let source = source.and_then(|key| core.relay.instances.arena.get_mut(key));
     match source {
         Some(source) if how == Break::Refused => {
             source.taken(false);
-            source.spoiled > SPOILED
+            source.spoiled > MAX_FAILED_HANDOVER_FRACTION
         }
         _ => false,
     }
 }
 
 /// Part of an engine's KV caches that cannot be taken from which on it is at fault itself.
-const SPOILED: f64 = 0.25;
+const MAX_FAILED_HANDOVER_FRACTION: f64 = 0.25;
 
 /// Holds a failure against the backend server.
-fn blame(core: &mut Core, backend: BackendKey, how: Break, out: &mut Effects) {
+fn record_failure(core: &mut Core, backend: BackendKey, how: Break, out: &mut Effects) {
     let now = core.now;
     let Some(instance) = core.relay.instances.arena.get_mut(backend) else {
         return;
@@ -263,19 +265,19 @@
 }
 
 /// Tells whether a request that may have run may be sent once more.
-fn may_repeat(core: &Core, key: CallKey) -> bool {
+fn may_retry(core: &Core, key: CallKey) -> bool {
     let call = &core.relay.calls[key];
     call.route.repeat == Repeat::Idempotent && call.runs < call.route.attempts
 }
 
 /// Tells whether there is time for another attempt.
-fn again_possible(core: &Core, key: CallKey) -> bool {
+fn has_time_left(core: &Core, key: CallKey) -> bool {
     core.now < core.relay.calls[key].end
 }
 
 /// Tries again, if there is time.
-fn go_on(core: &mut Core, key: CallKey, detail: &str, out: &mut Effects) {
-    if again_possible(core, key) {
+fn retry_or_refuse(core: &mut Core, key: CallKey, detail: &str, out: &mut Effects) {
+    if has_time_left(core, key) {
         dispatch(core, key, out);
     } else {
         let refusal = Refusal::new(Kind::Overloaded, detail);
@@ -283,7 +285,7 @@
     }
 }
 
-fn note_retry(core: &Core, key: CallKey, detail: &str, out: &mut Effects) {
+fn log_retry(core: &Core, key: CallKey, detail: &str, out: &mut Effects) {
     let call = &core.relay.calls[key];
     out.push(Effect::Meter(Meter::Retried {
         class: call.route.name.clone(),
@@ -304,14 +306,14 @@
 ///
 /// A backend server can hang while its health check is good, and a connection can fall silent for
 /// good: the caller would wait until its deadline. What may repeat goes elsewhere in time.
-pub(super) fn silence(core: &mut Core, key: AttemptKey, out: &mut Effects) {
+pub(super) fn check_silence(core: &mut Core, key: AttemptKey, out: &mut Effects) {
     let Some(attempt) = core.relay.attempts.get(key) else {
         return;
     };
     let call = &core.relay.calls[attempt.call];
     let instance = core.relay.instances.arena.get(attempt.backend);
     let heard = instance.and_then(|instance| instance.heard);
-    let bound = load::silence(call, attempt, heard, core.now);
+    let bound = load::silence_timeout(call, attempt, heard, core.now);
     let waited = core.now.since(attempt.last);
     if waited < bound {
         super::wake(
@@ -322,11 +324,11 @@
         );
         return;
     }
-    let may = matches!(attempt.task, Task::Prefill) || may_repeat(core, attempt.call);
-    if !may || !super::choose::elsewhere(core, attempt.call, attempt.backend) {
+    let may = matches!(attempt.task, Task::Prefill) || may_retry(core, attempt.call);
+    if !may || !super::choose::has_alternative(core, attempt.call, attempt.backend) {
         super::wake(core, bound, super::RelayTimer::Silence(key), out);
         return;
     }
     let detail = format!("nothing came for {:.0} ms", millis(waited));
-    broke(core, key, Ran::Unknown, Break::Silent, &detail, out);
+    attempt_failed(core, key, Ran::Unknown, Break::Silent, &detail, out);
 }
--- a/src/core/relay/budget.rs
+++ b/src/core/relay/budget.rs
@@ -13,7 +13,7 @@
 
 /// Part of the budget that is used: the rest covers hosts that were replaced within a window and
 /// arrivals that a server counts a moment later than they were sent.
-const MARGIN: f64 = 0.7;
+const USABLE_FRACTION: f64 = 0.7;
 
 /// Rules of the budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -28,26 +28,26 @@
 
 /// One host's part of a service's budget.
 #[derive(Debug, Clone, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     requests: VecDeque<Time>,
-    repeats: VecDeque<Time>,
+    retries: VecDeque<Time>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Counts a request of a caller.
-    pub fn request(&mut self, now: Time) {
+    pub fn record_request(&mut self, now: Time) {
         self.requests.push_back(now);
     }
 
     /// Returns how many requests came within a span.
     #[must_use]
-    pub fn recent(&self, now: Time, span: Duration) -> usize {
+    pub fn requests_within(&self, now: Time, span: Duration) -> usize {
         let recent = self.requests.iter().rev();
         recent.take_while(|at| now.since(**at) <= span).count()
     }
 
     /// Tells whether one more repeat may be sent, and counts it if so.
-    pub fn spend(&mut self, now: Time, rules: &BudgetRules, hosts: usize) -> bool {
+    pub fn try_spend(&mut self, now: Time, rules: &BudgetRules, hosts: usize) -> bool {
         let old = |times: &mut VecDeque<Time>| {
             while times
                 .front()
@@ -57,12 +57,12 @@
             }
         };
         old(&mut self.requests);
-        old(&mut self.repeats);
+        old(&mut self.retries);
         let share = rules.slack / hosts.max(1) as f64;
-        let most = (rules.ratio * self.requests.len() as f64 + share) * MARGIN;
-        let may = ((self.repeats.len() + 1) as f64) <= most;
+        let most = (rules.ratio * self.requests.len() as f64 + share) * USABLE_FRACTION;
+        let may = ((self.retries.len() + 1) as f64) <= most;
         if may {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         may
     }
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -16,37 +16,37 @@
 use crate::error::{Kind, Ran};
 
 /// Calls a host holds at once: a hundred times what one serves in its links' worst second.
-const MOST: usize = 4096;
+const MAX_CALLS: usize = 4096;
 /// When to come back where nothing better is known: half of a burst of three seconds.
 ///
 /// Sooner, callers meet the same queue and are refused again.
-const COME_BACK: Duration = Duration::from_millis(1300);
+const RETRY_AFTER: Duration = Duration::from_millis(1300);
 /// When to come back to another host: the balancer sends a new connection to one at once.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+const OTHER_HOST_RETRY_AFTER: Duration = Duration::from_millis(20);
 /// Connections of a backend server that one host keeps idle, at least.
-const IDLE_LEAST: usize = 2;
+const MIN_IDLE_CONNECTIONS: usize = 2;
 
 pub(super) fn arrived(core: &mut Core, arrival: Arrival, out: &mut Effects) {
-    let found = find(core, &arrival);
+    let found = resolve(core, &arrival);
     let (route, service) = match found {
         Ok(found) => found,
         Err(refusal) => {
-            turn_away(core, arrival, refusal, out);
+            refuse_unrouted(core, arrival, refusal, out);
             return;
         }
     };
     let wait = arrival.deadline.unwrap_or(route.timeout).min(route.timeout);
     let key = open(core, arrival, route, service.clone(), wait, out);
     let budget = core.relay.budgets.entry(service).or_default();
-    budget.request(core.now);
-    if core.relay.calls.len() > MOST {
-        let detail = format!("this host holds {MOST} requests");
+    budget.record_request(core.now);
+    if core.relay.calls.len() > MAX_CALLS {
+        let detail = format!("this host holds {MAX_CALLS} requests");
         refuse(core, key, Refusal::new(Kind::Overloaded, detail), out);
         return;
     }
     if core.stop.closed() {
         let detail = "this host is shutting down";
-        let refusal = Refusal::new(Kind::Stopping, detail).retry(ELSEWHERE);
+        let refusal = Refusal::new(Kind::Stopping, detail).retry(OTHER_HOST_RETRY_AFTER);
         refuse(core, key, refusal, out);
         return;
     }
@@ -54,22 +54,22 @@
     dispatch(core, key, out);
 }
 
-fn print(print: &super::super::event::Print) -> u64 {
+fn fingerprint(fingerprint: &super::super::event::Print) -> u64 {
     let mut first = [0; 8];
-    first.copy_from_slice(&print.0[..8]);
+    first.copy_from_slice(&fingerprint.0[..8]);
     u64::from_le_bytes(first)
 }
 
 /// Returns the route and the service of a request.
-fn find(core: &mut Core, arrival: &Arrival) -> Result<(Route, Box<str>), Refusal> {
+fn resolve(core: &mut Core, arrival: &Arrival) -> Result<(Route, Box<str>), Refusal> {
     let Some(catalog) = &core.relay.catalog else {
         let detail = "this host has no configuration yet";
-        return Err(Refusal::new(Kind::CutOff, detail).retry(COME_BACK));
+        return Err(Refusal::new(Kind::CutOff, detail).retry(RETRY_AFTER));
     };
     let Some(route) = catalog.route(&arrival.host, &arrival.path) else {
         if !core.relay.view.is_fresh(core.now) {
             let detail = "no known route, and the configuration may have changed";
-            return Err(Refusal::new(Kind::CutOff, detail).retry(COME_BACK));
+            return Err(Refusal::new(Kind::CutOff, detail).retry(RETRY_AFTER));
         }
         return Err(Refusal::new(Kind::NotFound, "no route for this path"));
     };
@@ -85,7 +85,7 @@
 }
 
 /// Refuses a request that has no route here.
-fn turn_away(core: &mut Core, arrival: Arrival, refusal: Refusal, out: &mut Effects) {
+fn refuse_unrouted(core: &mut Core, arrival: Arrival, refusal: Refusal, out: &mut Effects) {
     let key = open(
         core,
         arrival,
@@ -111,7 +111,7 @@
         service,
         prompt: arrival.prompt,
         bytes: arrival.bytes,
-        print: print(&arrival.print),
+        print: fingerprint(&arrival.print),
         arrived: core.now,
         end: core.now.after(wait),
         attempt: None,
@@ -133,7 +133,7 @@
 /// Sends a request to a backend server, or refuses it where none can serve it.
 pub(super) fn dispatch(core: &mut Core, key: CallKey, out: &mut Effects) {
     let print = core.relay.calls[key].print;
-    if core.relay.killers.barred(print, core.now) {
+    if core.relay.killers.is_blocked(print, core.now) {
         let detail = "backend servers died while running this request";
         let refusal = Refusal::new(Kind::EngineKiller, detail);
         refuse(core, key, refusal, out);
@@ -146,7 +146,7 @@
 }
 
 /// Counts a repeat, where the send is one; `false` where the budget is spent.
-fn afford(core: &mut Core, key: CallKey, task: &Task) -> bool {
+fn charge_budget(core: &mut Core, key: CallKey, task: &Task) -> bool {
     let call = &core.relay.calls[key];
     let free = match task {
         Task::Prefill => call.prefills == 0 && call.arrivals == 0,
@@ -161,23 +161,23 @@
     };
     let service = call.service.clone();
     let budget = core.relay.budgets.entry(service).or_default();
-    budget.spend(core.now, &settings.budget, hosts)
+    budget.try_spend(core.now, &settings.budget, hosts)
 }
 
 fn send(core: &mut Core, key: CallKey, choice: &Choice, out: &mut Effects) {
-    if !afford(core, key, &choice.task) {
+    if !charge_budget(core, key, &choice.task) {
         let detail = "repeats use up their budget";
-        let refusal = Refusal::new(Kind::Overloaded, detail).retry(COME_BACK);
+        let refusal = Refusal::new(Kind::Overloaded, detail).retry(RETRY_AFTER);
         refuse(core, key, refusal, out);
         return;
     }
     let now = core.now;
-    let idle = idle(core, choice.backend);
+    let idle = max_idle_connections(core, choice.backend);
     let told = gossip::age(core).map_or_else(
         || "never".into(),
         |age| format!("{}", age.as_millis()).into(),
     );
-    let unlisted = unlisted(core, choice.backend);
+    let unlisted = unlisted_ms(core, choice.backend);
     let call = &mut core.relay.calls[key];
     let instance = &mut core.relay.instances.arena[choice.backend];
     match &choice.task {
@@ -187,11 +187,11 @@
             call.runs += 1;
         }
     }
-    call.late = choice.late;
+    call.late = choice.is_late;
     instance.own = instance.own.plus(choice.work);
     instance.limit.spend(now);
     if let Some(prompt) = &call.prompt {
-        prefix_cache::put(instance, prompt, now, span(choice.expected));
+        prefix_cache::record_prompt(instance, prompt, now, span(choice.expected_ms));
     }
     let attempt = core.relay.attempts.insert(Attempt {
         call: key,
@@ -199,8 +199,8 @@
         task: choice.task.clone(),
         sent: now,
         work: choice.work,
-        expected: choice.expected,
-        reads: choice.reads,
+        expected: choice.expected_ms,
+        reads: choice.prefill,
         began: false,
         last: now,
     });
@@ -216,8 +216,8 @@
         vec![
             ("id", call.id.clone()),
             ("backend", instance.id.clone()),
-            ("task", task_word(&choice.task).into()),
-            ("expected_ms", format!("{:.0}", choice.expected).into()),
+            ("task", task_name(&choice.task).into()),
+            ("expected_ms", format!("{:.0}", choice.expected_ms).into()),
             ("calls", instance.work().calls.to_string().into()),
             ("tokens", instance.work().tokens.to_string().into()),
             ("own_tokens", instance.own.tokens.to_string().into()),
@@ -248,13 +248,13 @@
         idle,
         fetch: choice.fetch.map(|fetch| fetch.from),
     }))));
-    if let Some(silence) = choice.silence {
+    if let Some(silence) = choice.silence_timeout {
         super::wake(core, silence, RelayTimer::Silence(attempt), out);
     }
 }
 
 /// Returns for how long a backend server's entry has been missing from the store, for the log.
-fn unlisted(core: &Core, key: BackendKey) -> Box<str> {
+fn unlisted_ms(core: &Core, key: BackendKey) -> Box<str> {
     let missed = core.relay.instances.arena[key].missed;
     missed.map_or_else(
         || "listed".into(),
@@ -263,7 +263,7 @@
 }
 
 /// Returns the word for a task in logs.
-pub(super) fn task_word(task: &Task) -> &'static str {
+pub(super) fn task_name(task: &Task) -> &'static str {
     match task {
         Task::Whole => "whole",
         Task::Prefill => "prefill",
@@ -273,18 +273,18 @@
 
 /// Returns how many idle connections to a backend server this host may keep: its part of what the
 /// backend server accepts, less room for those in use.
-fn idle(core: &Core, key: BackendKey) -> usize {
+fn max_idle_connections(core: &Core, key: BackendKey) -> usize {
     let service = &core.relay.instances.arena[key].service;
     let known = core.relay.catalog.as_ref();
     let most = known
         .and_then(|catalog| catalog.services.get(service))
         .map_or(0, |service: &Service| service.connections);
     let hosts = core.relay.peers.hosts();
-    (most as usize / hosts.max(1) / 3).max(IDLE_LEAST)
+    (most as usize / hosts.max(1) / 3).max(MIN_IDLE_CONNECTIONS)
 }
 
 /// Forgets an attempt and the work it counted for.
-pub(super) fn close(core: &mut Core, key: AttemptKey) -> Option<Attempt> {
+pub(super) fn close_attempt(core: &mut Core, key: AttemptKey) -> Option<Attempt> {
     let attempt = core.relay.attempts.remove(key)?;
     if let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) {
         instance.own = instance.own.less(attempt.work);
@@ -298,7 +298,7 @@
 }
 
 /// Counts an attempt's prompt as prefilled.
-pub(super) fn prefilled(core: &mut Core, key: AttemptKey) {
+pub(super) fn release_prefill_work(core: &mut Core, key: AttemptKey) {
     let Some(attempt) = core.relay.attempts.get_mut(key) else {
         return;
     };
@@ -313,7 +313,7 @@
 }
 
 /// The caller closed its connection: nothing more is done for it.
-pub(super) fn left(core: &mut Core, key: CallKey, out: &mut Effects) {
+pub(super) fn caller_left(core: &mut Core, key: CallKey, out: &mut Effects) {
     if core.relay.calls.contains_key(key) {
         end(core, key, "caller-left", Ran::Unknown, out);
     }
@@ -344,7 +344,7 @@
     refuse(
         core,
         key,
-        Refusal::new(Kind::Stopping, why).retry(ELSEWHERE),
+        Refusal::new(Kind::Stopping, why).retry(OTHER_HOST_RETRY_AFTER),
         out,
     );
 }
@@ -366,7 +366,7 @@
         end(core, key, "cut", Ran::Yes, out);
     } else {
         let refusal = Refusal::new(kind, detail).ran(Ran::Unknown);
-        answer_with(core, key, refusal, out);
+        send_refusal(core, key, refusal, out);
     }
 }
 
@@ -377,11 +377,11 @@
         let detail = refusal.detail.clone();
         give_up(core, key, Kind::EngineFailed, &detail, out);
     } else {
-        answer_with(core, key, refusal.ran(Ran::No), out);
+        send_refusal(core, key, refusal.ran(Ran::No), out);
     }
 }
 
-fn answer_with(core: &mut Core, key: CallKey, refusal: Refusal, out: &mut Effects) {
+fn send_refusal(core: &mut Core, key: CallKey, refusal: Refusal, out: &mut Effects) {
     let (word, ran) = (refusal.kind.answer().code, refusal.ran);
     note(
         out,
@@ -389,8 +389,8 @@
         "request.refused",
         vec![
             ("id", core.relay.calls[key].id.clone()),
-            ("config", version(core)),
-            ("heard_ms", heard(core)),
+            ("config", config_version(core)),
+            ("heard_ms", store_age_ms(core)),
             ("code", word.into()),
             ("ran", ran.word().into()),
             (
@@ -405,7 +405,7 @@
 }
 
 /// Returns the version of the configuration in force, for the log.
-fn version(core: &Core) -> Box<str> {
+fn config_version(core: &Core) -> Box<str> {
     let catalog = core.relay.catalog.as_ref();
     catalog
         .map_or(0, |catalog| catalog.version)
@@ -414,7 +414,7 @@
 }
 
 /// Returns how long ago all that the store held was known here, for the log.
-fn heard(core: &Core) -> Box<str> {
+fn store_age_ms(core: &Core) -> Box<str> {
     let heard = core.relay.view.current();
     heard.map_or_else(
         || "never".into(),
@@ -432,7 +432,7 @@
 ) {
     if let Some(attempt) = core.relay.calls[key].attempt {
         out.push(Effect::Relay(RelayEffect::Cancel(attempt)));
-        close(core, attempt);
+        close_attempt(core, attempt);
     }
     let Some(call) = core.relay.calls.remove(key) else {
         return;
@@ -468,7 +468,7 @@
 }
 
 /// Returns when a refused caller should come back: once the work that is ahead is done.
-pub(super) fn come_back(core: &mut Core, backlog: f64) -> Duration {
+pub(super) fn retry_after(core: &mut Core, backlog: f64) -> Duration {
     let spread = core.rng.random_range(0.8..1.6);
-    span((backlog * spread).max(millis(COME_BACK) * spread))
+    span((backlog * spread).max(millis(RETRY_AFTER) * spread))
 }
--- a/src/core/relay/choose/handover.rs
+++ b/src/core/relay/choose/handover.rs
@@ -4,7 +4,8 @@
 use super::super::instance::Work;
 use super::super::{Call, Reads, load, prefix_cache};
 use super::{
-    Choice, crossing, crowded, displaced, none, policy, queued, sampling, silence, takers, transfer,
+    Choice, batching_delay_ms, crossing_cost_ms, eligible_servers, eviction_cost_ms, no_server,
+    policy, sampling, silence_timeout, slot_wait_ms, transfer_ms,
 };
 use crate::core::Core;
 use crate::core::effect::Refusal;
@@ -12,19 +13,19 @@
 
 /// Urgency of a request whose prompt is read: all but a step of the work is done, and behind the
 /// prompts that its engine reads itself it would wait for them.
-const TAKEN_OVER: u8 = 0;
+const HANDOVER_URGENCY: u8 = 0;
 /// Part of the time for the prompts that an engine reads itself by which a handed-over request waits
 /// for them.
-const BEHIND: f64 = 0.5;
+const PREFILL_WAIT_FRACTION: f64 = 0.5;
 
 /// Returns the milliseconds from the end of the prefill to the first token, beside the transfer;
 /// `None` where no engine decodes.
-pub(super) fn expected(core: &Core, call: &Call) -> Option<f64> {
-    let takers = takers(core, call, Some(Stage::Decode));
+pub(super) fn expected_ms(core: &Core, call: &Call) -> Option<f64> {
+    let takers = eligible_servers(core, call, Some(Stage::Decode));
     let learned = core.relay.model.of(&call.service);
     let waits = takers.iter().map(|key| {
         let instance = &core.relay.instances.arena[*key];
-        learned.handover(instance.pace) + queued(instance)
+        learned.handover_ms(instance.pace) + slot_wait_ms(instance)
     });
     waits.min_by(f64::total_cmp)
 }
@@ -33,27 +34,28 @@
 pub(super) fn choose(core: &mut Core, key: CallKey) -> Result<Choice, Refusal> {
     let call = &core.relay.calls[key];
     let Some(cache) = call.cache.clone() else {
-        return Err(none(core, key));
+        return Err(no_server(core, key));
     };
     let prompt = call.prompt.clone().unwrap_or_default();
-    let engines = takers(core, call, Some(Stage::Decode));
-    let engines = sampling::drawn(core, key, &prompt, engines);
+    let engines = eligible_servers(core, call, Some(Stage::Decode));
+    let engines = sampling::sample(core, key, &prompt, engines);
     let call = &core.relay.calls[key];
     let source = core.relay.instances.arena.get(cache.engine);
-    let waits = source.map_or(0.0, |instance| instance.link.wait(core.now));
+    let waits = source.map_or(0.0, |instance| instance.link.wait_ms(core.now));
     let source = source.map(|instance| instance.domain.clone());
     let policy = policy(core);
-    let moving = transfer(core, call, &prompt);
+    let moving = transfer_ms(core, call, &prompt);
     let learned = core.relay.model.of(&call.service);
     let mut best: Option<(f64, Reads, f64, BackendKey)> = None;
     for backend in engines {
         let instance = &core.relay.instances.arena[backend];
         let far = source.as_ref() != Some(&instance.domain);
         let moving = if far { moving * 2.0 } else { moving };
-        let link = waits.max(instance.link.wait(core.now));
-        let reading = load::reading(learned, instance, instance.work().tokens) * BEHIND;
-        let queue = reading + queued(instance);
-        let own = learned.handover(instance.pace);
+        let link = waits.max(instance.link.wait_ms(core.now));
+        let reading =
+            load::prefill_ms(learned, instance, instance.work().tokens) * PREFILL_WAIT_FRACTION;
+        let queue = reading + slot_wait_ms(instance);
+        let own = learned.handover_ms(instance.pace);
         let reads = Reads {
             before: moving + link + queue,
             moving,
@@ -61,16 +63,19 @@
             ..Reads::default()
         };
         let expected = own + reads.before;
-        let brought = prefix_cache::missing(instance, &prompt);
-        let cost = expected + crowded(instance) + displaced(learned, brought) + instance.risk()
+        let brought = prefix_cache::missing_tokens(instance, &prompt);
+        let cost = expected
+            + batching_delay_ms(instance)
+            + eviction_cost_ms(learned, brought)
+            + instance.risk()
             - instance.limit.preference(core.now)
-            + crossing(core, call, instance, policy);
+            + crossing_cost_ms(core, call, instance, policy);
         if best.is_none_or(|(least, ..)| cost < least) {
             best = Some((cost, reads, expected, backend));
         }
     }
     let Some((_, reads, expected, backend)) = best else {
-        return Err(none(core, key));
+        return Err(no_server(core, key));
     };
     let call = &core.relay.calls[key];
     Ok(Choice {
@@ -83,15 +88,15 @@
             calls: 1,
             ..Work::default()
         },
-        expected,
-        reads,
+        expected_ms: expected,
+        prefill: reads,
         urgency: Some(if call.late {
-            TAKEN_OVER + 1
+            HANDOVER_URGENCY + 1
         } else {
-            TAKEN_OVER
+            HANDOVER_URGENCY
         }),
-        late: call.late,
+        is_late: call.late,
         fetch: None,
-        silence: Some(silence(expected)),
+        silence_timeout: Some(silence_timeout(expected)),
     })
 }
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -9,38 +9,38 @@
 use super::super::Core;
 use super::super::effect::Refusal;
 use super::super::key::{BackendKey, CallKey};
-use super::call::come_back;
+use super::call::retry_after;
 use super::catalog::Engine;
 use super::event::{Prompt, Stage, Task};
 use super::instance::{Instance, Work};
-use super::model::Learned;
+use super::model::ServiceModel;
 use super::prefix_cache::{Fetch, Holder};
 use super::{Call, Reads, load, millis, prefix_cache, span};
 use crate::error::Kind;
 use crate::settings::relay::Policy;
 
 /// Urgency of requests that can no longer be in time.
-const LATE: u8 = 8;
+const LATE_URGENCY: u8 = 8;
 /// Urgency of the most urgent rank; each rank below adds one.
-const URGENT: u8 = 2;
+const BASE_URGENCY: u8 = 2;
 /// Part of the time that is left which the expected time may take: a caller that waits longer
 /// gives up while the work is done in vain.
-const HOPE: f64 = 0.7;
+const MAX_WAIT_FRACTION: f64 = 0.7;
 /// Milliseconds a stream lasts that waits for a slot at a full engine, by rule of thumb.
-const STREAM_TIME: f64 = 250.0;
+const STREAM_DURATION_MS: f64 = 250.0;
 /// Part of the shortest wanted time that the queue may be long for what is late in any case.
-const SPARE: f64 = 0.2;
+const LATE_QUEUE_FRACTION: f64 = 0.2;
 /// What another copy of a prompt part costs, as a part of the time in which it is read.
 ///
 /// Each request leaves its shared parts at the engine that read them and at the one that generates.
 /// At no cost engines fill with copies of the same parts, others are dropped and read again, and
 /// their prompts come late.
-const DISPLACED: f64 = 0.3;
+const EVICTION_COST_FRACTION: f64 = 0.3;
 
 /// Times as long as expected after which an attempt that brought nothing may be silent.
-const SILENT_TIMES: f64 = 3.0;
+const SILENCE_FACTOR: f64 = 3.0;
 /// Time beyond that, for what is expected almost at once.
-const SILENT_LEAST: Duration = Duration::from_millis(300);
+const SILENCE_MARGIN: Duration = Duration::from_millis(300);
 
 /// Where a request goes.
 #[derive(Debug, Clone)]
@@ -52,17 +52,17 @@
     /// Work that the request adds there.
     pub work: Work,
     /// Milliseconds until the first of the answer.
-    pub expected: f64,
+    pub expected_ms: f64,
     /// What is to be read there before its first token.
-    pub reads: Reads,
+    pub prefill: Reads,
     /// Urgency at an engine.
     pub urgency: Option<u8>,
     /// Whether it can no longer be in time.
-    pub late: bool,
+    pub is_late: bool,
     /// What it copies first of the prompt from another engine.
     pub fetch: Option<Fetch>,
     /// Time after which it is looked at whether the attempt is silent.
-    pub silence: Option<Duration>,
+    pub silence_timeout: Option<Duration>,
 }
 
 /// Chooses where a request goes.
@@ -80,7 +80,7 @@
         if call.cache.is_some() {
             handover::choose(core, key)
         } else {
-            fresh(core, key)
+            choose_placement(core, key)
         }
     } else {
         plain::choose(core, key)
@@ -88,7 +88,7 @@
 }
 
 /// Tells whether another backend server than this one could take the request.
-pub fn elsewhere(core: &Core, key: CallKey, backend: BackendKey) -> bool {
+pub fn has_alternative(core: &Core, key: CallKey, backend: BackendKey) -> bool {
     let call = &core.relay.calls[key];
     let all = core.relay.instances.of(&call.service);
     all.iter().any(|&other| {
@@ -99,7 +99,7 @@
 }
 
 /// Returns the backend servers of a request's service that take work, those that failed it last.
-fn takers(core: &Core, call: &Call, stage: Option<Stage>) -> Vec<BackendKey> {
+fn eligible_servers(core: &Core, call: &Call, stage: Option<Stage>) -> Vec<BackendKey> {
     let all = core.relay.instances.of(&call.service).iter().copied();
     let takers = all.filter(|key| {
         let instance = &core.relay.instances.arena[*key];
@@ -116,8 +116,8 @@
 
 /// Returns when to look whether an attempt is silent from which an answer is expected after so many
 /// milliseconds.
-fn silence(expected: f64) -> Duration {
-    span(expected * SILENT_TIMES) + SILENT_LEAST
+fn silence_timeout(expected: f64) -> Duration {
+    span(expected * SILENCE_FACTOR) + SILENCE_MARGIN
 }
 
 fn policy(core: &Core) -> Policy {
@@ -134,14 +134,14 @@
     )
 }
 
-fn none(core: &mut Core, key: CallKey) -> Refusal {
+fn no_server(core: &mut Core, key: CallKey) -> Refusal {
     let service = core.relay.calls[key].service.clone();
-    if let Some(wait) = limited(core, &service) {
-        let retry = come_back(core, millis(wait));
+    if let Some(wait) = limit_wait(core, &service) {
+        let retry = retry_after(core, millis(wait));
         let detail = format!("servers of {service} take no more for now, by limits that they name");
         return Refusal::new(Kind::Overloaded, detail).retry(retry);
     }
-    let retry = come_back(core, 0.0);
+    let retry = retry_after(core, 0.0);
     Refusal::new(
         Kind::NoEngine,
         format!("nothing that serves {service} takes work"),
@@ -151,7 +151,7 @@
 
 /// Returns the time until this host may send to a limited backend server, where only limits keep it from
 /// those that take work.
-fn limited(core: &Core, service: &str) -> Option<Duration> {
+fn limit_wait(core: &Core, service: &str) -> Option<Duration> {
     let all = core.relay.instances.of(service).iter();
     let all = all.map(|key| &core.relay.instances.arena[*key]);
     let limited = all.filter(|instance| instance.takes(core.now) && !instance.admits(core.now));
@@ -162,7 +162,7 @@
 
 /// One way to serve a model request.
 #[derive(Debug, Clone, Copy)]
-struct Way {
+struct Placement {
     backend: BackendKey,
     stage: Stage,
     /// Work of reading it there, in tokens of a short prompt.
@@ -170,30 +170,30 @@
     /// What is copied from another engine first.
     fetch: Option<Fetch>,
     /// What is to be read there.
-    reads: Reads,
+    prefill: Reads,
     /// Milliseconds until those are read.
-    queue: f64,
+    queue_ms: f64,
     /// Milliseconds until its own part is done there.
-    here: f64,
+    stage_ms: f64,
     /// Milliseconds until the first token.
-    first: f64,
+    first_token_ms: f64,
     /// What it costs, in milliseconds of delay.
     cost: f64,
 }
 
 /// Chooses for a model request of which nothing is read yet.
-fn fresh(core: &mut Core, key: CallKey) -> Result<Choice, Refusal> {
+fn choose_placement(core: &mut Core, key: CallKey) -> Result<Choice, Refusal> {
     let Some(prompt) = core.relay.calls[key].prompt.clone() else {
-        return Err(none(core, key));
+        return Err(no_server(core, key));
     };
     let policy = policy(core);
     let engines = [Stage::Prefill, Stage::Decode].map(|stage| {
-        let takers = takers(core, &core.relay.calls[key], Some(stage));
-        sampling::drawn(core, key, &prompt, takers)
+        let takers = eligible_servers(core, &core.relay.calls[key], Some(stage));
+        sampling::sample(core, key, &prompt, takers)
     });
     let call = &core.relay.calls[key];
-    let handover = handover::expected(core, call);
-    let moving = transfer(core, call, &prompt);
+    let handover = handover::expected_ms(core, call);
+    let moving = transfer_ms(core, call, &prompt);
     let left = millis(call.end.since(core.now));
     let spent = millis(core.now.since(call.arrived));
     let wanted = millis(call.route.target) * policy.patience - spent;
@@ -204,30 +204,33 @@
             continue;
         }
         ways.extend(engines.into_iter().map(|backend| {
-            let waits = core.relay.instances.arena[backend].link.wait(core.now);
+            let waits = core.relay.instances.arena[backend].link.wait_ms(core.now);
             let after = handover.unwrap_or(0.0) + moving + waits;
-            way(core, call, &prompt, backend, after, &holders, policy)
+            evaluate(core, call, &prompt, backend, after, &holders, policy)
         }));
     }
-    let cheapest = |ways: &mut dyn Iterator<Item = &Way>| {
+    let cheapest = |ways: &mut dyn Iterator<Item = &Placement>| {
         ways.min_by(|one, two| one.cost.total_cmp(&two.cost))
             .copied()
     };
     let Some(mut way) = cheapest(&mut ways.iter()) else {
-        return Err(none(core, key));
+        return Err(no_server(core, key));
     };
     // The cheapest may be the one that holds the prompt's parts and is busy for longer than wanted.
     // Reading them again pays where an engine is idle; anywhere else it delays others by as much.
-    let spare = spare(core, call);
-    if way.first > wanted {
-        let idle = |way: &&Way| way.first <= wanted && way.queue <= spare;
+    let spare = max_late_queue_ms(core, call);
+    if way.first_token_ms > wanted {
+        let idle = |way: &&Placement| way.first_token_ms <= wanted && way.queue_ms <= spare;
         way = cheapest(&mut ways.iter().filter(idle)).unwrap_or(way);
     }
-    let late = way.first > wanted;
+    let late = way.first_token_ms > wanted;
     let call = &core.relay.calls[key];
-    if late && way.queue > spare || way.first > left * HOPE {
-        let detail = format!("the first token would come after {:.0} ms", way.first);
-        let retry = come_back(core, way.queue);
+    if late && way.queue_ms > spare || way.first_token_ms > left * MAX_WAIT_FRACTION {
+        let detail = format!(
+            "the first token would come after {:.0} ms",
+            way.first_token_ms
+        );
+        let retry = retry_after(core, way.queue_ms);
         return Err(Refusal::new(Kind::Overloaded, detail).retry(retry));
     }
     let work = Work {
@@ -243,25 +246,25 @@
         backend: way.backend,
         task,
         work,
-        expected: way.here,
-        reads: way.reads,
+        expected_ms: way.stage_ms,
+        prefill: way.prefill,
         urgency: Some(urgency(call, late)),
-        late,
+        is_late: late,
         fetch: way.fetch,
-        silence: Some(silence(way.here)),
+        silence_timeout: Some(silence_timeout(way.stage_ms)),
     })
 }
 
 fn urgency(call: &Call, late: bool) -> u8 {
     if late {
-        LATE
+        LATE_URGENCY
     } else {
-        (URGENT + call.route.rank).min(LATE - 1)
+        (BASE_URGENCY + call.route.rank).min(LATE_URGENCY - 1)
     }
 }
 
 /// Works out one way to serve a model request.
-fn way(
+fn evaluate(
     core: &Core,
     call: &Call,
     prompt: &Prompt,
@@ -269,52 +272,53 @@
     handover: f64,
     holders: &[Holder],
     policy: Policy,
-) -> Way {
+) -> Placement {
     let instance = &core.relay.instances.arena[backend];
     let stage = instance.stage.unwrap_or(Stage::Decode);
-    let unread = prefix_cache::unread(instance, prompt);
-    let fetch = engine(core, call)
-        .and_then(|engine| prefix_cache::fetch(instance, backend, unread, prompt, holders, engine));
+    let unread = prefix_cache::uncached_tokens(instance, prompt);
+    let fetch = engine_spec(core, call).and_then(|engine| {
+        prefix_cache::best_fetch(instance, backend, unread, prompt, holders, engine)
+    });
     let work = instance.work();
     let reads = Reads {
         unread: unread - fetch.map_or(0, |fetch| fetch.tokens),
         held: prompt.tokens - unread + fetch.map_or(0, |fetch| fetch.tokens),
         ahead: work.tokens,
-        before: fetch.map_or(0.0, |fetch| fetch.takes),
+        before: fetch.map_or(0.0, |fetch| fetch.duration_ms),
         ..Reads::default()
     };
     let learned = core.relay.model.of(&call.service);
-    let tokens = learned.tokens(reads.unread, reads.held);
-    let own = load::reading(learned, instance, tokens);
-    let base = learned.base(stage);
+    let tokens = learned.equivalent_tokens(reads.unread, reads.held);
+    let own = load::prefill_ms(learned, instance, tokens);
+    let base = learned.base_ms(stage);
     let (base, after, share) = match stage {
         Stage::Prefill => (base, handover, 1.0),
         Stage::Decode => (
-            base + queued(instance) + crowded(instance),
+            base + slot_wait_ms(instance) + batching_delay_ms(instance),
             0.0,
             policy.beside,
         ),
     };
-    let queue = load::reading(learned, instance, work.tokens);
+    let queue = load::prefill_ms(learned, instance, work.tokens);
     let here = base + queue + reads.before + own;
-    let crossing = crossing(core, call, instance, policy);
+    let crossing = crossing_cost_ms(core, call, instance, policy);
     let vain = match stage {
         Stage::Prefill => instance.vain(own),
         Stage::Decode => 0.0,
     };
-    Way {
+    Placement {
         backend,
         stage,
         tokens,
         fetch,
-        reads,
-        queue,
-        here,
-        first: here + after,
+        prefill: reads,
+        queue_ms: queue,
+        stage_ms: here,
+        first_token_ms: here + after,
         cost: here
             + after
-            + load::usual(instance, own) * policy.work * share
-            + displaced(learned, fetch.map_or(0, |fetch| fetch.tokens))
+            + load::normalized_ms(instance, own) * policy.work * share
+            + eviction_cost_ms(learned, fetch.map_or(0, |fetch| fetch.tokens))
             + crossing
             + instance.risk()
             + vain
@@ -327,7 +331,7 @@
 /// Engines read prompts in the order in which they came: one that is late in any case makes all
 /// behind it late, too. It is worth a third of one in time, so that it may fill what is idle and
 /// must not delay the shortest.
-fn spare(core: &Core, call: &Call) -> f64 {
+fn max_late_queue_ms(core: &Core, call: &Call) -> f64 {
     let catalog = core.relay.catalog.as_ref();
     let routes = catalog.into_iter().flat_map(|catalog| &catalog.routes);
     let same = routes.filter(|route| {
@@ -338,17 +342,17 @@
                 .any(|(service, _)| *service == call.service)
     });
     let least = same.map(|route| route.target).min();
-    millis(least.unwrap_or(call.route.target)) * SPARE
+    millis(least.unwrap_or(call.route.target)) * LATE_QUEUE_FRACTION
 }
 
 /// Returns the milliseconds that another copy of so many tokens costs: it takes the place of other
 /// parts, which are then read again.
-fn displaced(learned: &Learned, tokens: u64) -> f64 {
-    learned.usual(tokens) * DISPLACED
+fn eviction_cost_ms(learned: &ServiceModel, tokens: u64) -> f64 {
+    learned.average_prefill_ms(tokens) * EVICTION_COST_FRACTION
 }
 
 /// Returns the delay that a request's bytes are worth on their way there.
-fn crossing(core: &Core, call: &Call, instance: &Instance, policy: Policy) -> f64 {
+fn crossing_cost_ms(core: &Core, call: &Call, instance: &Instance, policy: Policy) -> f64 {
     if instance.domain == core.settings.host.domain {
         0.0
     } else {
@@ -357,23 +361,25 @@
 }
 
 /// Returns the milliseconds that a request waits for a slot.
-fn queued(instance: &Instance) -> f64 {
+fn slot_wait_ms(instance: &Instance) -> f64 {
     let over = (instance.work().calls + 1).saturating_sub(instance.slots);
-    f64::from(over) / f64::from(instance.slots) * STREAM_TIME
+    f64::from(over) / f64::from(instance.slots) * STREAM_DURATION_MS
 }
 
 /// Returns the milliseconds that a request is slowed by those that run, or slows them.
-fn crowded(instance: &Instance) -> f64 {
-    f64::from(instance.work().calls) * load::STREAM
+fn batching_delay_ms(instance: &Instance) -> f64 {
+    f64::from(instance.work().calls) * load::DELAY_PER_STREAM_MS
 }
 
 /// Returns what the engines of a request's service can do.
-fn engine<'a>(core: &'a Core, call: &Call) -> Option<&'a Engine> {
+fn engine_spec<'a>(core: &'a Core, call: &Call) -> Option<&'a Engine> {
     let catalog = core.relay.catalog.as_ref()?;
     catalog.services.get(&call.service)?.engine.as_ref()
 }
 
 /// Returns the milliseconds that the transfer of a prompt's KV cache takes.
-fn transfer(core: &Core, call: &Call, prompt: &Prompt) -> f64 {
-    engine(core, call).map_or(0.0, |engine| prefix_cache::transfer(engine, prompt.tokens))
+fn transfer_ms(core: &Core, call: &Call, prompt: &Prompt) -> f64 {
+    engine_spec(core, call).map_or(0.0, |engine| {
+        prefix_cache::transfer_ms(engine, prompt.tokens)
+    })
 }
--- a/src/core/relay/choose/sampling.rs
+++ b/src/core/relay/choose/sampling.rs
@@ -14,21 +14,21 @@
 use crate::core::key::{BackendKey, CallKey};
 
 /// Requests of other hosts that may go to one server unheard, on average over the drawn ones.
-const UNHEARD_EACH: f64 = 2.0;
+const MAX_UNREPORTED_PER_SERVER: f64 = 2.0;
 /// Fewest servers drawn: the better of two is much better than any one.
-const LEAST: usize = 2;
+const MIN_SAMPLE_SIZE: usize = 2;
 /// Time over which it is counted how many requests arrive.
-const COUNTED: Duration = Duration::from_secs(2);
+const ARRIVAL_WINDOW: Duration = Duration::from_secs(2);
 
 /// Returns the servers among which a request's is chosen: all, or some drawn at random beside those
 /// that hold most of its prompt.
-pub(super) fn drawn(
+pub(super) fn sample(
     core: &mut Core,
     key: CallKey,
     prompt: &Prompt,
     mut all: Vec<BackendKey>,
 ) -> Vec<BackendKey> {
-    let most = most(all.len(), unheard(core, &core.relay.calls[key]));
+    let most = sample_size(all.len(), unreported_requests(core, &core.relay.calls[key]));
     if most >= all.len() {
         return all;
     }
@@ -39,30 +39,30 @@
     let rest = all.split_off(most);
     let holds = |key: &BackendKey| {
         let instance = &core.relay.instances.arena[*key];
-        prefix_cache::unread(instance, prompt) <= prompt.tokens / 2
+        prefix_cache::uncached_tokens(instance, prompt) <= prompt.tokens / 2
     };
     all.extend(rest.into_iter().filter(holds));
     all
 }
 
 /// Returns how many of so many servers are drawn where so many requests were sent unheard.
-fn most(servers: usize, unheard: f64) -> usize {
-    let part = UNHEARD_EACH / unheard.max(UNHEARD_EACH);
+fn sample_size(servers: usize, unheard: f64) -> usize {
+    let part = MAX_UNREPORTED_PER_SERVER / unheard.max(MAX_UNREPORTED_PER_SERVER);
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a part of some hundred servers"
     )]
     let most = (servers as f64 * part).ceil() as usize;
-    most.max(LEAST)
+    most.max(MIN_SAMPLE_SIZE)
 }
 
 /// Returns how many requests other hosts are expected to have sent to a service since the moment of
 /// which this host knows: as many for each as arrived here.
-fn unheard(core: &Core, call: &Call) -> f64 {
+fn unreported_requests(core: &Core, call: &Call) -> f64 {
     let budget = core.relay.budgets.get(&call.service);
-    let own = budget.map_or(0, |budget| budget.recent(core.now, COUNTED));
+    let own = budget.map_or(0, |budget| budget.requests_within(core.now, ARRIVAL_WINDOW));
     let others = core.relay.peers.hosts().saturating_sub(1);
-    let rate = own as f64 / COUNTED.as_secs_f64() * others as f64;
+    let rate = own as f64 / ARRIVAL_WINDOW.as_secs_f64() * others as f64;
     rate * gossip::delay(core).as_secs_f64()
 }
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -176,7 +176,7 @@
         engines.map(|engine| engine.memory).max()
     });
     for instance in core.relay.instances.arena.values_mut() {
-        prefix_cache::forget(instance, memory.unwrap_or(0), core.now);
+        prefix_cache::drop_evicted(instance, memory.unwrap_or(0), core.now);
     }
 }
 
@@ -396,8 +396,8 @@
         let instance = &mut core.relay.instances.arena[engine];
         // It was sent there to be read, behind what waits there already.
         let learned = core.relay.model.of(&instance.service);
-        let wait = span(load::reading(learned, instance, instance.work().tokens));
+        let wait = span(load::prefill_ms(learned, instance, instance.work().tokens));
         let ready = core.now.after(wait);
-        prefix_cache::note(instance, part.part, part.tokens.into(), core.now, ready);
+        prefix_cache::record_block(instance, part.part, part.tokens.into(), core.now, ready);
     }
 }
--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -9,8 +9,8 @@
 use super::departed::Departed;
 use super::event::{Changes, Entry, LoadReport, Stage};
 use super::limit::Limit;
-use super::model::{Link, Pace};
-use super::prefix_cache::Part;
+use super::model::{Link, Slowdown};
+use super::prefix_cache::CachedBlock;
 use crate::core::key::{BackendKey, HostKey};
 use crate::core::time::Time;
 
@@ -72,7 +72,7 @@
     /// It gets no new work before this time.
     pub retry: Time,
     /// How fast it is against the other engines of its service.
-    pub pace: Pace,
+    pub pace: Slowdown,
     /// How slow its link is.
     pub link: Link,
     /// Part of the KV caches read there that could not be taken lately.
@@ -88,7 +88,7 @@
     /// Requests that it takes from all hosts together.
     pub limit: Limit,
     /// Prompt parts that it holds or is about to, by their ids.
-    pub parts: BTreeMap<u64, Part>,
+    pub parts: BTreeMap<u64, CachedBlock>,
 }
 
 /// Unfinished work at a backend server.
@@ -154,7 +154,7 @@
             fails: 0,
             refusals: 0,
             retry: Time::default(),
-            pace: Pace::default(),
+            pace: Slowdown::default(),
             link: Link::default(),
             spoiled: 0.0,
             errors: 0.0,
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -10,21 +10,21 @@
 use super::super::{Core, Effects};
 use super::event::{Stage, Task};
 use super::instance::Instance;
-use super::model::{Learned, Sample};
+use super::model::{Sample, ServiceModel};
 use super::{Attempt, Call, millis, note, span};
 
 /// Milliseconds by which each request that runs there delays the next token.
-pub const STREAM: f64 = 0.6;
+pub const DELAY_PER_STREAM_MS: f64 = 0.6;
 /// Milliseconds a plain request takes before any was measured.
-const LATENCY: f64 = 30.0;
+const INITIAL_LATENCY_MS: f64 = 30.0;
 /// Weight of the newest measurement in a plain server's latency.
-const LATENCY_STEP: f64 = 0.15;
+const LATENCY_WEIGHT: f64 = 0.15;
 
 /// Returns the milliseconds that reading `tokens` takes there, with nothing ahead.
 #[must_use]
-pub fn reading(learned: &Learned, instance: &Instance, tokens: u64) -> f64 {
+pub fn prefill_ms(learned: &ServiceModel, instance: &Instance, tokens: u64) -> f64 {
     let stage = instance.stage.unwrap_or(Stage::Decode);
-    learned.reading(stage, instance.pace, tokens)
+    learned.prefill_ms(stage, instance.pace, tokens)
 }
 
 /// Returns the milliseconds that work takes at an average engine which takes so many there.
@@ -34,22 +34,22 @@
 /// short prompts waited at fast engines, and long ones, which only those can serve in time, behind
 /// them: a mean worth of 0.732 over fifteen days, and 0.736 counted alike.
 #[must_use]
-pub fn usual(instance: &Instance, millis: f64) -> f64 {
-    millis / instance.pace.slow
+pub fn normalized_ms(instance: &Instance, millis: f64) -> f64 {
+    millis / instance.pace.factor
 }
 
 /// Returns the milliseconds a plain request takes there.
 #[must_use]
-pub fn latency(instance: &Instance) -> f64 {
+pub fn latency_ms(instance: &Instance) -> f64 {
     if instance.latency > 0.0 {
         instance.latency
     } else {
-        LATENCY
+        INITIAL_LATENCY_MS
     }
 }
 
 /// Learns from the time an attempt took to bring the first of its answer.
-pub fn measured(core: &mut Core, key: AttemptKey, took: f64, out: &mut Effects) {
+pub fn record_first_answer(core: &mut Core, key: AttemptKey, took: f64, out: &mut Effects) {
     let Some(attempt) = core.relay.attempts.get(key) else {
         return;
     };
@@ -72,10 +72,10 @@
         vec![
             ("id", id.unwrap_or_default()),
             ("backend", instance.id.clone()),
-            ("task", super::call::task_word(&task).into()),
+            ("task", super::call::task_name(&task).into()),
             ("took_ms", format!("{took:.0}").into()),
             ("expected_ms", format!("{expected:.0}").into()),
-            ("pace", format!("{:.2}", instance.pace.slow).into()),
+            ("pace", format!("{:.2}", instance.pace.factor).into()),
             ("reads", reads.unread.to_string().into()),
             ("held", reads.held.to_string().into()),
             ("ahead", reads.ahead.to_string().into()),
@@ -83,30 +83,30 @@
         ],
     );
     if instance.stage.is_none() {
-        let old = latency(instance);
-        instance.latency = old + (took - old) * LATENCY_STEP;
+        let old = latency_ms(instance);
+        instance.latency = old + (took - old) * LATENCY_WEIGHT;
     } else if let Some(stage) = instance.stage
         && matches!(task, Task::Prefill | Task::Whole)
     {
         let sample = Sample {
             took: took - reads.before,
-            unread: reads.unread,
-            held: reads.held,
-            ahead: reads.ahead,
+            uncached: reads.unread,
+            cached: reads.held,
+            queued: reads.ahead,
         };
         let learned = core.relay.model.of_mut(&instance.service);
-        learned.read(stage, &sample, &mut instance.pace);
+        learned.record_prefill(stage, &sample, &mut instance.pace);
     } else if matches!(task, Task::Decode { .. }) {
-        handed_over(core, key, took);
+        record_handover(core, key, took);
     }
 }
 
 /// Times as long as expected that a hand-over may take before it waited for a link: engines that
 /// read a long prompt meanwhile, or start a step for many streams, take twice as long now and then.
-const LINK_TIMES: f64 = 3.0;
+const LINK_DELAY_FACTOR: f64 = 3.0;
 
 /// Learns from the time that a hand-over took: what engines need for it, or which link is slow.
-fn handed_over(core: &mut Core, key: AttemptKey, took: f64) {
+fn record_handover(core: &mut Core, key: AttemptKey, took: f64) {
     let attempt = &core.relay.attempts[key];
     let (target, reads) = (attempt.backend, attempt.reads);
     let source = core.relay.calls.get(attempt.call);
@@ -114,7 +114,7 @@
     let now = core.now;
     let arena = &mut core.relay.instances.arena;
     let usual = reads.rest + reads.moving;
-    let waited = if took > usual * LINK_TIMES {
+    let waited = if took > usual * LINK_DELAY_FACTOR {
         took - usual
     } else {
         0.0
@@ -124,7 +124,7 @@
     {
         let own = took - reads.before;
         let learned = core.relay.model.of_mut(&instance.service);
-        learned.handed_over(own, instance.pace);
+        learned.record_handover(own, instance.pace);
     }
     let explains = |key: &BackendKey| {
         arena
@@ -151,29 +151,29 @@
 
 /// Returns how long an attempt may bring nothing before it is taken for silent.
 #[must_use]
-pub fn silence(call: &Call, attempt: &Attempt, heard: Option<Time>, now: Time) -> Duration {
+pub fn silence_timeout(call: &Call, attempt: &Attempt, heard: Option<Time>, now: Time) -> Duration {
     if attempt.began {
-        return (call.route.gap * 4).max(GAP_LEAST);
+        return (call.route.gap * 4).max(MIN_STREAM_GAP);
     }
-    let alive = heard.is_some_and(|at| now.since(at) < ALIVE);
-    let expected = span(attempt.expected * SILENCE);
+    let alive = heard.is_some_and(|at| now.since(at) < ALIVE_WINDOW);
+    let expected = span(attempt.expected * SILENCE_FACTOR);
     if alive && call.prompt.is_some() {
-        return expected + BUSY;
+        return expected + BUSY_ALLOWANCE;
     }
     if call.prompt.is_none() {
         return expected.max(call.route.target);
     }
-    expected + span(millis(call.route.target).mul_add(0.5, SILENCE_LEAST))
+    expected + span(millis(call.route.target).mul_add(0.5, SILENCE_MARGIN_MS))
 }
 
 /// Time since an engine last brought anything within which it is alive.
-const ALIVE: Duration = Duration::from_millis(400);
+const ALIVE_WINDOW: Duration = Duration::from_millis(400);
 /// Time beyond the expected that a live engine may take: what it does is not given up for a queue
 /// that is longer than was known, or the same prompt would be read twice.
-const BUSY: Duration = Duration::from_millis(1500);
+const BUSY_ALLOWANCE: Duration = Duration::from_millis(1500);
 /// Times the expected time after which an attempt is taken for silent.
-const SILENCE: f64 = 3.0;
+const SILENCE_FACTOR: f64 = 3.0;
 /// Milliseconds that an engine's attempt may be silent in any case.
-const SILENCE_LEAST: f64 = 300.0;
+const SILENCE_MARGIN_MS: f64 = 300.0;
 /// Shortest pause after which a stream is taken for silent: callers give up after two seconds.
-const GAP_LEAST: Duration = Duration::from_millis(900);
+const MIN_STREAM_GAP: Duration = Duration::from_millis(900);
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -13,12 +13,12 @@
 pub mod event;
 mod gossip;
 pub mod instance;
-mod killer;
 pub mod limit;
 mod load;
 mod model;
 mod peers;
 mod planner;
+mod poison;
 mod prefix_cache;
 #[cfg(test)]
 mod tests;
@@ -35,7 +35,7 @@
 use super::time::Time;
 use super::{Core, Effects};
 use crate::settings::Settings;
-use budget::Budget;
+use budget::RetryBudget;
 use catalog::{Catalog, Repeat, Route};
 use event::{Changes, Prompt, RelayEvent, Task};
 use instance::Instances;
@@ -189,15 +189,15 @@
     /// Attempts.
     pub attempts: SlotMap<AttemptKey, Attempt>,
     /// Budgets of repeats by service.
-    pub budgets: BTreeMap<Box<str>, Budget>,
+    pub budgets: BTreeMap<Box<str>, RetryBudget>,
     /// Other hosts.
     pub peers: peers::Peers,
     /// Requests that backend servers died of.
-    pub killers: killer::Killers,
+    pub killers: poison::PoisonRequests,
     /// Stages of engines.
-    pub split: planner::Split,
+    pub split: planner::Planner,
     /// What work takes at engines.
-    pub model: model::Model,
+    pub model: model::CostModel,
 }
 
 impl Relay {
@@ -234,18 +234,18 @@
 pub fn step(core: &mut Core, event: RelayEvent, out: &mut Effects) {
     match event {
         RelayEvent::Arrived(arrival) => call::arrived(core, *arrival, out),
-        RelayEvent::Left(key) => call::left(core, key, out),
+        RelayEvent::Left(key) => call::caller_left(core, key, out),
         RelayEvent::Limited { attempt, limit } => limit::named(core, attempt, limit, out),
         RelayEvent::Prefilled { attempt, handle } => answer::prefilled(core, attempt, handle, out),
         RelayEvent::Answered { attempt, status } => answer::answered(core, attempt, status, out),
-        RelayEvent::Piece { attempt, number } => answer::piece(core, attempt, number, out),
-        RelayEvent::Whole(attempt) => answer::whole(core, attempt, out),
+        RelayEvent::Piece { attempt, number } => answer::stream_event(core, attempt, number, out),
+        RelayEvent::Whole(attempt) => answer::stream_completed(core, attempt, out),
         RelayEvent::Broke {
             attempt,
             ran,
             end,
             detail,
-        } => answer::broke(core, attempt, ran, end, &detail, out),
+        } => answer::attempt_failed(core, attempt, ran, end, &detail, out),
         RelayEvent::Era(era) => view::era::seen(core, era, view::era::ANSWER, out),
         RelayEvent::Store { number, answer } => view::answered(core, number, answer, out),
         RelayEvent::Reported { instance, report } => {
@@ -265,7 +265,7 @@
 pub fn timer(core: &mut Core, timer: RelayTimer, out: &mut Effects) {
     match timer {
         RelayTimer::Deadline(key) => call::deadline(core, key, out),
-        RelayTimer::Silence(attempt) => answer::silence(core, attempt, out),
+        RelayTimer::Silence(attempt) => answer::check_silence(core, attempt, out),
         RelayTimer::Publish => gossip::publish(core, out),
         RelayTimer::Register => peers::register(core, out),
         RelayTimer::RegisterAgain => peers::register_again(core, out),
--- a/src/core/relay/model/attention.rs
+++ b/src/core/relay/model/attention.rs
@@ -4,32 +4,32 @@
 //! before it on average, gives the factor; old prompts count ever less.
 
 /// Part of the weight of older prompts that stays with each new one: some thousand prompts count.
-const KEEP: f64 = 0.999;
-/// Weight by which no growth is assumed, in prompts of [`HEAVY`] tokens behind as many: the first
+const RETAINED_FRACTION: f64 = 0.999;
+/// Weight by which no growth is assumed, in prompts of [`FULL_WEIGHT_TOKENS`] tokens behind as many: the first
 /// few prompts, each with a queue of its own, must not tell of a growth that is not there.
-const DOUBT: f64 = 4.0;
+const PRIOR_WEIGHT: f64 = 4.0;
 /// Tokens of a prompt that counts fully: the time of a shorter one is mostly that of other work.
-const HEAVY: f64 = 10_000.0;
+const FULL_WEIGHT_TOKENS: f64 = 10_000.0;
 /// Most weight of one prompt.
-const WEIGHT_MOST: f64 = 4.0;
+const MAX_WEIGHT: f64 = 4.0;
 /// Times as long as expected that a prompt may have taken to tell anything: it waited.
-const LONGEST: f64 = 3.0;
+const MAX_TIME_RATIO: f64 = 3.0;
 /// Most that a token takes longer for each that stands before it: three times as long behind
 /// 20,000 tokens.
-const FACTOR_MOST: f64 = 1e-4;
+const MAX_FACTOR: f64 = 1e-4;
 
 /// Returns the pairs of tokens that are compared when `unread` tokens are read behind `held` ones.
 #[must_use]
-pub fn pairs(unread: u64, held: u64) -> f64 {
+pub fn token_pairs(unread: u64, held: u64) -> f64 {
     let unread = unread as f64;
     unread * (held as f64 + unread / 2.0)
 }
 
 /// Sums over prompts, for a line through their times.
 #[derive(Debug, Clone, Default)]
-pub struct Square {
+pub struct AttentionCost {
     weight: f64,
-    /// Of the tokens before one on average, in [`HEAVY`].
+    /// Of the tokens before one on average, in [`FULL_WEIGHT_TOKENS`].
     before: f64,
     before_squared: f64,
     /// Of the times, against those expected without growth.
@@ -37,15 +37,15 @@
     product: f64,
 }
 
-impl Square {
+impl AttentionCost {
     /// Takes in how long a prompt took against what its length alone says.
     pub fn learn(&mut self, unread: u64, held: u64, time: f64) {
-        if !(0.0..LONGEST).contains(&time) || unread == 0 {
+        if !(0.0..MAX_TIME_RATIO).contains(&time) || unread == 0 {
             return;
         }
-        let before = pairs(unread, held) / unread as f64 / HEAVY;
-        let weight = (unread as f64 / HEAVY).powi(2).min(WEIGHT_MOST);
-        let add = |sum: &mut f64, value: f64| *sum = *sum * KEEP + value * weight;
+        let before = token_pairs(unread, held) / unread as f64 / FULL_WEIGHT_TOKENS;
+        let weight = (unread as f64 / FULL_WEIGHT_TOKENS).powi(2).min(MAX_WEIGHT);
+        let add = |sum: &mut f64, value: f64| *sum = *sum * RETAINED_FRACTION + value * weight;
         add(&mut self.weight, 1.0);
         add(&mut self.before, before);
         add(&mut self.before_squared, before * before);
@@ -62,11 +62,11 @@
         let before = self.before / self.weight;
         let time = self.time / self.weight;
         let spread = self.before_squared - self.before * before;
-        let slope = (self.product - self.before * time) / (spread + DOUBT);
+        let slope = (self.product - self.before * time) / (spread + PRIOR_WEIGHT);
         let start = time - slope * before;
         if start <= 0.0 {
             return 0.0;
         }
-        (slope / start / HEAVY).clamp(0.0, FACTOR_MOST)
+        (slope / start / FULL_WEIGHT_TOKENS).clamp(0.0, MAX_FACTOR)
     }
 }
--- a/src/core/relay/model/tests.rs
+++ b/src/core/relay/model/tests.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::super::event::Stage;
-use super::{Learned, Pace, Sample};
+use super::{Sample, ServiceModel, Slowdown};
 
 /// An engine as it is.
 #[derive(Clone, Copy)]
@@ -17,17 +17,17 @@
 
 impl Truth {
     fn took(self, unread: u64, held: u64, ahead: u64) -> f64 {
-        let pairs = super::attention::pairs(unread, held);
+        let pairs = super::attention::token_pairs(unread, held);
         let work = unread as f64 + self.factor * pairs + ahead as f64;
         self.base + work * self.token * self.slow
     }
 }
 
 /// Has engines of these speeds read prompts of 300 to 50,000 tokens; returns what was learned.
-fn learn(truth: Truth, speeds: &[f64], prompts: u32, noise: f64) -> (Learned, Vec<Pace>) {
+fn learn(truth: Truth, speeds: &[f64], prompts: u32, noise: f64) -> (ServiceModel, Vec<Slowdown>) {
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut learned = Learned::default();
-    let mut paces = vec![Pace::default(); speeds.len()];
+    let mut learned = ServiceModel::default();
+    let mut paces = vec![Slowdown::default(); speeds.len()];
     for prompt in 0..prompts {
         let at = rng.random_range(0..speeds.len());
         let engine = Truth {
@@ -39,11 +39,11 @@
         let took = engine.took(unread, held, 0) * rng.random_range(1.0..=1.0 + noise);
         let sample = Sample {
             took,
-            unread,
-            held,
-            ahead: 0,
+            uncached: unread,
+            cached: held,
+            queued: 0,
         };
-        learned.read(Stage::Prefill, &sample, &mut paces[at]);
+        learned.record_prefill(Stage::Prefill, &sample, &mut paces[at]);
     }
     (learned, paces)
 }
@@ -56,9 +56,9 @@
 };
 
 /// Returns how far an expected time is from the true one.
-fn error(learned: &Learned, pace: Pace, truth: Truth, unread: u64, held: u64) -> f64 {
-    let work = learned.tokens(unread, held);
-    let expected = learned.base(Stage::Prefill) + learned.reading(Stage::Prefill, pace, work);
+fn error(learned: &ServiceModel, pace: Slowdown, truth: Truth, unread: u64, held: u64) -> f64 {
+    let work = learned.equivalent_tokens(unread, held);
+    let expected = learned.base_ms(Stage::Prefill) + learned.prefill_ms(Stage::Prefill, pace, work);
     expected / truth.took(unread, held, 0) - 1.0
 }
 
@@ -83,83 +83,83 @@
 // A prompt in time or late, taken or refused, is decided by these times: a tenth of half a second
 // is what the largest prompts have to spare.
 expects! {
-    equal_engines: TRUTH, [1.0, 1.0], 0.0 => 0.1;
+    engines_of_equal_speed: TRUTH, [1.0, 1.0], 0.0 => 0.1;
     engines_of_three_speeds: TRUTH, [0.6, 1.4, 1.4], 0.0 => 0.1;
-    no_growth: Truth { factor: 0.0, ..TRUTH }, [0.6, 1.4], 0.0 => 0.1;
-    much_growth: Truth { factor: 5e-5, ..TRUTH }, [0.6, 1.4], 0.0 => 0.1;
-    slow_readers: Truth { token: 0.05, ..TRUTH }, [1.0, 2.0], 0.0 => 0.1;
+    no_attention_cost: Truth { factor: 0.0, ..TRUTH }, [0.6, 1.4], 0.0 => 0.1;
+    high_attention_cost: Truth { factor: 5e-5, ..TRUTH }, [0.6, 1.4], 0.0 => 0.1;
+    slow_prefill: Truth { token: 0.05, ..TRUTH }, [1.0, 2.0], 0.0 => 0.1;
     // A time that is a tenth too long on average cannot be told from an engine that is slower.
-    noisy: TRUTH, [0.6, 1.4], 0.2 => 0.25;
+    noisy_measurements: TRUTH, [0.6, 1.4], 0.2 => 0.25;
 }
 
 /// One answer comes late for a reason that has nothing to do with its engine. What is expected of
 /// the engine changes by no more than a part of it, and is right again after some answers.
 #[test]
-fn one_odd_answer_changes_little() {
+fn one_outlier_changes_little() {
     let (mut learned, mut paces) = learn(TRUTH, &[1.0], 500, 0.0);
     let pace = &mut paces[0];
     let odd = Sample {
         took: 4000.0,
-        unread: 8000,
+        uncached: 8000,
         ..Sample::default()
     };
-    learned.read(Stage::Prefill, &odd, pace);
-    assert!(pace.slow < 4.0, "{pace:?}");
+    learned.record_prefill(Stage::Prefill, &odd, pace);
+    assert!(pace.factor < 4.0, "{pace:?}");
     for _ in 0..30 {
         let took = TRUTH.took(8000, 0, 0);
         let sample = Sample { took, ..odd };
-        learned.read(Stage::Prefill, &sample, pace);
+        learned.record_prefill(Stage::Prefill, &sample, pace);
     }
     assert!(error(&learned, *pace, TRUTH, 8000, 0).abs() < 0.15);
 }
 
 /// Nothing was measured yet. Times are finite and above zero, so that an engine is chosen at all.
 #[test]
-fn nothing_known_is_something_expected() {
-    let learned = Learned::default();
-    let work = learned.tokens(10_000, 0);
+fn estimates_are_positive_before_any_measurement() {
+    let learned = ServiceModel::default();
+    let work = learned.equivalent_tokens(10_000, 0);
     assert_eq!(work, 10_000, "no growth before any was seen");
-    assert!(learned.reading(Stage::Decode, Pace::default(), work) > 0.0);
-    assert!(learned.pause(Pace::default()).is_none());
+    assert!(learned.prefill_ms(Stage::Decode, Slowdown::default(), work) > 0.0);
+    assert!(learned.event_gap_ms(Slowdown::default()).is_none());
 }
 
 /// Streams tell which engine is slow also where it reads nothing.
 #[test]
-fn pauses_tell_of_a_slow_engine() {
-    let mut learned = Learned::default();
-    let (mut fast, mut slow) = (Pace::default(), Pace::default());
+fn event_gaps_reveal_a_slow_engine() {
+    let mut learned = ServiceModel::default();
+    let (mut fast, mut slow) = (Slowdown::default(), Slowdown::default());
     for _ in 0..600 {
-        learned.paused(30.0, &mut fast);
-        learned.paused(72.0, &mut slow);
+        learned.record_event_gap(30.0, &mut fast);
+        learned.record_event_gap(72.0, &mut slow);
     }
-    let ratio = slow.slow / fast.slow;
+    let ratio = slow.factor / fast.factor;
     assert!((2.0..2.8).contains(&ratio), "{ratio}");
-    assert!(fast.known() && slow.known());
+    assert!(fast.is_known() && slow.is_known());
 }
 
 /// Whatever comes in, expectations stay finite and never below zero.
 #[test]
-fn any_measurement_leaves_sane_expectations() {
+fn estimates_stay_finite_for_any_measurement() {
     let mut rng = SmallRng::seed_from_u64(9);
-    let mut learned = Learned::default();
-    let mut pace = Pace::default();
+    let mut learned = ServiceModel::default();
+    let mut pace = Slowdown::default();
     for _ in 0..5000 {
         let exponent = rng.random_range(0.0..20.0_f64);
         let sample = Sample {
             took: rng.random_range(0.0..1.0) * exponent.exp2(),
-            unread: rng.random_range(0..200_000),
-            held: rng.random_range(0..100_000),
-            ahead: rng.random_range(0..1_000_000),
+            uncached: rng.random_range(0..200_000),
+            cached: rng.random_range(0..100_000),
+            queued: rng.random_range(0..1_000_000),
         };
         let stage = if rng.random() {
             Stage::Prefill
         } else {
             Stage::Decode
         };
-        learned.read(stage, &sample, &mut pace);
-        learned.paused(rng.random_range(0.0..5000.0), &mut pace);
-        let work = learned.tokens(50_000, 10_000);
-        let reading = learned.reading(stage, pace, work);
+        learned.record_prefill(stage, &sample, &mut pace);
+        learned.record_event_gap(rng.random_range(0.0..5000.0), &mut pace);
+        let work = learned.equivalent_tokens(50_000, 10_000);
+        let reading = learned.prefill_ms(stage, pace, work);
         assert!(
             reading.is_finite() && reading >= 0.0 && work < 100_000_000,
             "{learned:?}"
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -104,10 +104,10 @@
 
     /// Notes which prompt parts went to an engine.
     pub fn sent(&mut self, parts: Option<&Vec<PromptPart>>, instance: u32) {
-        let shared = parts.map_or(&[][..], |parts| prefix_cache::shared(parts));
+        let shared = parts.map_or(&[][..], |parts| prefix_cache::shared_blocks(parts));
         for part in shared
             .iter()
-            .filter(|part| part.tokens >= prefix_cache::LEAST)
+            .filter(|part| part.tokens >= prefix_cache::MIN_BLOCK_TOKENS)
         {
             self.parts.push(PrefixReport {
                 part: part.id,
--- a/src/core/relay/planner.rs
+++ b/src/core/relay/planner.rs
@@ -23,49 +23,49 @@
 /// Key of the holder.
 const KEY: &str = "planner";
 /// Time between two looks at the engines.
-const EVERY: Duration = Duration::from_millis(500);
+const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Part of the lease's life after which it is renewed.
-const RENEW: u32 = 3;
+const RENEWALS_PER_LEASE: u32 = 3;
 /// Part of the lease's life that is used: the store may count a little faster.
-const USED: f64 = 0.9;
+const USABLE_LEASE_FRACTION: f64 = 0.9;
 /// One engine in so many may change at once: a change takes an engine away for seconds, and each that
 /// is told apart ends the watch of every host.
-const AT_ONCE: usize = 4;
+const ENGINES_PER_CHANGE: usize = 4;
 /// Hosts that try to take the authority in one round, on average.
-const CANDIDATES: usize = 3;
+const EXPECTED_CANDIDATES: usize = 3;
 /// Time for which an engine that was ordered gets no other order: it may be carried out late.
-const SETTLE: Duration = Duration::from_secs(4);
+const ORDER_COOLDOWN: Duration = Duration::from_secs(4);
 
 /// Time without a change of their number after which the engines are planned for.
-const STEADY: Duration = Duration::from_millis(1500);
+const STABLE_PERIOD: Duration = Duration::from_millis(1500);
 
 /// The authority to give orders and what was done with it.
 #[derive(Debug, Default)]
-pub struct Split {
+pub struct Planner {
     /// Revision of the holder's key; 0 while nobody holds it.
     holder: i64,
     /// Whether the holder is known.
-    known: bool,
+    holder_known: bool,
     /// This host's lease; 0 for none.
     lease: i64,
     /// Fencing number, while this host holds the authority.
     fence: u64,
     /// The authority ends here, unless renewed.
-    until: Time,
+    lease_end: Time,
     /// A renewal or a take-over is on its way.
-    asked: bool,
+    pending: bool,
     /// Engines that were asked to change, to which stage, and when.
     changes: BTreeMap<Box<str>, (Stage, Time)>,
     /// Number of engines, and since when.
-    count: (usize, Time),
+    engine_count: (usize, Time),
 }
 
 /// Begins to look for the authority.
 pub fn start(core: &mut Core, out: &mut Effects) {
-    wake(core, EVERY, RelayTimer::Plan, out);
+    wake(core, PLAN_INTERVAL, RelayTimer::Plan, out);
 }
 
-fn life(core: &Core) -> Duration {
+fn lease_ttl(core: &Core) -> Duration {
     let relay = core.settings.relay.as_ref();
     relay.map_or(Duration::from_secs(3), |relay| {
         relay.lease.max(relay.lease_least)
@@ -73,7 +73,7 @@
 }
 
 /// Gives the authority up: its lease went with an era of the store.
-pub fn forget(core: &mut Core, out: &mut Effects) {
+pub fn drop_authority(core: &mut Core, out: &mut Effects) {
     let split = &mut core.relay.split;
     if split.fence != 0 {
         let fence = split.fence.to_string().into();
@@ -85,10 +85,10 @@
         );
     }
     split.holder = 0;
-    split.known = false;
+    split.holder_known = false;
     split.lease = 0;
     split.fence = 0;
-    split.asked = false;
+    split.pending = false;
 }
 
 /// Takes in who holds the authority.
@@ -96,7 +96,7 @@
     let era_now = core.relay.view.era();
     let split = &mut core.relay.split;
     if changes.whole {
-        split.known = true;
+        split.holder_known = true;
         split.holder = 0;
     }
     for change in changes.keys.iter().filter(|change| &*change.key == KEY) {
@@ -125,7 +125,7 @@
 /// Looks whether this host should take the authority, or what to do with it.
 pub fn plan(core: &mut Core, out: &mut Effects) {
     let noise = core.rng.random_range(0.8..1.2);
-    wake(core, EVERY.mul_f64(noise), RelayTimer::Plan, out);
+    wake(core, PLAN_INTERVAL.mul_f64(noise), RelayTimer::Plan, out);
     let engines = core.relay.catalog.as_ref().is_some_and(|catalog| {
         catalog
             .services
@@ -137,8 +137,8 @@
     }
     let hosts = core.relay.peers.hosts();
     let split = &mut core.relay.split;
-    if split.fence != 0 && core.now < split.until {
-        order(core, out);
+    if split.fence != 0 && core.now < split.lease_end {
+        request_reports(core, out);
         return;
     }
     if split.fence != 0 {
@@ -150,16 +150,16 @@
         );
         split.fence = 0;
         split.lease = 0;
-        split.asked = false;
+        split.pending = false;
     }
     // All hosts see at once that nobody holds it: a few of them try in each round.
-    let tries = core.rng.random_range(0..hosts) < CANDIDATES;
-    if split.known && split.holder == 0 && !split.asked && tries {
-        split.asked = true;
+    let tries = core.rng.random_range(0..hosts) < EXPECTED_CANDIDATES;
+    if split.holder_known && split.holder == 0 && !split.pending && tries {
+        split.pending = true;
         let job = job(core, RelayJob::AuthorityLease(core.now));
         out.push(Effect::Grant {
             job,
-            life: life(core),
+            life: lease_ttl(core),
         });
     }
 }
@@ -175,54 +175,59 @@
         job,
         lease: split.lease,
     });
-    wake(core, life(core) / RENEW, RelayTimer::Authority, out);
+    wake(
+        core,
+        lease_ttl(core) / RENEWALS_PER_LEASE,
+        RelayTimer::Authority,
+        out,
+    );
 }
 
 /// Goes on with a take-over or a renewal.
 pub fn reply(core: &mut Core, job: RelayJob, reply: &StoreReply, out: &mut Effects) {
-    let life = life(core);
+    let life = lease_ttl(core);
     let era_now = core.relay.view.era();
     let split = &mut core.relay.split;
     match (job, &reply.result) {
         (RelayJob::AuthorityLease(asked), StoreResult::Lease(lease)) if *lease != 0 => {
-            let until = asked.after(life.mul_f64(USED));
+            let until = asked.after(life.mul_f64(USABLE_LEASE_FRACTION));
             if split.lease == *lease {
-                split.until = until;
+                split.lease_end = until;
                 return;
             }
             split.lease = *lease;
-            split.until = until;
-            out.push(take(core, *lease));
+            split.lease_end = until;
+            out.push(claim(core, *lease));
         }
         (RelayJob::AuthorityLease(_), StoreResult::Lease(_)) => {
             split.lease = 0;
             split.fence = 0;
-            split.asked = false;
+            split.pending = false;
         }
         (RelayJob::Authority, StoreResult::Txn(done)) if done.succeeded => {
             split.fence = era::fence(era_now, done.revision);
             split.holder = done.revision;
-            split.asked = false;
+            split.pending = false;
             note(
                 out,
                 log::Level::Info,
                 "planner.taken",
                 vec![("fence", split.fence.to_string().into())],
             );
-            wake(core, life / RENEW, RelayTimer::Authority, out);
+            wake(core, life / RENEWALS_PER_LEASE, RelayTimer::Authority, out);
         }
         (RelayJob::Authority, _) => {
             // Another was first, or whether it took effect is unknown: the key then goes with the
             // lease, which is given up.
             let lease = std::mem::take(&mut split.lease);
-            split.asked = false;
+            split.pending = false;
             out.push(Effect::Revoke(lease));
         }
-        _ => split.asked = false,
+        _ => split.pending = false,
     }
 }
 
-fn take(core: &Core, lease: i64) -> Effect {
+fn claim(core: &Core, lease: i64) -> Effect {
     let name = core.settings.host.name.as_bytes().to_vec();
     Effect::Txn {
         job: job(core, RelayJob::Authority),
@@ -239,7 +244,7 @@
 }
 
 /// Asks an engine that should change for its state, where the stages are not as wanted.
-fn order(core: &mut Core, out: &mut Effects) {
+fn request_reports(core: &mut Core, out: &mut Effects) {
     let Some(catalog) = &core.relay.catalog else {
         return;
     };
@@ -250,21 +255,24 @@
         .map(|(name, _)| name.clone())
         .collect();
     for service in services {
-        let live = live(core, &service);
-        if !steady(core, live.len()) {
+        let live = remaining_engines(core, &service);
+        if !is_stable(core, live.len()) {
             continue;
         }
         let prefills =
             |key: &&BackendKey| core.relay.instances.arena[**key].stage == Some(Stage::Prefill);
         let have = live.iter().filter(prefills).count();
-        let want = wanted(core, live.len());
+        let want = wanted_prefill(core, live.len());
         let stage = match have.cmp(&want) {
             Ordering::Less => Stage::Prefill,
             Ordering::Equal => continue,
             Ordering::Greater => Stage::Decode,
         };
-        let changing = live.iter().filter(|key| busy(core, **key)).count();
-        let most = live.len().div_ceil(AT_ONCE);
+        let changing = live
+            .iter()
+            .filter(|key| recently_ordered(core, **key))
+            .count();
+        let most = live.len().div_ceil(ENGINES_PER_CHANGE);
         let count = have.abs_diff(want).min(most).saturating_sub(changing);
         let chosen = least_busy(core, &live, stage, count);
         for key in chosen {
@@ -293,7 +301,7 @@
 fn least_busy(core: &Core, live: &[BackendKey], stage: Stage, count: usize) -> Vec<BackendKey> {
     let other = |key: &BackendKey| {
         let instance = &core.relay.instances.arena[*key];
-        instance.stage.is_some() && instance.stage != Some(stage) && !busy(core, *key)
+        instance.stage.is_some() && instance.stage != Some(stage) && !recently_ordered(core, *key)
     };
     let mut keys: Vec<BackendKey> = live.iter().copied().filter(other).collect();
     keys.sort_by_key(|key| {
@@ -305,7 +313,7 @@
 }
 
 /// Returns the engines of a service that stay.
-fn live(core: &Core, service: &str) -> Vec<BackendKey> {
+fn remaining_engines(core: &Core, service: &str) -> Vec<BackendKey> {
     let keys = core.relay.instances.of(service).iter().copied();
     keys.filter(|key| {
         let instance = &core.relay.instances.arena[*key];
@@ -318,17 +326,17 @@
 ///
 /// They register one after the other: a plan for the first few would order some that the plan for
 /// all of them orders back.
-fn steady(core: &mut Core, count: usize) -> bool {
+fn is_stable(core: &mut Core, count: usize) -> bool {
     let now = core.now;
     let split = &mut core.relay.split;
-    if split.count.0 != count {
-        split.count = (count, now);
+    if split.engine_count.0 != count {
+        split.engine_count = (count, now);
     }
-    now.since(split.count.1) >= STEADY
+    now.since(split.engine_count.1) >= STABLE_PERIOD
 }
 
 /// Returns how many engines should prefill.
-fn wanted(core: &Core, engines: usize) -> usize {
+fn wanted_prefill(core: &Core, engines: usize) -> usize {
     let part = core
         .settings
         .relay
@@ -344,10 +352,10 @@
 }
 
 /// Tells whether an engine was asked to change a moment ago.
-fn busy(core: &Core, key: BackendKey) -> bool {
+fn recently_ordered(core: &Core, key: BackendKey) -> bool {
     let id = &core.relay.instances.arena[key].id;
     let change = core.relay.split.changes.get(id);
-    change.is_some_and(|(_, at)| core.now.since(*at) < SETTLE)
+    change.is_some_and(|(_, at)| core.now.since(*at) < ORDER_COOLDOWN)
 }
 
 /// Orders an engine to change, now that its state is known.
@@ -356,7 +364,7 @@
     let Some((stage, _)) = split.changes.get(id).copied() else {
         return;
     };
-    let authority = split.fence != 0 && core.now < split.until;
+    let authority = split.fence != 0 && core.now < split.lease_end;
     let key = core.relay.instances.find(id);
     let (Some(report), Some(key), true) = (report, key, authority) else {
         return;
@@ -372,7 +380,7 @@
         holder: core.settings.host.name.clone(),
         fence: split.fence,
         expected: report.orders,
-        until: split.until,
+        until: split.lease_end,
         era: core.relay.view.era(),
     };
     note(
--- a/src/core/relay/killer.rs
+++ b/src/core/relay/poison.rs
@@ -15,52 +15,57 @@
 use super::note;
 
 /// Backend servers that may die of a request before it is refused.
-const DEATHS: usize = 2;
+const CRASHES_TO_BLOCK: usize = 2;
 /// Time a suspicion lasts after the last death.
-const KEEP: Duration = Duration::from_mins(1);
+const BLOCK_DURATION: Duration = Duration::from_mins(1);
 /// Fingerprints kept; the oldest are forgotten first.
-const MOST: usize = 1024;
+const MAX_FINGERPRINTS: usize = 1024;
 /// Times a death is told to the other hosts: datagrams are lost now and then.
-const TOLD: u8 = 3;
+const CRASH_REPORT_COPIES: u8 = 3;
 
 #[derive(Debug)]
-struct Case {
+struct CrashRecord {
     /// Short hashes of the backend servers' ids.
-    dead: BTreeSet<u32>,
-    last: Time,
+    instances: BTreeSet<u32>,
+    last_crash: Time,
 }
 
 /// Fingerprints under suspicion.
 #[derive(Debug, Default)]
-pub struct Killers {
-    cases: BTreeMap<u64, Case>,
+pub struct PoisonRequests {
+    cases: BTreeMap<u64, CrashRecord>,
     /// Deaths to tell, and how often yet.
-    tell: Vec<(CrashReport, u8)>,
+    unpublished: Vec<(CrashReport, u8)>,
 }
 
-impl Killers {
+impl PoisonRequests {
     /// Tells whether a request is refused for what died of it.
     #[must_use]
-    pub fn barred(&self, print: u64, now: Time) -> bool {
+    pub fn is_blocked(&self, print: u64, now: Time) -> bool {
         let case = self.cases.get(&print);
-        case.is_some_and(|case| case.dead.len() >= DEATHS && now.since(case.last) < KEEP)
+        case.is_some_and(|case| {
+            case.instances.len() >= CRASHES_TO_BLOCK && now.since(case.last_crash) < BLOCK_DURATION
+        })
     }
 
     /// Notes that a request was answered in full: whatever broke before, it was not this.
-    pub fn cleared(&mut self, print: u64) {
+    pub fn clear(&mut self, print: u64) {
         self.cases.remove(&print);
     }
 
     /// Takes in a death, own or another host's.
-    pub fn died(&mut self, death: CrashReport, now: Time) {
-        let case = self.cases.entry(death.print).or_insert_with(|| Case {
-            dead: BTreeSet::new(),
-            last: now,
-        });
-        case.dead.insert(death.instance);
-        case.last = now;
-        if self.cases.len() > MOST {
-            let oldest = self.cases.iter().min_by_key(|(_, case)| case.last);
+    pub fn record_crash(&mut self, death: CrashReport, now: Time) {
+        let case = self
+            .cases
+            .entry(death.print)
+            .or_insert_with(|| CrashRecord {
+                instances: BTreeSet::new(),
+                last_crash: now,
+            });
+        case.instances.insert(death.instance);
+        case.last_crash = now;
+        if self.cases.len() > MAX_FINGERPRINTS {
+            let oldest = self.cases.iter().min_by_key(|(_, case)| case.last_crash);
             if let Some(print) = oldest.map(|(print, _)| *print) {
                 self.cases.remove(&print);
             }
@@ -69,17 +74,21 @@
 
     /// Returns the deaths that other hosts are to be told of now.
     pub fn take_unpublished(&mut self) -> Vec<CrashReport> {
-        let words = self.tell.iter().map(|(message, _)| *message).collect();
-        for (_, left) in &mut self.tell {
+        let words = self
+            .unpublished
+            .iter()
+            .map(|(message, _)| *message)
+            .collect();
+        for (_, left) in &mut self.unpublished {
             *left -= 1;
         }
-        self.tell.retain(|(_, left)| *left > 0);
+        self.unpublished.retain(|(_, left)| *left > 0);
         words
     }
 }
 
 /// Notes that a connection broke while a backend server ran a request.
-pub fn suspect(core: &mut Core, call: CallKey, backend: BackendKey, out: &mut Effects) {
+pub fn report_crash(core: &mut Core, call: CallKey, backend: BackendKey, out: &mut Effects) {
     let Some(instance) = core.relay.instances.arena.get(backend) else {
         return;
     };
@@ -94,6 +103,9 @@
         "request.suspect",
         vec![("id", call.id.clone()), ("backend", instance.id.clone())],
     );
-    core.relay.killers.tell.push((message, TOLD));
-    core.relay.killers.died(message, core.now);
+    core.relay
+        .killers
+        .unpublished
+        .push((message, CRASH_REPORT_COPIES));
+    core.relay.killers.record_crash(message, core.now);
 }
--- a/src/core/relay/tests/budget.rs
+++ b/src/core/relay/tests/budget.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use crate::core::Time;
-use crate::core::relay::budget::{Budget, BudgetRules};
+use crate::core::relay::budget::{BudgetRules, RetryBudget};
 
 const RULES: BudgetRules = BudgetRules {
     ratio: 0.2,
@@ -21,18 +21,18 @@
         hosts in 1_usize..12,
         events in proptest::collection::vec((0_usize..12, 0_u64..60, any::<bool>()), 1..800),
     ) {
-        let mut budgets = vec![Budget::default(); hosts];
+        let mut budgets = vec![RetryBudget::default(); hosts];
         let (mut now, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
         for (host, gap, repeat) in events {
             now += gap;
             let at = Time::from_millis(now);
             let budget = &mut budgets[host % hosts];
             if repeat {
-                if budget.spend(at, &RULES, hosts) {
+                if budget.try_spend(at, &RULES, hosts) {
                     repeats.push(now);
                 }
             } else {
-                budget.request(at);
+                budget.record_request(at);
                 requests.push(now);
             }
             let window = |times: &[u64]| times.iter().filter(|time| now - **time <= 10_000).count();
@@ -45,10 +45,16 @@
 /// Half of the hosts start anew with empty windows just after they spent their part. The margin
 /// covers one such restart of a third of them.
 #[test]
-fn a_restart_of_a_third_keeps_the_slack() {
+fn restarting_a_third_of_the_hosts_keeps_the_slack() {
     let now = Time::from_millis(1000);
-    let spend = |budget: &mut Budget| (0..100).filter(|_| budget.spend(now, &RULES, 9)).count();
-    let mut sum: usize = (0..9).map(|_| spend(&mut Budget::default())).sum();
-    sum += (0..3).map(|_| spend(&mut Budget::default())).sum::<usize>();
+    let spend = |budget: &mut RetryBudget| {
+        (0..100)
+            .filter(|_| budget.try_spend(now, &RULES, 9))
+            .count()
+    };
+    let mut sum: usize = (0..9).map(|_| spend(&mut RetryBudget::default())).sum();
+    sum += (0..3)
+        .map(|_| spend(&mut RetryBudget::default()))
+        .sum::<usize>();
     assert!(sum as f64 <= RULES.slack, "{sum}");
 }
--- a/src/core/relay/tests/handover.rs
+++ b/src/core/relay/tests/handover.rs
@@ -30,7 +30,7 @@
 /// Engines take hand-overs faster than those that the first figures come from. A prompt that would
 /// just be in time is given up for late as long as the old figure is expected.
 #[test]
-fn what_a_hand_over_takes_is_learned() {
+fn the_handover_time_is_learned() {
     let mut site = Site::new();
     site.register(vec![
         engine("p", Stage::Prefill),
@@ -85,7 +85,7 @@
 /// An engine that prefills drops its KV caches at once. Every engine that is to take one over
 /// refuses; blamed for it, they are avoided one after the other, and nothing is generated any more.
 #[test]
-fn what_cannot_be_taken_over_is_blamed_on_its_source() {
+fn failed_handovers_count_against_the_source_engine() {
     let mut site = Site::of_models();
     let mut read_there = 0;
     for number in 0..60_u64 {
--- a/src/core/relay/tests/load.rs
+++ b/src/core/relay/tests/load.rs
@@ -40,7 +40,7 @@
 /// Requests with one first part go to the engine that has read it, until waiting there costs more
 /// than reading it again elsewhere.
 #[test]
-fn a_shared_part_is_read_once_until_its_engine_is_full() {
+fn a_shared_prefix_is_prefilled_at_one_engine_until_it_is_full() {
     let mut site = site();
     let mut engines = Vec::new();
     for own in 0..12 {
@@ -58,7 +58,7 @@
 
 /// Another host has sent a part to an engine; this one sends its own requests there, too.
 #[test]
-fn parts_read_for_other_hosts_are_used() {
+fn prefixes_cached_for_other_hosts_are_used() {
     for engine in ["p", "q", "r"] {
         let mut site = site();
         host(&mut site, "host-2");
@@ -126,7 +126,7 @@
 
 /// Long prompts read at an engine that decodes hold up every stream and every hand-over there.
 #[test]
-fn long_prompts_are_not_read_beside_streams() {
+fn long_prompts_are_not_prefilled_at_decoding_engines() {
     let mut site = site();
     for part in 0..20 {
         site.arrive(prompt("/long/x", (part, 13_000), 4000));
@@ -139,7 +139,7 @@
 /// Short prompts fill both kinds of engine: handed over where those that prefill are free, read
 /// whole where they are not.
 #[test]
-fn short_prompts_use_what_is_free() {
+fn short_prompts_use_engines_of_both_stages() {
     let mut site = site();
     let mut whole = 0;
     for _ in 0..200 {
@@ -151,7 +151,7 @@
 
 /// An engine twice as slow as the others gets less, once that is known.
 #[test]
-fn a_slow_engine_is_learned() {
+fn a_slow_engine_gets_fewer_prompts() {
     let mut site = site();
     let mut slow = (0, 0);
     for round in 0..60_u64 {
@@ -179,7 +179,7 @@
 /// An engine refuses nearly all it gets while it is well by its own account. It looks idle, draws
 /// every request, and each refusal uses up one of the few repeats: callers are then refused for it.
 #[test]
-fn an_engine_that_refuses_does_not_draw_requests() {
+fn a_refusing_engine_gets_few_requests() {
     let mut site = site();
     let mut refusals = 0;
     for round in 0..200 {
--- a/src/core/relay/tests/planner.rs
+++ b/src/core/relay/tests/planner.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_order_carries_the_authority_and_what_it_was_decided_by() {
+fn an_order_carries_the_fencing_number_and_the_expected_state() {
     let mut site = site();
     take(&mut site, 41);
     settle(&mut site);
@@ -103,7 +103,7 @@
 /// The holder's process is frozen after its engine told its state, past the life of its lease. When
 /// it wakes another may hold the authority: two orders would meet at one engine.
 #[test]
-fn a_holder_that_wakes_after_its_lease_gives_no_order() {
+fn a_holder_resumed_after_its_lease_gives_no_order() {
     let mut site = site();
     take(&mut site, 41);
     settle(&mut site);
@@ -117,7 +117,7 @@
 
 /// A lease is counted from before it was asked for: an answer that took long leaves little of it.
 #[test]
-fn a_renewal_counts_from_when_it_was_asked_for() {
+fn a_renewed_lease_counts_from_its_request() {
     let mut site = site();
     take(&mut site, 41);
     settle(&mut site);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_refused_number_is_not_used_again() {
+fn a_fenced_number_is_not_used_again() {
     let mut site = site();
     take(&mut site, 41);
     settle(&mut site);
@@ -162,7 +162,7 @@
 /// An order got no answer and may be carried out seconds later. The engine gets no other until
 /// then.
 #[test]
-fn an_order_without_an_answer_is_not_followed_by_another() {
+fn an_unanswered_order_is_not_followed_by_another() {
     let mut site = site();
     take(&mut site, 41);
     settle(&mut site);
--- a/src/core/relay/tests/prefix_cache.rs
+++ b/src/core/relay/tests/prefix_cache.rs
@@ -64,7 +64,7 @@
 /// The engine that holds a prompt's first part is busy. Reading the part again elsewhere takes
 /// hundreds of milliseconds; the caller gets its first token far sooner if it is copied.
 #[test]
-fn what_a_busy_engine_holds_is_copied_from_it() {
+fn a_prefix_cached_at_a_busy_engine_is_copied() {
     let mut site = site();
     told(&mut site, 1, &[], &["p"]);
     site.pass(200);
@@ -85,7 +85,7 @@
 
 /// A transfer between failure domains takes twice as long, so the nearer holder gives its copy.
 #[test]
-fn the_nearer_of_two_holders_gives_its_copy() {
+fn a_prefix_is_copied_within_the_failure_domain() {
     let mut site = site();
     told(&mut site, 1, &[], &["p", "r"]);
     site.pass(200);
@@ -98,7 +98,7 @@
 /// An engine that is still reading a part has nothing to give. One that is told to copy it finds
 /// nothing there and reads all of it, behind callers that counted on a short wait.
 #[test]
-fn what_is_not_read_yet_is_not_copied() {
+fn a_prefix_not_yet_prefilled_is_not_copied() {
     let mut site = site();
     site.arrive(prompt("/long/x", (1, SHARED), OWN));
     let first = site.sent().expect("it is taken");
@@ -121,7 +121,7 @@
 /// An engine that is leaving, or that failed this very request, gives no copy: the request would
 /// wait for a transfer that does not come.
 #[test]
-fn an_engine_that_leaves_gives_no_copy() {
+fn no_prefix_is_copied_from_a_leaving_engine() {
     let mut site = site();
     told(&mut site, 1, &[], &["p"]);
     site.pass(200);
@@ -137,7 +137,7 @@
 /// came after a shared part. The part is dropped there. Taken for held, it is read where nobody
 /// expects it, and all callers behind it wait for longer than they were told.
 #[test]
-fn a_part_is_dropped_once_others_filled_the_memory() {
+fn a_cached_block_is_dropped_once_other_prompts_filled_the_memory() {
     let mut site = site();
     told(&mut site, 1, &[], &["p"]);
     let fill = LoadReport {
@@ -173,7 +173,7 @@
 /// it is behind at once. Each part was read before. Where engines read again what a busy one holds,
 /// they took 66 of these 120 and read 13 parts again; the others were refused.
 #[test]
-fn a_burst_over_known_parts_reads_hardly_any_again() {
+fn a_burst_over_cached_prefixes_prefills_few_of_them_again() {
     let mut site = site();
     let mut running = Vec::new();
     for part in 0..12 {
@@ -201,7 +201,7 @@
 /// A caller names a shared part that is longer than its whole prompt. Counted as saved in full, it
 /// would leave fewer than no tokens to read, and the host would take that engine for full for ever.
 #[test]
-fn a_part_longer_than_its_prompt_saves_no_more_than_the_prompt() {
+fn a_block_longer_than_its_prompt_saves_no_more_than_the_prompt() {
     let mut site = site();
     told(&mut site, 1, &[], &["p"]);
     site.pass(200);
@@ -219,7 +219,7 @@
 /// Every hand-over leaves a copy of the shared part at the engine that generates. Where each request
 /// leaves one at another engine, parts fill the memory of all of them and push each other out.
 #[test]
-fn hand_overs_go_where_the_part_is_held_already() {
+fn handovers_go_to_the_engine_that_caches_the_prefix() {
     let mut site = site();
     let mut engines = Vec::new();
     for _ in 0..6 {
--- a/src/core/relay/tests/request.rs
+++ b/src/core/relay/tests/request.rs
@@ -5,7 +5,7 @@
 /// A backend server resets a connection on which a request is under way. Whether it ran is not
 /// known: told "not run", the caller would send a booking twice.
 #[test]
-fn a_call_that_may_have_run_is_not_called_not_run() {
+fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b")]);
     site.arrive(call("/once/x"));
@@ -18,7 +18,7 @@
 
 /// A backend server says that it is full. The request did not run, and another one takes it.
 #[test]
-fn a_call_that_was_refused_goes_elsewhere() {
+fn a_refused_request_goes_to_another_server() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b")]);
     site.arrive(call("/once/x"));
@@ -36,7 +36,7 @@
 /// Nothing listens at the only address. The caller is told at once that the request did not run,
 /// and when to come back.
 #[test]
-fn a_call_that_reaches_nothing_is_refused_as_not_run() {
+fn an_undeliverable_request_is_refused_as_not_run() {
     let mut site = Site::new();
     site.register(vec![plain("a")]);
     site.arrive(call("/once/x"));
@@ -56,7 +56,7 @@
 /// A backend server answers 500 to a request that may run again; another one may answer it in
 /// time, and the caller notices nothing.
 #[test]
-fn an_idempotent_request_that_failed_is_repeated_once() {
+fn a_failed_idempotent_request_is_retried_once() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b")]);
     site.arrive(call("/again/x"));
@@ -79,7 +79,7 @@
 /// The caller waits longer than the operator wants it kept waiting. It gets its final answer at
 /// the route's time, and the work is called off.
 #[test]
-fn the_routes_time_ends_a_request() {
+fn the_route_timeout_ends_a_request() {
     let mut site = Site::new();
     site.register(vec![plain("a")]);
     site.arrive(call("/once/x"));
@@ -104,7 +104,7 @@
 /// A backend server hangs while others answer. What may run again goes elsewhere before its
 /// wanted time is long over; what may not waits.
 #[test]
-fn a_silent_backend_server_is_left_only_where_that_is_allowed() {
+fn only_idempotent_requests_leave_a_silent_server() {
     for (path, again) in [("/again/x", true), ("/once/x", false)] {
         let mut site = Site::new();
         site.register(vec![plain("a"), plain("b")]);
@@ -120,7 +120,7 @@
 
 /// The caller closes its connection; a backend server that worked on would work for nobody.
 #[test]
-fn a_caller_that_leaves_ends_its_attempt() {
+fn a_disconnected_caller_ends_its_attempt() {
     let mut site = Site::new();
     site.register(vec![plain("a")]);
     let key = site.arrive(call("/once/x"));
@@ -132,7 +132,7 @@
 /// One request crashes every backend server that begins to run it, and its caller sends it again.
 /// After two it is refused; the others go on.
 #[test]
-fn a_request_that_backend_servers_die_of_is_refused_after_two() {
+fn a_request_that_crashes_two_servers_is_refused() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b"), plain("c")]);
     for _ in 0..2 {
--- a/src/core/relay/tests/sampling.rs
+++ b/src/core/relay/tests/sampling.rs
@@ -45,14 +45,14 @@
 
 /// All hosts hold the same engine for the best until the next message, and send all they get to it.
 #[test]
-fn hosts_that_have_not_heard_of_each_other_choose_apart() {
+fn hosts_without_recent_reports_choose_different_engines() {
     let most = most(120, |host| host as u64);
     assert!(most <= 12, "{most} of 120 at one engine");
 }
 
 /// Two hosts hear of each other before the next request arrives: each takes the best of all engines.
 #[test]
-fn a_host_that_hears_all_in_time_chooses_among_all() {
+fn a_host_with_recent_reports_chooses_among_all_engines() {
     let mut site = beside(0, 2);
     let busy: Vec<Box<str>> = (0..2 * usize::from(ENGINES) - 1)
         .filter_map(|own| {
--- a/src/core/relay/tests/stream.rs
+++ b/src/core/relay/tests/stream.rs
@@ -41,7 +41,7 @@
 /// The caller leaves between the prefill and the hand-over. A KV cache that nobody takes fills the
 /// engine's memory until it lapses.
 #[test]
-fn an_unused_kv_cache_is_given_back() {
+fn an_unused_kv_cache_is_freed() {
     let mut site = Site::of_models();
     let key = site.arrive(prompt("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("sent");
@@ -53,7 +53,7 @@
 /// KV caches can lapse at once. The engine that was to go on refuses, nothing has run, and the
 /// prompt is read again where its parts still lie.
 #[test]
-fn a_lapsed_kv_cache_is_made_again() {
+fn an_expired_kv_cache_is_prefilled_again() {
     let mut site = Site::of_models();
     site.arrive(prompt("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("sent");
@@ -66,7 +66,7 @@
 /// An engine dies in the middle of a stream that may be resumed. Another goes on after the last
 /// event that the caller has, and an event that comes again is dropped.
 #[test]
-fn a_broken_stream_goes_on_elsewhere_without_a_piece_twice() {
+fn a_broken_stream_resumes_elsewhere_without_duplicate_events() {
     let mut site = Site::of_models();
     site.arrive(prompt("/short/x", (1, 60), 290));
     let mut first = site.sent().expect("sent");
@@ -91,7 +91,7 @@
 /// An engine dies in the middle of a stream that may not be resumed. It must look cut: taken for
 /// whole, the caller would act on half an answer.
 #[test]
-fn a_broken_stream_that_may_not_go_on_looks_cut() {
+fn a_broken_stream_that_is_not_resumable_is_cut() {
     let mut site = Site::of_models();
     site.arrive(prompt("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("sent");
@@ -117,7 +117,7 @@
 
 /// A caller comes back with the number of the last event it has. It gets nothing of before.
 #[test]
-fn a_callers_own_resumption_goes_through() {
+fn a_callers_resumption_reaches_the_engine() {
     let mut site = Site::of_models();
     site.arrive(Arrival {
         resume: Some(5),
--- a/src/core/relay/view/era.rs
+++ b/src/core/relay/view/era.rs
@@ -51,7 +51,7 @@
         ("at", core.relay.view.at.to_string().into()),
     ];
     note(out, log::Level::Warn, "store.era", fields);
-    planner::forget(core, out);
+    planner::drop_authority(core, out);
     peers::forget_lease(core);
     let asked = core.relay.view.restart();
     if let Some(number) = asked {
