--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -13,13 +13,13 @@
 pub mod event;
 mod gossip;
 pub mod instance;
-mod killer;
 pub mod limit;
 mod load;
 mod model;
-mod parts;
 mod peers;
-mod split;
+mod planner;
+mod poison;
+mod prefix_cache;
 #[cfg(test)]
 mod tests;
 mod view;
@@ -35,7 +35,7 @@
 use super::time::Time;
 use super::{Core, Effects};
 use crate::settings::Settings;
-use budget::Budget;
+use budget::RetryBudget;
 use catalog::{Catalog, Repeat, Route};
 use event::{Changes, Prompt, RelayEvent, Task};
 use instance::Instances;
@@ -189,15 +189,15 @@
     /// Attempts.
     pub attempts: SlotMap<AttemptKey, Attempt>,
     /// Budgets of repeats by service.
-    pub budgets: BTreeMap<Box<str>, Budget>,
+    pub budgets: BTreeMap<Box<str>, RetryBudget>,
     /// Other hosts.
     pub peers: peers::Peers,
     /// Requests that backend servers died of.
-    pub killers: killer::Killers,
+    pub killers: poison::PoisonRequests,
     /// Stages of engines.
-    pub split: split::Split,
+    pub split: planner::Planner,
     /// What work takes at engines.
-    pub model: model::Model,
+    pub model: model::CostModel,
 }
 
 impl Relay {
@@ -221,7 +221,7 @@
 pub fn start(core: &mut Core, out: &mut Effects) {
     view::start(core, out);
     peers::start(core, out);
-    split::start(core, out);
+    planner::start(core, out);
     note(
         out,
         log::Level::Info,
@@ -234,28 +234,28 @@
 pub fn step(core: &mut Core, event: RelayEvent, out: &mut Effects) {
     match event {
         RelayEvent::Arrived(arrival) => call::arrived(core, *arrival, out),
-        RelayEvent::Left(key) => call::left(core, key, out),
+        RelayEvent::Left(key) => call::caller_left(core, key, out),
         RelayEvent::Limited { attempt, limit } => limit::named(core, attempt, limit, out),
         RelayEvent::Prefilled { attempt, handle } => answer::prefilled(core, attempt, handle, out),
         RelayEvent::Answered { attempt, status } => answer::answered(core, attempt, status, out),
-        RelayEvent::Piece { attempt, number } => answer::piece(core, attempt, number, out),
-        RelayEvent::Whole(attempt) => answer::whole(core, attempt, out),
+        RelayEvent::Piece { attempt, number } => answer::stream_event(core, attempt, number, out),
+        RelayEvent::Whole(attempt) => answer::stream_completed(core, attempt, out),
         RelayEvent::Broke {
             attempt,
             ran,
             end,
             detail,
-        } => answer::broke(core, attempt, ran, end, &detail, out),
+        } => answer::attempt_failed(core, attempt, ran, end, &detail, out),
         RelayEvent::Era(era) => view::era::seen(core, era, view::era::ANSWER, out),
         RelayEvent::Store { number, answer } => view::answered(core, number, answer, out),
         RelayEvent::Reported { instance, report } => {
-            split::reported(core, &instance, report, out);
+            planner::reported(core, &instance, report, out);
         }
         RelayEvent::Ordered {
             instance,
             fence,
             result,
-        } => split::ordered(core, &instance, fence, result, out),
+        } => planner::ordered(core, &instance, fence, result, out),
         RelayEvent::Reloaded(settings) => reloaded(core, *settings, out),
         RelayEvent::Gossiped(message) => gossip::receive(core, *message, out),
     }
@@ -265,15 +265,15 @@
 pub fn timer(core: &mut Core, timer: RelayTimer, out: &mut Effects) {
     match timer {
         RelayTimer::Deadline(key) => call::deadline(core, key, out),
-        RelayTimer::Silence(attempt) => answer::silence(core, attempt, out),
+        RelayTimer::Silence(attempt) => answer::check_silence(core, attempt, out),
         RelayTimer::Publish => gossip::publish(core, out),
         RelayTimer::Register => peers::register(core, out),
         RelayTimer::RegisterAgain => peers::register_again(core, out),
         RelayTimer::Follow(last) => view::follow(core, last, out),
         RelayTimer::Probe => view::probe::probe(core, out),
         RelayTimer::Overdue => view::probe::overdue(core, out),
-        RelayTimer::Plan => split::plan(core, out),
-        RelayTimer::Authority => split::renew(core, out),
+        RelayTimer::Plan => planner::plan(core, out),
+        RelayTimer::Authority => planner::renew(core, out),
     }
 }
 
@@ -294,7 +294,7 @@
     match job {
         RelayJob::Secret => {}
         RelayJob::Lease | RelayJob::Register => peers::reply(core, job, reply, out),
-        RelayJob::AuthorityLease(_) | RelayJob::Authority => split::reply(core, job, reply, out),
+        RelayJob::AuthorityLease(_) | RelayJob::Authority => planner::reply(core, job, reply, out),
     }
 }
 
@@ -307,7 +307,7 @@
     let beliefs = core.relay.instances.changed(&mut changes, era, core.now);
     note_beliefs(beliefs, out);
     peers::changed(core, &changes, out);
-    split::changed(core, &changes, out);
+    planner::changed(core, &changes, out);
 }
 
 fn note_beliefs(beliefs: Vec<instance::Belief>, out: &mut Effects) {
