--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -6,7 +6,7 @@
 use super::super::{Core, Effects};
 use super::call::{close, dispatch, end, give_up, prefilled as count_prefilled, refuse};
 use super::event::{RelayEffect, Task};
-use super::{Cache, Repeat, load, millis, note};
+use super::{KvCache, RetryPolicy, load, millis, note};
 use crate::error::{Kind, Ran};
 
 /// HTTP statuses from here on are failures of the backend server.
@@ -19,12 +19,12 @@
         return;
     };
     let (call, engine) = (attempt.call, attempt.backend);
-    let took = millis(now.since(attempt.sent));
+    let took = millis(now.since(attempt.sent_at));
     load::measured(core, key, took, out);
     close(core, key);
     if let Some(instance) = core.relay.instances.arena.get_mut(engine) {
         instance.works();
-        core.relay.calls[call].cache = Some(Cache {
+        core.relay.calls[call].cache = Some(KvCache {
             engine,
             instance: instance.id.clone(),
             addr: instance.addr,
@@ -40,7 +40,7 @@
         return;
     };
     let (call, backend) = (attempt.call, attempt.backend);
-    let took = millis(core.now.since(attempt.sent));
+    let took = millis(core.now.since(attempt.sent_at));
     load::measured(core, key, took, out);
     close(core, key);
     let failed = status >= FAILURES;
@@ -66,8 +66,10 @@
         );
         return;
     }
-    core.relay.killers.cleared(core.relay.calls[call].print);
-    out.push(Effect::Relay(RelayEffect::Pass(call)));
+    core.relay
+        .killers
+        .cleared(core.relay.calls[call].fingerprint);
+    out.push(Effect::Relay(RelayEffect::ForwardAnswer(call)));
     let outcome = if failed { "failed-there" } else { "answered" };
     end(core, call, outcome, Ran::Yes, out);
 }
@@ -81,11 +83,11 @@
     let Some(attempt) = core.relay.attempts.get_mut(key) else {
         return;
     };
-    let (call_key, backend, first) = (attempt.call, attempt.backend, !attempt.began);
-    let took = millis(now.since(attempt.sent));
-    attempt.began = true;
-    let pause = millis(now.since(attempt.last));
-    attempt.last = now;
+    let (call_key, backend, first) = (attempt.call, attempt.backend, !attempt.started);
+    let took = millis(now.since(attempt.sent_at));
+    attempt.started = true;
+    let pause = millis(now.since(attempt.last_received));
+    attempt.last_received = now;
     if !first && let Some(instance) = core.relay.instances.arena.get_mut(backend) {
         let learned = core.relay.model.of_mut(&instance.service);
         learned.paused(pause, &mut instance.pace);
@@ -100,13 +102,13 @@
         core.relay.calls[call_key].cache = None;
     }
     let call = &mut core.relay.calls[call_key];
-    if number > 0 && call.seen.is_some_and(|seen| number <= seen) {
+    if number > 0 && call.last_event.is_some_and(|seen| number <= seen) {
         return;
     }
     if number > 0 {
-        call.seen = Some(number);
+        call.last_event = Some(number);
     }
-    if let Some(last) = call.last {
+    if let Some(last) = call.last_forwarded {
         out.push(Effect::Meter(Meter::Between {
             class: call.route.name.clone(),
             gap: now.since(last),
@@ -118,9 +120,9 @@
             after: now.since(call.arrived),
         }));
     }
-    call.last = Some(now);
+    call.last_forwarded = Some(now);
     call.delivered = true;
-    out.push(Effect::Relay(RelayEffect::Deliver(call_key)));
+    out.push(Effect::Relay(RelayEffect::ForwardEvent(call_key)));
 }
 
 /// The stream ended as it should.
@@ -129,7 +131,9 @@
         return;
     };
     let call = attempt.call;
-    core.relay.killers.cleared(core.relay.calls[call].print);
+    core.relay
+        .killers
+        .cleared(core.relay.calls[call].fingerprint);
     out.push(Effect::Relay(RelayEffect::Finish(call)));
     end(core, call, "answered", Ran::Yes, out);
 }
@@ -173,7 +177,7 @@
             ("ran", ran.word().into()),
             (
                 "after_ms",
-                format!("{:.0}", millis(core.now.since(attempt.sent))).into(),
+                format!("{:.0}", millis(core.now.since(attempt.sent_at))).into(),
             ),
             ("detail", detail.into()),
         ],
@@ -265,12 +269,12 @@
 /// Tells whether a request that may have run may be sent once more.
 fn may_repeat(core: &Core, key: CallKey) -> bool {
     let call = &core.relay.calls[key];
-    call.route.repeat == Repeat::Idempotent && call.runs < call.route.attempts
+    call.route.retry == RetryPolicy::Idempotent && call.runs < call.route.max_attempts
 }
 
 /// Tells whether there is time for another attempt.
 fn again_possible(core: &Core, key: CallKey) -> bool {
-    core.now < core.relay.calls[key].end
+    core.now < core.relay.calls[key].deadline
 }
 
 /// Tries again, if there is time.
@@ -312,7 +316,7 @@
     let instance = core.relay.instances.arena.get(attempt.backend);
     let heard = instance.and_then(|instance| instance.heard);
     let bound = load::silence(call, attempt, heard, core.now);
-    let waited = core.now.since(attempt.last);
+    let waited = core.now.since(attempt.last_received);
     if waited < bound {
         super::wake(
             core,
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -12,7 +12,7 @@
 use super::choose::{self, Choice};
 use super::event::{Arrival, Outgoing, RelayEffect, Task};
 use super::instance::Work;
-use super::{Attempt, Call, RelayTimer, gossip, millis, note, parts, span};
+use super::{Attempt, Call, RelayTimer, from_millis, gossip, millis, note, parts};
 use crate::error::{Kind, Ran};
 
 /// Calls a host holds at once: a hundred times what one serves in its links' worst second.
@@ -75,7 +75,7 @@
     };
     let route = route.clone();
     let draw = core.rng.random::<f64>();
-    match Catalog::drawn(&route, draw) {
+    match Catalog::pick_service(&route, draw) {
         Some(service) => {
             let service = service.into();
             Ok((route, service))
@@ -111,19 +111,19 @@
         service,
         prompt: arrival.prompt,
         bytes: arrival.bytes,
-        print: print(&arrival.print),
+        fingerprint: print(&arrival.fingerprint),
         arrived: core.now,
-        end: core.now.after(wait),
+        deadline: core.now.after(wait),
         attempt: None,
         runs: 0,
         arrivals: 0,
         prefills: 0,
         tried: Vec::new(),
-        seen: arrival.resume.filter(|_| route.streaming),
+        last_event: arrival.resume.filter(|_| route.streaming),
         delivered: false,
         cache: None,
-        late: false,
-        last: None,
+        is_late: false,
+        last_forwarded: None,
         route,
     });
     out.push(Effect::Relay(RelayEffect::Opened(key)));
@@ -132,7 +132,7 @@
 
 /// Sends a request to a backend server, or refuses it where none can serve it.
 pub(super) fn dispatch(core: &mut Core, key: CallKey, out: &mut Effects) {
-    let print = core.relay.calls[key].print;
+    let print = core.relay.calls[key].fingerprint;
     if core.relay.killers.barred(print, core.now) {
         let detail = "backend servers died while running this request";
         let refusal = Refusal::new(Kind::EngineKiller, detail);
@@ -155,7 +155,7 @@
     if free {
         return true;
     }
-    let hosts = core.relay.peers.hosts();
+    let hosts = core.relay.peers.host_count();
     let Some(settings) = &core.settings.relay else {
         return false;
     };
@@ -173,7 +173,7 @@
     }
     let now = core.now;
     let idle = idle(core, choice.backend);
-    let told = gossip::age(core).map_or_else(
+    let told = gossip::load_age(core).map_or_else(
         || "never".into(),
         |age| format!("{}", age.as_millis()).into(),
     );
@@ -187,27 +187,27 @@
             call.runs += 1;
         }
     }
-    call.late = choice.late;
+    call.is_late = choice.late;
     instance.own = instance.own.plus(choice.work);
     instance.limit.spend(now);
     if let Some(prompt) = &call.prompt {
-        parts::put(instance, prompt, now, span(choice.expected));
+        parts::put(instance, prompt, now, from_millis(choice.expected));
     }
     let attempt = core.relay.attempts.insert(Attempt {
         call: key,
         backend: choice.backend,
         task: choice.task.clone(),
-        sent: now,
+        sent_at: now,
         work: choice.work,
-        expected: choice.expected,
-        reads: choice.reads,
-        began: false,
-        last: now,
+        expected_ms: choice.expected,
+        prefill: choice.reads,
+        started: false,
+        last_received: now,
     });
     call.attempt = Some(attempt);
     if choice.work.tokens > 0 || matches!(choice.task, Task::Prefill) {
-        let parts = call.prompt.as_ref().map(|prompt| &prompt.parts);
-        core.relay.peers.sent(parts, instance.short);
+        let parts = call.prompt.as_ref().map(|prompt| &prompt.blocks);
+        core.relay.peers.record_sent_blocks(parts, instance.short);
     }
     note(
         out,
@@ -241,12 +241,12 @@
         instance: instance.id.clone(),
         addr: instance.addr,
         task: choice.task.clone(),
-        left: call.end.since(now),
+        remaining: call.deadline.since(now),
         urgency: choice.urgency,
-        resume: call.seen,
+        resume: call.last_event,
         streaming: call.route.streaming && !matches!(choice.task, Task::Prefill),
-        idle,
-        fetch: choice.fetch.map(|fetch| fetch.from),
+        max_idle: idle,
+        fetch_from: choice.fetch.map(|fetch| fetch.from),
     }))));
     if let Some(silence) = choice.silence {
         super::wake(core, silence, RelayTimer::Silence(attempt), out);
@@ -278,8 +278,8 @@
     let known = core.relay.catalog.as_ref();
     let most = known
         .and_then(|catalog| catalog.services.get(service))
-        .map_or(0, |service: &Service| service.connections);
-    let hosts = core.relay.peers.hosts();
+        .map_or(0, |service: &Service| service.max_connections);
+    let hosts = core.relay.peers.host_count();
     (most as usize / hosts.max(1) / 3).max(IDLE_LEAST)
 }
 
@@ -324,9 +324,9 @@
     let Some(call) = core.relay.calls.get(key) else {
         return;
     };
-    if core.now < call.end {
+    if core.now < call.deadline {
         out.push(Effect::Wake {
-            at: call.end,
+            at: call.deadline,
             timer: Timer::Relay(RelayTimer::Deadline(key)),
         });
         return;
@@ -362,7 +362,7 @@
                 ("detail", detail.into()),
             ],
         );
-        out.push(Effect::Relay(RelayEffect::Cut(key)));
+        out.push(Effect::Relay(RelayEffect::AbortAnswer(key)));
         end(core, key, "cut", Ran::Yes, out);
     } else {
         let refusal = Refusal::new(kind, detail).ran(Ran::Unknown);
@@ -438,7 +438,7 @@
         return;
     };
     if let Some(cache) = call.cache {
-        out.push(Effect::Relay(RelayEffect::Free {
+        out.push(Effect::Relay(RelayEffect::FreeCache {
             instance: cache.instance,
             addr: cache.addr,
             handle: cache.handle,
@@ -470,5 +470,5 @@
 /// Returns when a refused caller should come back: once the work that is ahead is done.
 pub(super) fn come_back(core: &mut Core, backlog: f64) -> Duration {
     let spread = core.rng.random_range(0.8..1.6);
-    span((backlog * spread).max(millis(COME_BACK) * spread))
+    from_millis((backlog * spread).max(millis(COME_BACK) * spread))
 }
--- a/src/core/relay/catalog.rs
+++ b/src/core/relay/catalog.rs
@@ -18,7 +18,7 @@
 
 /// What may be done with a request whose outcome is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may run again.
     Idempotent,
     /// It runs at most once.
@@ -38,7 +38,7 @@
     /// Whether the answer is a stream of events.
     pub streaming: bool,
     /// Whether the request may run again; a stream that may be resumed counts as idempotent.
-    pub repeat: Repeat,
+    pub retry: RetryPolicy,
     /// Whether a broken stream may go on at another backend server.
     pub resumable: bool,
     /// Longest time until the final answer.
@@ -46,20 +46,20 @@
     /// Time within which the answer, or its first event, is wanted.
     pub target: Duration,
     /// Longest wanted pause between two events.
-    pub gap: Duration,
+    pub gap_target: Duration,
     /// Rank among routes; 0 is the most urgent.
     pub rank: u8,
     /// Services and the weights by which requests are split between them.
     pub split: Vec<(Box<str>, u32)>,
     /// Most backend servers that may run one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// A service that routes lead to.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Service {
     /// Connections that one backend server accepts from all callers together; 0 where unknown.
-    pub connections: u32,
+    pub max_connections: u32,
     /// What its engines can do, where it is a service of model engines.
     pub engine: Option<Engine>,
 }
@@ -68,26 +68,26 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// Tokens that one engine's KV cache holds.
-    pub memory: u64,
+    pub kv_capacity: u64,
     /// Bytes of KV cache a token.
-    pub token: u64,
+    pub token_bytes: u64,
     /// Speed of an engine's link, in megabits a second.
-    pub link: f64,
+    pub link_mbps: f64,
     /// Time a change of stage takes.
-    pub switch: Duration,
+    pub switch_time: Duration,
 }
 
 /// Bounds of what callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InputLimits {
     /// Most bytes of a body.
-    pub body: usize,
+    pub max_body: usize,
 }
 
 impl Default for InputLimits {
     fn default() -> Self {
         Self {
-            body: 8 * 1024 * 1024,
+            max_body: 8 * 1024 * 1024,
         }
     }
 }
@@ -112,7 +112,7 @@
 
     /// Returns the service that a draw from 0 (included) to 1 (excluded) falls on.
     #[must_use]
-    pub fn drawn(route: &Route, draw: f64) -> Option<&str> {
+    pub fn pick_service(route: &Route, draw: f64) -> Option<&str> {
         let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
         let mut left = draw * f64::from(total);
         for (service, weight) in &route.split {
--- a/src/core/relay/choose/handover.rs
+++ b/src/core/relay/choose/handover.rs
@@ -2,7 +2,7 @@
 
 use super::super::event::{Stage, Task};
 use super::super::instance::Work;
-use super::super::{Call, Reads, load, parts};
+use super::super::{Call, PrefillEstimate, load, parts};
 use super::{
     Choice, crossing, crowded, displaced, none, policy, queued, silence, spread, takers, transfer,
 };
@@ -45,7 +45,7 @@
     let policy = policy(core);
     let moving = transfer(core, call, &prompt);
     let learned = core.relay.model.of(&call.service);
-    let mut best: Option<(f64, Reads, f64, BackendKey)> = None;
+    let mut best: Option<(f64, PrefillEstimate, f64, BackendKey)> = None;
     for backend in engines {
         let instance = &core.relay.instances.arena[backend];
         let far = source.as_ref() != Some(&instance.domain);
@@ -54,13 +54,13 @@
         let reading = load::reading(learned, instance, instance.work().tokens) * BEHIND;
         let queue = reading + queued(instance);
         let own = learned.handover(instance.pace);
-        let reads = Reads {
-            before: moving + link + queue,
-            moving,
-            rest: own + queue,
-            ..Reads::default()
+        let reads = PrefillEstimate {
+            delay_ms: moving + link + queue,
+            transfer_ms: moving,
+            overhead_ms: own + queue,
+            ..PrefillEstimate::default()
         };
-        let expected = own + reads.before;
+        let expected = own + reads.delay_ms;
         let brought = parts::missing(instance, &prompt);
         let cost = expected + crowded(instance) + displaced(learned, brought) + instance.risk()
             - instance.limit.preference(core.now)
@@ -85,12 +85,12 @@
         },
         expected,
         reads,
-        urgency: Some(if call.late {
+        urgency: Some(if call.is_late {
             TAKEN_OVER + 1
         } else {
             TAKEN_OVER
         }),
-        late: call.late,
+        late: call.is_late,
         fetch: None,
         silence: Some(silence(expected)),
     })
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -15,7 +15,7 @@
 use super::instance::{Instance, Work};
 use super::model::Learned;
 use super::parts::{Fetch, Holder};
-use super::{Call, Reads, load, millis, parts, span};
+use super::{Call, PrefillEstimate, from_millis, load, millis, parts};
 use crate::error::Kind;
 use crate::settings::relay::Policy;
 
@@ -54,7 +54,7 @@
     /// Milliseconds until the first of the answer.
     pub expected: f64,
     /// What is to be read there before its first token.
-    pub reads: Reads,
+    pub reads: PrefillEstimate,
     /// Urgency at an engine.
     pub urgency: Option<u8>,
     /// Whether it can no longer be in time.
@@ -117,7 +117,7 @@
 /// Returns when to look whether an attempt is silent from which an answer is expected after so many
 /// milliseconds.
 fn silence(expected: f64) -> Duration {
-    span(expected * SILENT_TIMES) + SILENT_LEAST
+    from_millis(expected * SILENT_TIMES) + SILENT_LEAST
 }
 
 fn policy(core: &Core) -> Policy {
@@ -170,7 +170,7 @@
     /// What is copied from another engine first.
     fetch: Option<Fetch>,
     /// What is to be read there.
-    reads: Reads,
+    reads: PrefillEstimate,
     /// Milliseconds until those are read.
     queue: f64,
     /// Milliseconds until its own part is done there.
@@ -194,7 +194,7 @@
     let call = &core.relay.calls[key];
     let handover = handover::expected(core, call);
     let moving = transfer(core, call, &prompt);
-    let left = millis(call.end.since(core.now));
+    let left = millis(call.deadline.since(core.now));
     let spent = millis(core.now.since(call.arrived));
     let wanted = millis(call.route.target) * policy.patience - spent;
     let holders = parts::holders(core, call, &prompt);
@@ -276,15 +276,15 @@
     let fetch = engine(core, call)
         .and_then(|engine| parts::fetch(instance, backend, unread, prompt, holders, engine));
     let work = instance.work();
-    let reads = Reads {
-        unread: unread - fetch.map_or(0, |fetch| fetch.tokens),
-        held: prompt.tokens - unread + fetch.map_or(0, |fetch| fetch.tokens),
-        ahead: work.tokens,
-        before: fetch.map_or(0.0, |fetch| fetch.takes),
-        ..Reads::default()
+    let reads = PrefillEstimate {
+        uncached: unread - fetch.map_or(0, |fetch| fetch.tokens),
+        cached: prompt.tokens - unread + fetch.map_or(0, |fetch| fetch.tokens),
+        queued: work.tokens,
+        delay_ms: fetch.map_or(0.0, |fetch| fetch.takes),
+        ..PrefillEstimate::default()
     };
     let learned = core.relay.model.of(&call.service);
-    let tokens = learned.tokens(reads.unread, reads.held);
+    let tokens = learned.tokens(reads.uncached, reads.cached);
     let own = load::reading(learned, instance, tokens);
     let base = learned.base(stage);
     let (base, after, share) = match stage {
@@ -296,7 +296,7 @@
         ),
     };
     let queue = load::reading(learned, instance, work.tokens);
-    let here = base + queue + reads.before + own;
+    let here = base + queue + reads.delay_ms + own;
     let crossing = crossing(core, call, instance, policy);
     let vain = match stage {
         Stage::Prefill => instance.vain(own),
--- a/src/core/relay/choose/plain.rs
+++ b/src/core/relay/choose/plain.rs
@@ -5,7 +5,7 @@
 use super::super::call::come_back;
 use super::super::event::Task;
 use super::super::instance::Work;
-use super::super::{Reads, Repeat, load, millis, span};
+use super::super::{PrefillEstimate, RetryPolicy, from_millis, load, millis};
 use super::{Choice, HOPE, none, takers};
 use crate::core::Core;
 use crate::core::effect::Refusal;
@@ -41,13 +41,13 @@
         return Err(none(core, key));
     };
     let call = &core.relay.calls[key];
-    if expected > millis(call.end.since(core.now)) * HOPE {
+    if expected > millis(call.deadline.since(core.now)) * HOPE {
         let detail = format!("an answer would take {expected:.0} ms");
         let retry = come_back(core, expected / 2.0);
         return Err(Refusal::new(Kind::Overloaded, detail).retry(retry));
     }
-    let silence = (call.route.repeat == Repeat::Idempotent)
-        .then(|| call.route.target.max(span(expected * 3.0)));
+    let silence = (call.route.retry == RetryPolicy::Idempotent)
+        .then(|| call.route.target.max(from_millis(expected * 3.0)));
     Ok(Choice {
         backend,
         task: Task::Whole,
@@ -56,7 +56,7 @@
             ..Work::default()
         },
         expected,
-        reads: Reads::default(),
+        reads: PrefillEstimate::default(),
         urgency: None,
         late: false,
         fetch: None,
--- a/src/core/relay/choose/spread.rs
+++ b/src/core/relay/choose/spread.rs
@@ -62,7 +62,7 @@
 fn unheard(core: &Core, call: &Call) -> f64 {
     let budget = core.relay.budgets.get(&call.service);
     let own = budget.map_or(0, |budget| budget.recent(core.now, COUNTED));
-    let others = core.relay.peers.hosts().saturating_sub(1);
+    let others = core.relay.peers.host_count().saturating_sub(1);
     let rate = own as f64 / COUNTED.as_secs_f64() * others as f64;
-    rate * gossip::delay(core).as_secs_f64()
+    rate * gossip::propagation_delay(core).as_secs_f64()
 }
--- a/src/core/relay/departed.rs
+++ b/src/core/relay/departed.rs
@@ -5,18 +5,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::event::Entry;
+use super::event::BackendEntry;
 use crate::core::time::Time;
 
 /// Time for which it is remembered that a server left: far longer than the age of a copy from which the store may
 /// come back.
-const MEMORY: Duration = Duration::from_mins(5);
+const RETENTION: Duration = Duration::from_mins(5);
 
 /// A server that left.
 #[derive(Debug, Clone, Copy)]
 struct Departure {
     /// Its start, by its own account.
-    born: u64,
+    started_ms: u64,
     /// Era of the store in which it said so.
     era: u64,
     /// When this host learned of it.
@@ -32,7 +32,14 @@
 impl Departed {
     /// Notes that a server left.
     pub fn insert(&mut self, id: Box<str>, born: u64, era: u64, now: Time) {
-        self.servers.insert(id, Departure { born, era, at: now });
+        self.servers.insert(
+            id,
+            Departure {
+                started_ms: born,
+                era,
+                at: now,
+            },
+        );
     }
 
     /// Forgets a server that is there again.
@@ -42,14 +49,17 @@
 
     /// Forgets servers that left long ago.
     pub fn sweep(&mut self, now: Time) {
-        self.servers.retain(|_, left| now.since(left.at) < MEMORY);
+        self.servers
+            .retain(|_, left| now.since(left.at) < RETENTION);
     }
 
     /// Whether an entry is that of a server which left in an earlier era of the store: it stands in the copy from which
     /// the store came back, and the server writes it again.
     #[must_use]
-    pub fn holds(&self, entry: &Entry, era: u64) -> bool {
+    pub fn is_stale(&self, entry: &BackendEntry, era: u64) -> bool {
         let left = self.servers.get(&entry.id);
-        left.is_some_and(|left| left.born == entry.born && left.era < era && !entry.leaving)
+        left.is_some_and(|left| {
+            left.started_ms == entry.started_ms && left.era < era && !entry.leaving
+        })
     }
 }
--- a/src/core/relay/event/gossip.rs
+++ b/src/core/relay/event/gossip.rs
@@ -12,21 +12,21 @@
     /// Wall clock at the start of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// Number of the message; later messages have higher numbers.
-    pub number: u64,
+    pub sequence: u64,
     /// Its unfinished work, by backend server.
     pub loads: Vec<LoadReport>,
     /// Prompt parts that it sent to engines since the last message.
-    pub parts: Vec<PrefixReport>,
+    pub blocks: Vec<BlockReport>,
     /// Fingerprints of requests that backend servers died of.
-    pub deaths: Vec<CrashReport>,
+    pub crashes: Vec<CrashReport>,
     /// Whose work it tells of, and what is expected of the listener.
     pub kind: GossipKind,
     /// Era of the store to which what follows belongs; 0 where the sender knows none.
     pub era: u64,
     /// What the store last answered to a probe of that host.
-    pub newest: Option<ProbeReport>,
+    pub probe: Option<ProbeReport>,
     /// Changes of the store, from a host that follows it for others.
-    pub passage: Option<ReplicatedChanges>,
+    pub replicated: Option<ReplicatedChanges>,
     /// Limits that backend servers name, or ended to name lately.
     pub limits: Vec<LimitReport>,
     /// For how long the store has answered, as far as the sender knows.
@@ -46,20 +46,20 @@
     /// No work: the sender no longer reports to the listener.
     Farewell,
     /// All the work that the sender knows of, told to those that report to it.
-    Totals(Vec<Included>),
+    Totals(Vec<IncludedReport>),
     /// Sum over this failure domain, told to another one.
     Domain(Box<str>),
     /// The same, passed on within the listener's failure domain.
-    Passed(Box<str>),
+    Forwarded(Box<str>),
 }
 
 /// A report that is part of totals: its sender takes its own work out of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Included {
+pub struct IncludedReport {
     /// Short hash of the reporting process.
     pub process: u32,
     /// Number of the report.
-    pub number: u64,
+    pub sequence: u64,
 }
 
 /// The store's newest revision, as a probe showed it.
@@ -106,9 +106,9 @@
 
 /// A prompt part that an engine reads or has read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PrefixReport {
+pub struct BlockReport {
     /// The part.
-    pub part: u64,
+    pub block: u64,
     /// Its tokens.
     pub tokens: u32,
     /// Short hash of the engine's id.
@@ -119,7 +119,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashReport {
     /// First half of the request's fingerprint.
-    pub print: u64,
+    pub fingerprint: u64,
     /// Short hash of the backend server's id.
     pub instance: u32,
 }
@@ -143,7 +143,7 @@
     /// Revision before the first of them.
     pub after: i64,
     /// Revision up to which these are all changes.
-    pub at: i64,
+    pub revision: i64,
     /// The changes, in order.
     pub events: Vec<StoreChange>,
 }
--- a/src/core/relay/event/mod.rs
+++ b/src/core/relay/event/mod.rs
@@ -13,8 +13,8 @@
 use crate::error::Ran;
 use crate::settings::Settings;
 pub use gossip::{
-    CrashReport, Gossip, GossipKind, Included, LimitReport, LoadReport, PrefixReport, ProbeReport,
-    ReplicatedChanges, StoreChange, UptimeReport,
+    BlockReport, CrashReport, Gossip, GossipKind, IncludedReport, LimitReport, LoadReport,
+    ProbeReport, ReplicatedChanges, StoreChange, UptimeReport,
 };
 
 /// One event about relayed requests.
@@ -23,7 +23,7 @@
     /// A caller sent a whole request.
     Arrived(Box<Arrival>),
     /// The caller closed its connection.
-    Left(CallKey),
+    CallerLeft(CallKey),
     /// An engine has prefilled the prompt and holds its KV cache.
     Prefilled {
         /// The attempt.
@@ -46,16 +46,16 @@
         status: u16,
     },
     /// An event of a streamed answer arrived.
-    Piece {
+    StreamEvent {
         /// The attempt.
         attempt: AttemptKey,
         /// Number of the event in the answer; 0 where it has none.
         number: u64,
     },
     /// The streamed answer ended as it should.
-    Whole(AttemptKey),
+    StreamCompleted(AttemptKey),
     /// The attempt ended without a whole answer.
-    Broke {
+    AttemptFailed {
         /// The attempt.
         attempt: AttemptKey,
         /// Whether the backend server ran the request.
@@ -66,23 +66,23 @@
         detail: Box<str>,
     },
     /// An answer of the store named its era.
-    Era(u64),
+    StoreEra(u64),
     /// The store answered a call, or will not.
-    Store {
+    StoreAnswered {
         /// Number of the call.
         number: u64,
         /// What it answered.
         answer: StoreAnswer,
     },
     /// An engine told of its state.
-    Reported {
+    EngineReported {
         /// The engine's id.
         instance: Box<str>,
         /// Its state; `None` where it did not answer.
         report: Option<EngineReport>,
     },
     /// An engine answered an order.
-    Ordered {
+    OrderAnswered {
         /// The engine's id.
         instance: Box<str>,
         /// Fencing number of the order.
@@ -114,7 +114,7 @@
     /// A page of the keys.
     Page {
         /// Revision of the store as of this page.
-        at: i64,
+        revision: i64,
         /// The keys.
         changes: Changes,
         /// Last key, where more follow.
@@ -123,7 +123,7 @@
     /// What changed.
     Changes {
         /// Revision from which to go on.
-        at: i64,
+        revision: i64,
         /// The changes; none where the wait ended without any.
         changes: Changes,
         /// The same one by one, to be passed on.
@@ -144,23 +144,23 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Changes {
     /// Whether all keys were read: what is not named here is not there.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// Configuration, where it changed.
     pub catalog: Option<Catalog>,
     /// Backend servers that were written.
-    pub instances: Vec<Entry>,
+    pub instances: Vec<BackendEntry>,
     /// Ids of backend servers whose entries were removed.
-    pub gone: Vec<Box<str>>,
+    pub removed: Vec<Box<str>>,
     /// Keys of this program that changed.
     pub keys: Vec<KeyChange>,
 }
 
 impl Changes {
     /// Adds what came later.
-    pub fn extend(&mut self, later: Self) {
+    pub fn merge(&mut self, later: Self) {
         self.catalog = later.catalog.or(self.catalog.take());
         self.instances.extend(later.instances);
-        self.gone.extend(later.gone);
+        self.removed.extend(later.removed);
         self.keys.extend(later.keys);
     }
 }
@@ -178,7 +178,7 @@
 
 /// A backend server as it registered itself.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
+pub struct BackendEntry {
     /// Id of this start of it.
     pub id: Box<str>,
     /// Service it belongs to.
@@ -194,7 +194,7 @@
     /// Part of a request that it does; `None` for a plain service.
     pub stage: Option<Stage>,
     /// Wall clock at its start, in milliseconds since the Unix epoch; 0 where it did not say.
-    pub born: u64,
+    pub started_ms: u64,
 }
 
 /// Part of a model request that an engine does.
@@ -224,7 +224,7 @@
     /// Bytes of the body.
     pub bytes: usize,
     /// Fingerprint of path and body.
-    pub print: Print,
+    pub fingerprint: Print,
 }
 
 /// What a model request asks of an engine.
@@ -233,16 +233,16 @@
     /// Prompt tokens.
     pub tokens: u64,
     /// Most tokens to generate.
-    pub output: u64,
+    pub max_output: u64,
     /// The caller's own estimate of the tokens to generate.
-    pub hint: Option<u64>,
+    pub output_hint: Option<u64>,
     /// Parts of the prompt in order; all but the last may be shared with other requests.
-    pub parts: Vec<PromptPart>,
+    pub blocks: Vec<PrefixBlock>,
 }
 
 /// A part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PrefixBlock {
     /// What identifies it: equal parts have equal numbers.
     pub id: u64,
     /// Tokens.
@@ -259,13 +259,13 @@
     /// Close the attempt's connection and forget it.
     Cancel(AttemptKey),
     /// Pass the event in hand on to the caller.
-    Deliver(CallKey),
+    ForwardEvent(CallKey),
     /// Pass the answer in hand on to the caller.
-    Pass(CallKey),
+    ForwardAnswer(CallKey),
     /// The caller has the whole answer.
     Finish(CallKey),
     /// The caller's answer has begun and cannot be completed: it must look cut.
-    Cut(CallKey),
+    AbortAnswer(CallKey),
     /// Answer that there will be no whole answer.
     Refuse {
         /// The request.
@@ -274,7 +274,7 @@
         refusal: Refusal,
     },
     /// Give back a KV cache that will not be used.
-    Free {
+    FreeCache {
         /// Id of the engine that holds it.
         instance: Box<str>,
         /// Where it listens.
@@ -283,7 +283,7 @@
         handle: Box<str>,
     },
     /// Ask an engine for its state.
-    Report {
+    FetchReport {
         /// Its id.
         instance: Box<str>,
         /// Where it listens.
@@ -294,14 +294,14 @@
     /// The hosts share this secret: messages are proved and checked with it.
     Secret([u8; 32]),
     /// Call the store.
-    Ask {
+    CallStore {
         /// Number of the call.
         number: u64,
         /// What is asked.
-        ask: Ask,
+        ask: StoreCall,
     },
     /// Give a call of the store up.
-    Unask(u64),
+    CancelStoreCall(u64),
     /// Send this to other hosts.
     Publish {
         /// Where they listen.
@@ -313,7 +313,7 @@
 
 /// A call by which this host follows the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ask {
+pub enum StoreCall {
     /// Read a page of all keys.
     Page {
         /// Last key of the page before.
@@ -360,7 +360,7 @@
     /// What to do.
     pub task: Task,
     /// Time that is left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Urgency at the engine, 0 to 9; lower goes first.
     pub urgency: Option<u8>,
     /// Number of the last event that the caller has.
@@ -368,9 +368,9 @@
     /// Whether the answer is a stream of events.
     pub streaming: bool,
     /// Idle connections to one backend server that may be kept.
-    pub idle: usize,
+    pub max_idle: usize,
     /// Where the engine listens from which it first copies what that one holds of the prompt.
-    pub fetch: Option<SocketAddr>,
+    pub fetch_from: Option<SocketAddr>,
 }
 
 /// An order to an engine to change its stage.
--- a/src/core/relay/gossip/aggregator.rs
+++ b/src/core/relay/gossip/aggregator.rs
@@ -30,7 +30,7 @@
 ///
 /// `before` holds all of them in the order of their names.
 #[must_use]
-pub fn preferred(before: &[Box<str>]) -> Vec<Box<str>> {
+pub fn preferred_order(before: &[Box<str>]) -> Vec<Box<str>> {
     let mut line = Vec::new();
     let mut at = before.len();
     while at > 0 {
@@ -46,24 +46,24 @@
 #[derive(Debug, Clone, Copy)]
 struct Suspicion {
     since: Time,
-    times: u32,
+    failures: u32,
 }
 
 impl Suspicion {
-    fn lasts(&self, now: Time) -> bool {
+    fn is_active(&self, now: Time) -> bool {
         let time =
-            SUSPICION_TIMEOUT.saturating_mul(1 << (self.times - 1).min(MAX_SUSPICION_DOUBLINGS));
+            SUSPICION_TIMEOUT.saturating_mul(1 << (self.failures - 1).min(MAX_SUSPICION_DOUBLINGS));
         now.since(self.since) < time
     }
 }
 
 /// What changed about the aggregator.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct AggregatorChange {
     /// The one before, if any.
-    pub before: Option<Box<str>>,
+    pub previous: Option<Box<str>>,
     /// The one now; none where this host sums up itself.
-    pub now: Option<Box<str>>,
+    pub current: Option<Box<str>>,
 }
 
 /// The host that sums up for this one, and those that were asked to.
@@ -71,18 +71,18 @@
 pub struct Aggregator {
     current: Option<Box<str>>,
     /// Hosts that may sum up for this one, the preferred first.
-    order: Vec<Box<str>>,
+    candidates: Vec<Box<str>>,
     /// Since when the current one has not answered a report.
-    awaiting: Option<Time>,
+    awaiting_since: Option<Time>,
     /// Hosts that were asked and did not answer yet.
-    asked: BTreeMap<Box<str>, Time>,
+    pending: BTreeMap<Box<str>, Time>,
     suspected: BTreeMap<Box<str>, Suspicion>,
     /// Hosts asked at once while none answers; doubled each time.
-    width: usize,
+    fanout: usize,
     /// When a host that is preferred to the current one was last asked.
-    tried: Time,
+    last_retry: Time,
     /// When this was last looked at.
-    looked: Time,
+    last_poll: Time,
 }
 
 impl Aggregator {
@@ -94,42 +94,46 @@
 
     /// Tells whether no host before this one answers, as far as is known.
     #[must_use]
-    pub fn is_first(&self) -> bool {
-        self.current.is_none() && self.asked.is_empty()
+    pub fn is_root(&self) -> bool {
+        self.current.is_none() && self.pending.is_empty()
     }
 
     /// Looks at the hosts that may sum up, the preferred first: returns which to ask now, and whether
     /// the aggregator was lost.
-    pub fn look(&mut self, order: Vec<Box<str>>, now: Time) -> (Vec<Box<str>>, Option<Change>) {
-        if now.since(self.looked) > REPLY_TIMEOUT {
+    pub fn poll(
+        &mut self,
+        order: Vec<Box<str>>,
+        now: Time,
+    ) -> (Vec<Box<str>>, Option<AggregatorChange>) {
+        if now.since(self.last_poll) > REPLY_TIMEOUT {
             // This host stood still: it is not the others that did not answer.
-            self.awaiting = self.awaiting.map(|_| now);
-            self.asked.values_mut().for_each(|at| *at = now);
+            self.awaiting_since = self.awaiting_since.map(|_| now);
+            self.pending.values_mut().for_each(|at| *at = now);
         }
-        self.looked = now;
-        self.order = order;
-        let order = &self.order;
-        self.asked.retain(|name, _| order.contains(name));
+        self.last_poll = now;
+        self.candidates = order;
+        let order = &self.candidates;
+        self.pending.retain(|name, _| order.contains(name));
         self.suspected.retain(|name, suspicion| {
             order.contains(name) && now.since(suspicion.since) < BACKOFF_RESET
         });
         self.suspect_unresponsive(now);
-        let lost = self.lose(now);
-        let asked = self.due_hosts(now);
-        self.asked
+        let lost = self.drop_lost(now);
+        let asked = self.hosts_to_query(now);
+        self.pending
             .extend(asked.iter().map(|name| (name.clone(), now)));
         (asked, lost)
     }
 
     fn suspect_unresponsive(&mut self, now: Time) {
         let late: Vec<Box<str>> = self
-            .asked
+            .pending
             .iter()
             .filter(|(_, at)| now.since(**at) > REPLY_TIMEOUT)
             .map(|(name, _)| name.clone())
             .collect();
         for name in late {
-            self.asked.remove(&name);
+            self.pending.remove(&name);
             self.suspect(name, now);
         }
     }
@@ -137,92 +141,93 @@
     fn suspect(&mut self, name: Box<str>, now: Time) {
         let suspicion = self.suspected.entry(name).or_insert(Suspicion {
             since: now,
-            times: 0,
+            failures: 0,
         });
         suspicion.since = now;
-        suspicion.times += 1;
+        suspicion.failures += 1;
     }
 
     /// Gives the aggregator up if it is gone or does not answer.
-    fn lose(&mut self, now: Time) -> Option<Change> {
+    fn drop_lost(&mut self, now: Time) -> Option<AggregatorChange> {
         let current = self.current.as_ref()?;
         let silent = self
-            .awaiting
+            .awaiting_since
             .is_some_and(|at| now.since(at) > REPLY_TIMEOUT);
-        if self.order.contains(current) && !silent {
+        if self.candidates.contains(current) && !silent {
             return None;
         }
         let before = self.current.take()?;
-        self.awaiting = None;
-        self.width = 1;
+        self.awaiting_since = None;
+        self.fanout = 1;
         if silent {
             self.suspect(before.clone(), now);
         }
-        Some(Change {
-            before: Some(before),
-            now: None,
+        Some(AggregatorChange {
+            previous: Some(before),
+            current: None,
         })
     }
 
     /// Returns the hosts to ask: the first that is not suspected, and more each time none answered.
-    fn due_hosts(&mut self, now: Time) -> Vec<Box<str>> {
+    fn hosts_to_query(&mut self, now: Time) -> Vec<Box<str>> {
         let is_suspected = |name: &str| {
             self.suspected
                 .get(name)
-                .is_some_and(|suspicion| suspicion.lasts(now))
+                .is_some_and(|suspicion| suspicion.is_active(now))
         };
-        let better = self.order.iter().take(self.rank());
-        let free = better.filter(|name| !is_suspected(name) && !self.asked.contains_key(*name));
+        let better = self.candidates.iter().take(self.rank());
+        let free = better.filter(|name| !is_suspected(name) && !self.pending.contains_key(*name));
         if self.current.is_some() {
-            if now.since(self.tried) < RETRY_INTERVAL {
+            if now.since(self.last_retry) < RETRY_INTERVAL {
                 return Vec::new();
             }
             let first: Vec<Box<str>> = free.take(1).cloned().collect();
-            self.tried = now;
+            self.last_retry = now;
             return first;
         }
-        if !self.asked.is_empty() {
+        if !self.pending.is_empty() {
             return Vec::new();
         }
-        let width = self.width.max(1);
+        let width = self.fanout.max(1);
         let hosts = free.take(width).cloned().collect();
-        self.width = width.saturating_mul(2);
+        self.fanout = width.saturating_mul(2);
         hosts
     }
 
     /// Returns how many hosts are preferred to the one that sums up now.
     fn rank(&self) -> usize {
         let current = self.current.as_ref();
-        let rank = current.and_then(|current| self.order.iter().position(|host| host == current));
-        rank.unwrap_or(self.order.len())
+        let rank =
+            current.and_then(|current| self.candidates.iter().position(|host| host == current));
+        rank.unwrap_or(self.candidates.len())
     }
 
     /// Notes that a report was sent to the aggregator, which it answers.
-    pub fn reported(&mut self, now: Time) {
-        self.awaiting.get_or_insert(now);
+    pub fn report_sent(&mut self, now: Time) {
+        self.awaiting_since.get_or_insert(now);
     }
 
     /// Takes in that a host answered; returns what changed if it sums up for this one from now on.
-    pub fn answered(&mut self, name: &str) -> Option<Change> {
-        let asked = self.asked.remove(name).is_some();
+    pub fn answer_received(&mut self, name: &str) -> Option<AggregatorChange> {
+        let asked = self.pending.remove(name).is_some();
         if self.current() == Some(name) {
-            self.awaiting = None;
+            self.awaiting_since = None;
             return None;
         }
-        let rank = self.order.iter().position(|host| **host == *name);
+        let rank = self.candidates.iter().position(|host| **host == *name);
         if !asked || rank.is_none_or(|rank| rank > self.rank()) {
             return None;
         }
-        self.awaiting = None;
-        self.width = 1;
-        Some(Change {
-            before: self.current.replace(name.into()),
-            now: Some(name.into()),
+        self.awaiting_since = None;
+        self.fanout = 1;
+        Some(AggregatorChange {
+            previous: self.current.replace(name.into()),
+            current: Some(name.into()),
         })
     }
 
     /// Forgets everything, for a host whose failure domain needs no aggregator.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
--- a/src/core/relay/gossip/gather.rs
+++ b/src/core/relay/gossip/gather.rs
@@ -9,21 +9,21 @@
 
 use super::super::super::key::HostKey;
 use super::super::super::{Core, Effects};
-use super::super::event::{Gossip, GossipKind, Included, LoadReport};
+use super::super::event::{Gossip, GossipKind, IncludedReport, LoadReport};
 use super::super::instance::{Work, short};
 use super::super::note;
-use super::aggregator::{Change, preferred};
+use super::aggregator::{AggregatorChange, preferred_order};
 use super::{
-    KEEPALIVE_INTERVAL, domains, due, load_report, message, neighbours, publish_to, summed,
-    unpublished,
+    KEEPALIVE_INTERVAL, domains, load_report, neighbours, new_message, publish_to, should_publish,
+    summed_loads, take_unpublished,
 };
 
 /// Reports that are remembered until totals include them: those of two seconds.
-const REPORTS: usize = 64;
+const MAX_SENT_REPORTS: usize = 64;
 
 /// Asks hosts to sum up for this one, reports to the one that does, and answers those that report
 /// here.
-pub(super) fn tell(core: &mut Core, out: &mut Effects) {
+pub(super) fn update_aggregator(core: &mut Core, out: &mut Effects) {
     let own = &core.settings.host.name;
     let mut before: Vec<Box<str>> = neighbours(core)
         .filter(|peer| peer.name < *own)
@@ -31,92 +31,99 @@
         .collect();
     before.sort();
     let now = core.now;
-    let (ask, lost) = core.relay.peers.aggregator.look(preferred(&before), now);
+    let (ask, lost) = core
+        .relay
+        .peers
+        .aggregator
+        .poll(preferred_order(&before), now);
     if let Some(change) = lost {
-        changed(core, &change, out);
+        aggregator_changed(core, &change, out);
     }
     if !ask.is_empty() {
-        let to = ask.iter().filter_map(|name| address(core, name)).collect();
-        let message = message(core, GossipKind::Hello, Vec::new(), Vec::new(), Vec::new());
+        let to = ask
+            .iter()
+            .filter_map(|name| peer_addr(core, name))
+            .collect();
+        let message = new_message(core, GossipKind::Hello, Vec::new(), Vec::new(), Vec::new());
         out.extend(publish_to(to, message));
     }
-    if core.relay.peers.aggregator.is_first() {
+    if core.relay.peers.aggregator.is_root() {
         // The hosts that the last totals told of report here from now on.
         forget_totals(core);
-        core.relay.peers.up.take();
+        core.relay.peers.upstream.take();
     }
-    report(core, out);
+    send_report(core, out);
 }
 
 fn forget_totals(core: &mut Core) {
     let peers = &mut core.relay.peers;
     let all = peers.domains.get(&core.settings.host.domain).copied();
-    if let Some(all) = all.filter(|all| peers.arena[*all].heard.take().is_some()) {
+    if let Some(all) = all.filter(|all| peers.arena[*all].last_seen.take().is_some()) {
         core.relay.instances.told(all, &[]);
     }
 }
 
 /// Returns where the aggregator listens.
-pub(super) fn current(core: &Core) -> Option<SocketAddr> {
-    address(core, core.relay.peers.aggregator.current()?)
+pub(super) fn aggregator_addr(core: &Core) -> Option<SocketAddr> {
+    peer_addr(core, core.relay.peers.aggregator.current()?)
 }
 
-fn address(core: &Core, name: &str) -> Option<SocketAddr> {
+fn peer_addr(core: &Core, name: &str) -> Option<SocketAddr> {
     let peers = &core.relay.peers;
     let key = peers.names.get(name)?;
     Some(peers.arena[*key].addr)
 }
 
 /// Reports to the aggregator, if there is one and anything is new.
-fn report(core: &mut Core, out: &mut Effects) {
-    let loads = summed(core);
-    let (parts, deaths) = unpublished(core);
+fn send_report(core: &mut Core, out: &mut Effects) {
+    let loads = summed_loads(core);
+    let (parts, deaths) = take_unpublished(core);
     let peers = &mut core.relay.peers;
     if !parts.is_empty() || !deaths.is_empty() {
-        peers.up.hear(&parts, &deaths);
+        peers.upstream.add(&parts, &deaths);
     }
-    let news = peers.up.any();
-    if !due(core, &loads, news) {
+    let news = peers.upstream.is_dirty();
+    if !should_publish(core, &loads, news) {
         return;
     }
     let peers = &mut core.relay.peers;
-    peers.down.hear(&parts, &deaths);
-    peers.across.hear(&parts, &deaths);
-    let Some(to) = current(core) else {
+    peers.downstream.add(&parts, &deaths);
+    peers.cross_domain.add(&parts, &deaths);
+    let Some(to) = aggregator_addr(core) else {
         return;
     };
-    let (parts, deaths) = core.relay.peers.up.take();
-    let message = message(core, GossipKind::Report, loads, parts, deaths);
+    let (parts, deaths) = core.relay.peers.upstream.take();
+    let message = new_message(core, GossipKind::Report, loads, parts, deaths);
     let peers = &mut core.relay.peers;
-    peers.aggregator.reported(core.now);
+    peers.aggregator.report_sent(core.now);
     peers
-        .reports
-        .push_back((message.number, message.loads.clone()));
-    if peers.reports.len() > REPORTS {
-        peers.reports.pop_front();
+        .sent_reports
+        .push_back((message.sequence, message.loads.clone()));
+    if peers.sent_reports.len() > MAX_SENT_REPORTS {
+        peers.sent_reports.pop_front();
     }
     out.extend(publish_to(vec![to], message));
 }
 
 /// Answers the hosts that report here, if anything is new.
-pub(super) fn answer(core: &mut Core, out: &mut Effects) {
+pub(super) fn send_totals(core: &mut Core, out: &mut Effects) {
     let peers = &core.relay.peers;
-    let reporting: Vec<(SocketAddr, Included)> = peers
+    let reporting: Vec<(SocketAddr, IncludedReport)> = peers
         .arena
         .values()
-        .filter(|peer| peer.reports)
+        .filter(|peer| peer.is_reporter)
         .map(|peer| {
-            let report = Included {
-                process: process(&peer.name, peer.incarnation),
-                number: peer.number,
+            let report = IncludedReport {
+                process: process_hash(&peer.name, peer.incarnation),
+                sequence: peer.sequence,
             };
             (peer.addr, report)
         })
         .collect();
     let view = &core.relay.view;
-    let quiet = !view.probes.has_news() && !view.history.has_news() && !peers.down.any();
+    let quiet = !view.probes.has_news() && !view.history.has_news() && !peers.downstream.is_dirty();
     let waits = peers
-        .answered
+        .totals_sent
         .is_some_and(|at| core.now.since(at) < KEEPALIVE_INTERVAL);
     if reporting.is_empty() || (quiet && waits) {
         return;
@@ -127,45 +134,45 @@
         .map(|instance| load_report(instance.short, instance.work()))
         .collect();
     let peers = &mut core.relay.peers;
-    peers.answered = Some(core.now);
-    let (parts, deaths) = peers.down.take();
+    peers.totals_sent = Some(core.now);
+    let (parts, deaths) = peers.downstream.take();
     let (to, included) = reporting.into_iter().unzip();
-    let message = message(core, GossipKind::Totals(included), loads, parts, deaths);
+    let message = new_message(core, GossipKind::Totals(included), loads, parts, deaths);
     out.extend(publish_to(to, message));
 }
 
 /// Returns the short hash of one process of a host.
-fn process(host: &str, incarnation: u64) -> u32 {
+fn process_hash(host: &str, incarnation: u64) -> u32 {
     short(&format!("{host}/{incarnation}"))
 }
 
 /// Takes in a report, a question for totals, or a farewell.
-pub(super) fn heard(core: &mut Core, key: HostKey, message: &Gossip) {
+pub(super) fn receive_report(core: &mut Core, key: HostKey, message: &Gossip) {
     let peer = &mut core.relay.peers.arena[key];
-    peer.reports = message.kind != GossipKind::Farewell;
+    peer.is_reporter = message.kind != GossipKind::Farewell;
     core.relay.instances.told(key, &message.loads);
 }
 
 /// Takes in totals, if their sender sums up for this host.
-pub(super) fn totals(
+pub(super) fn receive_totals(
     core: &mut Core,
     sender: HostKey,
     loads: &[LoadReport],
-    included: &[Included],
+    included: &[IncludedReport],
     out: &mut Effects,
 ) {
     let name = core.relay.peers.arena[sender].name.clone();
-    if let Some(change) = core.relay.peers.aggregator.answered(&name) {
-        changed(core, &change, out);
+    if let Some(change) = core.relay.peers.aggregator.answer_received(&name) {
+        aggregator_changed(core, &change, out);
     }
     if core.relay.peers.aggregator.current() != Some(&*name) {
         return;
     }
-    let own = process(&core.settings.host.name, core.members.incarnation());
+    let own = process_hash(&core.settings.host.name, core.members.incarnation());
     let report = included.iter().find(|report| report.process == own);
     let reported = report.and_then(|report| {
-        let mut reports = core.relay.peers.reports.iter();
-        reports.find(|(number, _)| *number == report.number)
+        let mut reports = core.relay.peers.sent_reports.iter();
+        reports.find(|(number, _)| *number == report.sequence)
     });
     let reported: BTreeMap<u32, Work> = reported
         .iter()
@@ -180,26 +187,29 @@
         })
         .collect();
     let domain = core.settings.host.domain.clone();
-    let all = domains::whole(core, sender, domain);
+    let all = domains::aggregate_peer(core, sender, domain);
     let now = core.now;
     let peers = &mut core.relay.peers;
-    peers.arena[all].heard = Some(now);
-    peers.reporting = included.len();
-    peers.down.hear(&[], &[]);
+    peers.arena[all].last_seen = Some(now);
+    peers.reporter_count = included.len();
+    peers.downstream.add(&[], &[]);
     core.relay.instances.told(all, &others);
 }
 
 /// Says that another host sums up for this one, and takes leave of the one before.
-fn changed(core: &mut Core, change: &Change, out: &mut Effects) {
+fn aggregator_changed(core: &mut Core, change: &AggregatorChange, out: &mut Effects) {
     let name = |host: &Option<Box<str>>| host.clone().unwrap_or_else(|| "none".into());
     note(
         out,
         log::Level::Info,
         "aggregator.changed",
-        vec![("before", name(&change.before)), ("now", name(&change.now))],
+        vec![
+            ("before", name(&change.previous)),
+            ("now", name(&change.current)),
+        ],
     );
-    core.relay.peers.reports.clear();
-    if change.now.is_some() {
+    core.relay.peers.sent_reports.clear();
+    if change.current.is_some() {
         // Totals hold what was heard from other failure domains.
         let domains: Vec<HostKey> = core.relay.peers.domains.values().copied().collect();
         for domain in domains {
@@ -207,10 +217,13 @@
         }
     }
     // The new one is told all at once.
-    core.relay.peers.told = None;
-    let left = change.before.as_deref().filter(|_| change.now.is_some());
-    if let Some(to) = left.and_then(|name| address(core, name)) {
-        let message = message(
+    core.relay.peers.last_publish = None;
+    let left = change
+        .previous
+        .as_deref()
+        .filter(|_| change.current.is_some());
+    if let Some(to) = left.and_then(|name| peer_addr(core, name)) {
+        let message = new_message(
             core,
             GossipKind::Farewell,
             Vec::new(),
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -22,10 +22,10 @@
 use super::super::effect::Effect;
 use super::super::key::HostKey;
 use super::super::{Core, Effects};
-use super::event::{CrashReport, Gossip, GossipKind, LoadReport, PrefixReport, RelayEffect};
+use super::event::{BlockReport, CrashReport, Gossip, GossipKind, LoadReport, RelayEffect};
 use super::instance::Work;
 use super::peers::Peer;
-use super::{RelayTimer, limit, load, parts, peers, span, view, wake};
+use super::{RelayTimer, from_millis, limit, load, parts, peers, view, wake};
 
 /// Time between two messages to the other hosts.
 ///
@@ -53,50 +53,50 @@
 
 /// Sends this host's state to the others.
 pub fn publish(core: &mut Core, out: &mut Effects) {
-    wake(core, every(core), RelayTimer::Publish, out);
-    expire(core);
+    wake(core, gossip_interval(core), RelayTimer::Publish, out);
+    expire_peers(core);
     peers::drop_silent(core, out);
     for instance in core.relay.instances.arena.values_mut() {
         instance.age(core.now);
     }
-    sweep(core);
+    sweep_blocks(core);
     core.relay.instances.sweep(core.now);
-    if gathers(core) {
-        gather::tell(core, out);
+    if uses_aggregators(core) {
+        gather::update_aggregator(core, out);
     } else {
-        core.relay.peers.aggregator.forget();
+        core.relay.peers.aggregator.reset();
         publish_own(core, out);
     }
-    gather::answer(core, out);
+    gather::send_totals(core, out);
     view::attend(core, out);
-    if core.relay.peers.across.any() && represents_domain(core) {
-        domains::tell(core, out);
+    if core.relay.peers.cross_domain.is_dirty() && represents_domain(core) {
+        domains::publish_aggregate(core, out);
     }
 }
 
 /// Returns the age of what is known of the work of other hosts of this failure domain: of the last
 /// totals, or of the oldest message where each host sends to all.
-pub(super) fn age(core: &Core) -> Option<Duration> {
+pub(super) fn load_age(core: &Core) -> Option<Duration> {
     let peers = &core.relay.peers;
     let totals = peers.domains.get(&core.settings.host.domain);
     let heard = match totals {
-        Some(totals) => peers.arena[*totals].heard,
-        None => neighbours(core).filter_map(|peer| peer.heard).min(),
+        Some(totals) => peers.arena[*totals].last_seen,
+        None => neighbours(core).filter_map(|peer| peer.last_seen).min(),
     };
     heard.map(|at| core.now.since(at))
 }
 
 /// Returns the time after which work that is sent now is known to the other hosts: that between two
 /// messages, longer where none came.
-pub(super) fn delay(core: &Core) -> Duration {
+pub(super) fn propagation_delay(core: &Core) -> Duration {
     // Reports pass a host on their way up, and totals one on their way down.
-    let hops = if gathers(core) { 2 } else { 1 };
-    (every(core) * hops).max(age(core).unwrap_or_default())
+    let hops = if uses_aggregators(core) { 2 } else { 1 };
+    (gossip_interval(core) * hops).max(load_age(core).unwrap_or_default())
 }
 
 /// Returns the time between two messages.
-fn every(core: &Core) -> Duration {
-    if gathers(core) {
+fn gossip_interval(core: &Core) -> Duration {
+    if uses_aggregators(core) {
         return REPORT_INTERVAL;
     }
     let hosts = u32::try_from(neighbours(core).count()).unwrap_or(u32::MAX);
@@ -104,20 +104,20 @@
 }
 
 /// Whether this failure domain uses aggregators.
-fn gathers(core: &Core) -> bool {
+fn uses_aggregators(core: &Core) -> bool {
     neighbours(core).count() > MAX_FLAT_PEERS
 }
 
 /// Sends this host's own work to each host of its failure domain.
 fn publish_own(core: &mut Core, out: &mut Effects) {
     let loads = own_loads(core);
-    let (parts, deaths) = unpublished(core);
-    if !due(core, &loads, !parts.is_empty() || !deaths.is_empty()) {
+    let (parts, deaths) = take_unpublished(core);
+    if !should_publish(core, &loads, !parts.is_empty() || !deaths.is_empty()) {
         return;
     }
-    core.relay.peers.across.hear(&parts, &deaths);
-    let near = near(core);
-    let message = message(core, GossipKind::Own, loads, parts, deaths);
+    core.relay.peers.cross_domain.add(&parts, &deaths);
+    let near = neighbour_addrs(core);
+    let message = new_message(core, GossipKind::Own, loads, parts, deaths);
     out.extend(publish_to(near, message));
 }
 
@@ -131,49 +131,49 @@
 }
 
 /// Takes the prefixes and crashes of this host that were not sent yet.
-fn unpublished(core: &mut Core) -> (Vec<PrefixReport>, Vec<CrashReport>) {
-    let parts = std::mem::take(&mut core.relay.peers.parts);
+fn take_unpublished(core: &mut Core) -> (Vec<BlockReport>, Vec<CrashReport>) {
+    let parts = std::mem::take(&mut core.relay.peers.pending_blocks);
     (parts, core.relay.killers.take_unpublished())
 }
 
 /// Whether to send this work now: something is new, or the last message is a while ago.
-fn due(core: &mut Core, loads: &[LoadReport], news: bool) -> bool {
+fn should_publish(core: &mut Core, loads: &[LoadReport], news: bool) -> bool {
     let view = &core.relay.view;
-    let limits = core.relay.peers.told;
+    let limits = core.relay.peers.last_publish;
     let limits = limits.is_some_and(|told| limit::changed_since(core, told));
     let news = news || limits;
     let news =
         news || view.probes.has_news() || (view.history.has_news() && replicates_changes(core));
     let peers = &mut core.relay.peers;
-    let same = !news && loads == peers.last;
+    let same = !news && loads == peers.last_loads;
     if same
         && peers
-            .told
+            .last_publish
             .is_some_and(|at| core.now.since(at) < KEEPALIVE_INTERVAL)
     {
         return false;
     }
-    peers.told = Some(core.now);
-    peers.last = loads.to_vec();
+    peers.last_publish = Some(core.now);
+    peers.last_loads = loads.to_vec();
     true
 }
 
 /// Forgets the prompt parts that engines no longer hold, every now and then.
-fn sweep(core: &mut Core) {
+fn sweep_blocks(core: &mut Core) {
     let peers = &mut core.relay.peers;
     if peers
-        .swept
+        .last_sweep
         .is_some_and(|at| core.now.since(at) < SWEEP_INTERVAL)
     {
         return;
     }
-    peers.swept = Some(core.now);
+    peers.last_sweep = Some(core.now);
     let memory = core.relay.catalog.as_ref().and_then(|catalog| {
         let engines = catalog
             .services
             .values()
             .filter_map(|service| service.engine.as_ref());
-        engines.map(|engine| engine.memory).max()
+        engines.map(|engine| engine.kv_capacity).max()
     });
     for instance in core.relay.instances.arena.values_mut() {
         parts::forget(instance, memory.unwrap_or(0), core.now);
@@ -185,14 +185,14 @@
     (!to.is_empty()).then(|| Effect::Relay(RelayEffect::Publish { to, message }))
 }
 
-fn message(
+fn new_message(
     core: &mut Core,
     kind: GossipKind,
     loads: Vec<LoadReport>,
-    parts: Vec<PrefixReport>,
+    parts: Vec<BlockReport>,
     deaths: Vec<CrashReport>,
 ) -> Gossip {
-    core.relay.peers.number += 1;
+    core.relay.peers.sequence += 1;
     let passes = match kind {
         GossipKind::Totals(_) => true,
         GossipKind::Own => replicates_changes(core),
@@ -202,21 +202,21 @@
     let probes = &mut core.relay.view.probes;
     let newest = match kind {
         // Each failure domain probes the store for itself.
-        GossipKind::Domain(_) | GossipKind::Passed(_) => None,
+        GossipKind::Domain(_) | GossipKind::Forwarded(_) => None,
         GossipKind::Totals(_) => probes.latest(core.now),
         _ => probes.newest(core.now),
     };
     Gossip {
         host: core.settings.host.name.clone(),
         incarnation: core.members.incarnation(),
-        number: core.relay.peers.number,
+        sequence: core.relay.peers.sequence,
         loads,
-        parts,
-        deaths,
+        blocks: parts,
+        crashes: deaths,
         kind,
         era: core.relay.view.era(),
-        newest,
-        passage,
+        probe: newest,
+        replicated: passage,
         limits: limit::reports(core),
         uptime: core.relay.view.uptime.report(core.now),
     }
@@ -231,12 +231,12 @@
 
 /// Whether a host was seen lately enough to be counted on.
 fn is_live(core: &Core, peer: &Peer) -> bool {
-    peer.heard
+    peer.last_seen
         .is_some_and(|at| core.now.since(at) < REPRESENTATIVE_TIMEOUT)
 }
 
 /// Returns where the other hosts of this failure domain listen.
-fn near(core: &Core) -> Vec<SocketAddr> {
+fn neighbour_addrs(core: &Core) -> Vec<SocketAddr> {
     neighbours(core).map(|peer| peer.addr).collect()
 }
 
@@ -245,7 +245,7 @@
     let direct = neighbours(core).filter(|peer| is_live(core, peer)).count();
     let peers = &core.relay.peers;
     let reporting = match peers.aggregator.current() {
-        Some(_) => peers.reporting,
+        Some(_) => peers.reporter_count,
         None => 0,
     };
     u32::try_from(direct.max(reporting)).unwrap_or(u32::MAX)
@@ -273,7 +273,7 @@
 }
 
 /// Returns the unfinished work of this host and of those of its failure domain that reported it.
-fn summed(core: &Core) -> Vec<LoadReport> {
+fn summed_loads(core: &Core) -> Vec<LoadReport> {
     let peers = &core.relay.peers;
     let own = &core.settings.host.domain;
     let totals = peers.domains.get(own);
@@ -300,22 +300,22 @@
 }
 
 /// Forgets the work of hosts that are unresponsive.
-fn expire(core: &mut Core) {
+fn expire_peers(core: &mut Core) {
     let silent: Vec<HostKey> = core
         .relay
         .peers
         .arena
         .iter()
         .filter(|(_, peer)| {
-            peer.heard
+            peer.last_seen
                 .is_some_and(|at| core.now.since(at) > PEER_TIMEOUT)
         })
         .map(|(key, _)| key)
         .collect();
     for key in silent {
         let peer = &mut core.relay.peers.arena[key];
-        peer.heard = None;
-        peer.reports = false;
+        peer.last_seen = None;
+        peer.is_reporter = false;
         core.relay.instances.told(key, &[]);
     }
 }
@@ -327,68 +327,70 @@
     };
     let key = match &message.kind {
         // What this domain sums up itself is known here already.
-        GossipKind::Domain(domain) | GossipKind::Passed(domain)
+        GossipKind::Domain(domain) | GossipKind::Forwarded(domain)
             if *domain == core.settings.host.domain =>
         {
             return;
         }
-        GossipKind::Domain(domain) | GossipKind::Passed(domain) => {
-            domains::whole(core, sender, domain.clone())
+        GossipKind::Domain(domain) | GossipKind::Forwarded(domain) => {
+            domains::aggregate_peer(core, sender, domain.clone())
         }
         _ => sender,
     };
     let now = core.now;
     let peer = &mut core.relay.peers.arena[key];
     // Datagrams overtake each other, and a process that ended may still be heard.
-    if (message.incarnation, message.number) <= (peer.incarnation, peer.number) {
+    if (message.incarnation, message.sequence) <= (peer.incarnation, peer.sequence) {
         return;
     }
     peer.incarnation = message.incarnation;
-    peer.number = message.number;
-    peer.heard = Some(now);
+    peer.sequence = message.sequence;
+    peer.last_seen = Some(now);
     limit::reported(core, &message.host, &message.limits, out);
     view::era::seen(core, message.era, &message.host, out);
     if message.era < core.relay.view.era() {
         // The sender has not heard of this era: its revisions mean nothing here.
         message.uptime = None;
-        message.passage = None;
-        message.newest = None;
+        message.replicated = None;
+        message.probe = None;
     }
     if let Some(uptime) = message.uptime {
         view::up(core, uptime, out);
     }
-    if let Some(passage) = message.passage.take() {
+    if let Some(passage) = message.replicated.take() {
         view::passed(core, &message.host, passage, out);
     }
-    if let Some(newest) = message.newest {
+    if let Some(newest) = message.probe {
         view::probe::told(core, newest, out);
     }
     let peers = &mut core.relay.peers;
-    peers.down.hear(&message.parts, &message.deaths);
+    peers.downstream.add(&message.blocks, &message.crashes);
     if matches!(message.kind, GossipKind::Own | GossipKind::Report) {
-        peers.across.hear(&message.parts, &message.deaths);
+        peers.cross_domain.add(&message.blocks, &message.crashes);
     }
     if message.kind == GossipKind::Report {
-        peers.up.hear(&message.parts, &message.deaths);
+        peers.upstream.add(&message.blocks, &message.crashes);
     }
     // An aggregator's totals hold all other work.
     let summed_up = peers.aggregator.current().is_some();
     match &message.kind {
         GossipKind::Hello | GossipKind::Report | GossipKind::Farewell => {
-            gather::heard(core, key, &message);
+            gather::receive_report(core, key, &message);
+        }
+        GossipKind::Totals(included) => {
+            gather::receive_totals(core, key, &message.loads, included, out)
         }
-        GossipKind::Totals(included) => gather::totals(core, key, &message.loads, included, out),
         _ if summed_up => {}
         _ => core.relay.instances.told(key, &message.loads),
     }
-    note_parts(core, &message.parts);
+    record_blocks(core, &message.blocks);
     if matches!(message.kind, GossipKind::Domain(_)) {
-        domains::pass_on(core, message, out);
+        domains::forward(core, message, out);
     }
 }
 
 /// Takes in which prompt parts engines were sent.
-fn note_parts(core: &mut Core, parts: &[PrefixReport]) {
+fn record_blocks(core: &mut Core, parts: &[BlockReport]) {
     for part in parts {
         let Some(engine) = core.relay.instances.by_short(part.instance) else {
             continue;
@@ -396,8 +398,8 @@
         let instance = &mut core.relay.instances.arena[engine];
         // It was sent there to be read, behind what waits there already.
         let learned = core.relay.model.of(&instance.service);
-        let wait = span(load::reading(learned, instance, instance.work().tokens));
+        let wait = from_millis(load::reading(learned, instance, instance.work().tokens));
         let ready = core.now.after(wait);
-        parts::note(instance, part.part, part.tokens.into(), core.now, ready);
+        parts::note(instance, part.block, part.tokens.into(), core.now, ready);
     }
 }
--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -7,7 +7,7 @@
 use slotmap::SlotMap;
 
 use super::departed::Departed;
-use super::event::{Changes, Entry, LoadReport, Stage};
+use super::event::{BackendEntry, Changes, LoadReport, Stage};
 use super::limit::Limit;
 use super::model::{Link, Pace};
 use super::parts::Part;
@@ -135,7 +135,7 @@
 }
 
 impl Instance {
-    fn new(entry: Entry) -> Self {
+    fn new(entry: BackendEntry) -> Self {
         Self {
             short: short(&entry.id),
             id: entry.id,
@@ -145,7 +145,7 @@
             slots: entry.slots.max(1),
             leaving: entry.leaving,
             stage: entry.stage,
-            born: entry.born,
+            born: entry.started_ms,
             missed: None,
             misplaced: false,
             own: Work::default(),
@@ -339,7 +339,7 @@
     pub fn changed(&mut self, changes: &mut Changes, era: u64, now: Time) -> Vec<Belief> {
         let mut beliefs = Vec::new();
         self.departed.sweep(now);
-        if changes.whole {
+        if changes.is_snapshot {
             let listed = |id: &str| changes.instances.iter().any(|entry| *entry.id == *id);
             for instance in self.arena.values_mut() {
                 if !listed(&instance.id) && !instance.leaving && instance.missed.is_none() {
@@ -352,17 +352,18 @@
             }
         }
         for entry in std::mem::take(&mut changes.instances) {
-            if changes.whole && self.departed.holds(&entry, era) {
+            if changes.is_snapshot && self.departed.is_stale(&entry, era) {
                 continue;
             }
             if entry.leaving {
-                self.departed.insert(entry.id.clone(), entry.born, era, now);
+                self.departed
+                    .insert(entry.id.clone(), entry.started_ms, era, now);
             } else {
                 self.departed.remove(&entry.id);
             }
             self.written(entry, now, &mut beliefs);
         }
-        for id in std::mem::take(&mut changes.gone) {
+        for id in std::mem::take(&mut changes.removed) {
             if let Some(key) = self.find(&id) {
                 let instance = &mut self.arena[key];
                 let born = instance.born;
@@ -403,13 +404,13 @@
         beliefs
     }
 
-    fn written(&mut self, entry: Entry, now: Time, beliefs: &mut Vec<Belief>) {
+    fn written(&mut self, entry: BackendEntry, now: Time, beliefs: &mut Vec<Belief>) {
         let id = entry.id.clone();
         let mut restarted = false;
         if let Some(key) = self.find(&id) {
             let old = &self.arena[key];
             let moved = old.addr != entry.addr || old.service != entry.service;
-            if old.born != entry.born || moved {
+            if old.born != entry.started_ms || moved {
                 // It started again under its old id, and knows nothing of before.
                 self.remove(key);
                 restarted = true;
--- a/src/core/relay/killer.rs
+++ b/src/core/relay/killer.rs
@@ -53,7 +53,7 @@
 
     /// Takes in a death, own or another host's.
     pub fn died(&mut self, death: CrashReport, now: Time) {
-        let case = self.cases.entry(death.print).or_insert_with(|| Case {
+        let case = self.cases.entry(death.fingerprint).or_insert_with(|| Case {
             dead: BTreeSet::new(),
             last: now,
         });
@@ -85,7 +85,7 @@
     };
     let call = &core.relay.calls[call];
     let message = CrashReport {
-        print: call.print,
+        fingerprint: call.fingerprint,
         instance: instance.short,
     };
     note(
--- a/src/core/relay/limit.rs
+++ b/src/core/relay/limit.rs
@@ -74,7 +74,7 @@
     #[must_use]
     pub fn wait(&self, now: Time) -> Option<Duration> {
         let missing = (1.0 - self.available(now)).max(0.0);
-        (self.share > 0.0).then(|| super::span(missing / self.share * 1000.0))
+        (self.share > 0.0).then(|| super::from_millis(missing / self.share * 1000.0))
     }
 
     /// Returns the milliseconds of delay that are borne to learn whether the limit still holds.
@@ -149,7 +149,7 @@
         .relay
         .attempts
         .get(attempt)
-        .map(|attempt| (attempt.backend, attempt.sent))
+        .map(|attempt| (attempt.backend, attempt.sent_at))
     else {
         return;
     };
@@ -234,10 +234,10 @@
         return 0.0;
     };
     let peers = &core.relay.peers;
-    let hosts = peers.hosts() as f64;
+    let hosts = peers.host_count() as f64;
     let sharing = rate.ceil().clamp(1.0, hosts);
     let own = rank(short(&core.settings.host.name), instance.short);
-    let ranks = peers.shorts().map(|other| rank(other, instance.short));
+    let ranks = peers.name_hashes().map(|other| rank(other, instance.short));
     let ahead = ranks.filter(|other| *other > own).count();
     if (ahead as f64) < sharing {
         rate.max(MIN_RATE) / sharing
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -11,7 +11,7 @@
 use super::event::{Stage, Task};
 use super::instance::Instance;
 use super::model::{Learned, Sample};
-use super::{Attempt, Call, millis, note, span};
+use super::{Attempt, Call, from_millis, millis, note};
 
 /// Milliseconds by which each request that runs there delays the next token.
 pub const STREAM: f64 = 0.6;
@@ -53,7 +53,7 @@
     let Some(attempt) = core.relay.attempts.get(key) else {
         return;
     };
-    let (expected, reads) = (attempt.expected, attempt.reads);
+    let (expected, reads) = (attempt.expected_ms, attempt.prefill);
     let task = attempt.task.clone();
     let id = core
         .relay
@@ -76,10 +76,10 @@
             ("took_ms", format!("{took:.0}").into()),
             ("expected_ms", format!("{expected:.0}").into()),
             ("pace", format!("{:.2}", instance.pace.slow).into()),
-            ("reads", reads.unread.to_string().into()),
-            ("held", reads.held.to_string().into()),
-            ("ahead", reads.ahead.to_string().into()),
-            ("before_ms", format!("{:.0}", reads.before).into()),
+            ("reads", reads.uncached.to_string().into()),
+            ("held", reads.cached.to_string().into()),
+            ("ahead", reads.queued.to_string().into()),
+            ("before_ms", format!("{:.0}", reads.delay_ms).into()),
         ],
     );
     if instance.stage.is_none() {
@@ -89,10 +89,10 @@
         && matches!(task, Task::Prefill | Task::Whole)
     {
         let sample = Sample {
-            took: took - reads.before,
-            unread: reads.unread,
-            held: reads.held,
-            ahead: reads.ahead,
+            took: took - reads.delay_ms,
+            unread: reads.uncached,
+            held: reads.cached,
+            ahead: reads.queued,
         };
         let learned = core.relay.model.of_mut(&instance.service);
         learned.read(stage, &sample, &mut instance.pace);
@@ -108,12 +108,12 @@
 /// Learns from the time that a hand-over took: what engines need for it, or which link is slow.
 fn handed_over(core: &mut Core, key: AttemptKey, took: f64) {
     let attempt = &core.relay.attempts[key];
-    let (target, reads) = (attempt.backend, attempt.reads);
+    let (target, reads) = (attempt.backend, attempt.prefill);
     let source = core.relay.calls.get(attempt.call);
     let source = source.and_then(|call| call.cache.as_ref().map(|cache| cache.engine));
     let now = core.now;
     let arena = &mut core.relay.instances.arena;
-    let usual = reads.rest + reads.moving;
+    let usual = reads.overhead_ms + reads.transfer_ms;
     let waited = if took > usual * LINK_TIMES {
         took - usual
     } else {
@@ -122,7 +122,7 @@
     if waited == 0.0
         && let Some(instance) = arena.get(target)
     {
-        let own = took - reads.before;
+        let own = took - reads.delay_ms;
         let learned = core.relay.model.of_mut(&instance.service);
         learned.handed_over(own, instance.pace);
     }
@@ -152,18 +152,18 @@
 /// Returns how long an attempt may bring nothing before it is taken for silent.
 #[must_use]
 pub fn silence(call: &Call, attempt: &Attempt, heard: Option<Time>, now: Time) -> Duration {
-    if attempt.began {
-        return (call.route.gap * 4).max(GAP_LEAST);
+    if attempt.started {
+        return (call.route.gap_target * 4).max(GAP_LEAST);
     }
     let alive = heard.is_some_and(|at| now.since(at) < ALIVE);
-    let expected = span(attempt.expected * SILENCE);
+    let expected = from_millis(attempt.expected_ms * SILENCE);
     if alive && call.prompt.is_some() {
         return expected + BUSY;
     }
     if call.prompt.is_none() {
         return expected.max(call.route.target);
     }
-    expected + span(millis(call.route.target).mul_add(0.5, SILENCE_LEAST))
+    expected + from_millis(millis(call.route.target).mul_add(0.5, SILENCE_LEAST))
 }
 
 /// Time since an engine last brought anything within which it is alive.
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -36,7 +36,7 @@
 use super::{Core, Effects};
 use crate::settings::Settings;
 use budget::Budget;
-use catalog::{Catalog, Repeat, Route};
+use catalog::{Catalog, RetryPolicy, Route};
 use event::{Changes, Prompt, RelayEvent, Task};
 use instance::Instances;
 
@@ -54,11 +54,11 @@
     /// Register this host in a new era of the store.
     RegisterAgain,
     /// Go on following the store after the pause behind this call.
-    Follow(u64),
+    ResumeWatch(u64),
     /// Ask for the store's newest revision.
     Probe,
     /// Give up what the store owes.
-    Overdue,
+    StoreTimeout,
     /// Look whether engines should change their stage.
     Plan,
     /// Renew the authority to give orders.
@@ -94,11 +94,11 @@
     /// Bytes of its body.
     pub bytes: usize,
     /// Fingerprint of path and body.
-    pub print: u64,
+    pub fingerprint: u64,
     /// When it arrived.
     pub arrived: Time,
     /// When it must have its final answer.
-    pub end: Time,
+    pub deadline: Time,
     /// The attempt in hand.
     pub attempt: Option<AttemptKey>,
     /// Backend servers that may have run it.
@@ -110,20 +110,20 @@
     /// Backend servers that failed it.
     pub tried: Vec<BackendKey>,
     /// Number of the last event that the caller has.
-    pub seen: Option<u64>,
+    pub last_event: Option<u64>,
     /// Whether any of the answer was passed on.
     pub delivered: bool,
     /// KV cache that was made for it and not taken yet.
-    pub cache: Option<Cache>,
+    pub cache: Option<KvCache>,
     /// Whether it can no longer be in time and gives way to those that can.
-    pub late: bool,
+    pub is_late: bool,
     /// When the last event was passed on.
-    pub last: Option<Time>,
+    pub last_forwarded: Option<Time>,
 }
 
 /// A KV cache at an engine.
 #[derive(Debug, Clone)]
-pub struct Cache {
+pub struct KvCache {
     /// The engine.
     pub engine: BackendKey,
     /// The engine's id.
@@ -144,35 +144,35 @@
     /// What it was asked to do.
     pub task: Task,
     /// When it was sent.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Work that it counts for at the backend server.
     pub work: instance::Work,
     /// Milliseconds after which the first of the answer was expected.
-    pub expected: f64,
+    pub expected_ms: f64,
     /// What was to be read there before its first token.
-    pub reads: Reads,
+    pub prefill: PrefillEstimate,
     /// Whether anything of the answer arrived.
-    pub began: bool,
+    pub started: bool,
     /// When anything last arrived.
-    pub last: Time,
+    pub last_received: Time,
 }
 
 /// What an engine has to read before a request's first token.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Reads {
+pub struct PrefillEstimate {
     /// Tokens of its prompt that the engine reads.
-    pub unread: u64,
+    pub uncached: u64,
     /// Tokens before those that the engine holds or copies from another.
-    pub held: u64,
+    pub cached: u64,
     /// Work that is ahead of it, in tokens of a short prompt.
-    pub ahead: u64,
+    pub queued: u64,
     /// Milliseconds that pass before the engine can begin: copies from another engine, and what a
     /// hand-over waits for.
-    pub before: f64,
+    pub delay_ms: f64,
     /// Milliseconds of these that a hand-over's transfer takes over links at their speed.
-    pub moving: f64,
+    pub transfer_ms: f64,
     /// Milliseconds that the hand-over takes beside the transfer.
-    pub rest: f64,
+    pub overhead_ms: f64,
 }
 
 /// All that a relaying host knows.
@@ -234,29 +234,29 @@
 pub fn step(core: &mut Core, event: RelayEvent, out: &mut Effects) {
     match event {
         RelayEvent::Arrived(arrival) => call::arrived(core, *arrival, out),
-        RelayEvent::Left(key) => call::left(core, key, out),
+        RelayEvent::CallerLeft(key) => call::left(core, key, out),
         RelayEvent::Limited { attempt, limit } => limit::named(core, attempt, limit, out),
         RelayEvent::Prefilled { attempt, handle } => answer::prefilled(core, attempt, handle, out),
         RelayEvent::Answered { attempt, status } => answer::answered(core, attempt, status, out),
-        RelayEvent::Piece { attempt, number } => answer::piece(core, attempt, number, out),
-        RelayEvent::Whole(attempt) => answer::whole(core, attempt, out),
-        RelayEvent::Broke {
+        RelayEvent::StreamEvent { attempt, number } => answer::piece(core, attempt, number, out),
+        RelayEvent::StreamCompleted(attempt) => answer::whole(core, attempt, out),
+        RelayEvent::AttemptFailed {
             attempt,
             ran,
             end,
             detail,
         } => answer::broke(core, attempt, ran, end, &detail, out),
-        RelayEvent::Era(era) => view::era::seen(core, era, view::era::ANSWER, out),
-        RelayEvent::Store { number, answer } => view::answered(core, number, answer, out),
-        RelayEvent::Reported { instance, report } => {
+        RelayEvent::StoreEra(era) => view::era::seen(core, era, view::era::ANSWER, out),
+        RelayEvent::StoreAnswered { number, answer } => view::answered(core, number, answer, out),
+        RelayEvent::EngineReported { instance, report } => {
             split::reported(core, &instance, report, out);
         }
-        RelayEvent::Ordered {
+        RelayEvent::OrderAnswered {
             instance,
             fence,
             result,
         } => split::ordered(core, &instance, fence, result, out),
-        RelayEvent::Reloaded(settings) => reloaded(core, *settings, out),
+        RelayEvent::Reloaded(settings) => reload(core, *settings, out),
         RelayEvent::Gossiped(message) => gossip::receive(core, *message, out),
     }
 }
@@ -269,16 +269,16 @@
         RelayTimer::Publish => gossip::publish(core, out),
         RelayTimer::Register => peers::register(core, out),
         RelayTimer::RegisterAgain => peers::register_again(core, out),
-        RelayTimer::Follow(last) => view::follow(core, last, out),
+        RelayTimer::ResumeWatch(last) => view::follow(core, last, out),
         RelayTimer::Probe => view::probe::probe(core, out),
-        RelayTimer::Overdue => view::probe::overdue(core, out),
+        RelayTimer::StoreTimeout => view::probe::overdue(core, out),
         RelayTimer::Plan => split::plan(core, out),
         RelayTimer::Authority => split::renew(core, out),
     }
 }
 
 /// Ends every request, for a host that can wait for none of them any longer.
-pub fn give_up(core: &mut Core, why: &str, out: &mut Effects) {
+pub fn abandon_all(core: &mut Core, why: &str, out: &mut Effects) {
     let keys: Vec<CallKey> = core.relay.calls.keys().collect();
     for key in keys {
         call::abandon(core, key, why, out);
@@ -299,18 +299,18 @@
 }
 
 /// Takes in what the store told.
-fn changed(core: &mut Core, mut changes: Changes, out: &mut Effects) {
+fn apply_changes(core: &mut Core, mut changes: Changes, out: &mut Effects) {
     if let Some(catalog) = changes.catalog.take() {
-        adopt(core, catalog, out);
+        apply_catalog(core, catalog, out);
     }
     let era = core.relay.view.era();
     let beliefs = core.relay.instances.changed(&mut changes, era, core.now);
-    note_beliefs(beliefs, out);
-    peers::changed(core, &changes, out);
+    log_listings(beliefs, out);
+    peers::apply_changes(core, &changes, out);
     split::changed(core, &changes, out);
 }
 
-fn note_beliefs(beliefs: Vec<instance::Belief>, out: &mut Effects) {
+fn log_listings(beliefs: Vec<instance::Belief>, out: &mut Effects) {
     for belief in beliefs {
         note(
             out,
@@ -325,7 +325,7 @@
 ///
 /// A read that was answered late, or a host that was behind, may bring an old version again: in
 /// force it would send requests where the operator no longer wants them.
-fn adopt(core: &mut Core, catalog: Catalog, out: &mut Effects) {
+fn apply_catalog(core: &mut Core, catalog: Catalog, out: &mut Effects) {
     let old = core.relay.catalog.as_ref().map(|catalog| catalog.version);
     if old.is_some_and(|old| old >= catalog.version) {
         return;
@@ -344,7 +344,7 @@
 }
 
 /// Puts settings in force that were read again; listeners and the name stay as they are.
-fn reloaded(core: &mut Core, settings: Settings, out: &mut Effects) {
+fn reload(core: &mut Core, settings: Settings, out: &mut Effects) {
     core.settings.relay = settings.relay;
     core.settings.limits = settings.limits;
     note(out, log::Level::Info, "host.reloaded", Vec::new());
@@ -383,6 +383,6 @@
 }
 
 /// Returns the time of that many milliseconds; none for what is no time.
-fn span(millis: f64) -> Duration {
+fn from_millis(millis: f64) -> Duration {
     Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).unwrap_or_default()
 }
--- a/src/core/relay/parts.rs
+++ b/src/core/relay/parts.rs
@@ -13,7 +13,7 @@
 use super::super::time::Time;
 use super::Call;
 use super::catalog::Engine;
-use super::event::{Prompt, PromptPart};
+use super::event::{PrefixBlock, Prompt};
 use super::instance::Instance;
 
 /// Parts with fewer tokens are not tracked: to read them again costs less than to tell of them.
@@ -65,7 +65,7 @@
 }
 
 /// Returns the parts of a prompt that other requests may share: all but the last.
-pub fn shared(parts: &[PromptPart]) -> &[PromptPart] {
+pub fn shared(parts: &[PrefixBlock]) -> &[PrefixBlock] {
     parts.split_last().map_or(&[][..], |(_, shared)| shared)
 }
 
@@ -73,11 +73,11 @@
 ///
 /// A part that it has read counts only if it has all parts before it, too.
 fn held(instance: &Instance, prompt: &Prompt, by: Option<Time>) -> u64 {
-    let holds = |part: &PromptPart| {
+    let holds = |part: &PrefixBlock| {
         let known = instance.parts.get(&part.id);
         part.tokens < LEAST || known.is_some_and(|known| by.is_none_or(|by| known.ready <= by))
     };
-    let held = shared(&prompt.parts).iter().take_while(|part| holds(part));
+    let held = shared(&prompt.blocks).iter().take_while(|part| holds(part));
     held.map(|part| part.tokens).sum()
 }
 
@@ -91,7 +91,7 @@
 /// Returns the shared tokens of a prompt that an engine does not hold.
 #[must_use]
 pub fn missing(instance: &Instance, prompt: &Prompt) -> u64 {
-    let all: u64 = shared(&prompt.parts).iter().map(|part| part.tokens).sum();
+    let all: u64 = shared(&prompt.blocks).iter().map(|part| part.tokens).sum();
     all.saturating_sub(held(instance, prompt, None))
 }
 
@@ -134,7 +134,7 @@
     let known = prompt.tokens.saturating_sub(unread);
     // A caller may name parts that are longer than its whole prompt.
     let tokens = best.tokens.saturating_sub(known).min(unread);
-    if tokens < FETCH_LEAST || engine.link <= 0.0 {
+    if tokens < FETCH_LEAST || engine.link_mbps <= 0.0 {
         return None;
     }
     let far = best.domain != instance.domain;
@@ -149,16 +149,16 @@
 /// Returns the milliseconds that the transfer of tokens' KV cache takes within a failure domain.
 #[must_use]
 pub fn transfer(engine: &Engine, tokens: u64) -> f64 {
-    if engine.link <= 0.0 {
+    if engine.link_mbps <= 0.0 {
         return 0.0;
     }
-    (tokens * engine.token * 8) as f64 / (engine.link * 1000.0)
+    (tokens * engine.token_bytes * 8) as f64 / (engine.link_mbps * 1000.0)
 }
 
 /// Notes that an engine holds the shared parts of a prompt after a while.
 pub fn remember(instance: &mut Instance, prompt: &Prompt, now: Time, after: Duration) {
     // What was fetched with a KV cache is kept like what was read.
-    for part in shared(&prompt.parts) {
+    for part in shared(&prompt.blocks) {
         note(instance, part.id, part.tokens, now, now.after(after));
     }
 }
@@ -180,7 +180,7 @@
 
 /// Notes what a prompt adds to an engine's memory, and which of its shared parts it then holds.
 pub fn put(instance: &mut Instance, prompt: &Prompt, now: Time, after: Duration) {
-    let output = prompt.hint.unwrap_or(0).min(prompt.output);
+    let output = prompt.output_hint.unwrap_or(0).min(prompt.max_output);
     instance.fill(unread(instance, prompt) + output, now);
     remember(instance, prompt, now, after);
 }
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -13,22 +13,22 @@
 use super::super::key::HostKey;
 use super::super::time::Time;
 use super::super::{Core, Effects};
-use super::event::{Changes, LoadReport, PrefixReport, PromptPart, RelayEffect};
+use super::event::{BlockReport, Changes, LoadReport, PrefixBlock, RelayEffect};
 use super::gossip::{Aggregator, PendingUpdates};
 use super::instance::short;
 use super::{RelayJob, RelayTimer, gossip, job, limit, note, parts, wake};
 use crate::store::{Compare, Op, Txn};
 
 /// Life of the lease of a registration.
-const LIFE: Duration = Duration::from_secs(12);
+const LEASE_TTL: Duration = Duration::from_secs(12);
 /// Time between two renewals, and between tries.
-const RENEW: Duration = Duration::from_secs(4);
+const LEASE_RENEW_INTERVAL: Duration = Duration::from_secs(4);
 /// Time within which a call for the registration is expected to be answered.
-const ANSWER: Duration = Duration::from_millis(400);
+const LEASE_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Key of the secret that all hosts share.
-const SECRET: &str = "secret";
+const SECRET_STORE_KEY: &str = "secret";
 /// Start of the keys that name hosts.
-const FOLDER: &str = "hosts/";
+const HOSTS_PREFIX: &str = "hosts/";
 
 /// Another host.
 #[derive(Debug)]
@@ -36,17 +36,17 @@
     /// Its name.
     pub name: Box<str>,
     /// Short hash of its name.
-    pub short: u32,
+    pub name_hash: u32,
     /// Failure domain it stands in.
     pub domain: Box<str>,
     /// Where it listens for other hosts.
     pub addr: SocketAddr,
     /// When it was last heard.
-    pub heard: Option<Time>,
+    pub last_seen: Option<Time>,
     pub(super) incarnation: u64,
-    pub(super) number: u64,
+    pub(super) sequence: u64,
     /// Whether it reports to this host, which answers with totals.
-    pub(super) reports: bool,
+    pub(super) is_reporter: bool,
 }
 
 /// All other hosts.
@@ -60,17 +60,17 @@
     /// The host that sums up for this one, in a large failure domain.
     pub(super) aggregator: Aggregator,
     /// Reports to it that totals may include, by number.
-    pub(super) reports: VecDeque<(u64, Vec<LoadReport>)>,
+    pub(super) sent_reports: VecDeque<(u64, Vec<LoadReport>)>,
     /// Hosts that report to it.
-    pub(super) reporting: usize,
+    pub(super) reporter_count: usize,
     /// When the hosts that report here were last answered.
-    pub(super) answered: Option<Time>,
+    pub(super) totals_sent: Option<Time>,
     /// What was heard here and from hosts that report here, for the aggregator.
-    pub(super) up: PendingUpdates,
+    pub(super) upstream: PendingUpdates,
     /// What was heard from anywhere, for the hosts that report here.
-    pub(super) down: PendingUpdates,
+    pub(super) downstream: PendingUpdates,
     /// What was heard in this failure domain, for the others.
-    pub(super) across: PendingUpdates,
+    pub(super) cross_domain: PendingUpdates,
     /// Hosts that were not found when every key was last read.
     unlisted: BTreeSet<Box<str>>,
     /// Hosts whose entries are gone and that are still heard.
@@ -80,34 +80,34 @@
     pub(super) lease: i64,
     pub(super) registered: bool,
     /// When a lease of the registration was asked for, while there is no answer.
-    pub(super) asked: Option<Time>,
-    pub(super) number: u64,
-    pub(super) parts: Vec<PrefixReport>,
-    pub(super) last: Vec<LoadReport>,
+    pub(super) lease_requested: Option<Time>,
+    pub(super) sequence: u64,
+    pub(super) pending_blocks: Vec<BlockReport>,
+    pub(super) last_loads: Vec<LoadReport>,
     /// When the prompt parts of engines were last looked at.
-    pub(super) swept: Option<Time>,
+    pub(super) last_sweep: Option<Time>,
     /// When the hosts of this failure domain were last told.
-    pub(super) told: Option<Time>,
+    pub(super) last_publish: Option<Time>,
 }
 
 impl Peers {
     /// Returns how many hosts there may be, this one included.
     #[must_use]
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.names.len() + 1
     }
 
     /// Returns the short hashes of the other hosts' names.
-    pub(super) fn shorts(&self) -> impl Iterator<Item = u32> {
-        self.names.values().map(|key| self.arena[*key].short)
+    pub(super) fn name_hashes(&self) -> impl Iterator<Item = u32> {
+        self.names.values().map(|key| self.arena[*key].name_hash)
     }
 
     /// Notes which prompt parts went to an engine.
-    pub fn sent(&mut self, parts: Option<&Vec<PromptPart>>, instance: u32) {
+    pub fn record_sent_blocks(&mut self, parts: Option<&Vec<PrefixBlock>>, instance: u32) {
         let shared = parts.map_or(&[][..], |parts| parts::shared(parts));
         for part in shared.iter().filter(|part| part.tokens >= parts::LEAST) {
-            self.parts.push(PrefixReport {
-                part: part.id,
+            self.pending_blocks.push(BlockReport {
+                block: part.id,
                 tokens: u32::try_from(part.tokens).unwrap_or(u32::MAX),
                 instance,
             });
@@ -123,9 +123,9 @@
 
 /// Gets the registration's lease or renews it, and does so again in time.
 pub fn register(core: &mut Core, out: &mut Effects) {
-    ask(core, out);
+    request_lease(core, out);
     if !core.stop.begun() {
-        wake(core, RENEW, RelayTimer::Register, out);
+        wake(core, LEASE_RENEW_INTERVAL, RelayTimer::Register, out);
     }
 }
 
@@ -134,27 +134,30 @@
     let peers = &mut core.relay.peers;
     peers.lease = 0;
     peers.registered = false;
-    peers.asked = None;
+    peers.lease_requested = None;
 }
 
 /// Registers this host in a new era of the store, unless it is registered by now.
 pub fn register_again(core: &mut Core, out: &mut Effects) {
     let peers = &core.relay.peers;
-    if !peers.registered && peers.asked.is_none() {
-        ask(core, out);
+    if !peers.registered && peers.lease_requested.is_none() {
+        request_lease(core, out);
     }
 }
 
 /// Gets the registration's lease or renews it, unless this host is about to end.
-fn ask(core: &mut Core, out: &mut Effects) {
+fn request_lease(core: &mut Core, out: &mut Effects) {
     if core.stop.begun() {
         return;
     }
     let job = job(core, RelayJob::Lease);
     let peers = &mut core.relay.peers;
-    peers.asked = Some(core.now);
+    peers.lease_requested = Some(core.now);
     out.push(match peers.lease {
-        0 => Effect::Grant { job, life: LIFE },
+        0 => Effect::Grant {
+            job,
+            life: LEASE_TTL,
+        },
         lease => Effect::Renew { job, lease },
     });
 }
@@ -163,19 +166,21 @@
 ///
 /// The others take a host without an entry for gone and tell it nothing, so that it sends requests to
 /// engines that are full. A renewal in its turn would notice only seconds later.
-fn missed(core: &mut Core, out: &mut Effects) {
+fn restore_registration(core: &mut Core, out: &mut Effects) {
     let peers = &mut core.relay.peers;
     peers.registered = false;
-    let under_way = peers.asked.is_some_and(|at| core.now.since(at) < ANSWER);
+    let under_way = peers
+        .lease_requested
+        .is_some_and(|at| core.now.since(at) < LEASE_REPLY_TIMEOUT);
     if !under_way {
-        ask(core, out);
+        request_lease(core, out);
     }
 }
 
 /// Goes on with the registration.
 pub fn reply(core: &mut Core, job: RelayJob, reply: &StoreReply, out: &mut Effects) {
     if job == RelayJob::Lease {
-        core.relay.peers.asked = None;
+        core.relay.peers.lease_requested = None;
     }
     match reply.result {
         StoreResult::Lease(lease) => {
@@ -186,9 +191,9 @@
             peers.lease = lease;
             if lease == 0 {
                 // It ran out.
-                ask(core, out);
+                request_lease(core, out);
             } else if !peers.registered {
-                write(core, lease, out);
+                write_entry(core, lease, out);
             }
         }
         StoreResult::Txn(_) if job == RelayJob::Register => core.relay.peers.registered = true,
@@ -197,7 +202,7 @@
     }
 }
 
-fn write(core: &mut Core, lease: i64, out: &mut Effects) {
+fn write_entry(core: &mut Core, lease: i64, out: &mut Effects) {
     let host = &core.settings.host;
     let value = json!({
         "addr": host.peers.to_string(),
@@ -208,7 +213,7 @@
         txn: Txn {
             compare: Vec::new(),
             then: vec![Op::Put {
-                key: format!("{FOLDER}{}", host.name).into(),
+                key: format!("{HOSTS_PREFIX}{}", host.name).into(),
                 value: value.to_string().into(),
                 lease,
             }],
@@ -218,38 +223,41 @@
 }
 
 /// Takes in which hosts there are, and the secret that they share.
-pub fn changed(core: &mut Core, changes: &Changes, out: &mut Effects) {
-    let secret = changes.keys.iter().find(|change| &*change.key == SECRET);
+pub fn apply_changes(core: &mut Core, changes: &Changes, out: &mut Effects) {
+    let secret = changes
+        .keys
+        .iter()
+        .find(|change| &*change.key == SECRET_STORE_KEY);
     let secret = secret.and_then(|change| change.value.as_deref()?.try_into().ok());
     if let Some(secret) = secret {
         core.relay.peers.secret = Some(secret);
         out.push(Effect::Relay(RelayEffect::Secret(secret)));
-    } else if changes.whole {
-        make_secret(core, out);
+    } else if changes.is_snapshot {
+        ensure_secret(core, out);
     }
     let own = core.settings.host.name.clone();
     for change in &changes.keys {
-        let Some(name) = change.key.strip_prefix(FOLDER) else {
+        let Some(name) = change.key.strip_prefix(HOSTS_PREFIX) else {
             continue;
         };
         if *name == *own {
             continue;
         }
-        match change.value.as_deref().and_then(address) {
-            Some((addr, domain)) => joined(core, name, addr, domain, out),
-            None => left(core, name, out),
+        match change.value.as_deref().and_then(parse_entry) {
+            Some((addr, domain)) => add_host(core, name, addr, domain, out),
+            None => entry_removed(core, name, out),
         }
     }
     let told = |name: &str| {
         let mut keys = changes.keys.iter();
-        keys.rfind(|change| change.key.strip_prefix(FOLDER) == Some(name))
+        keys.rfind(|change| change.key.strip_prefix(HOSTS_PREFIX) == Some(name))
             .map(|change| change.value.is_some())
     };
     let own = told(&own);
-    if own == Some(false) || (changes.whole && own.is_none()) {
-        missed(core, out);
+    if own == Some(false) || (changes.is_snapshot && own.is_none()) {
+        restore_registration(core, out);
     }
-    if changes.whole {
+    if changes.is_snapshot {
         let listed = |name: &str| told(name) == Some(true);
         let names = core.relay.peers.names.keys();
         let unlisted = names.filter(|name| !listed(name)).cloned();
@@ -260,7 +268,7 @@
 /// Takes hosts without an entry for gone; called once the store has been up for as long as hosts take to register.
 pub fn drop_unlisted(core: &mut Core, out: &mut Effects) {
     for name in std::mem::take(&mut core.relay.peers.unlisted) {
-        left(core, &name, out);
+        entry_removed(core, &name, out);
     }
 }
 
@@ -268,7 +276,7 @@
 ///
 /// Whoever reaches a host's port could otherwise tell it of work that does not exist, and have it
 /// refuse its callers. The store is the one place that only hosts of the system can write to.
-fn make_secret(core: &mut Core, out: &mut Effects) {
+fn ensure_secret(core: &mut Core, out: &mut Effects) {
     let known = core.relay.peers.secret;
     if known.is_some() && !gossip::represents_domain(core) {
         return;
@@ -278,9 +286,11 @@
     out.push(Effect::Txn {
         job: job(core, RelayJob::Secret),
         txn: Txn {
-            compare: vec![Compare::Absent { key: SECRET.into() }],
+            compare: vec![Compare::Absent {
+                key: SECRET_STORE_KEY.into(),
+            }],
             then: vec![Op::Put {
-                key: SECRET.into(),
+                key: SECRET_STORE_KEY.into(),
                 value: secret.to_vec().into(),
                 lease: 0,
             }],
@@ -290,26 +300,26 @@
 }
 
 /// Reads where a host listens, and its failure domain.
-fn address(value: &[u8]) -> Option<(SocketAddr, Box<str>)> {
+fn parse_entry(value: &[u8]) -> Option<(SocketAddr, Box<str>)> {
     let value: Value = serde_json::from_slice(value).ok()?;
     let addr = value["addr"].as_str()?.parse().ok()?;
     Some((addr, value["domain"].as_str()?.into()))
 }
 
-pub(super) fn peer(name: &str, domain: Box<str>, addr: SocketAddr) -> Peer {
+pub(super) fn new_peer(name: &str, domain: Box<str>, addr: SocketAddr) -> Peer {
     Peer {
         name: name.into(),
-        short: short(name),
+        name_hash: short(name),
         domain,
         addr,
-        heard: None,
+        last_seen: None,
         incarnation: 0,
-        number: 0,
-        reports: false,
+        sequence: 0,
+        is_reporter: false,
     }
 }
 
-fn joined(core: &mut Core, name: &str, addr: SocketAddr, domain: Box<str>, out: &mut Effects) {
+fn add_host(core: &mut Core, name: &str, addr: SocketAddr, domain: Box<str>, out: &mut Effects) {
     let peers = &mut core.relay.peers;
     peers.unlisted.remove(name);
     peers.lapsed.remove(name);
@@ -318,7 +328,7 @@
         peers.arena[*key].domain = domain;
         return;
     }
-    let key = peers.arena.insert(peer(name, domain, addr));
+    let key = peers.arena.insert(new_peer(name, domain, addr));
     peers.names.insert(name.into(), key);
     limit::apportion_all(core);
     note(
@@ -331,13 +341,13 @@
 
 /// Takes a host without an entry for gone, unless it is heard: its registration may have run out while it is cut off
 /// from the store, and it learns of changes by the others alone.
-fn left(core: &mut Core, name: &str, out: &mut Effects) {
+fn entry_removed(core: &mut Core, name: &str, out: &mut Effects) {
     let peers = &mut core.relay.peers;
     let key = peers.names.get(name);
-    if key.is_some_and(|key| peers.arena[*key].heard.is_some()) {
+    if key.is_some_and(|key| peers.arena[*key].last_seen.is_some()) {
         peers.lapsed.insert(name.into());
     } else {
-        remove(core, name, out);
+        remove_host(core, name, out);
     }
 }
 
@@ -346,7 +356,7 @@
     let peers = &core.relay.peers;
     let silent = |name: &str| {
         let key = peers.names.get(name);
-        key.is_none_or(|key| peers.arena[*key].heard.is_none())
+        key.is_none_or(|key| peers.arena[*key].last_seen.is_none())
     };
     let silent: Vec<Box<str>> = peers
         .lapsed
@@ -355,11 +365,11 @@
         .cloned()
         .collect();
     for name in silent {
-        remove(core, &name, out);
+        remove_host(core, &name, out);
     }
 }
 
-fn remove(core: &mut Core, name: &str, out: &mut Effects) {
+fn remove_host(core: &mut Core, name: &str, out: &mut Effects) {
     core.relay.peers.lapsed.remove(name);
     if let Some(key) = core.relay.peers.names.remove(name) {
         core.relay.instances.told(key, &[]);
--- a/src/core/relay/split.rs
+++ b/src/core/relay/split.rs
@@ -95,7 +95,7 @@
 pub fn changed(core: &mut Core, changes: &Changes, out: &mut Effects) {
     let era_now = core.relay.view.era();
     let split = &mut core.relay.split;
-    if changes.whole {
+    if changes.is_snapshot {
         split.known = true;
         split.holder = 0;
     }
@@ -135,7 +135,7 @@
     if !engines || core.stop.begun() {
         return;
     }
-    let hosts = core.relay.peers.hosts();
+    let hosts = core.relay.peers.host_count();
     let split = &mut core.relay.split;
     if split.fence != 0 && core.now < split.until {
         order(core, out);
@@ -284,7 +284,10 @@
             );
             let change = (stage, core.now);
             core.relay.split.changes.insert(id.clone(), change);
-            out.push(Effect::Relay(RelayEffect::Report { instance: id, addr }));
+            out.push(Effect::Relay(RelayEffect::FetchReport {
+                instance: id,
+                addr,
+            }));
         }
     }
 }
--- a/src/core/relay/tests/departed.rs
+++ b/src/core/relay/tests/departed.rs
@@ -1,23 +1,23 @@
 //! Servers whose entries are removed while a host does not see it.
 
-use super::domain::Domain;
+use super::domain::TestDomain;
 use super::*;
 use crate::core::relay::event::{Gossip, GossipKind, UptimeReport};
 use crate::core::relay::view::Uptime;
 
 /// Time after its return within which a host sends nothing more to a server that left meanwhile.
-const BOUND: u64 = 1000;
+const DROP_DEADLINE_MS: u64 = 1000;
 /// Requests by which a host shows which servers it uses.
-const REQUESTS: usize = 30;
+const PROBE_REQUESTS: usize = 30;
 
 /// Returns whether a host sends any of some requests to a server.
-fn uses(domain: &mut Domain, host: usize, server: &str) -> bool {
-    let sent = (0..REQUESTS).filter_map(|_| domain.arrive(host));
+fn sends_to(domain: &mut TestDomain, host: usize, server: &str) -> bool {
+    let sent = (0..PROBE_REQUESTS).filter_map(|_| domain.arrive(host));
     sent.filter(|to| **to == *server).count() > 0
 }
 
 /// Returns whether a host would send a request to a server.
-fn takes(domain: &Domain, host: usize, server: &str) -> bool {
+fn would_send_to(domain: &TestDomain, host: usize, server: &str) -> bool {
     let site = domain.hosts[host].as_ref().expect("a host that runs");
     let instances = &site.core.relay.instances;
     let key = instances.find(server);
@@ -29,22 +29,22 @@
 #[test]
 fn a_host_that_was_cut_off_uses_no_server_that_left() {
     for length in [500, 2500, 8000] {
-        let mut domain = Domain::of(3);
+        let mut domain = TestDomain::with_hosts(3);
         domain.pass(3000);
-        assert!(uses(&mut domain, 1, "r"));
+        assert!(sends_to(&mut domain, 1, "r"));
         domain.cut_off(1);
         domain.pass(length / 2);
         domain.remove("r");
         domain.pass(length / 2);
         domain.reconnect();
-        domain.pass(BOUND);
-        assert!(!uses(&mut domain, 1, "r"), "after {length} ms");
+        domain.pass(DROP_DEADLINE_MS);
+        assert!(!sends_to(&mut domain, 1, "r"), "after {length} ms");
     }
 }
 
 /// Returns hosts at the end of an outage of the store in which an entry was removed.
-fn after_outage() -> Domain {
-    let mut domain = Domain::of(3);
+fn after_outage() -> TestDomain {
+    let mut domain = TestDomain::with_hosts(3);
     domain.pass(3000);
     domain.store.silent = true;
     domain.pass(2500);
@@ -59,15 +59,15 @@
 #[test]
 fn an_entry_that_lapsed_in_an_outage_is_used_until_it_is_back() {
     let mut domain = after_outage();
-    domain.pass(BOUND);
+    domain.pass(DROP_DEADLINE_MS);
     for host in 0..3 {
-        assert!(uses(&mut domain, host, "r"), "host {host}");
+        assert!(sends_to(&mut domain, host, "r"), "host {host}");
     }
     domain.store.removed.clear();
     domain.store.revision += 1;
     domain.pass(3000);
     for host in 0..3 {
-        assert!(takes(&domain, host, "r"), "host {host}");
+        assert!(would_send_to(&domain, host, "r"), "host {host}");
     }
 }
 
@@ -75,9 +75,9 @@
 #[test]
 fn an_entry_that_does_not_come_back_after_an_outage_is_dropped() {
     let mut domain = after_outage();
-    domain.pass(BOUND + 2200);
+    domain.pass(DROP_DEADLINE_MS + 2200);
     for host in 0..3 {
-        assert!(!uses(&mut domain, host, "r"), "host {host}");
+        assert!(!sends_to(&mut domain, host, "r"), "host {host}");
     }
 }
 
@@ -85,24 +85,24 @@
 /// the store was up: hosts of other failure domains report it.
 #[test]
 fn a_host_alone_in_its_domain_learns_that_the_store_was_up() {
-    let mut domain = Domain::of(2);
+    let mut domain = TestDomain::with_hosts(2);
     domain.pass(6000);
     let other = domain.hosts[0].as_ref().expect("a host that runs");
     let uptime = other.core.relay.view.uptime.report(other.core.now);
     assert!(uptime.is_some_and(|uptime| uptime.length >= Duration::from_secs(4)));
 
-    let mut alone = Site::named("host-9", 3);
-    alone.key(
+    let mut alone = TestHost::named("host-9", 3);
+    alone.write_key(
         "hosts/host-00",
         Some(r#"{"addr":"10.9.0.0:1","domain":"y"}"#),
         4,
     );
-    alone.pass(8000);
+    alone.advance(8000);
     alone.configure(catalog(1));
-    alone.register(vec![plain("p"), plain("r")]);
-    alone.changed(Changes {
-        whole: true,
-        instances: vec![plain("p")],
+    alone.register(vec![plain_entry("p"), plain_entry("r")]);
+    alone.apply_changes(Changes {
+        is_snapshot: true,
+        instances: vec![plain_entry("p")],
         keys: vec![KeyChange {
             key: "hosts/host-00".into(),
             value: Some(br#"{"addr":"10.9.0.0:1","domain":"y"}"#.as_slice().into()),
@@ -110,9 +110,9 @@
         }],
         ..Changes::default()
     });
-    let served = |site: &mut Site| {
+    let served = |site: &mut TestHost| {
         let sent = (0..30).filter_map(|_| {
-            site.arrive(call("/once/x"));
+            site.arrive(plain_request("/once/x"));
             site.sent()
         });
         sent.filter(|sent| *sent.instance == *"r").count()
@@ -121,7 +121,7 @@
     alone.event(RelayEvent::Gossiped(Box::new(Gossip {
         host: "host-00".into(),
         incarnation: 1,
-        number: 1,
+        sequence: 1,
         kind: GossipKind::Domain("y".into()),
         uptime,
         ..Gossip::default()
@@ -133,29 +133,29 @@
 /// more: it would act on what it knew until it reaches the store again.
 #[test]
 fn a_host_that_is_heard_is_told_after_its_registration_ran_out() {
-    let mut site = Site::new();
+    let mut site = TestHost::new();
     let key = "hosts/host-2";
-    site.key(key, Some(r#"{"addr":"127.0.0.1:9","domain":"z"}"#), 3);
+    site.write_key(key, Some(r#"{"addr":"127.0.0.1:9","domain":"z"}"#), 3);
     let tells = |out: &Effects| did(out, |effect| matches!(effect, RelayEffect::Publish { .. }));
-    let hear = |site: &mut Site, number| {
+    let hear = |site: &mut TestHost, number| {
         site.event(RelayEvent::Gossiped(Box::new(Gossip {
             host: "host-2".into(),
             incarnation: 1,
-            number,
+            sequence: number,
             ..Gossip::default()
         })));
     };
     hear(&mut site, 1);
-    site.key(key, None, 4);
+    site.write_key(key, None, 4);
     for number in 2..8 {
-        let out = site.pass(500);
+        let out = site.advance(500);
         assert!(tells(&out), "word {number}");
         hear(&mut site, number);
     }
     // Once it is silent it is gone.
-    site.pass(2500);
-    assert!(!tells(&site.pass(1000)));
-    assert_eq!(site.core.relay.peers.hosts(), 1);
+    site.advance(2500);
+    assert!(!tells(&site.advance(1000)));
+    assert_eq!(site.core.relay.peers.host_count(), 1);
 }
 
 macro_rules! uptimes {
--- a/src/core/relay/tests/domain.rs
+++ b/src/core/relay/tests/domain.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeSet;
 
 use super::*;
-use crate::core::relay::event::{Ask, Gossip, StoreAnswer, StoreChange};
+use crate::core::relay::event::{Gossip, StoreAnswer, StoreCall, StoreChange};
 use crate::core::relay::instance::Work;
 
 /// Milliseconds that a datagram takes.
-const TRANSIT: u64 = 1;
+const TRANSIT_MS: u64 = 1;
 /// Milliseconds that the store takes to answer.
-const ANSWER: u64 = 4;
+const STORE_REPLY_MS: u64 = 4;
 
 /// Hosts of one failure domain and the datagrams between them.
-pub struct Domain {
-    pub hosts: Vec<Option<Site>>,
+pub struct TestDomain {
+    pub hosts: Vec<Option<TestHost>>,
     pub now: u64,
     pub transit: Vec<(u64, usize, usize, Gossip)>,
     /// Pairs of hosts, sender first, between which nothing arrives.
@@ -21,10 +21,10 @@
     /// Datagrams sent by each host.
     pub sent: Vec<u32>,
     /// Datagrams received by each host.
-    pub heard: Vec<u32>,
+    pub received: Vec<u32>,
     /// One in so many datagrams is lost; 0 for none.
-    pub loses: usize,
-    passed: usize,
+    pub loss_interval: usize,
+    deliveries: usize,
     pub store: Store,
 }
 
@@ -41,11 +41,11 @@
     /// Servers whose entries were removed.
     pub removed: BTreeSet<Box<str>>,
     /// Calls in hand, and when they may be answered.
-    calls: Vec<(u64, usize, u64, Ask)>,
+    calls: Vec<(u64, usize, u64, StoreCall)>,
     /// Pages and watches asked for by each host.
-    pub asked: Vec<u32>,
+    pub read_counts: Vec<u32>,
     /// Calls for registrations, all hosts together.
-    pub registrations: u32,
+    pub registration_calls: u32,
 }
 
 fn name(host: usize) -> String {
@@ -53,7 +53,7 @@
 }
 
 /// Returns a configuration with long time-outs.
-fn configured(revision: i64) -> Changes {
+fn config_changes(revision: i64) -> Changes {
     let mut catalog = catalog(u64::try_from(revision).expect("positive"));
     for route in &mut catalog.routes {
         route.timeout = Duration::from_mins(1);
@@ -65,7 +65,7 @@
 }
 
 /// Returns all keys: the configuration, three plain servers and so many hosts.
-fn listed(hosts: usize, revision: i64) -> Changes {
+fn snapshot(hosts: usize, revision: i64) -> Changes {
     let entry = |host| format!(r#"{{"addr":"{}","domain":"z"}}"#, addr(host));
     let hosts = (0..hosts).map(|host| KeyChange {
         key: format!("hosts/{}", name(host)).into(),
@@ -73,9 +73,9 @@
         revision: 3,
     });
     Changes {
-        instances: ["p", "q", "r"].map(plain).to_vec(),
+        instances: ["p", "q", "r"].map(plain_entry).to_vec(),
         keys: hosts.collect(),
-        ..configured(revision)
+        ..config_changes(revision)
     }
 }
 
@@ -83,11 +83,11 @@
     ([10, 9, 0, u8::try_from(host).expect("a small number")], 1).into()
 }
 
-impl Domain {
+impl TestDomain {
     /// Returns so many hosts that know each other and three servers.
-    pub fn of(hosts: usize) -> Self {
+    pub fn with_hosts(hosts: usize) -> Self {
         let sites = (0..hosts).map(|host| {
-            let site = Site::named(&name(host), host as u64);
+            let site = TestHost::named(&name(host), host as u64);
             Some(site)
         });
         let mut domain = Self {
@@ -96,9 +96,9 @@
             transit: Vec::new(),
             cuts: Vec::new(),
             sent: vec![0; hosts],
-            heard: vec![0; hosts],
-            loses: 0,
-            passed: 0,
+            received: vec![0; hosts],
+            loss_interval: 0,
+            deliveries: 0,
             store: Store {
                 revision: 10,
                 era: 1,
@@ -106,44 +106,44 @@
                 unreachable: BTreeSet::new(),
                 removed: BTreeSet::new(),
                 calls: Vec::new(),
-                asked: vec![0; hosts],
-                registrations: 0,
+                read_counts: vec![0; hosts],
+                registration_calls: 0,
             },
         };
         for host in 0..hosts {
-            domain.take_asks(host);
+            domain.accept_calls(host);
         }
         domain
     }
 
     /// Has the store take the calls of a host's last step.
-    fn take_asks(&mut self, host: usize) {
+    fn accept_calls(&mut self, host: usize) {
         let Some(site) = self.hosts[host].as_ref() else {
             return;
         };
         for effect in &site.out {
             match effect {
-                Effect::Relay(RelayEffect::Ask { number, ask }) => {
-                    if *ask != Ask::Probe {
-                        self.store.asked[host] += 1;
+                Effect::Relay(RelayEffect::CallStore { number, ask }) => {
+                    if *ask != StoreCall::Probe {
+                        self.store.read_counts[host] += 1;
                     }
                     if !self.store.silent && !self.store.unreachable.contains(&host) {
-                        let call = (self.now + ANSWER, host, *number, ask.clone());
+                        let call = (self.now + STORE_REPLY_MS, host, *number, ask.clone());
                         self.store.calls.push(call);
                     }
                 }
-                Effect::Relay(RelayEffect::Unask(given_up)) => {
+                Effect::Relay(RelayEffect::CancelStoreCall(given_up)) => {
                     let calls = &mut self.store.calls;
                     calls.retain(|(_, from, number, _)| (*from, *number) != (host, *given_up));
                 }
-                Effect::Grant { .. } | Effect::Txn { .. } => self.store.registrations += 1,
+                Effect::Grant { .. } | Effect::Txn { .. } => self.store.registration_calls += 1,
                 _ => {}
             }
         }
     }
 
     /// Has the store answer what is due.
-    fn answer(&mut self) {
+    fn reply_due(&mut self) {
         let (silent, unreachable) = (self.store.silent, self.store.unreachable.clone());
         self.store
             .calls
@@ -151,45 +151,45 @@
         let calls = std::mem::take(&mut self.store.calls).into_iter();
         let revision = self.store.revision;
         let (ready, later): (Vec<_>, Vec<_>) = calls.partition(|(at, _, _, ask)| {
-            let waits = matches!(ask, Ask::Watch { after, .. } if *after >= revision);
+            let waits = matches!(ask, StoreCall::Watch { after, .. } if *after >= revision);
             *at <= self.now && !waits
         });
         self.store.calls = later;
         for (_, host, number, ask) in ready {
-            let answer = self.answer_to(&ask);
+            let answer = self.reply_to(&ask);
             if let Some(site) = self.hosts[host].as_mut() {
                 site.now = self.now;
-                site.event(RelayEvent::Era(self.store.era));
-                self.carry(host);
+                site.event(RelayEvent::StoreEra(self.store.era));
+                self.send_effects(host);
             }
             if let Some(site) = self.hosts[host].as_mut() {
-                site.event(RelayEvent::Store { number, answer });
-                self.carry(host);
+                site.event(RelayEvent::StoreAnswered { number, answer });
+                self.send_effects(host);
             }
         }
     }
 
-    fn answer_to(&self, ask: &Ask) -> StoreAnswer {
+    fn reply_to(&self, ask: &StoreCall) -> StoreAnswer {
         let at = self.store.revision;
         match ask {
-            Ask::Probe => StoreAnswer::Newest(at),
-            Ask::Watch { after, .. } if *after > at => StoreAnswer::Compacted,
-            Ask::Page { .. } => {
+            StoreCall::Probe => StoreAnswer::Newest(at),
+            StoreCall::Watch { after, .. } if *after > at => StoreAnswer::Compacted,
+            StoreCall::Page { .. } => {
                 let changes = Changes {
                     instances: self.servers(),
-                    ..listed(self.hosts.len(), at)
+                    ..snapshot(self.hosts.len(), at)
                 };
                 StoreAnswer::Page {
-                    at,
+                    revision: at,
                     changes,
                     after: None,
                 }
             }
-            Ask::Watch { after, .. } => {
+            StoreCall::Watch { after, .. } => {
                 let changed = |revision| Changes {
                     instances: self.servers(),
-                    gone: self.store.removed.iter().cloned().collect(),
-                    ..configured(revision)
+                    removed: self.store.removed.iter().cloned().collect(),
+                    ..config_changes(revision)
                 };
                 let events = (*after + 1..=at).map(|revision| StoreChange {
                     revision,
@@ -197,7 +197,7 @@
                     ..StoreChange::default()
                 });
                 StoreAnswer::Changes {
-                    at,
+                    revision: at,
                     changes: changed(at),
                     events: events.collect(),
                 }
@@ -206,8 +206,8 @@
     }
 
     /// Returns the servers whose entries the store holds.
-    fn servers(&self) -> Vec<Entry> {
-        let all = ["p", "q", "r"].map(plain).into_iter();
+    fn servers(&self) -> Vec<BackendEntry> {
+        let all = ["p", "q", "r"].map(plain_entry).into_iter();
         all.filter(|entry| !self.store.removed.contains(&entry.id))
             .collect()
     }
@@ -223,7 +223,7 @@
     /// run have it in force, but for those left out.
     pub fn change(&mut self, but: &[usize]) -> u64 {
         self.store.revision += 1;
-        self.until_all_know(but)
+        self.convergence_time(but)
     }
 
     /// Cuts a host off from the store and from the other hosts.
@@ -254,7 +254,7 @@
     }
 
     /// Returns how many milliseconds pass until all hosts have the newest configuration in force.
-    pub fn until_all_know(&mut self, but: &[usize]) -> u64 {
+    pub fn convergence_time(&mut self, but: &[usize]) -> u64 {
         let newest = u64::try_from(self.store.revision).expect("positive");
         let start = self.now;
         loop {
@@ -277,19 +277,20 @@
             for host in 0..self.hosts.len() {
                 self.wake(host);
             }
-            self.answer();
+            self.reply_due();
             let transit = std::mem::take(&mut self.transit).into_iter();
             let (ready, later): (Vec<_>, Vec<_>) = transit.partition(|(at, ..)| *at <= self.now);
             self.transit = later;
             for (_, from, to, message) in ready {
-                self.passed += 1;
-                let lost = self.loses > 0 && self.passed.is_multiple_of(self.loses);
+                self.deliveries += 1;
+                let lost =
+                    self.loss_interval > 0 && self.deliveries.is_multiple_of(self.loss_interval);
                 let cut = lost || self.cuts.contains(&(from, to));
                 if let Some(site) = self.hosts[to].as_mut().filter(|_| !cut) {
-                    self.heard[to] += 1;
+                    self.received[to] += 1;
                     site.now = self.now;
                     site.event(RelayEvent::Gossiped(Box::new(message)));
-                    self.carry(to);
+                    self.send_effects(to);
                 }
             }
         }
@@ -301,20 +302,20 @@
             return;
         };
         site.now = self.now;
-        let due = std::mem::take(&mut site.due).into_iter();
+        let due = std::mem::take(&mut site.timers).into_iter();
         let (ready, later): (Vec<_>, Vec<_>) = due.partition(|(at, _)| *at <= self.now);
-        site.due = later;
+        site.timers = later;
         for (_, timer) in ready {
             if let Some(site) = self.hosts[host].as_mut() {
                 site.apply(Event::Timer(timer));
             }
-            self.carry(host);
+            self.send_effects(host);
         }
     }
 
     /// Sends what a host told others in its last step.
-    fn carry(&mut self, from: usize) {
-        self.take_asks(from);
+    fn send_effects(&mut self, from: usize) {
+        self.accept_calls(from);
         let Some(site) = self.hosts[from].as_ref() else {
             return;
         };
@@ -327,7 +328,7 @@
                 let to = to.expect("a known address");
                 self.sent[from] += 1;
                 self.transit
-                    .push((self.now + TRANSIT, from, to, (**message).clone()));
+                    .push((self.now + TRANSIT_MS, from, to, (**message).clone()));
             }
         }
     }
@@ -338,7 +339,7 @@
         site.now = self.now;
         site.arrive(Arrival {
             deadline: None,
-            ..call("/once/x")
+            ..plain_request("/once/x")
         });
         site.sent().map(|sent| sent.instance)
     }
@@ -349,7 +350,7 @@
     }
 
     /// Returns what a host knows of others' work at a server.
-    pub fn known(&self, host: usize, server: &str) -> Work {
+    pub fn known_work(&self, host: usize, server: &str) -> Work {
         let site = self.hosts[host].as_ref().expect("a host that runs");
         let instances = &site.core.relay.instances;
         let key = instances.find(server).expect("a known server");
@@ -357,9 +358,9 @@
     }
 
     /// Returns how many milliseconds pass until a host knows of so many requests of others there.
-    pub fn until(&mut self, host: usize, server: &str, calls: u32) -> u64 {
+    pub fn time_until_known(&mut self, host: usize, server: &str, calls: u32) -> u64 {
         let start = self.now;
-        while self.known(host, server).calls != calls {
+        while self.known_work(host, server).calls != calls {
             assert!(self.now - start < 10_000, "host {host} never knows");
             self.pass(1);
         }
@@ -375,7 +376,7 @@
             }
             let own = by.iter().find(|(other, _)| *other == host);
             let others = all - own.map_or(0, |(_, calls)| *calls);
-            assert_eq!(self.known(host, server).calls, others, "host {host}");
+            assert_eq!(self.known_work(host, server).calls, others, "host {host}");
         }
     }
 }
--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -1,9 +1,9 @@
 //! A store that comes back from an older copy, as hosts see it.
 
-use super::domain::Domain;
+use super::domain::TestDomain;
 use super::*;
 use crate::core::event::Job;
-use crate::core::relay::event::{Ask, Gossip, ReplicatedChanges, StoreChange, UptimeReport};
+use crate::core::relay::event::{Gossip, ReplicatedChanges, StoreCall, StoreChange, UptimeReport};
 use crate::core::relay::view::era::fence;
 use crate::core::relay::{RelayJob, RelayTimer};
 use crate::store::TxnReply;
@@ -11,9 +11,9 @@
 /// Time after a host first sees an era within which it has read everything anew and is registered again.
 const BOUND: u64 = 1000;
 
-fn asks(out: &Effects) -> Vec<Ask> {
+fn asks(out: &Effects) -> Vec<StoreCall> {
     let asks = out.iter().filter_map(|effect| match effect {
-        Effect::Relay(RelayEffect::Ask { ask, .. }) => Some(ask.clone()),
+        Effect::Relay(RelayEffect::CallStore { ask, .. }) => Some(ask.clone()),
         _ => None,
     });
     asks.collect()
@@ -27,16 +27,16 @@
 }
 
 /// Returns a host that knows an era of the store.
-fn known() -> Site {
-    let mut site = Site::new();
-    site.event(RelayEvent::Era(1));
+fn known() -> TestHost {
+    let mut site = TestHost::new();
+    site.event(RelayEvent::StoreEra(1));
     site
 }
 
 /// Returns such a host beside another one.
-fn known_beside_another() -> Site {
+fn known_beside_another() -> TestHost {
     let mut site = known();
-    site.key(
+    site.write_key(
         "hosts/host-0",
         Some(r#"{"addr":"127.0.0.1:9","domain":"z"}"#),
         3,
@@ -48,10 +48,10 @@
 #[test]
 fn a_host_reads_and_registers_anew_in_a_new_era() {
     let mut site = known();
-    site.event(RelayEvent::Era(2));
-    assert_eq!(asks(&site.out), [Ask::Page { after: None }]);
-    assert!(site.did(|effect| matches!(effect, RelayEffect::Unask(_))));
-    let out = site.pass(BOUND);
+    site.event(RelayEvent::StoreEra(2));
+    assert_eq!(asks(&site.out), [StoreCall::Page { after: None }]);
+    assert!(site.did(|effect| matches!(effect, RelayEffect::CancelStoreCall(_))));
+    let out = site.advance(BOUND);
     assert_eq!(grants(&out), 1);
 }
 
@@ -60,11 +60,11 @@
 fn only_a_later_era_is_news() {
     let mut site = known();
     for era in [1, 0, 1] {
-        site.event(RelayEvent::Era(era));
+        site.event(RelayEvent::StoreEra(era));
         assert!(asks(&site.out).is_empty(), "era {era}");
     }
-    site.event(RelayEvent::Era(3));
-    site.event(RelayEvent::Era(2));
+    site.event(RelayEvent::StoreEra(3));
+    site.event(RelayEvent::StoreEra(2));
     assert!(asks(&site.out).is_empty());
 }
 
@@ -72,14 +72,14 @@
 /// registration that waits for the next renewal.
 #[test]
 fn the_first_era_drops_no_answer() {
-    let mut site = Site::blank();
+    let mut site = TestHost::blank();
     let asked = site.out.iter().find_map(|effect| match effect {
         Effect::Grant { job, .. } => Some(*job),
         _ => None,
     });
     let asked = asked.expect("a lease is asked for");
-    site.event(RelayEvent::Era(3));
-    site.reply(asked, StoreResult::Lease(5));
+    site.event(RelayEvent::StoreEra(3));
+    site.store_reply(asked, StoreResult::Lease(5));
     let written = |effect: &Effect| matches!(effect, Effect::Txn { .. });
     assert!(site.out.iter().any(written));
 }
@@ -90,9 +90,9 @@
 fn an_answer_of_an_ended_era_gives_no_authority() {
     let mut site = known();
     let lease = RelayJob::AuthorityLease(Time::from_millis(site.now));
-    site.reply(Job::Relay(lease, 0), StoreResult::Lease(9));
-    site.event(RelayEvent::Era(2));
-    site.reply(
+    site.store_reply(Job::Relay(lease, 0), StoreResult::Lease(9));
+    site.event(RelayEvent::StoreEra(2));
+    site.store_reply(
         Job::Relay(RelayJob::Authority, 0),
         StoreResult::Txn(TxnReply {
             revision: 30,
@@ -142,11 +142,11 @@
     Gossip {
         host: "host-0".into(),
         incarnation: 1,
-        number,
+        sequence: number,
         era,
-        passage: Some(ReplicatedChanges {
+        replicated: Some(ReplicatedChanges {
             after: 0,
-            at,
+            revision: at,
             events: vec![change],
         }),
         uptime: Some(UptimeReport {
@@ -162,7 +162,7 @@
 #[test]
 fn a_view_of_another_era_is_not_taken_over() {
     let mut site = known_beside_another();
-    site.event(RelayEvent::Era(2));
+    site.event(RelayEvent::StoreEra(2));
     site.event(RelayEvent::Gossiped(Box::new(word(1, 1, 50))));
     let version = site
         .core
@@ -180,8 +180,8 @@
     let mut site = known_beside_another();
     site.event(RelayEvent::Gossiped(Box::new(word(1, 2, 5))));
     assert_eq!(site.core.relay.view.era(), 2);
-    let out = site.pass(BOUND);
-    assert!(asks(&out).contains(&Ask::Page { after: None }));
+    let out = site.advance(BOUND);
+    assert!(asks(&out).contains(&StoreCall::Page { after: None }));
     assert_eq!(grants(&out), 1);
 }
 
@@ -193,7 +193,7 @@
 #[test]
 fn all_hosts_know_what_the_store_holds_after_restores() {
     for hosts in SIZES {
-        let mut domain = Domain::of(hosts);
+        let mut domain = TestDomain::with_hosts(hosts);
         domain.pass(3000);
         for _ in 0..30 {
             domain.change(&[]);
@@ -214,13 +214,13 @@
 #[test]
 fn a_restore_is_known_without_the_host_that_follows() {
     for hosts in SIZES {
-        let mut domain = Domain::of(hosts);
+        let mut domain = TestDomain::with_hosts(hosts);
         domain.pass(3000);
         domain.change(&[]);
         domain.restore(5);
         domain.hosts[0] = None;
         domain.store.revision = 30;
-        let took = domain.until_all_know(&[]);
+        let took = domain.convergence_time(&[]);
         assert!(took <= BOUND + 400, "{took} ms with {hosts} hosts");
     }
 }
@@ -228,7 +228,7 @@
 /// Entries that the copy lacks are written again within two seconds. Guards against dropping their servers meanwhile.
 #[test]
 fn servers_that_the_copy_lacks_are_used_until_they_are_written_again() {
-    let mut domain = Domain::of(3);
+    let mut domain = TestDomain::with_hosts(3);
     domain.pass(8000);
     domain.store.removed.insert("r".into());
     domain.restore(5);
@@ -246,9 +246,10 @@
 #[test]
 fn a_restore_is_no_stampede() {
     let calls = |restore: bool| {
-        let mut domain = Domain::of(40);
+        let mut domain = TestDomain::with_hosts(40);
         domain.pass(4000);
-        let before: u32 = domain.store.asked.iter().sum::<u32>() + domain.store.registrations;
+        let before: u32 =
+            domain.store.read_counts.iter().sum::<u32>() + domain.store.registration_calls;
         if restore {
             domain.restore(5);
         } else {
@@ -258,7 +259,7 @@
         }
         domain.store.revision = 40;
         domain.pass(5000);
-        domain.store.asked.iter().sum::<u32>() + domain.store.registrations - before
+        domain.store.read_counts.iter().sum::<u32>() + domain.store.registration_calls - before
     };
     let (restore, outage) = (calls(true), calls(false));
     // A registration is a lease and a write for each host; the harness grants no lease, so that it is one here.
--- a/src/core/relay/tests/handover.rs
+++ b/src/core/relay/tests/handover.rs
@@ -7,8 +7,8 @@
 use crate::core::relay::event::Task;
 
 /// Has one prompt read and handed over; returns the milliseconds expected of the hand-over.
-fn hand_over(site: &mut Site, own: u64, took: u64) -> f64 {
-    site.arrive(prompt("/long/x", (own, 1000), own));
+fn hand_over(site: &mut TestHost, own: u64, took: u64) -> f64 {
+    site.arrive(model_request("/long/x", (own, 1000), own));
     let sent = site.sent().expect("it is taken");
     assert_eq!(sent.task, Task::Prefill);
     site.now += 100;
@@ -17,13 +17,13 @@
         handle: "k".into(),
     });
     let next = site.sent().expect("it is handed over");
-    let expected = site.core.relay.attempts[next.attempt].expected;
+    let expected = site.core.relay.attempts[next.attempt].expected_ms;
     site.now += took;
-    site.event(RelayEvent::Piece {
+    site.event(RelayEvent::StreamEvent {
         attempt: next.attempt,
         number: 1,
     });
-    site.event(RelayEvent::Whole(next.attempt));
+    site.event(RelayEvent::StreamCompleted(next.attempt));
     expected
 }
 
@@ -31,10 +31,10 @@
 /// just be in time is given up for late as long as the old figure is expected.
 #[test]
 fn what_a_hand_over_takes_is_learned() {
-    let mut site = Site::new();
+    let mut site = TestHost::new();
     site.register(vec![
-        engine("p", Stage::Prefill),
-        engine("d", Stage::Decode),
+        engine_entry("p", Stage::Prefill),
+        engine_entry("d", Stage::Decode),
     ]);
     let first = hand_over(&mut site, 3000, 6);
     let mut last = first;
@@ -52,10 +52,10 @@
 /// whose prompts go on being read there wait for it, one behind the other.
 #[test]
 fn an_engine_behind_a_slow_link_gets_few_prompts() {
-    let mut site = Site::of_models();
+    let mut site = TestHost::with_engines();
     let mut at_slow = (0, 0);
     for number in 0..60_u64 {
-        site.arrive(prompt("/long/x", (number, 1000), 3000 + number));
+        site.arrive(model_request("/long/x", (number, 1000), 3000 + number));
         let sent = site.sent().expect("it is taken");
         let slow = &*sent.instance == "p";
         let count = if number < 30 {
@@ -71,11 +71,11 @@
         });
         let next = site.sent().expect("it is handed over");
         site.now += if slow { 900 } else { 15 };
-        site.event(RelayEvent::Piece {
+        site.event(RelayEvent::StreamEvent {
             attempt: next.attempt,
             number: 1,
         });
-        site.event(RelayEvent::Whole(next.attempt));
+        site.event(RelayEvent::StreamCompleted(next.attempt));
     }
     // Known after a few, it is tried again every few seconds.
     assert!((1..=10).contains(&at_slow.0), "{at_slow:?}");
@@ -86,10 +86,10 @@
 /// refuses; blamed for it, they are avoided one after the other, and nothing is generated any more.
 #[test]
 fn what_cannot_be_taken_over_is_blamed_on_its_source() {
-    let mut site = Site::of_models();
+    let mut site = TestHost::with_engines();
     let mut read_there = 0;
     for number in 0..60_u64 {
-        site.arrive(prompt("/long/x", (number, 1000), 3000 + number));
+        site.arrive(model_request("/long/x", (number, 1000), 3000 + number));
         let mut sent = site.sent();
         while let Some(out) = sent.take() {
             site.now += 50;
@@ -104,11 +104,11 @@
                     sent = site.sent();
                 }
                 Task::Decode { ref handle, .. } if &**handle == "p" => {
-                    site.broke(out.attempt, Ran::No, Break::Refused);
+                    site.fail_attempt(out.attempt, Ran::No, Break::Refused);
                     sent = site.sent();
                 }
                 Task::Decode { .. } | Task::Whole => {
-                    site.event(RelayEvent::Whole(out.attempt));
+                    site.event(RelayEvent::StreamCompleted(out.attempt));
                 }
             }
         }
--- a/src/core/relay/tests/limit.rs
+++ b/src/core/relay/tests/limit.rs
@@ -1,6 +1,6 @@
 //! Hosts before servers that name limits.
 
-use super::domain::Domain;
+use super::domain::TestDomain;
 use super::*;
 use crate::core::relay::event::NamedLimit;
 
@@ -20,7 +20,7 @@
 
 /// Hosts with callers, and what reached each server.
 struct Load {
-    domain: Domain,
+    domain: TestDomain,
     /// Requests a second at each host.
     each: u64,
     /// What each server names in its answers.
@@ -36,7 +36,7 @@
 
 impl Load {
     fn new(hosts: usize, each: u64) -> Self {
-        let mut domain = Domain::of(hosts);
+        let mut domain = TestDomain::with_hosts(hosts);
         domain.pass(2000);
         Self {
             domain,
@@ -73,7 +73,7 @@
         let now = self.domain.now;
         let site = self.domain.hosts[host].as_mut().expect("a host that runs");
         site.now = now;
-        site.arrive(call("/once/x"));
+        site.arrive(plain_request("/once/x"));
         let Some(sent) = site.sent() else {
             self.refused += 1;
             return;
@@ -189,7 +189,7 @@
     assert!(load.refused > 500, "{} refused", load.refused);
     let site = load.domain.hosts[0].as_mut().expect("a host that runs");
     let refusals = (0..20).filter_map(|_| {
-        site.arrive(call("/once/x"));
+        site.arrive(plain_request("/once/x"));
         site.refused()
     });
     let refusals: Vec<_> = refusals.collect();
@@ -221,7 +221,7 @@
 fn trouble_among_hosts_keeps_a_limit() {
     for rate in [1.2, 2.3, 6.0] {
         let mut load = Load::new(9, 10);
-        load.domain.loses = 3;
+        load.domain.loss_interval = 3;
         load.pass(500);
         load.name("r", rate);
         load.pass(3000);
@@ -254,15 +254,15 @@
 }
 
 /// Returns a host with one server, and an attempt at it.
-fn alone() -> (Site, Outgoing) {
-    let mut site = Site::new();
-    site.register(vec![plain("a")]);
-    site.arrive(call("/once/x"));
+fn alone() -> (TestHost, Outgoing) {
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a")]);
+    site.arrive(plain_request("/once/x"));
     let sent = site.sent().expect("sent");
     (site, sent)
 }
 
-fn rate(site: &Site) -> Option<f64> {
+fn rate(site: &TestHost) -> Option<f64> {
     let instances = &site.core.relay.instances;
     let key = instances.find("a").expect("known");
     instances.arena[key].limit.rate()
@@ -273,7 +273,7 @@
 #[test]
 fn an_older_answer_ends_no_limit() {
     let (mut site, first) = alone();
-    site.arrive(call("/once/x"));
+    site.arrive(plain_request("/once/x"));
     let second = site.sent().expect("sent");
     site.now += 50;
     let limit = NamedLimit::Rate(2.0);
@@ -300,9 +300,9 @@
     });
     assert_eq!(rate(&site), Some(2.0));
     site.now += 100;
-    site.register(vec![Entry {
-        born: 2,
-        ..plain("a")
+    site.register(vec![BackendEntry {
+        started_ms: 2,
+        ..plain_entry("a")
     }]);
     assert_eq!(rate(&site), None);
 }
@@ -311,7 +311,7 @@
 #[test]
 fn an_unreadable_limit_changes_nothing() {
     let (mut site, sent) = alone();
-    let name = |site: &mut Site, limit| {
+    let name = |site: &mut TestHost, limit| {
         site.now += 500;
         site.event(RelayEvent::Limited {
             attempt: sent.attempt,
--- a/src/core/relay/tests/load.rs
+++ b/src/core/relay/tests/load.rs
@@ -5,17 +5,17 @@
 //! a millisecond, and read admitted prompts in the order in which they came.
 
 use super::*;
-use crate::core::relay::event::{Gossip, LoadReport, PrefixReport, Task};
+use crate::core::relay::event::{BlockReport, Gossip, LoadReport, Task};
 use crate::core::relay::instance::short;
 
-fn site() -> Site {
-    let mut site = Site::new();
+fn site() -> TestHost {
+    let mut site = TestHost::new();
     site.register(vec![
-        engine("p", Stage::Prefill),
-        engine("q", Stage::Prefill),
-        engine("r", Stage::Prefill),
-        engine("d", Stage::Decode),
-        engine("e", Stage::Decode),
+        engine_entry("p", Stage::Prefill),
+        engine_entry("q", Stage::Prefill),
+        engine_entry("r", Stage::Prefill),
+        engine_entry("d", Stage::Decode),
+        engine_entry("e", Stage::Decode),
     ]);
     site
 }
@@ -24,13 +24,13 @@
     Gossip {
         host: host.into(),
         incarnation: 1,
-        number,
+        sequence: number,
         ..Gossip::default()
     }
 }
 
-fn host(site: &mut Site, name: &str) {
-    site.key(
+fn host(site: &mut TestHost, name: &str) {
+    site.write_key(
         &format!("hosts/{name}"),
         Some(r#"{"addr":"10.9.9.9:1","domain":"z"}"#),
         3,
@@ -44,7 +44,7 @@
     let mut site = site();
     let mut engines = Vec::new();
     for own in 0..12 {
-        site.arrive(prompt("/long/x", (1, 13_000), 1000 + own));
+        site.arrive(model_request("/long/x", (1, 13_000), 1000 + own));
         if let Some(sent) = site.sent() {
             engines.push(sent.instance);
         }
@@ -63,14 +63,14 @@
         let mut site = site();
         host(&mut site, "host-2");
         site.event(RelayEvent::Gossiped(Box::new(Gossip {
-            parts: vec![PrefixReport {
-                part: 1,
+            blocks: vec![BlockReport {
+                block: 1,
                 tokens: 13_000,
                 instance: short(engine),
             }],
             ..word("host-2", 1)
         })));
-        site.arrive(prompt("/long/x", (1, 13_000), 1000));
+        site.arrive(model_request("/long/x", (1, 13_000), 1000));
         assert_eq!(site.sent().map(|sent| sent.instance), Some(engine.into()));
     }
 }
@@ -90,15 +90,15 @@
         loads: vec![busy("p"), busy("q")],
         ..word("host-2", 2)
     })));
-    site.arrive(prompt("/long/x", (1, 13_000), 1000));
+    site.arrive(model_request("/long/x", (1, 13_000), 1000));
     assert_eq!(site.sent().map(|sent| sent.instance), Some("r".into()));
     // Datagrams overtake each other: an older message changes nothing.
     site.event(RelayEvent::Gossiped(Box::new(word("host-2", 1))));
-    site.arrive(prompt("/long/y", (2, 13_000), 1000));
+    site.arrive(model_request("/long/y", (2, 13_000), 1000));
     let sent = site.sent().map(|sent| sent.instance);
     assert!(sent != Some("p".into()) && sent != Some("q".into()));
     // A host that fell silent counts for nothing after a while.
-    site.pass(3000);
+    site.advance(3000);
     let key = site.core.relay.instances.find("p").expect("known");
     assert_eq!(site.core.relay.instances.arena[key].theirs.tokens, 0);
 }
@@ -110,7 +110,7 @@
     let mut site = site();
     let mut refused = 0;
     for part in 0..60 {
-        site.arrive(prompt("/long/x", (part, 13_000), 4000));
+        site.arrive(model_request("/long/x", (part, 13_000), 4000));
         if let Some((status, ran, retry)) = site.refused() {
             assert_eq!((status, ran), (503, Ran::No));
             assert!(retry.is_some_and(|retry| retry >= Duration::from_millis(500)));
@@ -119,7 +119,7 @@
     }
     assert!((30..60).contains(&refused), "{refused} of 60");
     for _ in 0..5 {
-        site.arrive(prompt("/short/x", (1000, 60), 290));
+        site.arrive(model_request("/short/x", (1000, 60), 290));
         assert!(site.sent().is_some());
     }
 }
@@ -129,7 +129,7 @@
 fn long_prompts_are_not_read_beside_streams() {
     let mut site = site();
     for part in 0..20 {
-        site.arrive(prompt("/long/x", (part, 13_000), 4000));
+        site.arrive(model_request("/long/x", (part, 13_000), 4000));
         if let Some(sent) = site.sent() {
             assert_eq!(sent.task, Task::Prefill);
         }
@@ -143,7 +143,7 @@
     let mut site = site();
     let mut whole = 0;
     for _ in 0..200 {
-        site.arrive(prompt("/short/x", (1, 60), 290));
+        site.arrive(model_request("/short/x", (1, 60), 290));
         whole += usize::from(site.sent().is_some_and(|sent| sent.task == Task::Whole));
     }
     assert!((20..180).contains(&whole), "{whole} of 200");
@@ -155,7 +155,7 @@
     let mut site = site();
     let mut slow = (0, 0);
     for round in 0..60_u64 {
-        site.arrive(prompt("/long/x", (round, 13_000), 1000));
+        site.arrive(model_request("/long/x", (round, 13_000), 1000));
         let Some(sent) = site.sent() else { continue };
         let took = if &*sent.instance == "p" { 1400 } else { 350 };
         if &*sent.instance == "p" {
@@ -167,11 +167,11 @@
             handle: "k".into(),
         });
         let Some(next) = site.sent() else { continue };
-        site.event(RelayEvent::Piece {
+        site.event(RelayEvent::StreamEvent {
             attempt: next.attempt,
             number: 1,
         });
-        site.event(RelayEvent::Whole(next.attempt));
+        site.event(RelayEvent::StreamCompleted(next.attempt));
     }
     assert!(slow.1 < slow.0.max(1) && slow.1 <= 5, "{slow:?}");
 }
@@ -183,20 +183,20 @@
     let mut site = site();
     let mut refusals = 0;
     for round in 0..200 {
-        site.arrive(prompt("/short/x", (round, 60), 290));
+        site.arrive(model_request("/short/x", (round, 60), 290));
         let mut sent = site.sent();
         while let Some(out) = sent {
             site.now += 3;
             if &*out.instance == "d" {
                 refusals += 1;
-                site.broke(out.attempt, Ran::No, Break::Refused);
+                site.fail_attempt(out.attempt, Ran::No, Break::Refused);
             } else if out.task == Task::Prefill {
                 site.event(RelayEvent::Prefilled {
                     attempt: out.attempt,
                     handle: "k".into(),
                 });
             } else {
-                site.event(RelayEvent::Whole(out.attempt));
+                site.event(RelayEvent::StreamCompleted(out.attempt));
             }
             sent = site.sent();
         }
--- a/src/core/relay/tests/mod.rs
+++ b/src/core/relay/tests/mod.rs
@@ -23,10 +23,10 @@
 
 use crate::core::event::{Break, Print, StoreEvent, StoreReply, StoreResult, Timer};
 use crate::core::key::{AttemptKey, CallKey};
-use crate::core::relay::catalog::{Catalog, Engine, Repeat, Route, Service};
+use crate::core::relay::catalog::{Catalog, Engine, RetryPolicy, Route, Service};
 use crate::core::relay::event::{
-    Arrival, Changes, Entry, KeyChange, Outgoing, Prompt, PromptPart, RelayEffect, RelayEvent,
-    Stage,
+    Arrival, BackendEntry, Changes, KeyChange, Outgoing, PrefixBlock, Prompt, RelayEffect,
+    RelayEvent, Stage,
 };
 use crate::core::{Core, Effect, Effects, Event, Time};
 use crate::error::Ran;
@@ -48,15 +48,15 @@
 ";
 
 /// A host, the time, and what it did last.
-struct Site {
+struct TestHost {
     core: Core,
     now: u64,
     out: Effects,
     /// Times that were asked for.
-    due: Vec<(u64, Timer)>,
+    timers: Vec<(u64, Timer)>,
 }
 
-impl Site {
+impl TestHost {
     /// Returns a host that knows the configuration and follows the store.
     fn new() -> Self {
         let mut site = Self::blank();
@@ -66,13 +66,13 @@
     }
 
     /// Returns a host before two engines that prefill and two that generate.
-    fn of_models() -> Self {
+    fn with_engines() -> Self {
         let mut site = Self::new();
         site.register(vec![
-            engine("p", Stage::Prefill),
-            engine("q", Stage::Prefill),
-            engine("d", Stage::Decode),
-            engine("e", Stage::Decode),
+            engine_entry("p", Stage::Prefill),
+            engine_entry("q", Stage::Prefill),
+            engine_entry("d", Stage::Decode),
+            engine_entry("e", Stage::Decode),
         ]);
         site
     }
@@ -90,7 +90,7 @@
             core: Core::new(settings, Time::from_millis(1000), 1_000_000, seed),
             now: 1000,
             out: Effects::new(),
-            due: Vec::new(),
+            timers: Vec::new(),
         };
         site.apply(Event::Start);
         site
@@ -104,7 +104,7 @@
             Effect::Wake { at, timer } => Some((at.millis(), *timer)),
             _ => None,
         });
-        self.due.extend(wakes);
+        self.timers.extend(wakes);
     }
 
     fn event(&mut self, event: RelayEvent) {
@@ -112,15 +112,15 @@
     }
 
     /// Lets time pass with the timers that come due.
-    fn pass(&mut self, millis: u64) -> Effects {
+    fn advance(&mut self, millis: u64) -> Effects {
         let mut all = Effects::new();
         let end = self.now + millis;
         while self.now < end {
             self.now += 10;
             let now = self.now;
-            let due = std::mem::take(&mut self.due).into_iter();
+            let due = std::mem::take(&mut self.timers).into_iter();
             let (ready, later): (Vec<_>, Vec<_>) = due.partition(|(at, _)| *at <= now);
-            self.due = later;
+            self.timers = later;
             for (_, timer) in ready {
                 self.apply(Event::Timer(timer));
                 all.extend(self.out.iter().cloned());
@@ -130,31 +130,31 @@
     }
 
     /// Has the store tell of changes.
-    fn changed(&mut self, changes: Changes) {
+    fn apply_changes(&mut self, changes: Changes) {
         self.out.clear();
         self.core.now = Time::from_millis(self.now);
-        super::changed(&mut self.core, changes, &mut self.out);
+        super::apply_changes(&mut self.core, changes, &mut self.out);
     }
 
     fn configure(&mut self, catalog: Catalog) {
-        self.changed(Changes {
+        self.apply_changes(Changes {
             catalog: Some(catalog),
             ..Changes::default()
         });
     }
 
-    fn register(&mut self, entries: Vec<Entry>) {
-        self.changed(Changes {
+    fn register(&mut self, entries: Vec<BackendEntry>) {
+        self.apply_changes(Changes {
             instances: entries,
             ..Changes::default()
         });
     }
 
-    fn key(&mut self, key: &str, value: Option<&str>, revision: i64) {
+    fn write_key(&mut self, write_key: &str, value: Option<&str>, revision: i64) {
         let value = value.map(|value| value.as_bytes().into());
-        self.changed(Changes {
+        self.apply_changes(Changes {
             keys: vec![KeyChange {
-                key: key.into(),
+                key: write_key.into(),
                 value,
                 revision,
             }],
@@ -162,7 +162,7 @@
         });
     }
 
-    fn reply(&mut self, job: crate::core::event::Job, result: StoreResult) {
+    fn store_reply(&mut self, job: crate::core::event::Job, result: StoreResult) {
         let reply = StoreReply { job, result };
         self.apply(Event::Store(StoreEvent::Reply(reply)));
     }
@@ -193,8 +193,8 @@
         })
     }
 
-    fn broke(&mut self, attempt: AttemptKey, ran: Ran, end: Break) {
-        self.event(RelayEvent::Broke {
+    fn fail_attempt(&mut self, attempt: AttemptKey, ran: Ran, end: Break) {
+        self.event(RelayEvent::AttemptFailed {
             attempt,
             ran,
             end,
@@ -230,9 +230,9 @@
         prefix: prefix.into(),
         timeout: Duration::from_secs(4),
         target: Duration::from_millis(300),
-        gap: Duration::from_millis(200),
+        gap_target: Duration::from_millis(200),
         split: vec![(service.into(), 1)],
-        attempts: 2,
+        max_attempts: 2,
         ..Route::default()
     }
 }
@@ -244,12 +244,12 @@
         routes: vec![
             route("/once/", "plain"),
             Route {
-                repeat: Repeat::Idempotent,
+                retry: RetryPolicy::Idempotent,
                 ..route("/again/", "plain")
             },
             Route {
                 streaming: true,
-                attempts: 1,
+                max_attempts: 1,
                 rank: 1,
                 target: Duration::from_millis(600),
                 ..route("/long/", "model")
@@ -257,7 +257,7 @@
             Route {
                 streaming: true,
                 resumable: true,
-                repeat: Repeat::Idempotent,
+                retry: RetryPolicy::Idempotent,
                 ..route("/short/", "model")
             },
         ],
@@ -266,28 +266,28 @@
     catalog.services.insert(
         "plain".into(),
         Service {
-            connections: 100,
+            max_connections: 100,
             ..Service::default()
         },
     );
     catalog.services.insert(
         "model".into(),
         Service {
-            connections: 300,
+            max_connections: 300,
             engine: Some(Engine {
-                memory: 500_000,
-                token: 18_432,
-                link: 370_000.0,
-                switch: Duration::from_secs(3),
+                kv_capacity: 500_000,
+                token_bytes: 18_432,
+                link_mbps: 370_000.0,
+                switch_time: Duration::from_secs(3),
             }),
         },
     );
     catalog
 }
 
-fn plain(id: &str) -> Entry {
+fn plain_entry(id: &str) -> BackendEntry {
     let last = id.bytes().last().unwrap_or(0);
-    Entry {
+    BackendEntry {
         id: id.into(),
         service: "plain".into(),
         addr: ([10, 0, 0, last], 80).into(),
@@ -295,20 +295,20 @@
         slots: 6,
         leaving: false,
         stage: None,
-        born: 1,
+        started_ms: 1,
     }
 }
 
-fn engine(id: &str, stage: Stage) -> Entry {
-    Entry {
+fn engine_entry(id: &str, stage: Stage) -> BackendEntry {
+    BackendEntry {
         service: "model".into(),
         slots: 64,
         stage: Some(stage),
-        ..plain(id)
+        ..plain_entry(id)
     }
 }
 
-fn call(path: &str) -> Arrival {
+fn plain_request(path: &str) -> Arrival {
     Arrival {
         id: "id".into(),
         host: "h".into(),
@@ -317,20 +317,20 @@
         prompt: None,
         resume: None,
         bytes: 100,
-        print: Print([1; 16]),
+        fingerprint: Print([1; 16]),
     }
 }
 
 /// A model request whose prompt is a shared part and one of its own.
-fn prompt(path: &str, shared: (u64, u64), own: u64) -> Arrival {
-    let part = |(id, tokens)| PromptPart { id, tokens };
+fn model_request(path: &str, shared: (u64, u64), own: u64) -> Arrival {
+    let part = |(id, tokens)| PrefixBlock { id, tokens };
     Arrival {
         prompt: Some(Prompt {
             tokens: shared.1 + own,
-            output: 20,
-            hint: None,
-            parts: vec![part(shared), part((u64::MAX - own, own))],
+            max_output: 20,
+            output_hint: None,
+            blocks: vec![part(shared), part((u64::MAX - own, own))],
         }),
-        ..call(path)
+        ..plain_request(path)
     }
 }
--- a/src/core/relay/tests/parts.rs
+++ b/src/core/relay/tests/parts.rs
@@ -5,27 +5,27 @@
 //! so that a part of 240 MB is copied in about 10 ms.
 
 use super::*;
-use crate::core::relay::event::{Gossip, LoadReport, PrefixReport, Task};
+use crate::core::relay::event::{BlockReport, Gossip, LoadReport, Task};
 use crate::core::relay::instance::short;
 
 const SHARED: u64 = 13_000;
 const OWN: u64 = 3700;
 
 /// Returns a host before engines in one failure domain, and one that stands in another.
-fn site() -> Site {
-    let mut site = Site::new();
-    let far = Entry {
+fn site() -> TestHost {
+    let mut site = TestHost::new();
+    let far = BackendEntry {
         domain: "y".into(),
-        ..engine("r", Stage::Prefill)
+        ..engine_entry("r", Stage::Prefill)
     };
     site.register(vec![
-        engine("p", Stage::Prefill),
-        engine("q", Stage::Prefill),
+        engine_entry("p", Stage::Prefill),
+        engine_entry("q", Stage::Prefill),
         far,
-        engine("d", Stage::Decode),
-        engine("e", Stage::Decode),
+        engine_entry("d", Stage::Decode),
+        engine_entry("e", Stage::Decode),
     ]);
-    site.key(
+    site.write_key(
         "hosts/host-2",
         Some(r#"{"addr":"10.9.9.9:1","domain":"z"}"#),
         3,
@@ -34,29 +34,29 @@
 }
 
 /// Has another host tell of its work, and of a shared part that engines hold.
-fn told(site: &mut Site, number: u64, busy: &[&str], holding: &[&str]) {
+fn told(site: &mut TestHost, number: u64, busy: &[&str], holding: &[&str]) {
     let loads = busy.iter().map(|id| LoadReport {
         instance: short(id),
         calls: 3,
         fill: 0,
         tokens: 12_000,
     });
-    let parts = holding.iter().map(|id| PrefixReport {
-        part: 1,
+    let parts = holding.iter().map(|id| BlockReport {
+        block: 1,
         tokens: 13_000,
         instance: short(id),
     });
     site.event(RelayEvent::Gossiped(Box::new(Gossip {
         host: "host-2".into(),
         incarnation: 1,
-        number,
+        sequence: number,
         loads: loads.collect(),
-        parts: parts.collect(),
+        blocks: parts.collect(),
         ..Gossip::default()
     })));
 }
 
-fn addr(site: &Site, id: &str) -> SocketAddr {
+fn addr(site: &TestHost, id: &str) -> SocketAddr {
     let key = site.core.relay.instances.find(id).expect("known");
     site.core.relay.instances.arena[key].addr
 }
@@ -67,12 +67,12 @@
 fn what_a_busy_engine_holds_is_copied_from_it() {
     let mut site = site();
     told(&mut site, 1, &[], &["p"]);
-    site.pass(200);
+    site.advance(200);
     told(&mut site, 2, &["p"], &[]);
-    site.arrive(prompt("/long/x", (1, SHARED), OWN));
+    site.arrive(model_request("/long/x", (1, SHARED), OWN));
     let sent = site.sent().expect("it is taken");
     assert!(&*sent.instance != "p", "{sent:?}");
-    assert_eq!(sent.fetch, Some(addr(&site, "p")));
+    assert_eq!(sent.fetch_from, Some(addr(&site, "p")));
     let key = site
         .core
         .relay
@@ -88,11 +88,11 @@
 fn the_nearer_of_two_holders_gives_its_copy() {
     let mut site = site();
     told(&mut site, 1, &[], &["p", "r"]);
-    site.pass(200);
+    site.advance(200);
     told(&mut site, 2, &["p", "r"], &[]);
-    site.arrive(prompt("/long/x", (1, SHARED), OWN));
+    site.arrive(model_request("/long/x", (1, SHARED), OWN));
     let sent = site.sent().expect("it is taken");
-    assert_eq!(sent.fetch, Some(addr(&site, "p")), "{sent:?}");
+    assert_eq!(sent.fetch_from, Some(addr(&site, "p")), "{sent:?}");
 }
 
 /// An engine that is still reading a part has nothing to give. One that is told to copy it finds
@@ -100,22 +100,26 @@
 #[test]
 fn what_is_not_read_yet_is_not_copied() {
     let mut site = site();
-    site.arrive(prompt("/long/x", (1, SHARED), OWN));
+    site.arrive(model_request("/long/x", (1, SHARED), OWN));
     let first = site.sent().expect("it is taken");
     for _ in 0..4 {
-        site.arrive(prompt("/long/x", (1, SHARED), OWN));
-        assert!(site.sent().is_none_or(|sent| sent.fetch.is_none()));
+        site.arrive(model_request("/long/x", (1, SHARED), OWN));
+        assert!(site.sent().is_none_or(|sent| sent.fetch_from.is_none()));
     }
     // The engine that has read it gives it, whichever else were sent it meanwhile.
     let mut site = self::site();
-    site.arrive(prompt("/long/x", (1, SHARED), OWN));
+    site.arrive(model_request("/long/x", (1, SHARED), OWN));
     let read = site.sent().expect("it is taken");
     assert_eq!(read.instance, first.instance);
-    site.pass(1000);
+    site.advance(1000);
     told(&mut site, 1, &[&read.instance], &[]);
-    site.arrive(prompt("/long/x", (1, SHARED), OWN));
+    site.arrive(model_request("/long/x", (1, SHARED), OWN));
     let sent = site.sent().expect("it is taken");
-    assert_eq!(sent.fetch, Some(addr(&site, &read.instance)), "{sent:?}");
+    assert_eq!(
+        sent.fetch_from,
+        Some(addr(&site, &read.instance)),
+        "{sent:?}"
+    );
 }
 
 /// An engine that is leaving, or that failed this very request, gives no copy: the request would
@@ -124,13 +128,13 @@
 fn an_engine_that_leaves_gives_no_copy() {
     let mut site = site();
     told(&mut site, 1, &[], &["p"]);
-    site.pass(200);
-    site.register(vec![Entry {
+    site.advance(200);
+    site.register(vec![BackendEntry {
         leaving: true,
-        ..engine("p", Stage::Prefill)
+        ..engine_entry("p", Stage::Prefill)
     }]);
-    site.arrive(prompt("/long/x", (1, SHARED), OWN));
-    assert_eq!(site.sent().and_then(|sent| sent.fetch), None);
+    site.arrive(model_request("/long/x", (1, SHARED), OWN));
+    assert_eq!(site.sent().and_then(|sent| sent.fetch_from), None);
 }
 
 /// Prompts that nobody else shares pass through an engine until as many tokens as its memory holds
@@ -147,11 +151,11 @@
     };
     // The memory of 500,000 tokens is filled in 1.7 s.
     for number in 2..18 {
-        site.pass(150);
+        site.advance(150);
         site.event(RelayEvent::Gossiped(Box::new(Gossip {
             host: "host-2".into(),
             incarnation: 1,
-            number,
+            sequence: number,
             loads: vec![fill],
             ..Gossip::default()
         })));
@@ -162,9 +166,9 @@
             assert_eq!(held, usize::from(millis < 1500), "after {millis} ms");
         }
     }
-    site.arrive(prompt("/long/x", (1, SHARED), OWN));
+    site.arrive(model_request("/long/x", (1, SHARED), OWN));
     let sent = site.sent().expect("it is taken");
-    assert_eq!(sent.fetch, None);
+    assert_eq!(sent.fetch_from, None);
     let tokens = site.core.relay.attempts[sent.attempt].work.tokens;
     assert_eq!(tokens, SHARED + OWN, "all of it is read");
 }
@@ -177,13 +181,13 @@
     let mut site = site();
     let mut running = Vec::new();
     for part in 0..12 {
-        site.arrive(prompt("/long/x", (part, SHARED), OWN));
+        site.arrive(model_request("/long/x", (part, SHARED), OWN));
         start(&mut site, &mut running);
         run(&mut site, &mut running, 1000);
     }
     let (mut taken, mut read) = (0, 0);
     for number in 0..120_u64 {
-        site.arrive(prompt("/long/x", (number / 10 % 12, SHARED), OWN));
+        site.arrive(model_request("/long/x", (number / 10 % 12, SHARED), OWN));
         if let Some(tokens) = start(&mut site, &mut running) {
             taken += 1;
             read += tokens;
@@ -204,9 +208,9 @@
 fn a_part_longer_than_its_prompt_saves_no_more_than_the_prompt() {
     let mut site = site();
     told(&mut site, 1, &[], &["p"]);
-    site.pass(200);
+    site.advance(200);
     told(&mut site, 2, &["p"], &[]);
-    let mut arrival = prompt("/long/x", (1, SHARED), OWN);
+    let mut arrival = model_request("/long/x", (1, SHARED), OWN);
     if let Some(prompt) = &mut arrival.prompt {
         prompt.tokens = 1000;
     }
@@ -223,9 +227,9 @@
     let mut site = site();
     let mut engines = Vec::new();
     for _ in 0..6 {
-        site.arrive(prompt("/long/x", (1, SHARED), OWN));
+        site.arrive(model_request("/long/x", (1, SHARED), OWN));
         let sent = site.sent().expect("it is taken");
-        site.pass(600);
+        site.advance(600);
         site.event(RelayEvent::Prefilled {
             attempt: sent.attempt,
             handle: "k".into(),
@@ -240,7 +244,7 @@
 type Running = Vec<(u64, Outgoing)>;
 
 /// Takes up what was just sent; returns the tokens to be read for it.
-fn start(site: &mut Site, running: &mut Running) -> Option<u64> {
+fn start(site: &mut TestHost, running: &mut Running) -> Option<u64> {
     let sent = site.sent()?;
     let key = site.core.relay.instances.find(&sent.instance)?;
     let waits = site.core.relay.instances.arena[key].own.tokens / 40;
@@ -250,15 +254,15 @@
 }
 
 /// Lets time pass, and engines get on with their requests.
-fn run(site: &mut Site, running: &mut Running, millis: u64) {
+fn run(site: &mut TestHost, running: &mut Running, millis: u64) {
     for _ in 0..millis / 10 {
-        site.pass(10);
+        site.advance(10);
         let now = site.now;
         let (done, rest): (Running, Running) = running.drain(..).partition(|(at, _)| *at <= now);
         *running = rest;
         for (_, sent) in done {
             if sent.task != Task::Prefill {
-                site.event(RelayEvent::Whole(sent.attempt));
+                site.event(RelayEvent::StreamCompleted(sent.attempt));
                 continue;
             }
             site.event(RelayEvent::Prefilled {
--- a/src/core/relay/tests/plan.rs
+++ b/src/core/relay/tests/plan.rs
@@ -7,26 +7,26 @@
 use crate::store::TxnReply;
 
 /// Returns a host before four engines that all decode.
-fn site() -> Site {
-    let mut site = Site::new();
-    site.changed(Changes {
-        whole: true,
+fn site() -> TestHost {
+    let mut site = TestHost::new();
+    site.apply_changes(Changes {
+        is_snapshot: true,
         ..Changes::default()
     });
     site.register(
         ["a", "b", "c", "d"]
-            .map(|id| engine(id, Stage::Decode))
+            .map(|id| engine_entry(id, Stage::Decode))
             .into(),
     );
     site
 }
 
-fn plan(site: &mut Site) {
+fn plan(site: &mut TestHost) {
     site.apply(Event::Timer(Timer::Relay(RelayTimer::Plan)));
 }
 
 /// Has the host take the authority with this fencing number.
-fn take(site: &mut Site, fence: i64) {
+fn take(site: &mut TestHost, fence: i64) {
     let mut job = None;
     for _ in 0..50 {
         plan(site);
@@ -38,13 +38,13 @@
             break;
         }
     }
-    site.reply(job.expect("it asks for a lease"), StoreResult::Lease(9));
+    site.store_reply(job.expect("it asks for a lease"), StoreResult::Lease(9));
     assert!(
         site.out
             .iter()
             .any(|effect| matches!(effect, Effect::Txn { .. }))
     );
-    site.reply(
+    site.store_reply(
         Job::Relay(RelayJob::Authority, 0),
         StoreResult::Txn(TxnReply {
             revision: fence,
@@ -55,25 +55,25 @@
 }
 
 /// Renews the lease for as long as the plan needs to see that the engines stay.
-fn settle(site: &mut Site) {
+fn settle(site: &mut TestHost) {
     plan(site);
     for _ in 0..4 {
         site.now += 500;
         let job = RelayJob::AuthorityLease(Time::from_millis(site.now));
-        site.reply(Job::Relay(job, 0), StoreResult::Lease(9));
+        site.store_reply(Job::Relay(job, 0), StoreResult::Lease(9));
     }
 }
 
-fn asked(site: &Site) -> Vec<Box<str>> {
+fn asked(site: &TestHost) -> Vec<Box<str>> {
     let asked = site.out.iter().filter_map(|effect| match effect {
-        Effect::Relay(RelayEffect::Report { instance, .. }) => Some(instance.clone()),
+        Effect::Relay(RelayEffect::FetchReport { instance, .. }) => Some(instance.clone()),
         _ => None,
     });
     asked.collect()
 }
 
-fn report(site: &mut Site, id: &str, orders: u64) -> Option<StageOrder> {
-    site.event(RelayEvent::Reported {
+fn report(site: &mut TestHost, id: &str, orders: u64) -> Option<StageOrder> {
+    site.event(RelayEvent::EngineReported {
         instance: id.into(),
         report: Some(EngineReport {
             stage: Stage::Decode,
@@ -124,7 +124,7 @@
     let asked_at = Time::from_millis(site.now);
     site.now += 2600;
     let job = Job::Relay(RelayJob::AuthorityLease(asked_at), 0);
-    site.reply(job, StoreResult::Lease(9));
+    site.store_reply(job, StoreResult::Lease(9));
     site.now += 200;
     plan(&mut site);
     assert!(asked(&site).is_empty());
@@ -136,7 +136,7 @@
     let mut site = site();
     take(&mut site, 41);
     settle(&mut site);
-    site.key("planner", Some("host-2"), 50);
+    site.write_key("planner", Some("host-2"), 50);
     plan(&mut site);
     assert!(asked(&site).is_empty());
 }
@@ -149,7 +149,7 @@
     plan(&mut site);
     let asked = asked(&site);
     let order = report(&mut site, &asked[0], 3).expect("ordered");
-    site.event(RelayEvent::Ordered {
+    site.event(RelayEvent::OrderAnswered {
         instance: order.instance,
         fence: 41,
         result: OrderResult::Fenced,
@@ -169,7 +169,7 @@
     plan(&mut site);
     let first = asked(&site);
     report(&mut site, &first[0], 3).expect("ordered");
-    site.event(RelayEvent::Ordered {
+    site.event(RelayEvent::OrderAnswered {
         instance: first[0].clone(),
         fence: 41,
         result: OrderResult::Unknown,
--- a/src/core/relay/tests/register.rs
+++ b/src/core/relay/tests/register.rs
@@ -7,47 +7,47 @@
 
 /// What a host last asked of the store for its entry.
 #[derive(Debug, PartialEq, Eq)]
-enum Asked {
+enum StoreRequest {
     Lease,
     Renewal,
     Entry,
 }
 
-fn asked(out: &Effects) -> Vec<Asked> {
+fn store_requests(out: &Effects) -> Vec<StoreRequest> {
     let asked = out.iter().filter_map(|effect| match effect {
         Effect::Grant {
             job: Job::Relay(RelayJob::Lease, 0),
             ..
-        } => Some(Asked::Lease),
+        } => Some(StoreRequest::Lease),
         Effect::Renew {
             job: Job::Relay(RelayJob::Lease, 0),
             ..
-        } => Some(Asked::Renewal),
+        } => Some(StoreRequest::Renewal),
         Effect::Txn {
             job: Job::Relay(RelayJob::Register, 0),
             ..
-        } => Some(Asked::Entry),
+        } => Some(StoreRequest::Entry),
         _ => None,
     });
     asked.collect()
 }
 
 /// Returns a host that has a lease and an entry.
-fn registered() -> Site {
-    let mut site = Site::blank();
-    site.reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(5));
-    assert_eq!(asked(&site.out), [Asked::Entry]);
+fn registered() -> TestHost {
+    let mut site = TestHost::blank();
+    site.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(5));
+    assert_eq!(store_requests(&site.out), [StoreRequest::Entry]);
     let done = crate::store::TxnReply {
         revision: 9,
         succeeded: true,
         replies: Vec::new(),
     };
-    site.reply(Job::Relay(RelayJob::Register, 0), StoreResult::Txn(done));
+    site.store_reply(Job::Relay(RelayJob::Register, 0), StoreResult::Txn(done));
     site
 }
 
 /// Has the store show all its keys: this host's entry, where `own`, and nothing else.
-fn read_whole(site: &mut Site, own: bool) -> Effects {
+fn read_whole(site: &mut TestHost, own: bool) -> Effects {
     let key = KeyChange {
         key: "hosts/host-1".into(),
         value: Some((*br#"{"addr":"127.0.0.1:3","domain":"z"}"#).into()),
@@ -58,10 +58,10 @@
         keys: own.then_some(key).into_iter().collect(),
         ..Changes::default()
     };
-    site.event(RelayEvent::Store {
+    site.event(RelayEvent::StoreAnswered {
         number,
         answer: StoreAnswer::Page {
-            at: 20,
+            revision: 20,
             changes,
             after: None,
         },
@@ -75,27 +75,27 @@
 fn an_entry_that_lapsed_is_written_again_at_once() {
     let mut site = registered();
     let out = read_whole(&mut site, false);
-    assert_eq!(asked(&out), [Asked::Renewal]);
-    site.reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(0));
-    assert_eq!(asked(&site.out), [Asked::Lease]);
-    site.reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(6));
-    assert_eq!(asked(&site.out), [Asked::Entry]);
+    assert_eq!(store_requests(&out), [StoreRequest::Renewal]);
+    site.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(0));
+    assert_eq!(store_requests(&site.out), [StoreRequest::Lease]);
+    site.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(6));
+    assert_eq!(store_requests(&site.out), [StoreRequest::Entry]);
 }
 
 /// The host started while the store was silent, and its call for a lease was lost. Without another
 /// as soon as the store answers, it stays unknown to the others for four seconds more.
 #[test]
 fn a_lost_call_for_a_lease_is_made_again_at_the_stores_return() {
-    let mut site = Site::blank();
-    site.reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Unknown);
-    assert_eq!(asked(&site.pass(1000)), []);
+    let mut site = TestHost::blank();
+    site.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Unknown);
+    assert_eq!(store_requests(&site.advance(1000)), []);
     let out = read_whole(&mut site, false);
-    assert_eq!(asked(&out), [Asked::Lease]);
+    assert_eq!(store_requests(&out), [StoreRequest::Lease]);
 }
 
 #[test]
 fn an_entry_that_is_there_is_left_alone() {
     let mut site = registered();
     let out = read_whole(&mut site, true);
-    assert_eq!(asked(&out), []);
+    assert_eq!(store_requests(&out), []);
 }
--- a/src/core/relay/tests/request.rs
+++ b/src/core/relay/tests/request.rs
@@ -6,11 +6,11 @@
 /// known: told "not run", the caller would send a booking twice.
 #[test]
 fn a_call_that_may_have_run_is_not_called_not_run() {
-    let mut site = Site::new();
-    site.register(vec![plain("a"), plain("b")]);
-    site.arrive(call("/once/x"));
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a"), plain_entry("b")]);
+    site.arrive(plain_request("/once/x"));
     let sent = site.sent().expect("sent");
-    site.broke(sent.attempt, Ran::Unknown, Break::Cut);
+    site.fail_attempt(sent.attempt, Ran::Unknown, Break::Cut);
     assert!(site.sent().is_none());
     let (_, ran, _) = site.refused().expect("an answer");
     assert_eq!(ran, Ran::Unknown);
@@ -19,30 +19,30 @@
 /// A backend server says that it is full. The request did not run, and another one takes it.
 #[test]
 fn a_call_that_was_refused_goes_elsewhere() {
-    let mut site = Site::new();
-    site.register(vec![plain("a"), plain("b")]);
-    site.arrive(call("/once/x"));
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a"), plain_entry("b")]);
+    site.arrive(plain_request("/once/x"));
     let first = site.sent().expect("sent");
-    site.broke(first.attempt, Ran::No, Break::Refused);
+    site.fail_attempt(first.attempt, Ran::No, Break::Refused);
     let second = site.sent().expect("sent again");
     assert_ne!(second.instance, first.instance);
     site.event(RelayEvent::Answered {
         attempt: second.attempt,
         status: 200,
     });
-    assert!(site.did(|effect| matches!(effect, RelayEffect::Pass(_))));
+    assert!(site.did(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
 }
 
 /// Nothing listens at the only address. The caller is told at once that the request did not run,
 /// and when to come back.
 #[test]
 fn a_call_that_reaches_nothing_is_refused_as_not_run() {
-    let mut site = Site::new();
-    site.register(vec![plain("a")]);
-    site.arrive(call("/once/x"));
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a")]);
+    site.arrive(plain_request("/once/x"));
     let mut sent = site.sent().expect("sent");
     for _ in 0..3 {
-        site.broke(sent.attempt, Ran::No, Break::Unreachable);
+        site.fail_attempt(sent.attempt, Ran::No, Break::Unreachable);
         match site.sent() {
             Some(next) => sent = next,
             None => break,
@@ -57,9 +57,9 @@
 /// time, and the caller notices nothing.
 #[test]
 fn an_idempotent_request_that_failed_is_repeated_once() {
-    let mut site = Site::new();
-    site.register(vec![plain("a"), plain("b")]);
-    site.arrive(call("/again/x"));
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a"), plain_entry("b")]);
+    site.arrive(plain_request("/again/x"));
     let first = site.sent().expect("sent");
     site.event(RelayEvent::Answered {
         attempt: first.attempt,
@@ -73,24 +73,24 @@
     });
     // The route allows two runs: the second failure is the answer.
     assert!(site.sent().is_none());
-    assert!(site.did(|effect| matches!(effect, RelayEffect::Pass(_))));
+    assert!(site.did(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
 }
 
 /// The caller waits longer than the operator wants it kept waiting. It gets its final answer at
 /// the route's time, and the work is called off.
 #[test]
 fn the_routes_time_ends_a_request() {
-    let mut site = Site::new();
-    site.register(vec![plain("a")]);
-    site.arrive(call("/once/x"));
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a")]);
+    site.arrive(plain_request("/once/x"));
     let sent = site.sent().expect("sent");
-    assert_eq!(sent.left, Duration::from_secs(4));
-    let before = site.pass(3900);
+    assert_eq!(sent.remaining, Duration::from_secs(4));
+    let before = site.advance(3900);
     assert!(!did(&before, |effect| matches!(
         effect,
         RelayEffect::Refuse { .. }
     )));
-    let after = site.pass(200);
+    let after = site.advance(200);
     assert!(did(&after, |effect| matches!(
         effect,
         RelayEffect::Refuse { .. }
@@ -106,11 +106,11 @@
 #[test]
 fn a_silent_backend_server_is_left_only_where_that_is_allowed() {
     for (path, again) in [("/again/x", true), ("/once/x", false)] {
-        let mut site = Site::new();
-        site.register(vec![plain("a"), plain("b")]);
-        site.arrive(call(path));
+        let mut site = TestHost::new();
+        site.register(vec![plain_entry("a"), plain_entry("b")]);
+        site.arrive(plain_request(path));
         let first = site.sent().expect("sent");
-        let out = site.pass(1000);
+        let out = site.advance(1000);
         let moved = sent(&out)
             .iter()
             .any(|sent| sent.instance != first.instance);
@@ -121,10 +121,10 @@
 /// The caller closes its connection; a backend server that worked on would work for nobody.
 #[test]
 fn a_caller_that_leaves_ends_its_attempt() {
-    let mut site = Site::new();
-    site.register(vec![plain("a")]);
-    let key = site.arrive(call("/once/x"));
-    site.event(RelayEvent::Left(key));
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a")]);
+    let key = site.arrive(plain_request("/once/x"));
+    site.event(RelayEvent::CallerLeft(key));
     assert!(site.did(|effect| matches!(effect, RelayEffect::Cancel(_))));
     assert!(site.core.relay.calls.is_empty());
 }
@@ -133,20 +133,20 @@
 /// After two it is refused; the others go on.
 #[test]
 fn a_request_that_backend_servers_die_of_is_refused_after_two() {
-    let mut site = Site::new();
-    site.register(vec![plain("a"), plain("b"), plain("c")]);
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a"), plain_entry("b"), plain_entry("c")]);
     for _ in 0..2 {
-        site.arrive(call("/once/x"));
+        site.arrive(plain_request("/once/x"));
         let sent = site.sent().expect("sent");
-        site.broke(sent.attempt, Ran::Unknown, Break::Cut);
+        site.fail_attempt(sent.attempt, Ran::Unknown, Break::Cut);
     }
-    site.arrive(call("/once/x"));
+    site.arrive(plain_request("/once/x"));
     assert!(site.sent().is_none());
     let (_, ran, _) = site.refused().expect("an answer");
     assert_eq!(ran, Ran::No);
     let other = Arrival {
-        print: Print([2; 16]),
-        ..call("/once/y")
+        fingerprint: Print([2; 16]),
+        ..plain_request("/once/y")
     };
     site.arrive(other);
     assert!(site.sent().is_some());
@@ -155,13 +155,13 @@
 /// Answers are lost now and then without a death. A request that was answered since is no suspect.
 #[test]
 fn a_request_that_is_answered_is_no_longer_suspected() {
-    let mut site = Site::new();
-    site.register(vec![plain("a"), plain("b"), plain("c")]);
+    let mut site = TestHost::new();
+    site.register(vec![plain_entry("a"), plain_entry("b"), plain_entry("c")]);
     for lost in [true, false, true, false, true] {
-        site.arrive(call("/once/x"));
+        site.arrive(plain_request("/once/x"));
         let sent = site.sent().expect("sent");
         if lost {
-            site.broke(sent.attempt, Ran::Unknown, Break::Cut);
+            site.fail_attempt(sent.attempt, Ran::Unknown, Break::Cut);
         } else {
             let answered = RelayEvent::Answered {
                 attempt: sent.attempt,
@@ -170,6 +170,6 @@
             site.event(answered);
         }
     }
-    site.arrive(call("/once/x"));
+    site.arrive(plain_request("/once/x"));
     assert!(site.sent().is_some());
 }
--- a/src/core/relay/tests/spread.rs
+++ b/src/core/relay/tests/spread.rs
@@ -9,23 +9,23 @@
 const ENGINES: u8 = 40;
 
 /// Returns a host that knows so many others and takes in a request every 100 ms.
-fn beside(host: usize, hosts: usize) -> Site {
-    let mut site = Site::named(&format!("host-{host}"), host as u64);
+fn beside(host: usize, hosts: usize) -> TestHost {
+    let mut site = TestHost::named(&format!("host-{host}"), host as u64);
     site.configure(catalog(1));
     let engines = (0..ENGINES).flat_map(|at| {
-        [("p", Stage::Prefill), ("d", Stage::Decode)].map(|(kind, stage)| Entry {
+        [("p", Stage::Prefill), ("d", Stage::Decode)].map(|(kind, stage)| BackendEntry {
             addr: ([10, 0, kind.as_bytes()[0], at], 80).into(),
-            ..engine(&format!("{kind}-{at}"), stage)
+            ..engine_entry(&format!("{kind}-{at}"), stage)
         })
     });
     site.register(engines.collect());
     for other in 0..hosts {
         let entry = format!(r#"{{"addr":"10.9.9.{}:1","domain":"z"}}"#, other % 250);
-        site.key(&format!("hosts/host-{other}"), Some(&entry), 3);
+        site.write_key(&format!("hosts/host-{other}"), Some(&entry), 3);
     }
     for _ in 0..20 {
-        let call = site.arrive(prompt("/short/x", (1, 60), 290));
-        site.event(RelayEvent::Left(call));
+        let call = site.arrive(model_request("/short/x", (1, 60), 290));
+        site.event(RelayEvent::CallerLeft(call));
         site.now += 100;
     }
     site
@@ -36,7 +36,7 @@
     let mut counts: BTreeMap<Box<str>, usize> = BTreeMap::new();
     for host in 0..hosts {
         let mut site = beside(host, hosts);
-        site.arrive(prompt("/long/x", (shared(host), 13_000), 3000));
+        site.arrive(model_request("/long/x", (shared(host), 13_000), 3000));
         let sent = site.sent().expect("taken");
         *counts.entry(sent.instance).or_default() += 1;
     }
@@ -56,7 +56,7 @@
     let mut site = beside(0, 2);
     let busy: Vec<Box<str>> = (0..2 * usize::from(ENGINES) - 1)
         .filter_map(|own| {
-            site.arrive(prompt("/long/x", (own as u64, 13_000), 3000));
+            site.arrive(model_request("/long/x", (own as u64, 13_000), 3000));
             site.sent().map(|sent| sent.instance)
         })
         .collect();
--- a/src/core/relay/tests/stream.rs
+++ b/src/core/relay/tests/stream.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::core::relay::event::Task;
 
-fn prefilled(site: &mut Site, attempt: AttemptKey) -> Outgoing {
+fn prefilled(site: &mut TestHost, attempt: AttemptKey) -> Outgoing {
     site.event(RelayEvent::Prefilled {
         attempt,
         handle: "k".into(),
@@ -11,15 +11,15 @@
     site.sent().expect("handed over")
 }
 
-fn piece(site: &mut Site, attempt: AttemptKey, number: u64) -> bool {
-    site.event(RelayEvent::Piece { attempt, number });
-    site.did(|effect| matches!(effect, RelayEffect::Deliver(_)))
+fn piece(site: &mut TestHost, attempt: AttemptKey, number: u64) -> bool {
+    site.event(RelayEvent::StreamEvent { attempt, number });
+    site.did(|effect| matches!(effect, RelayEffect::ForwardEvent(_)))
 }
 
 #[test]
 fn a_long_prompt_is_prefilled_apart_and_handed_over() {
-    let mut site = Site::of_models();
-    site.arrive(prompt("/long/x", (1, 13_000), 4000));
+    let mut site = TestHost::with_engines();
+    site.arrive(model_request("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("sent");
     assert_eq!(first.task, Task::Prefill);
     assert!(!first.streaming);
@@ -33,32 +33,32 @@
     );
     assert!(second.streaming);
     assert!(piece(&mut site, second.attempt, 1));
-    site.event(RelayEvent::Whole(second.attempt));
+    site.event(RelayEvent::StreamCompleted(second.attempt));
     assert!(site.did(|effect| matches!(effect, RelayEffect::Finish(_))));
-    assert!(!site.did(|effect| matches!(effect, RelayEffect::Free { .. })));
+    assert!(!site.did(|effect| matches!(effect, RelayEffect::FreeCache { .. })));
 }
 
 /// The caller leaves between the prefill and the hand-over. A KV cache that nobody takes fills the
 /// engine's memory until it lapses.
 #[test]
 fn an_unused_kv_cache_is_given_back() {
-    let mut site = Site::of_models();
-    let key = site.arrive(prompt("/long/x", (1, 13_000), 4000));
+    let mut site = TestHost::with_engines();
+    let key = site.arrive(model_request("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("sent");
     prefilled(&mut site, first.attempt);
-    site.event(RelayEvent::Left(key));
-    assert!(site.did(|effect| matches!(effect, RelayEffect::Free { .. })));
+    site.event(RelayEvent::CallerLeft(key));
+    assert!(site.did(|effect| matches!(effect, RelayEffect::FreeCache { .. })));
 }
 
 /// KV caches can lapse at once. The engine that was to go on refuses, nothing has run, and the
 /// prompt is read again where its parts still lie.
 #[test]
 fn a_lapsed_kv_cache_is_made_again() {
-    let mut site = Site::of_models();
-    site.arrive(prompt("/long/x", (1, 13_000), 4000));
+    let mut site = TestHost::with_engines();
+    site.arrive(model_request("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("sent");
     let second = prefilled(&mut site, first.attempt);
-    site.broke(second.attempt, Ran::No, Break::Refused);
+    site.fail_attempt(second.attempt, Ran::No, Break::Refused);
     let third = site.sent().expect("sent again");
     assert!(matches!(third.task, Task::Prefill | Task::Whole));
 }
@@ -67,15 +67,15 @@
 /// event that the caller has, and an event that comes again is dropped.
 #[test]
 fn a_broken_stream_goes_on_elsewhere_without_a_piece_twice() {
-    let mut site = Site::of_models();
-    site.arrive(prompt("/short/x", (1, 60), 290));
+    let mut site = TestHost::with_engines();
+    site.arrive(model_request("/short/x", (1, 60), 290));
     let mut first = site.sent().expect("sent");
     if first.task == Task::Prefill {
         first = prefilled(&mut site, first.attempt);
     }
     assert!(piece(&mut site, first.attempt, 1));
     assert!(piece(&mut site, first.attempt, 2));
-    site.broke(first.attempt, Ran::Yes, Break::Cut);
+    site.fail_attempt(first.attempt, Ran::Yes, Break::Cut);
     let mut second = site.sent().expect("sent again");
     if second.task == Task::Prefill {
         second = prefilled(&mut site, second.attempt);
@@ -92,25 +92,25 @@
 /// whole, the caller would act on half an answer.
 #[test]
 fn a_broken_stream_that_may_not_go_on_looks_cut() {
-    let mut site = Site::of_models();
-    site.arrive(prompt("/long/x", (1, 13_000), 4000));
+    let mut site = TestHost::with_engines();
+    site.arrive(model_request("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("sent");
     let second = prefilled(&mut site, first.attempt);
     assert!(piece(&mut site, second.attempt, 1));
-    site.broke(second.attempt, Ran::Yes, Break::Cut);
+    site.fail_attempt(second.attempt, Ran::Yes, Break::Cut);
     assert!(site.sent().is_none());
-    assert!(site.did(|effect| matches!(effect, RelayEffect::Cut(_))));
+    assert!(site.did(|effect| matches!(effect, RelayEffect::AbortAnswer(_))));
 }
 
 /// An engine breaks off before the first event of a stream that runs once. It may have run, and is
 /// neither sent again nor called not run.
 #[test]
 fn a_stream_that_may_have_begun_is_not_sent_again() {
-    let mut site = Site::of_models();
-    site.arrive(prompt("/long/x", (1, 13_000), 4000));
+    let mut site = TestHost::with_engines();
+    site.arrive(model_request("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("sent");
     let second = prefilled(&mut site, first.attempt);
-    site.broke(second.attempt, Ran::Unknown, Break::Cut);
+    site.fail_attempt(second.attempt, Ran::Unknown, Break::Cut);
     assert!(site.sent().is_none());
     assert_eq!(site.refused().map(|(_, ran, _)| ran), Some(Ran::Unknown));
 }
@@ -118,10 +118,10 @@
 /// A caller comes back with the number of the last event it has. It gets nothing of before.
 #[test]
 fn a_callers_own_resumption_goes_through() {
-    let mut site = Site::of_models();
+    let mut site = TestHost::with_engines();
     site.arrive(Arrival {
         resume: Some(5),
-        ..prompt("/short/x", (1, 60), 290)
+        ..model_request("/short/x", (1, 60), 290)
     });
     let mut sent = site.sent().expect("sent");
     if sent.task == Task::Prefill {
--- a/src/core/relay/tests/view/mod.rs
+++ b/src/core/relay/tests/view/mod.rs
@@ -4,7 +4,7 @@
 mod probes;
 
 use super::*;
-use crate::core::relay::event::{Ask, StoreAnswer};
+use crate::core::relay::event::{StoreAnswer, StoreCall};
 use crate::core::relay::view::between;
 
 /// Time after the store's return within which a host must know what changed meanwhile.
@@ -36,7 +36,7 @@
     mood: Mood,
     revision: i64,
     /// Calls in hand: what was asked, and when the answer is due.
-    calls: BTreeMap<u64, (Ask, u64)>,
+    calls: BTreeMap<u64, (StoreCall, u64)>,
     /// Time that an answer takes.
     takes: u64,
     /// Time that a page takes beyond that.
@@ -48,7 +48,7 @@
     /// Revisions by which the answers to probes are behind.
     behind: i64,
     /// Calls whose connection is not made yet, and when they were made.
-    connecting: BTreeMap<u64, (Ask, u64)>,
+    connecting: BTreeMap<u64, (StoreCall, u64)>,
 }
 
 impl Store {
@@ -77,11 +77,11 @@
         }
     }
 
-    fn take(&mut self, number: u64, ask: &Ask, now: u64) {
+    fn take(&mut self, number: u64, ask: &StoreCall, now: u64) {
         let (count, takes) = match ask {
-            Ask::Page { .. } => (&mut self.asked.0, self.takes + self.page),
-            Ask::Watch { .. } => (&mut self.asked.1, self.takes),
-            Ask::Probe => (&mut self.asked.2, self.takes),
+            StoreCall::Page { .. } => (&mut self.asked.0, self.takes + self.page),
+            StoreCall::Watch { .. } => (&mut self.asked.1, self.takes),
+            StoreCall::Probe => (&mut self.asked.2, self.takes),
         };
         *count += 1;
         if self.mood == Mood::Cut {
@@ -92,21 +92,21 @@
     }
 
     /// Returns the answer to a call that is due, if there is one by now.
-    fn answer(&self, ask: &Ask, due: u64, now: u64) -> Option<StoreAnswer> {
+    fn answer(&self, ask: &StoreCall, due: u64, now: u64) -> Option<StoreAnswer> {
         if self.mood == Mood::Refuses {
             return Some(StoreAnswer::Failed { refused: true });
         }
         Some(match ask {
-            Ask::Probe => StoreAnswer::Newest(self.revision - self.behind),
-            Ask::Page { after } => {
+            StoreCall::Probe => StoreAnswer::Newest(self.revision - self.behind),
+            StoreCall::Page { after } => {
                 let page = after.as_ref().map_or(0, |after| after.len()) + 1;
                 StoreAnswer::Page {
-                    at: self.revision,
+                    revision: self.revision,
                     changes: self.configured(),
                     after: (page < self.pages).then(|| "x".repeat(page).into()),
                 }
             }
-            Ask::Watch { after, wait } => {
+            StoreCall::Watch { after, wait } => {
                 let over = now >= due + u64::try_from(wait.as_millis()).expect("short");
                 if self.revision <= *after && !over {
                     return None;
@@ -117,7 +117,7 @@
                     Changes::default()
                 };
                 StoreAnswer::Changes {
-                    at: self.revision,
+                    revision: self.revision,
                     changes,
                     events: Vec::new(),
                 }
@@ -127,7 +127,9 @@
 
     /// Returns the calls whose connection is given up.
     fn unconnected(&mut self, now: u64) -> Vec<u64> {
-        let late = |ask: &Ask, at: u64| !matches!(ask, Ask::Watch { .. }) && now >= at + CONNECT;
+        let late = |ask: &StoreCall, at: u64| {
+            !matches!(ask, StoreCall::Watch { .. }) && now >= at + CONNECT
+        };
         let all = self.connecting.iter();
         let late = all.filter(|(_, (ask, at))| late(ask, *at));
         let late: Vec<u64> = late.map(|(number, _)| *number).collect();
@@ -159,7 +161,7 @@
         }
         if mood == Mood::Paused {
             self.calls
-                .retain(|_, (ask, _)| matches!(ask, Ask::Watch { .. }));
+                .retain(|_, (ask, _)| matches!(ask, StoreCall::Watch { .. }));
         }
         self.mood = mood;
     }
@@ -167,14 +169,14 @@
 
 /// A host, a store, and the calls that the host gave up as lost.
 struct Run {
-    site: Site,
+    site: TestHost,
     store: Store,
     given_up: u32,
 }
 
 impl Run {
     fn start(store: Store) -> Self {
-        let site = Site::blank();
+        let site = TestHost::blank();
         let mut run = Self {
             site,
             store,
@@ -188,10 +190,10 @@
     fn carry(&mut self, effects: &Effects) {
         for effect in effects {
             match effect {
-                Effect::Relay(RelayEffect::Ask { number, ask }) => {
+                Effect::Relay(RelayEffect::CallStore { number, ask }) => {
                     self.store.take(*number, ask, self.site.now);
                 }
-                Effect::Relay(RelayEffect::Unask(number)) => {
+                Effect::Relay(RelayEffect::CancelStoreCall(number)) => {
                     self.store.calls.remove(number);
                     self.store.connecting.remove(number);
                     self.given_up += 1;
@@ -202,12 +204,13 @@
     }
 
     fn step(&mut self) {
-        let out = self.site.pass(STEP);
+        let out = self.site.advance(STEP);
         self.carry(&out);
         let now = self.site.now;
         for number in self.store.unconnected(now) {
             let answer = StoreAnswer::Failed { refused: true };
-            self.site.event(RelayEvent::Store { number, answer });
+            self.site
+                .event(RelayEvent::StoreAnswered { number, answer });
             let out = self.site.out.clone();
             self.carry(&out);
         }
@@ -222,7 +225,8 @@
         let answers: Vec<_> = answers.collect();
         for (number, answer) in answers {
             self.store.calls.remove(&number);
-            self.site.event(RelayEvent::Store { number, answer });
+            self.site
+                .event(RelayEvent::StoreAnswered { number, answer });
             let out = self.site.out.clone();
             self.carry(&out);
         }
@@ -327,7 +331,9 @@
     for moment in 0..MOMENTS {
         let mut run = Run::start(Store::new());
         run.pass(2000 + moment * 50);
-        run.store.calls.retain(|_, (ask, _)| *ask == Ask::Probe);
+        run.store
+            .calls
+            .retain(|_, (ask, _)| *ask == StoreCall::Probe);
         run.store.revision += 1;
         let known = run.until_known();
         assert!(known <= BOUND, "{known} ms at moment {moment}");
@@ -395,15 +401,15 @@
 fn a_path_without_a_route_may_be_new_in_a_silence() {
     let mut run = Run::start(Store::new());
     run.pass(5000);
-    run.site.arrive(call("/none/x"));
+    run.site.arrive(plain_request("/none/x"));
     assert_eq!(run.site.refused().map(|(status, ..)| status), Some(404));
     run.store.turn(Mood::Silent);
     run.pass(2000);
-    run.site.arrive(call("/none/x"));
+    run.site.arrive(plain_request("/none/x"));
     assert_eq!(run.site.refused().map(|(status, ..)| status), Some(503));
     run.store.turn(Mood::Answers);
     run.pass(BOUND);
-    run.site.arrive(call("/none/x"));
+    run.site.arrive(plain_request("/none/x"));
     assert_eq!(run.site.refused().map(|(status, ..)| status), Some(404));
 }
 
@@ -414,10 +420,10 @@
     let mut run = Run::start(Store::new());
     run.pass(1000);
     let at = run.store.revision;
-    run.site.event(RelayEvent::Store {
+    run.site.event(RelayEvent::StoreAnswered {
         number: 1,
         answer: StoreAnswer::Page {
-            at: at + 50,
+            revision: at + 50,
             changes: Changes::default(),
             after: None,
         },
