--- a/src/core/relay/tests/view/passed.rs
+++ b/src/core/relay/tests/view/passed.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 use crate::core::relay::event::{Gossip, ReplicatedChanges, StoreChange};
-use crate::core::relay::tests::domain::Domain;
+use crate::core::relay::tests::domain::TestDomain;
 
 /// Sizes of a failure domain where each host tells all, and where they report to one.
 const SIZES: [usize; 2] = [5, 30];
 
 /// Returns hosts that know each other and the store for a while.
-fn settled(hosts: usize) -> Domain {
-    let mut domain = Domain::of(hosts);
+fn settled(hosts: usize) -> TestDomain {
+    let mut domain = TestDomain::with_hosts(hosts);
     domain.pass(3000);
     // The watches that each began with end with the next change.
     domain.change(&[]);
@@ -22,13 +22,13 @@
 fn one_host_watches_for_its_failure_domain() {
     for hosts in SIZES {
         let mut domain = settled(hosts);
-        let before = domain.store.asked.clone();
+        let before = domain.store.read_counts.clone();
         for _ in 0..10 {
             let took = domain.change(&[]);
             assert!(took <= 300, "{took} ms with {hosts} hosts");
             domain.pass(700);
         }
-        let counts = domain.store.asked.iter().zip(&before);
+        let counts = domain.store.read_counts.iter().zip(&before);
         let asked: Vec<u32> = counts.map(|(after, before)| after - before).collect();
         assert!(asked[1..].iter().all(|asked| *asked == 0), "{asked:?}");
         let asked = asked[0];
@@ -46,12 +46,12 @@
         let took = domain.change(&[]);
         assert!(took <= BOUND, "{took} ms with {hosts} hosts");
         domain.pass(4000);
-        let before: u32 = domain.store.asked.iter().sum();
+        let before: u32 = domain.store.read_counts.iter().sum();
         let took = domain.change(&[]);
         assert!(took <= 300, "{took} ms with {hosts} hosts");
         domain.pass(1000);
         // Another one watches for all.
-        let asked = domain.store.asked.iter().sum::<u32>() - before;
+        let asked = domain.store.read_counts.iter().sum::<u32>() - before;
         assert!(asked <= 3, "{asked} calls with {hosts} hosts");
     }
 }
@@ -87,13 +87,13 @@
     // Once it reaches the store again it watches for all.
     domain.store.unreachable.clear();
     domain.pass(4000);
-    let before = domain.store.asked.clone();
+    let before = domain.store.read_counts.clone();
     for _ in 0..5 {
         let took = domain.change(&[]);
         assert!(took <= 300, "{took} ms");
         domain.pass(700);
     }
-    let counts = domain.store.asked.iter().zip(&before);
+    let counts = domain.store.read_counts.iter().zip(&before);
     let asked: Vec<u32> = counts.map(|(after, before)| after - before).collect();
     assert!(asked[1..].iter().all(|asked| *asked == 0), "{asked:?}");
 }
@@ -116,7 +116,7 @@
                 assert_eq!(domain.version(host), newest, "host {host} of {hosts}");
             }
         }
-        let took = domain.until_all_know(&[]);
+        let took = domain.convergence_time(&[]);
         assert_eq!(took, 0, "the host that woke never learns");
     }
 }
@@ -126,7 +126,7 @@
 fn lost_words_hide_no_change() {
     for hosts in SIZES {
         let mut domain = settled(hosts);
-        domain.loses = 3;
+        domain.loss_interval = 3;
         for _ in 0..20 {
             let took = domain.change(&[]);
             assert!(took <= BOUND, "{took} ms with {hosts} hosts");
@@ -158,7 +158,7 @@
             domain.store.revision += 1;
             domain.pass(silence / 2);
             domain.store.silent = false;
-            let took = domain.until_all_know(&[]);
+            let took = domain.convergence_time(&[]);
             assert!(
                 took <= BOUND,
                 "{took} ms after {silence} ms with {hosts} hosts"
@@ -171,14 +171,14 @@
 #[test]
 fn hosts_that_start_at_once_ask_little() {
     for hosts in SIZES {
-        let mut domain = Domain::of(hosts);
+        let mut domain = TestDomain::with_hosts(hosts);
         for _ in 0..20 {
             domain.pass(150);
             domain.store.revision += 1;
         }
-        domain.until_all_know(&[]);
+        domain.convergence_time(&[]);
         for host in 1..hosts {
-            let asked = domain.store.asked[host];
+            let asked = domain.store.read_counts[host];
             // One read, and what changed before a host was found that tells of changes, twice at most.
             assert!(asked <= 3, "host {host} of {hosts}: {asked}");
         }
@@ -190,7 +190,7 @@
     let mut run = Run::start(Store::new());
     run.pass(1000);
     let entry = r#"{"addr":"10.9.9.9:1","domain":"z"}"#;
-    run.site.key("hosts/host-0", Some(entry), 3);
+    run.site.write_key("hosts/host-0", Some(entry), 3);
     let at = run.store.revision;
     (run, at)
 }
@@ -211,8 +211,8 @@
     let message = Gossip {
         host: "host-0".into(),
         incarnation: 1,
-        number,
-        passage: Some(passage),
+        sequence: number,
+        replicated: Some(passage),
         ..Gossip::default()
     };
     run.site.event(RelayEvent::Gossiped(Box::new(message)));
@@ -232,7 +232,7 @@
     let (mut run, at) = resting();
     let passage = |after: i64, to: i64| ReplicatedChanges {
         after,
-        at: to,
+        revision: to,
         events: (after + 1..=to).map(change).collect(),
     };
     hear(&mut run, 1, passage(at, at + 2));
@@ -254,7 +254,7 @@
     let gone = StoreChange {
         revision: at + 1,
         changes: Changes {
-            gone: vec!["s".into()],
+            removed: vec!["s".into()],
             ..Changes::default()
         },
         ..StoreChange::default()
@@ -262,7 +262,7 @@
     let back = StoreChange {
         revision: at + 2,
         changes: Changes {
-            instances: vec![plain("s")],
+            instances: vec![plain_entry("s")],
             ..Changes::default()
         },
         ..StoreChange::default()
@@ -270,7 +270,7 @@
     for (number, to) in [(1, at + 2), (2, at + 3)] {
         let passage = ReplicatedChanges {
             after: at,
-            at: to,
+            revision: to,
             events: vec![gone.clone(), back.clone()],
         };
         hear(&mut run, number, passage);
--- a/src/core/relay/tests/view/probes.rs
+++ b/src/core/relay/tests/view/probes.rs
@@ -8,8 +8,8 @@
     let message = Gossip {
         host: "host-2".into(),
         incarnation: 1,
-        number,
-        newest: Some(ProbeReport {
+        sequence: number,
+        probe: Some(ProbeReport {
             revision: run.store.revision,
             age: Duration::from_millis(age),
         }),
@@ -26,7 +26,7 @@
     run.pass(1000);
     let key = "hosts/host-2";
     let entry = r#"{"addr":"10.9.9.9:1","domain":"z"}"#;
-    run.site.key(key, Some(entry), 3);
+    run.site.write_key(key, Some(entry), 3);
     run
 }
 
@@ -65,7 +65,7 @@
     let mut run = beside_another();
     let told = |out: &Effects| {
         let words = out.iter().filter_map(|effect| match effect {
-            Effect::Relay(RelayEffect::Publish { message, .. }) => message.newest,
+            Effect::Relay(RelayEffect::Publish { message, .. }) => message.probe,
             _ => None,
         });
         words
@@ -73,10 +73,10 @@
             .map(|newest| newest.revision)
     };
     run.pass(1000);
-    let out = run.site.pass(600);
+    let out = run.site.advance(600);
     assert_eq!(told(&out), Some(run.store.revision));
     hear(&mut run, 2, 0);
-    let out = run.site.pass(300);
+    let out = run.site.advance(300);
     assert_eq!(told(&out), None);
 }
 
@@ -88,7 +88,7 @@
     for host in 0..hosts {
         let entry = r#"{"addr":"10.9.9.9:1","domain":"z"}"#;
         let key = format!("hosts/{}", name(host));
-        run.site.key(&key, Some(entry), 3);
+        run.site.write_key(&key, Some(entry), 3);
     }
     run.store.turn(Mood::Silent);
     let before = run.store.asked.2;
@@ -97,7 +97,7 @@
             let message = Gossip {
                 host: name(host).into(),
                 incarnation: 1,
-                number,
+                sequence: number,
                 ..Gossip::default()
             };
             run.site.event(RelayEvent::Gossiped(Box::new(message)));
--- a/src/core/relay/view/era.rs
+++ b/src/core/relay/view/era.rs
@@ -55,7 +55,7 @@
     peers::forget_lease(core);
     let asked = core.relay.view.restart();
     if let Some(number) = asked {
-        out.push(Effect::Relay(RelayEffect::Unask(number)));
+        out.push(Effect::Relay(RelayEffect::CancelStoreCall(number)));
     }
     if source == ANSWER {
         ask(core, out);
--- a/src/core/relay/view/history.rs
+++ b/src/core/relay/view/history.rs
@@ -67,7 +67,7 @@
         ReplicatedChanges {
             events: events.collect(),
             after: self.after,
-            at,
+            revision: at,
         }
     }
 }
--- a/src/core/relay/view/mod.rs
+++ b/src/core/relay/view/mod.rs
@@ -26,7 +26,7 @@
 pub(super) use uptime::Uptime;
 
 use super::event::{
-    Ask, Changes, RelayEffect, ReplicatedChanges, StoreAnswer, StoreChange, UptimeReport,
+    Changes, RelayEffect, ReplicatedChanges, StoreAnswer, StoreCall, StoreChange, UptimeReport,
 };
 use super::{RelayTimer, gossip, instance, note, peers, wake};
 use crate::core::effect::Effect;
@@ -229,15 +229,15 @@
         sent: core.now,
     });
     let ask = match &view.pages {
-        Some(pages) => Ask::Page {
+        Some(pages) => StoreCall::Page {
             after: pages.after.clone(),
         },
-        None => Ask::Watch {
+        None => StoreCall::Watch {
             after: view.at,
             wait: WAIT,
         },
     };
-    out.push(Effect::Relay(RelayEffect::Ask { number, ask }));
+    out.push(Effect::Relay(RelayEffect::CallStore { number, ask }));
 }
 
 /// Goes on after the pause that followed call `last`, unless that was cut short.
@@ -277,7 +277,7 @@
 /// Changes that begin after what is known here would leave a gap: the store is asked for those.
 pub fn passed(core: &mut Core, from: &str, passage: ReplicatedChanges, out: &mut Effects) {
     let view = &mut core.relay.view;
-    if passage.at <= view.at {
+    if passage.revision <= view.at {
         return;
     }
     if passage.after > view.at {
@@ -290,23 +290,28 @@
     view.name_source(from, out);
     let events = passage.events.into_iter();
     let new: Vec<StoreChange> = events.filter(|event| event.revision > at).collect();
-    view.at = passage.at;
+    view.at = passage.revision;
     if view.pages.is_none() {
         view.rests = true;
         if let Some(asked) = view.asked.take() {
             // It would bring the same once more.
-            out.push(Effect::Relay(RelayEffect::Unask(asked.number)));
+            out.push(Effect::Relay(RelayEffect::CancelStoreCall(asked.number)));
         }
     }
     let changes: Vec<Changes> = new.iter().map(|event| event.changes.clone()).collect();
     view.history.learn(new);
     for changes in changes {
-        super::changed(core, changes, out);
+        super::apply_changes(core, changes, out);
     }
 }
 
 fn pause(core: &Core, time: Duration, out: &mut Effects) {
-    wake(core, time, RelayTimer::Follow(core.relay.view.last), out);
+    wake(
+        core,
+        time,
+        RelayTimer::ResumeWatch(core.relay.view.last),
+        out,
+    );
 }
 
 /// Returns the pause between two watches for so many hosts.
@@ -326,17 +331,21 @@
         return;
     };
     match answer {
-        StoreAnswer::Page { at, changes, after } => page(core, asked, at, changes, after, out),
+        StoreAnswer::Page {
+            revision,
+            changes,
+            after,
+        } => page(core, asked, revision, changes, after, out),
         StoreAnswer::Changes {
-            at,
+            revision,
             changes,
             events,
         } => {
-            if at > view.at {
+            if revision > view.at {
                 view.name_source(STORE, out);
                 view.history.learn(events);
             }
-            watched(core, asked, at, changes, out);
+            watched(core, asked, revision, changes, out);
         }
         // Only probes ask for the newest revision: as an answer to anything else it says nothing.
         StoreAnswer::Compacted | StoreAnswer::Newest(_) => {
@@ -374,7 +383,7 @@
     let view = &mut core.relay.view;
     let mut pages = view.pages.take().unwrap_or_default();
     let (first, since) = *pages.first.get_or_insert((at, asked.sent));
-    pages.changes.extend(changes);
+    pages.changes.merge(changes);
     if after.is_some() {
         pages.after = after;
         view.pages = Some(pages);
@@ -388,8 +397,8 @@
     view.history.restart(first);
     view.confirm(since);
     view.uptime.answered(since);
-    pages.changes.whole = true;
-    super::changed(core, pages.changes, out);
+    pages.changes.is_snapshot = true;
+    super::apply_changes(core, pages.changes, out);
     drop_missing(core, out);
     judge(core, out);
     go_on(core, out);
@@ -401,14 +410,14 @@
     let hosts = if gossip::represents_domain(core) {
         core.relay.peers.domains.len() + 1
     } else {
-        core.relay.peers.hosts()
+        core.relay.peers.host_count()
     };
     let view = &mut core.relay.view;
     view.probes.losses = 0;
     view.confirm(asked.sent);
     let news = at > view.at;
     view.at = view.at.max(at);
-    super::changed(core, changes, out);
+    super::apply_changes(core, changes, out);
     if news {
         pause(core, between(hosts), out);
     } else {
@@ -430,7 +439,7 @@
     }
     let era = core.relay.view.era;
     let beliefs = core.relay.instances.drop_missing(era, core.now);
-    super::note_beliefs(beliefs, out);
+    super::log_listings(beliefs, out);
     peers::drop_unlisted(core, out);
 }
 
--- a/src/core/relay/view/probe.rs
+++ b/src/core/relay/view/probe.rs
@@ -5,7 +5,7 @@
 
 use rand::RngExt;
 
-use super::super::event::{Ask, ProbeReport, RelayEffect, StoreAnswer};
+use super::super::event::{ProbeReport, RelayEffect, StoreAnswer, StoreCall};
 use super::super::{RelayTimer, gossip, note, wake};
 use super::{Asked, View, ask, drop_missing, in_ms, judge};
 use crate::core::effect::Effect;
@@ -143,8 +143,8 @@
         if represents_domain || core.rng.random::<f64>() * f64::from(near) < TURNS {
             let number = view.next();
             view.probes.send(number, core.now);
-            let ask = Ask::Probe;
-            out.push(Effect::Relay(RelayEffect::Ask { number, ask }));
+            let ask = StoreCall::Probe;
+            out.push(Effect::Relay(RelayEffect::CallStore { number, ask }));
         }
         wake_after(core, Duration::ZERO, out);
     }
@@ -218,7 +218,7 @@
     let due = core.now.after(grace);
     if view.probes.check.is_none_or(|(_, before)| due < before) {
         view.probes.check = Some((check, due));
-        wake(core, grace, RelayTimer::Overdue, out);
+        wake(core, grace, RelayTimer::StoreTimeout, out);
     }
 }
 
@@ -231,7 +231,7 @@
     };
     if due > core.now {
         view.probes.check = Some((check, due));
-        wake(core, due.since(core.now), RelayTimer::Overdue, out);
+        wake(core, due.since(core.now), RelayTimer::StoreTimeout, out);
         return;
     }
     let silent = view.probes.lost(check);
@@ -272,6 +272,6 @@
     view.probes.losses = (view.probes.losses + 1).min(LOSSES);
     view.begin_anew();
     note(out, log::Level::Warn, "store.call_lost", fields);
-    out.push(Effect::Relay(RelayEffect::Unask(asked.number)));
+    out.push(Effect::Relay(RelayEffect::CancelStoreCall(asked.number)));
     ask(core, out);
 }
--- a/src/core/stop.rs
+++ b/src/core/stop.rs
@@ -171,7 +171,7 @@
         running,
         out,
     );
-    super::relay::give_up(core, BOUND_REACHED, out);
+    super::relay::abandon_all(core, BOUND_REACHED, out);
     out.push(Effect::Wake {
         at: core.now.after(LAST_WRITES),
         timer: Timer::Stop,
--- a/src/host/relay/backends.rs
+++ b/src/host/relay/backends.rs
@@ -66,7 +66,7 @@
         result = run(&node, &out) => {
             node.relay.attempt_ended(out.attempt);
             if let Err(lost) = result {
-                tell(&node, RelayEvent::Broke {
+                tell(&node, RelayEvent::AttemptFailed {
                     attempt: out.attempt,
                     ran: lost.ran,
                     end: lost.end,
@@ -165,7 +165,7 @@
     if idle.is_zero() {
         return;
     }
-    node.relay.channels.keep(answer, idle, out.idle).await;
+    node.relay.channels.keep(answer, idle, out.max_idle).await;
 }
 
 async fn prefilled(
@@ -240,14 +240,14 @@
     if !rest.is_empty() {
         piece(node, out.attempt, head, 0, rest);
     }
-    tell(node, RelayEvent::Whole(out.attempt));
+    tell(node, RelayEvent::StreamCompleted(out.attempt));
     release(node, answer, out, idle).await;
     Ok(())
 }
 
 fn piece(node: &Rc<Node>, attempt: AttemptKey, head: &Head, number: u64, data: Bytes) {
     let hand = Hand::Piece(head.clone(), data);
-    tell_with(node, hand, RelayEvent::Piece { attempt, number });
+    tell_with(node, hand, RelayEvent::StreamEvent { attempt, number });
 }
 
 fn side_call(
@@ -296,7 +296,7 @@
             None
         }
     };
-    tell(&node, RelayEvent::Reported { instance, report });
+    tell(&node, RelayEvent::EngineReported { instance, report });
 }
 
 /// Gives an order.
@@ -321,7 +321,7 @@
     };
     tell(
         &node,
-        RelayEvent::Ordered {
+        RelayEvent::OrderAnswered {
             instance: order.instance,
             fence: order.fence,
             result,
--- a/src/host/relay/callers.rs
+++ b/src/host/relay/callers.rs
@@ -34,7 +34,7 @@
 impl Drop for Presence {
     fn drop(&mut self) {
         if !self.ended {
-            tell(&self.node, RelayEvent::Left(self.call));
+            tell(&self.node, RelayEvent::CallerLeft(self.call));
         }
     }
 }
@@ -101,7 +101,7 @@
         let catalog = core.relay.catalog.as_ref();
         catalog.map_or_else(Default::default, |catalog| catalog.limits)
     });
-    let body = match web::read_body(&mut req, limit.body, BODY_TIME).await {
+    let body = match web::read_body(&mut req, limit.max_body, BODY_TIME).await {
         Ok(body) => body,
         Err(status) => return unread(status, &id),
     };
@@ -124,7 +124,7 @@
         prompt: asked.prompt,
         resume: asked.resume,
         bytes: body.len(),
-        print: print(target, &body),
+        fingerprint: print(target, &body),
     };
     let prepared = Prepared {
         method,
--- a/src/host/relay/datagrams.rs
+++ b/src/host/relay/datagrams.rs
@@ -82,7 +82,7 @@
         match wire::decode_gossip(proved) {
             Ok(mut message) => {
                 let events = message
-                    .passage
+                    .replicated
                     .iter_mut()
                     .flat_map(|passage| &mut passage.events);
                 events.for_each(keeper::read);
--- a/src/host/relay/keeper.rs
+++ b/src/host/relay/keeper.rs
@@ -11,7 +11,7 @@
 use crate::backend::channel::{Call, ChannelError};
 use crate::core::effect::Note;
 use crate::core::event::{Job, StoreEvent, StoreReply, StoreResult};
-use crate::core::relay::event::{Ask, Changes, RelayEvent, StoreAnswer, StoreChange};
+use crate::core::relay::event::{Changes, RelayEvent, StoreAnswer, StoreCall, StoreChange};
 use crate::core::{Effect, Event};
 use crate::error::Ran;
 use crate::host::node::Node;
@@ -124,7 +124,7 @@
     };
     let answer = node.relay.store.call(&call, time, ANSWER).await?;
     if let Some(era) = store::era(&answer.headers) {
-        tell(node, RelayEvent::Era(era));
+        tell(node, RelayEvent::StoreEra(era));
     }
     Ok((answer.status, answer.body))
 }
@@ -215,7 +215,7 @@
 }
 
 /// Makes a call by which the core follows the store; `given_up` closes when it is given up.
-pub async fn follow(node: Rc<Node>, number: u64, ask: Ask, given_up: oneshot::Receiver<()>) {
+pub async fn follow(node: Rc<Node>, number: u64, ask: StoreCall, given_up: oneshot::Receiver<()>) {
     let answer = tokio::select! {
         answer = answer(&node, ask) => answer,
         _ = given_up => return,
@@ -228,14 +228,14 @@
             refused: trouble.ran() == Ran::No,
         }
     });
-    tell(&node, RelayEvent::Store { number, answer });
+    tell(&node, RelayEvent::StoreAnswered { number, answer });
 }
 
-async fn answer(node: &Rc<Node>, call: Ask) -> Result<StoreAnswer, Trouble> {
+async fn answer(node: &Rc<Node>, call: StoreCall) -> Result<StoreAnswer, Trouble> {
     match call {
-        Ask::Page { after } => page(node, after).await,
-        Ask::Watch { after, wait } => changes(node, after, wait).await,
-        Ask::Probe => {
+        StoreCall::Page { after } => page(node, after).await,
+        StoreCall::Watch { after, wait } => changes(node, after, wait).await,
+        StoreCall::Probe => {
             let (status, body) = ask(node, store::probe(), CALL).await?;
             let page = readable(status, || store::page(&body))?;
             Ok(StoreAnswer::Newest(page.range.revision))
@@ -253,7 +253,7 @@
     }
     let last = page.range.pairs.last().filter(|_| page.more);
     Ok(StoreAnswer::Page {
-        at: page.range.revision,
+        revision: page.range.revision,
         changes,
         after: last.map(|pair| pair.key.clone()),
     })
@@ -280,7 +280,7 @@
         single.push(event);
     }
     Ok(StoreAnswer::Changes {
-        at: events.at,
+        revision: events.at,
         changes,
         events: single,
     })
--- a/src/host/relay/mod.rs
+++ b/src/host/relay/mod.rs
@@ -210,31 +210,31 @@
             ntex::rt::spawn(backends::attempt(Rc::clone(node), *out, rx));
         }
         RelayEffect::Cancel(attempt) => ports.attempt_ended(attempt),
-        RelayEffect::Deliver(call) => ports.deliver(call),
-        RelayEffect::Pass(call) => ports.pass(call),
+        RelayEffect::ForwardEvent(call) => ports.deliver(call),
+        RelayEffect::ForwardAnswer(call) => ports.pass(call),
         RelayEffect::Finish(call) => ports.end(call, Part::Whole),
-        RelayEffect::Cut(call) => ports.cut(call),
+        RelayEffect::AbortAnswer(call) => ports.cut(call),
         RelayEffect::Refuse { call, refusal } => ports.end(call, Part::Refused(refusal)),
-        RelayEffect::Free {
+        RelayEffect::FreeCache {
             instance,
             addr,
             handle,
         } => {
             ntex::rt::spawn(backends::free(Rc::clone(node), instance, addr, handle));
         }
-        RelayEffect::Report { instance, addr } => {
+        RelayEffect::FetchReport { instance, addr } => {
             ntex::rt::spawn(backends::report(Rc::clone(node), instance, addr));
         }
         RelayEffect::Order(order) => {
             ntex::rt::spawn(backends::order(Rc::clone(node), order));
         }
         RelayEffect::Secret(secret) => ports.secret.set(Some(secret)),
-        RelayEffect::Ask { number, ask } => {
+        RelayEffect::CallStore { number, ask } => {
             let (tx, rx) = oneshot::channel();
             ports.asks.borrow_mut().insert(number, tx);
             ntex::rt::spawn(keeper::follow(Rc::clone(node), number, ask, rx));
         }
-        RelayEffect::Unask(number) => {
+        RelayEffect::CancelStoreCall(number) => {
             ports.asks.borrow_mut().remove(&number);
         }
         RelayEffect::Publish { to, message } => datagrams::tell(node, &to, &message),
--- a/src/host/relay/tests.rs
+++ b/src/host/relay/tests.rs
@@ -13,7 +13,7 @@
     Gossip {
         host: "host-1".into(),
         incarnation: 7,
-        number: 3,
+        sequence: 3,
         loads: vec![LoadReport {
             instance: 1,
             calls: 2,
--- a/src/platform/catalog.rs
+++ b/src/platform/catalog.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use super::{millis, secs, whole};
-use crate::core::relay::catalog::{Catalog, Engine, InputLimits, Repeat, Route, Service};
+use crate::core::relay::catalog::{Catalog, Engine, InputLimits, RetryPolicy, Route, Service};
 
 /// Time a request may take on a route that names none: far above any route seen.
 const TIMEOUT: Duration = Duration::from_secs(30);
@@ -23,7 +23,7 @@
         .filter_map(|service| Some((service["name"].as_str()?.into(), self::service(service))));
     let mut limits = InputLimits::default();
     if let Some(body) = whole(&value["limits"]["maxBodyBytes"]) {
-        limits.body = usize::try_from(body).unwrap_or(limits.body);
+        limits.max_body = usize::try_from(body).unwrap_or(limits.max_body);
     }
     Some(Catalog {
         version: whole(&value["version"])?,
@@ -38,9 +38,9 @@
     let resumable = value["resumable"].as_bool().unwrap_or(false);
     let streaming = kind == "streaming";
     let repeat = if kind == "idempotent" || streaming && resumable {
-        Repeat::Idempotent
+        RetryPolicy::Idempotent
     } else {
-        Repeat::Once
+        RetryPolicy::Once
     };
     let target = millis(&value["targetLatencyMs"]).unwrap_or(TARGET);
     Some(Route {
@@ -48,14 +48,14 @@
         host: value["hostname"].as_str()?.to_ascii_lowercase().into(),
         prefix: value["prefix"].as_str()?.into(),
         streaming,
-        repeat,
+        retry: repeat,
         resumable: streaming && resumable,
         timeout: millis(&value["timeoutMs"]).unwrap_or(TIMEOUT),
         target,
-        gap: millis(&value["gapTargetMs"]).unwrap_or(target),
+        gap_target: millis(&value["gapTargetMs"]).unwrap_or(target),
         rank: whole(&value["priority"]).map_or(5, |rank| u8::try_from(rank).unwrap_or(9)),
         split: split(value)?,
-        attempts: whole(&value["maxAttempts"])
+        max_attempts: whole(&value["maxAttempts"])
             .and_then(|count| u32::try_from(count).ok())
             .unwrap_or(1)
             .max(1),
@@ -80,7 +80,7 @@
 fn service(value: &Value) -> Service {
     let connections = whole(&value["maxConnections"]).unwrap_or(0);
     Service {
-        connections: u32::try_from(connections).unwrap_or(u32::MAX),
+        max_connections: u32::try_from(connections).unwrap_or(u32::MAX),
         engine: engine(&value["engine"]),
     }
 }
@@ -88,9 +88,9 @@
 fn engine(value: &Value) -> Option<Engine> {
     value.as_object()?;
     Some(Engine {
-        memory: whole(&value["kvCapacity"]).unwrap_or(0),
-        token: whole(&value["kvBytes"]).unwrap_or(0),
-        link: value["linkMbps"].as_f64().unwrap_or(0.0),
-        switch: secs(&value["switchS"]).unwrap_or_default(),
+        kv_capacity: whole(&value["kvCapacity"]).unwrap_or(0),
+        token_bytes: whole(&value["kvBytes"]).unwrap_or(0),
+        link_mbps: value["linkMbps"].as_f64().unwrap_or(0.0),
+        switch_time: secs(&value["switchS"]).unwrap_or_default(),
     })
 }
--- a/src/platform/entry.rs
+++ b/src/platform/entry.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 use super::whole;
-use crate::core::relay::event::{Entry, Stage};
+use crate::core::relay::event::{BackendEntry, Stage};
 
 /// Word for an engine that prefills.
 pub(super) const PREFILL: &str = "prefill";
@@ -12,7 +12,7 @@
 
 /// Reads an entry; `None` where a field is missing, of another type or without meaning here.
 #[must_use]
-pub fn decode(id: &str, bytes: &[u8]) -> Option<Entry> {
+pub fn decode(id: &str, bytes: &[u8]) -> Option<BackendEntry> {
     let value: Value = serde_json::from_slice(bytes).ok()?;
     let leaving = match value["state"].as_str()? {
         "ready" => false,
@@ -24,7 +24,7 @@
         Value::String(word) => Some(stage(word)?),
         _ => return None,
     };
-    Some(Entry {
+    Some(BackendEntry {
         id: id.into(),
         service: value["service"].as_str()?.into(),
         addr: value["address"].as_str()?.parse().ok()?,
@@ -32,7 +32,7 @@
         slots: u32::try_from(whole(&value["slots"])?).ok()?,
         leaving,
         stage,
-        born: whole(&value["born"]).unwrap_or(0),
+        started_ms: whole(&value["born"]).unwrap_or(0),
     })
 }
 
--- a/src/platform/header.rs
+++ b/src/platform/header.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::core::relay::event::{NamedLimit, Outgoing, Prompt, PromptPart, Stage, Task};
+use crate::core::relay::event::{NamedLimit, Outgoing, PrefixBlock, Prompt, Stage, Task};
 
 /// Id of one attempt of a caller; echoed by backend servers.
 const ATTEMPT: &str = "x-chiveway-attempt-id";
@@ -117,9 +117,9 @@
     }
     asked.prompt = tokens.map(|(tokens, output)| Prompt {
         tokens,
-        output,
-        hint,
-        parts,
+        max_output: output,
+        output_hint: hint,
+        blocks: parts,
     });
     asked
 }
@@ -145,10 +145,10 @@
     Some((first.trim().parse().ok()?, second.trim().parse().ok()?))
 }
 
-fn parts(text: &str) -> Vec<PromptPart> {
+fn parts(text: &str) -> Vec<PrefixBlock> {
     let part = |item: &str| {
         let (id, tokens) = item.trim().split_once(':')?;
-        Some(PromptPart {
+        Some(PrefixBlock {
             id: number(id),
             tokens: tokens.trim().parse().ok()?,
         })
@@ -169,7 +169,7 @@
 #[must_use]
 pub fn encode(out: &Outgoing) -> Vec<(&'static str, String)> {
     let mut headers = vec![
-        (DEADLINE, out.left.as_millis().to_string()),
+        (DEADLINE, out.remaining.as_millis().to_string()),
         (EXPECT, out.instance.to_string()),
     ];
     if let Some(urgency) = out.urgency {
@@ -178,7 +178,7 @@
     if let Some(number) = out.resume {
         headers.push((LAST_EVENT, number.to_string()));
     }
-    if let Some(from) = out.fetch {
+    if let Some(from) = out.fetch_from {
         headers.push((FETCH, from.to_string()));
     }
     match &out.task {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -50,10 +50,10 @@
         }
     } else if let Some(id) = key.strip_prefix(SERVERS) {
         changes.instances.retain(|entry| *entry.id != *id);
-        changes.gone.retain(|gone| **gone != *id);
+        changes.removed.retain(|gone| **gone != *id);
         match value.and_then(|bytes| entry::decode(id, bytes)) {
             Some(entry) => changes.instances.push(entry),
-            None => changes.gone.push(id.into()),
+            None => changes.removed.push(id.into()),
         }
     } else if let Some(own) = key.strip_prefix(OWN) {
         changes.keys.push(KeyChange {
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -7,7 +7,7 @@
 
 use super::{catalog, engine, entry, header, sort, store};
 use crate::core::key::{AttemptKey, CallKey};
-use crate::core::relay::catalog::Repeat;
+use crate::core::relay::catalog::RetryPolicy;
 use crate::core::relay::event::{Changes, NamedLimit, Outgoing, Stage, StageOrder, Task};
 use crate::core::time::Time;
 use crate::store::{Compare, Op, Txn};
@@ -58,7 +58,7 @@
     sort(&mut changes, "servers/i-1", Some(good.as_bytes()), 5);
     sort(&mut changes, "servers/i-2", Some(b"\xff{"), 6);
     assert_eq!(changes.instances.len(), 1);
-    assert_eq!(changes.gone, vec![Box::from("i-2")]);
+    assert_eq!(changes.removed, vec![Box::from("i-2")]);
     sort(&mut changes, "op/config", Some(b"[]"), 7);
     assert_eq!(changes.catalog, None);
     sort(&mut changes, "servers/i-1", None, 8);
@@ -86,7 +86,7 @@
                 "resumable": $resumable, "service": "s", "timeoutMs": 10}));
             let catalog = catalog.expect("a configuration");
             let route = catalog.route("h:80", "/a/b").expect("the route");
-            assert_eq!(route.repeat, Repeat::$repeat);
+            assert_eq!(route.retry, RetryPolicy::$repeat);
         }
     )*};
 }
@@ -106,9 +106,9 @@
         "trafficSplit": [{"service": "s", "weight": 9}, {"service": "t", "weight": 1}]}));
     let catalog = catalog.expect("a configuration");
     let engine = catalog.services["s"].engine.clone().expect("engines");
-    assert_eq!((engine.memory, engine.token), (100, 8));
-    assert_eq!(engine.switch, Duration::from_secs(3));
-    assert_eq!(catalog.limits.body, 10);
+    assert_eq!((engine.kv_capacity, engine.token_bytes), (100, 8));
+    assert_eq!(engine.switch_time, Duration::from_secs(3));
+    assert_eq!(catalog.limits.max_body, 10);
     assert_eq!(catalog.routes[0].split.len(), 2);
 }
 
@@ -154,9 +154,9 @@
         ("last-event-id", b"12"),
     ]);
     let prompt = asked.prompt.expect("a prompt");
-    assert_eq!((prompt.tokens, prompt.output), (1460, 80));
+    assert_eq!((prompt.tokens, prompt.max_output), (1460, 80));
     let parts: Vec<_> = prompt
-        .parts
+        .blocks
         .iter()
         .map(|part| (part.id, part.tokens))
         .collect();
@@ -221,12 +221,12 @@
         instance: "i-1".into(),
         addr: "10.0.0.1:80".parse().expect("an address"),
         task,
-        left: Duration::from_millis(1234),
+        remaining: Duration::from_millis(1234),
         urgency: Some(3),
         resume: Some(7),
         streaming: true,
-        idle: 1,
-        fetch: None,
+        max_idle: 1,
+        fetch_from: None,
     }
 }
 
@@ -252,7 +252,7 @@
     assert!(prefill.contains(&("x-chiveway-serving-stage", "prefill".to_owned())));
     assert!(prefill.iter().all(|(name, _)| *name != "kv-fetch"));
     let fetching = header::encode(&Outgoing {
-        fetch: Some("10.0.0.3:80".parse().expect("an address")),
+        fetch_from: Some("10.0.0.3:80".parse().expect("an address")),
         ..outgoing(Task::Prefill)
     });
     assert!(fetching.contains(&("kv-fetch", "10.0.0.3:80".to_owned())));
--- a/src/wire/gossip.rs
+++ b/src/wire/gossip.rs
@@ -7,7 +7,7 @@
 
 use super::{WireError, generated as wire};
 use crate::core::relay::event::{
-    Changes, CrashReport, Gossip, GossipKind, Included, LimitReport, LoadReport, PrefixReport,
+    BlockReport, Changes, CrashReport, Gossip, GossipKind, IncludedReport, LimitReport, LoadReport,
     ProbeReport, ReplicatedChanges, StoreChange, UptimeReport,
 };
 
@@ -17,18 +17,18 @@
     let message = wire::Word {
         host: message.host.to_string(),
         incarnation: message.incarnation,
-        number: message.number,
+        number: message.sequence,
         loads: (!message.loads.is_empty()).then(|| to_loads(&message.loads)),
-        parts: message.parts.iter().map(to_part).collect(),
-        deaths: message.deaths.iter().map(to_death).collect(),
+        parts: message.blocks.iter().map(to_part).collect(),
+        deaths: message.crashes.iter().map(to_death).collect(),
         domain: domain.to_owned(),
-        passed: matches!(message.kind, GossipKind::Passed(_)),
+        passed: matches!(message.kind, GossipKind::Forwarded(_)),
         era: message.era,
-        newest: message.newest.map_or(0, |newest| newest.revision),
-        newest_age: message.newest.map_or(0, |newest| millis(newest.age)),
+        newest: message.probe.map_or(0, |newest| newest.revision),
+        newest_age: message.probe.map_or(0, |newest| millis(newest.age)),
         kind: kind.into(),
         included: to_included(&message.kind),
-        passage: message.passage.as_ref().map(to_passage),
+        passage: message.replicated.as_ref().map(to_passage),
         uptime: message.uptime.map(to_uptime),
         limits: message.limits.iter().map(to_limit).collect(),
     };
@@ -53,12 +53,12 @@
     Ok(Gossip {
         host: message.host.into(),
         incarnation: message.incarnation,
-        number: message.number,
+        sequence: message.number,
         loads: from_loads(&message.loads.unwrap_or_default())?,
-        parts: message.parts.iter().map(from_part).collect(),
-        deaths: message.deaths.iter().map(from_death).collect(),
+        blocks: message.parts.iter().map(from_part).collect(),
+        crashes: message.deaths.iter().map(from_death).collect(),
         kind,
-        passage: message.passage.map(from_passage),
+        replicated: message.passage.map(from_passage),
         uptime: message.uptime.map(from_uptime),
         limits: message
             .limits
@@ -66,7 +66,7 @@
             .map(from_limit)
             .collect::<Result<_, _>>()?,
         era: message.era,
-        newest: (message.newest > 0).then(|| ProbeReport {
+        probe: (message.newest > 0).then(|| ProbeReport {
             revision: message.newest,
             age: Duration::from_millis(message.newest_age.into()),
         }),
@@ -81,7 +81,7 @@
         GossipKind::Report => (wire::WordKind::Report, ""),
         GossipKind::Farewell => (wire::WordKind::Farewell, ""),
         GossipKind::Totals(_) => (wire::WordKind::Totals, ""),
-        GossipKind::Domain(domain) | GossipKind::Passed(domain) => (wire::WordKind::Own, domain),
+        GossipKind::Domain(domain) | GossipKind::Forwarded(domain) => (wire::WordKind::Own, domain),
     }
 }
 
@@ -90,7 +90,9 @@
     let kind = kind.map_err(|_unknown| WireError::Field { field: "kind" })?;
     Ok(match kind {
         wire::WordKind::Own if message.domain.is_empty() => GossipKind::Own,
-        wire::WordKind::Own if message.passed => GossipKind::Passed(message.domain.as_str().into()),
+        wire::WordKind::Own if message.passed => {
+            GossipKind::Forwarded(message.domain.as_str().into())
+        }
         wire::WordKind::Own => GossipKind::Domain(message.domain.as_str().into()),
         wire::WordKind::Hello => GossipKind::Hello,
         wire::WordKind::Report => GossipKind::Report,
@@ -107,15 +109,15 @@
     };
     let reports = included.iter().map(|report| wire::Included {
         process: report.process,
-        number: report.number,
+        number: report.sequence,
     });
     reports.collect()
 }
 
-fn from_included(report: &wire::Included) -> Included {
-    Included {
+fn from_included(report: &wire::Included) -> IncludedReport {
+    IncludedReport {
         process: report.process,
-        number: report.number,
+        sequence: report.number,
     }
 }
 
@@ -166,7 +168,7 @@
     });
     wire::Passage {
         after: passage.after,
-        at: passage.at,
+        at: passage.revision,
         events: events.collect(),
     }
 }
@@ -181,7 +183,7 @@
     });
     ReplicatedChanges {
         after: passage.after,
-        at: passage.at,
+        revision: passage.at,
         events: events.collect(),
     }
 }
@@ -214,17 +216,17 @@
     Ok(loads.collect())
 }
 
-fn to_part(part: &PrefixReport) -> wire::PartWord {
+fn to_part(part: &BlockReport) -> wire::PartWord {
     wire::PartWord {
-        part: part.part,
+        part: part.block,
         tokens: part.tokens,
         instance: part.instance,
     }
 }
 
-fn from_part(part: &wire::PartWord) -> PrefixReport {
-    PrefixReport {
-        part: part.part,
+fn from_part(part: &wire::PartWord) -> BlockReport {
+    BlockReport {
+        block: part.part,
         tokens: part.tokens,
         instance: part.instance,
     }
@@ -232,14 +234,14 @@
 
 fn to_death(death: &CrashReport) -> wire::DeathWord {
     wire::DeathWord {
-        print: death.print,
+        print: death.fingerprint,
         instance: death.instance,
     }
 }
 
 fn from_death(death: &wire::DeathWord) -> CrashReport {
     CrashReport {
-        print: death.print,
+        fingerprint: death.print,
         instance: death.instance,
     }
 }
