--- a/src/core/relay/choose/handover.rs
+++ b/src/core/relay/choose/handover.rs
@@ -2,7 +2,7 @@
 
 use super::super::event::{Stage, Task};
 use super::super::instance::Work;
-use super::super::{Call, Reads, load, prefix_cache};
+use super::super::{Call, PrefillEstimate, load, prefix_cache};
 use super::{
     Choice, batching_delay_ms, crossing_cost_ms, eligible_servers, eviction_cost_ms, no_server,
     policy, sampling, silence_timeout, slot_wait_ms, transfer_ms,
@@ -46,7 +46,7 @@
     let policy = policy(core);
     let moving = transfer_ms(core, call, &prompt);
     let learned = core.relay.model.of(&call.service);
-    let mut best: Option<(f64, Reads, f64, BackendKey)> = None;
+    let mut best: Option<(f64, PrefillEstimate, f64, BackendKey)> = None;
     for backend in engines {
         let instance = &core.relay.instances.arena[backend];
         let far = source.as_ref() != Some(&instance.domain);
@@ -56,13 +56,13 @@
             load::prefill_ms(learned, instance, instance.work().tokens) * PREFILL_WAIT_FRACTION;
         let queue = reading + slot_wait_ms(instance);
         let own = learned.handover_ms(instance.pace);
-        let reads = Reads {
-            before: moving + link + queue,
-            moving,
-            rest: own + queue,
-            ..Reads::default()
+        let reads = PrefillEstimate {
+            delay_ms: moving + link + queue,
+            transfer_ms: moving,
+            overhead_ms: own + queue,
+            ..PrefillEstimate::default()
         };
-        let expected = own + reads.before;
+        let expected = own + reads.delay_ms;
         let brought = prefix_cache::missing_tokens(instance, &prompt);
         let cost = expected
             + batching_delay_ms(instance)
@@ -90,12 +90,12 @@
         },
         expected_ms: expected,
         prefill: reads,
-        urgency: Some(if call.late {
+        urgency: Some(if call.is_late {
             HANDOVER_URGENCY + 1
         } else {
             HANDOVER_URGENCY
         }),
-        is_late: call.late,
+        is_late: call.is_late,
         fetch: None,
         silence_timeout: Some(silence_timeout(expected)),
     })
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -15,7 +15,7 @@
 use super::instance::{Instance, Work};
 use super::model::ServiceModel;
 use super::prefix_cache::{Fetch, Holder};
-use super::{Call, Reads, load, millis, prefix_cache, span};
+use super::{Call, PrefillEstimate, from_millis, load, millis, prefix_cache};
 use crate::error::Kind;
 use crate::settings::relay::Policy;
 
@@ -54,7 +54,7 @@
     /// Milliseconds until the first of the answer.
     pub expected_ms: f64,
     /// What is to be read there before its first token.
-    pub prefill: Reads,
+    pub prefill: PrefillEstimate,
     /// Urgency at an engine.
     pub urgency: Option<u8>,
     /// Whether it can no longer be in time.
@@ -117,7 +117,7 @@
 /// Returns when to look whether an attempt is silent from which an answer is expected after so many
 /// milliseconds.
 fn silence_timeout(expected: f64) -> Duration {
-    span(expected * SILENCE_FACTOR) + SILENCE_MARGIN
+    from_millis(expected * SILENCE_FACTOR) + SILENCE_MARGIN
 }
 
 fn policy(core: &Core) -> Policy {
@@ -170,7 +170,7 @@
     /// What is copied from another engine first.
     fetch: Option<Fetch>,
     /// What is to be read there.
-    prefill: Reads,
+    prefill: PrefillEstimate,
     /// Milliseconds until those are read.
     queue_ms: f64,
     /// Milliseconds until its own part is done there.
@@ -194,7 +194,7 @@
     let call = &core.relay.calls[key];
     let handover = handover::expected_ms(core, call);
     let moving = transfer_ms(core, call, &prompt);
-    let left = millis(call.end.since(core.now));
+    let left = millis(call.deadline.since(core.now));
     let spent = millis(core.now.since(call.arrived));
     let wanted = millis(call.route.target) * policy.patience - spent;
     let holders = prefix_cache::holders(core, call, &prompt);
@@ -280,15 +280,15 @@
         prefix_cache::best_fetch(instance, backend, unread, prompt, holders, engine)
     });
     let work = instance.work();
-    let reads = Reads {
-        unread: unread - fetch.map_or(0, |fetch| fetch.tokens),
-        held: prompt.tokens - unread + fetch.map_or(0, |fetch| fetch.tokens),
-        ahead: work.tokens,
-        before: fetch.map_or(0.0, |fetch| fetch.duration_ms),
-        ..Reads::default()
+    let reads = PrefillEstimate {
+        uncached: unread - fetch.map_or(0, |fetch| fetch.tokens),
+        cached: prompt.tokens - unread + fetch.map_or(0, |fetch| fetch.tokens),
+        queued: work.tokens,
+        delay_ms: fetch.map_or(0.0, |fetch| fetch.duration_ms),
+        ..PrefillEstimate::default()
     };
     let learned = core.relay.model.of(&call.service);
-    let tokens = learned.equivalent_tokens(reads.unread, reads.held);
+    let tokens = learned.equivalent_tokens(reads.uncached, reads.cached);
     let own = load::prefill_ms(learned, instance, tokens);
     let base = learned.base_ms(stage);
     let (base, after, share) = match stage {
@@ -300,7 +300,7 @@
         ),
     };
     let queue = load::prefill_ms(learned, instance, work.tokens);
-    let here = base + queue + reads.before + own;
+    let here = base + queue + reads.delay_ms + own;
     let crossing = crossing_cost_ms(core, call, instance, policy);
     let vain = match stage {
         Stage::Prefill => instance.vain(own),
--- a/src/core/relay/choose/plain.rs
+++ b/src/core/relay/choose/plain.rs
@@ -5,7 +5,7 @@
 use super::super::call::retry_after;
 use super::super::event::Task;
 use super::super::instance::Work;
-use super::super::{Reads, Repeat, load, millis, span};
+use super::super::{PrefillEstimate, RetryPolicy, from_millis, load, millis};
 use super::{Choice, MAX_WAIT_FRACTION, eligible_servers, no_server};
 use crate::core::Core;
 use crate::core::effect::Refusal;
@@ -41,13 +41,13 @@
         return Err(no_server(core, key));
     };
     let call = &core.relay.calls[key];
-    if expected > millis(call.end.since(core.now)) * MAX_WAIT_FRACTION {
+    if expected > millis(call.deadline.since(core.now)) * MAX_WAIT_FRACTION {
         let detail = format!("an answer would take {expected:.0} ms");
         let retry = retry_after(core, expected / 2.0);
         return Err(Refusal::new(Kind::Overloaded, detail).retry(retry));
     }
-    let silence = (call.route.repeat == Repeat::Idempotent)
-        .then(|| call.route.target.max(span(expected * 3.0)));
+    let silence = (call.route.retry == RetryPolicy::Idempotent)
+        .then(|| call.route.target.max(from_millis(expected * 3.0)));
     Ok(Choice {
         backend,
         task: Task::Whole,
@@ -56,7 +56,7 @@
             ..Work::default()
         },
         expected_ms: expected,
-        prefill: Reads::default(),
+        prefill: PrefillEstimate::default(),
         urgency: None,
         is_late: false,
         fetch: None,
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -11,7 +11,7 @@
 use super::event::{Stage, Task};
 use super::instance::Instance;
 use super::model::{Sample, ServiceModel};
-use super::{Attempt, Call, millis, note, span};
+use super::{Attempt, Call, from_millis, millis, note};
 
 /// Milliseconds by which each request that runs there delays the next token.
 pub const DELAY_PER_STREAM_MS: f64 = 0.6;
@@ -53,7 +53,7 @@
     let Some(attempt) = core.relay.attempts.get(key) else {
         return;
     };
-    let (expected, reads) = (attempt.expected, attempt.reads);
+    let (expected, reads) = (attempt.expected_ms, attempt.prefill);
     let task = attempt.task.clone();
     let id = core
         .relay
@@ -76,10 +76,10 @@
             ("took_ms", format!("{took:.0}").into()),
             ("expected_ms", format!("{expected:.0}").into()),
             ("pace", format!("{:.2}", instance.pace.factor).into()),
-            ("reads", reads.unread.to_string().into()),
-            ("held", reads.held.to_string().into()),
-            ("ahead", reads.ahead.to_string().into()),
-            ("before_ms", format!("{:.0}", reads.before).into()),
+            ("reads", reads.uncached.to_string().into()),
+            ("held", reads.cached.to_string().into()),
+            ("ahead", reads.queued.to_string().into()),
+            ("before_ms", format!("{:.0}", reads.delay_ms).into()),
         ],
     );
     if instance.stage.is_none() {
@@ -89,10 +89,10 @@
         && matches!(task, Task::Prefill | Task::Whole)
     {
         let sample = Sample {
-            took: took - reads.before,
-            uncached: reads.unread,
-            cached: reads.held,
-            queued: reads.ahead,
+            took: took - reads.delay_ms,
+            uncached: reads.uncached,
+            cached: reads.cached,
+            queued: reads.queued,
         };
         let learned = core.relay.model.of_mut(&instance.service);
         learned.record_prefill(stage, &sample, &mut instance.pace);
@@ -108,12 +108,12 @@
 /// Learns from the time that a hand-over took: what engines need for it, or which link is slow.
 fn record_handover(core: &mut Core, key: AttemptKey, took: f64) {
     let attempt = &core.relay.attempts[key];
-    let (target, reads) = (attempt.backend, attempt.reads);
+    let (target, reads) = (attempt.backend, attempt.prefill);
     let source = core.relay.calls.get(attempt.call);
     let source = source.and_then(|call| call.cache.as_ref().map(|cache| cache.engine));
     let now = core.now;
     let arena = &mut core.relay.instances.arena;
-    let usual = reads.rest + reads.moving;
+    let usual = reads.overhead_ms + reads.transfer_ms;
     let waited = if took > usual * LINK_DELAY_FACTOR {
         took - usual
     } else {
@@ -122,7 +122,7 @@
     if waited == 0.0
         && let Some(instance) = arena.get(target)
     {
-        let own = took - reads.before;
+        let own = took - reads.delay_ms;
         let learned = core.relay.model.of_mut(&instance.service);
         learned.record_handover(own, instance.pace);
     }
@@ -152,18 +152,18 @@
 /// Returns how long an attempt may bring nothing before it is taken for silent.
 #[must_use]
 pub fn silence_timeout(call: &Call, attempt: &Attempt, heard: Option<Time>, now: Time) -> Duration {
-    if attempt.began {
-        return (call.route.gap * 4).max(MIN_STREAM_GAP);
+    if attempt.started {
+        return (call.route.gap_target * 4).max(MIN_STREAM_GAP);
     }
     let alive = heard.is_some_and(|at| now.since(at) < ALIVE_WINDOW);
-    let expected = span(attempt.expected * SILENCE_FACTOR);
+    let expected = from_millis(attempt.expected_ms * SILENCE_FACTOR);
     if alive && call.prompt.is_some() {
         return expected + BUSY_ALLOWANCE;
     }
     if call.prompt.is_none() {
         return expected.max(call.route.target);
     }
-    expected + span(millis(call.route.target).mul_add(0.5, SILENCE_MARGIN_MS))
+    expected + from_millis(millis(call.route.target).mul_add(0.5, SILENCE_MARGIN_MS))
 }
 
 /// Time since an engine last brought anything within which it is alive.
--- a/src/core/relay/poison.rs
+++ b/src/core/relay/poison.rs
@@ -57,7 +57,7 @@
     pub fn record_crash(&mut self, death: CrashReport, now: Time) {
         let case = self
             .cases
-            .entry(death.print)
+            .entry(death.fingerprint)
             .or_insert_with(|| CrashRecord {
                 instances: BTreeSet::new(),
                 last_crash: now,
@@ -94,7 +94,7 @@
     };
     let call = &core.relay.calls[call];
     let message = CrashReport {
-        print: call.print,
+        fingerprint: call.fingerprint,
         instance: instance.short,
     };
     note(
