--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -240,7 +240,7 @@
     config.index.update(&config.lists.plans, &lists.plans);
     config.lists = lists;
     config.parts = parts;
-    share::changed(core);
+    share::lists_changed(core);
     member::beats(core, out);
 }
 
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -289,14 +289,14 @@
             fence,
             order,
             result,
-        } => order::ordered(core, &name, fence, order, result, out),
+        } => order::order_answered(core, &name, fence, order, result, out),
     }
 }
 
 /// Takes in the platform's list: what it no longer names gets no new work.
 fn listed(core: &mut Core, entries: Vec<Entry>, out: &mut Effects) {
     let hosts = entries.iter().filter(|entry| entry.kind == EntryKind::Host);
-    share::listed(core, hosts.map(|entry| &*entry.name));
+    share::hosts_listed(core, hosts.map(|entry| &*entry.name));
     let now = core.now;
     let fleet = &mut core.fleet;
     fleet.read = Some(now);
--- a/src/core/member/beat.rs
+++ b/src/core/member/beat.rs
@@ -21,7 +21,7 @@
 pub fn beats(core: &mut Core, out: &mut Effects) {
     let revision = core.config.revision();
     let stopping = core.stop.begun();
-    let (mut views, hosts) = (share::views(core), share::hosts(core));
+    let (mut views, hosts) = (share::recent_views(core), share::host_count(core));
     let newest = if views.is_empty() {
         View::default()
     } else {
@@ -30,7 +30,7 @@
     let peers: Vec<HostKey> = core.members.peers().collect();
     for to in peers {
         let number = core.members.arena[to].sent + 1;
-        let pledged = share::sending(core, to, number);
+        let pledged = share::heartbeat_sent(core, to, number);
         let peer = &mut core.members.arena[to];
         let lost = peer.sent.saturating_sub(peer.beat.echo.max(peer.opened));
         if lost >= UNECHOED {
@@ -66,7 +66,7 @@
     let revision = beat.revision;
     let first = peer.beat.number == 0;
     peer.beat = beat.clone();
-    share::heard(core, from, beat);
+    share::heartbeat_received(core, from, beat);
     if first {
         killer::welcome(core, from, out);
     }
--- a/src/core/member/inbox.rs
+++ b/src/core/member/inbox.rs
@@ -9,8 +9,8 @@
 pub(super) fn message_from(core: &mut Core, from: HostKey, message: Message, out: &mut Effects) {
     match message {
         Message::Beat(beat) => beat::heard(core, from, &beat, out),
-        Message::Borrow(borrow) => share::asked(core, from, &borrow, out),
-        Message::Lend(lend) => share::lent(core, from, &lend, out),
+        Message::Borrow(borrow) => share::borrow_received(core, from, &borrow, out),
+        Message::Lend(lend) => share::lend_received(core, from, &lend, out),
         Message::Begin(begin) => once::asked(core, from, begin, out),
         Message::Begun {
             round,
@@ -32,9 +32,9 @@
             plans,
             uses,
         } => config::told(core, revision, &plans, &uses, out),
-        Message::Confirm(confirm) => order::confirmed(core, from, &confirm, out),
+        Message::Confirm(confirm) => order::confirm_received(core, from, &confirm, out),
         Message::Listing(listing) => fleet::told(core, from, &listing, out),
-        Message::Demand(demand) => order::demanded(core, from, &demand),
+        Message::Demand(demand) => order::demand_received(core, from, &demand),
         Message::Sent(sent) => load::told(core, sent),
         Message::Running(streams) => load::told_streams(core, from, &streams),
         Message::Suspect(suspect) => killer::told(core, suspect),
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -256,7 +256,7 @@
     core.members.floor = core.members.tries + 1;
     core.members.registered = false;
     core.members.store_heard = None;
-    order::missed(core);
+    order::watch_lost(core);
     let text = format!("nothing happened here for {} ms", gap.as_millis());
     out.push(log_event(log::Level::Warn, "host.woke", text));
 }
@@ -271,7 +271,7 @@
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
     match timer {
         Timer::Beat => {
-            share::beat(core);
+            share::check_pledges(core);
             beats(core, out);
             load::tell_streams(core, out);
             wake(core, Timer::Beat, beat::EVERY, out);
@@ -390,7 +390,7 @@
 /// shares to hosts and away again.
 pub fn moved(core: &mut Core, out: &mut Effects) {
     core.members.changed(core.now);
-    share::moved(core, out);
+    share::view_changed(core, out);
     once::moved(core, out);
 }
 
--- a/src/core/order/hold.rs
+++ b/src/core/order/authority.rs
@@ -11,9 +11,9 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 
-use super::record::{Record, both, fence_key, key, pairs, put, record_in};
+use super::record::{Record, fence_key, holder_key, put_record, read_both, read_pairs, record_in};
 use super::suspect::{Process, Suspect};
-use super::{RETRY, name};
+use super::{RETRY_DELAY, name};
 use crate::core::effect::{Effect, log_event};
 use crate::core::event::{Health, Job, Ordered, StoreResult, Watched};
 use crate::core::key::PoolKey;
@@ -24,23 +24,23 @@
 ///
 /// The service counts the lease from when it granted it, the holder from before it asked; the
 /// rest is for clocks that run at different speeds and for the way of an order to its engine.
-const USED: f64 = 0.75;
+const USABLE_FRACTION: f64 = 0.75;
 /// Renewals in one life of a lease.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_LEASE: u32 = 3;
 /// Time that hosts other than the preferred one leave a pool without a holder.
-const TAKE_DELAY: Duration = Duration::from_secs(2);
+const TAKEOVER_DELAY: Duration = Duration::from_secs(2);
 /// Time an order's bytes may still be on their way after its sender is done with it.
 ///
 /// The kernel drops what an order's connection could not deliver within
 /// the host's `ORDER_LIFE`, whatever became of the process.
-pub const FLIGHT: Duration = Duration::from_secs(3);
+pub const MAX_FLIGHT_TIME: Duration = Duration::from_secs(3);
 
 /// How far the authority over a pool has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Stage {
     /// Another host has it, or none.
     #[default]
-    Away,
+    NotHeld,
     /// The keys are being read.
     Reading,
     /// A lease is being granted.
@@ -48,7 +48,7 @@
     /// The keys are being written.
     Swapping,
     /// The answer to the write was lost; the keys are read back.
-    Settling,
+    ReadingBack,
     /// This process has it.
     Held,
     /// This process had it and takes its name out of the record.
@@ -57,71 +57,71 @@
 
 /// The authority over one pool, as one host sees it.
 #[derive(Debug, Default)]
-pub struct Hold {
+pub struct Authority {
     /// How far it has come.
     pub stage: Stage,
     /// A call is on its way.
-    busy: bool,
+    call_pending: bool,
     /// When the call on its way was sent.
-    sent: Time,
+    call_sent: Time,
     /// No call before this time.
-    next: Time,
+    next_call: Time,
     lease: i64,
     /// The right to order ends here.
-    pub until: Time,
+    pub valid_until: Time,
     /// Fencing number of the last take-over of this process.
     pub fence: u64,
     token: Box<str>,
     /// Value of the holder's key while this process holds it.
     pub value: Bytes,
     /// Revision of the key-value service at the take-over.
-    taken: i64,
+    taken_revision: i64,
     record: Record,
-    modified: i64,
+    record_revision: i64,
     /// Since when the watch shows no holder.
-    vacant: Option<Time>,
+    vacant_since: Option<Time>,
     /// Host that the watch shows as the holder.
-    seen: Option<Box<str>>,
+    watched_holder: Option<Box<str>>,
     /// Processes that held the authority before and are not known dead.
     pub suspects: Vec<Suspect>,
     /// Orders of this process by fencing number whose end is not known.
-    flying: BTreeMap<u64, u32>,
+    in_flight: BTreeMap<u64, u32>,
     /// Bytes of this process's orders may be on their way until here.
-    clean: Time,
+    in_flight_until: Time,
     /// The record may name this process though it no longer holds the authority.
-    owed: bool,
+    maybe_recorded: bool,
 }
 
-impl Hold {
+impl Authority {
     /// Returns the holder's name as the watch shows it.
     #[must_use]
-    pub fn host(&self) -> Option<&str> {
-        self.seen.as_deref()
+    pub fn holder(&self) -> Option<&str> {
+        self.watched_holder.as_deref()
     }
 
     /// Notes that the watch is open: a pool that no key names has no holder.
-    pub fn noticed(&mut self, now: Time) {
-        if self.seen.is_none() && self.vacant.is_none() {
-            self.vacant = Some(now);
+    pub fn watch_opened(&mut self, now: Time) {
+        if self.watched_holder.is_none() && self.vacant_since.is_none() {
+            self.vacant_since = Some(now);
         }
     }
 
     /// Notes that an order was handed to the adapter.
-    pub fn flies(&mut self) {
-        *self.flying.entry(self.fence).or_default() += 1;
+    pub fn order_sent(&mut self) {
+        *self.in_flight.entry(self.fence).or_default() += 1;
     }
 
     /// Notes the end of an order; returns whether it was this pool's.
-    pub fn landed(&mut self, fence: u64, result: Ordered, now: Time) -> bool {
-        let Some(count) = self.flying.get_mut(&fence) else {
+    pub fn order_ended(&mut self, fence: u64, result: Ordered, now: Time) -> bool {
+        let Some(count) = self.in_flight.get_mut(&fence) else {
             return false;
         };
         *count -= 1;
         if *count == 0 {
-            self.flying.remove(&fence);
+            self.in_flight.remove(&fence);
         }
         if result == Ordered::Unknown {
-            self.clean = now.after(FLIGHT);
+            self.in_flight_until = now.after(MAX_FLIGHT_TIME);
         }
         true
     }
@@ -130,32 +130,34 @@
 /// Returns whether this process may give orders to a pool's engines now.
 #[must_use]
 pub fn holds(core: &Core, pool: PoolKey) -> bool {
-    let hold = &core.orders.desk(pool).hold;
-    hold.stage == Stage::Held && core.now < hold.until && !core.stop.begun()
+    let hold = &core.orders.pool(pool).authority;
+    hold.stage == Stage::Held && core.now < hold.valid_until && !core.stop.begun()
 }
 
 /// Goes on with the authority over a pool.
-pub(super) fn look(core: &mut Core, pool: PoolKey, out: &mut Effects) {
+pub(super) fn advance(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let now = core.now;
-    let hold = &core.orders.desk(pool).hold;
-    if hold.busy || now < hold.next {
+    let hold = &core.orders.pool(pool).authority;
+    if hold.call_pending || now < hold.next_call {
         return;
     }
     let (stage, lease) = (hold.stage, hold.lease);
     match stage {
-        Stage::Away if hold.owed && hold.flying.is_empty() && now >= hold.clean => {
-            core.orders.desk_mut(pool).hold.stage = Stage::Leaving;
+        Stage::NotHeld
+            if hold.maybe_recorded && hold.in_flight.is_empty() && now >= hold.in_flight_until =>
+        {
+            core.orders.pool_mut(pool).authority.stage = Stage::Leaving;
             read(core, pool, out);
         }
-        Stage::Away if may_try(core, pool) => {
-            core.orders.desk_mut(pool).hold.stage = Stage::Reading;
+        Stage::NotHeld if may_try(core, pool) => {
+            core.orders.pool_mut(pool).authority.stage = Stage::Reading;
             read(core, pool, out);
         }
-        Stage::Settling if now >= hold.until => give_up(core, pool, out),
-        Stage::Settling => read(core, pool, out),
+        Stage::ReadingBack if now >= hold.valid_until => give_up(core, pool, out),
+        Stage::ReadingBack => read(core, pool, out),
         Stage::Held => {
             let job = Job::Holder(pool);
-            call(core, pool, Effect::Renew { job, lease }, out);
+            start_call(core, pool, Effect::Renew { job, lease }, out);
         }
         _ => {}
     }
@@ -167,21 +169,21 @@
     if core.stop.begun() || !members.registered || members.store != Health::Up {
         return false;
     }
-    let Some(vacant) = core.orders.desk(pool).hold.vacant else {
+    let Some(vacant) = core.orders.pool(pool).authority.vacant_since else {
         return false;
     };
-    let preferred = members.home(&key(&name(core, pool))).is_none();
+    let preferred = members.home(&holder_key(&name(core, pool))).is_none();
     // The others wait differently long, so that they do not all try at the same moment.
     let hash = blake3::hash(&members.incarnation().to_le_bytes());
-    let spread = TAKE_DELAY.mul_f64(f64::from(hash.as_bytes()[0]) / 256.0);
-    preferred || core.now.since(vacant) >= TAKE_DELAY + spread
+    let spread = TAKEOVER_DELAY.mul_f64(f64::from(hash.as_bytes()[0]) / 256.0);
+    preferred || core.now.since(vacant) >= TAKEOVER_DELAY + spread
 }
 
-fn call(core: &mut Core, pool: PoolKey, effect: Effect, out: &mut Effects) {
+fn start_call(core: &mut Core, pool: PoolKey, effect: Effect, out: &mut Effects) {
     let now = core.now;
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    hold.busy = true;
-    hold.sent = now;
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    hold.call_pending = true;
+    hold.call_sent = now;
     out.push(effect);
 }
 
@@ -189,71 +191,73 @@
 fn read(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let txn = Txn {
         compare: Vec::new(),
-        then: both(&name(core, pool)),
+        then: read_both(&name(core, pool)),
         otherwise: Vec::new(),
     };
     let job = Job::Holder(pool);
-    call(core, pool, Effect::Txn { job, txn }, out);
+    start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
 /// Goes on when the key-value service has answered.
 pub(super) fn reply(core: &mut Core, pool: PoolKey, result: StoreResult, out: &mut Effects) {
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    hold.busy = false;
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    hold.call_pending = false;
     match (hold.stage, result) {
-        (Stage::Reading, StoreResult::Txn(txn)) => found(core, pool, &txn, out),
-        (Stage::Granting, StoreResult::Lease(lease)) if lease != 0 => swap(core, pool, lease, out),
+        (Stage::Reading, StoreResult::Txn(txn)) => keys_read(core, pool, &txn, out),
+        (Stage::Granting, StoreResult::Lease(lease)) if lease != 0 => {
+            write_keys(core, pool, lease, out)
+        }
         (Stage::Swapping, StoreResult::Txn(txn)) if txn.succeeded => {
-            held(core, pool, txn.revision, out);
+            taken_over(core, pool, txn.revision, out);
         }
-        (Stage::Swapping, StoreResult::Unknown) => hold.stage = Stage::Settling,
-        (Stage::Settling, StoreResult::Txn(txn)) => settle(core, pool, &txn, out),
-        (Stage::Held, StoreResult::Lease(0)) => drop_hold(core, pool, "the lease lapsed", out),
+        (Stage::Swapping, StoreResult::Unknown) => hold.stage = Stage::ReadingBack,
+        (Stage::ReadingBack, StoreResult::Txn(txn)) => resolve_write(core, pool, &txn, out),
+        (Stage::Held, StoreResult::Lease(0)) => lose_authority(core, pool, "the lease lapsed", out),
         (Stage::Held, StoreResult::Lease(_)) => renewed(core, pool),
-        (Stage::Held, StoreResult::Read(range)) => reread(core, pool, &range),
-        (Stage::Leaving, StoreResult::Txn(txn)) => leave(core, pool, &txn, out),
+        (Stage::Held, StoreResult::Read(range)) => record_reread(core, pool, &range),
+        (Stage::Leaving, StoreResult::Txn(txn)) => remove_self(core, pool, &txn, out),
         (Stage::Swapping, _) => give_up(core, pool, out),
         // A read that failed is made again; a renewal too, while the lease may last.
-        (Stage::Settling | Stage::Held, _) => {}
+        (Stage::ReadingBack | Stage::Held, _) => {}
         _ => {
-            hold.stage = Stage::Away;
+            hold.stage = Stage::NotHeld;
         }
     }
     let now = core.now;
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    if !hold.busy && hold.next <= now {
-        hold.next = now.after(RETRY);
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    if !hold.call_pending && hold.next_call <= now {
+        hold.next_call = now.after(RETRY_DELAY);
     }
 }
 
 /// Takes in what was read before a take-over, and asks for a lease if there is no holder.
-fn found(core: &mut Core, pool: PoolKey, txn: &TxnReply, out: &mut Effects) {
+fn keys_read(core: &mut Core, pool: PoolKey, txn: &TxnReply, out: &mut Effects) {
     let name = name(core, pool);
     let life = core.settings.platform.lease;
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    if pairs(txn).any(|pair| pair.key == key(&name)) {
-        hold.stage = Stage::Away;
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    if read_pairs(txn).any(|pair| pair.key == holder_key(&name)) {
+        hold.stage = Stage::NotHeld;
         return;
     }
     let Some(record) = record_in(txn, &name) else {
-        hold.stage = Stage::Away;
+        hold.stage = Stage::NotHeld;
         return;
     };
-    (hold.record, hold.modified) = record;
+    (hold.record, hold.record_revision) = record;
     hold.stage = Stage::Granting;
     let job = Job::Holder(pool);
-    call(core, pool, Effect::Grant { job, life }, out);
+    start_call(core, pool, Effect::Grant { job, life }, out);
 }
 
 /// Writes both keys, provided that nobody did so since they were read.
-fn swap(core: &mut Core, pool: PoolKey, lease: i64, out: &mut Effects) {
+fn write_keys(core: &mut Core, pool: PoolKey, lease: i64, out: &mut Effects) {
     let name = name(core, pool);
     let token: u64 = core.rng.random();
     let me = Process::own(core);
     let life = core.settings.platform.lease;
-    let hold = &mut core.orders.desk_mut(pool).hold;
+    let hold = &mut core.orders.pool_mut(pool).authority;
     hold.lease = lease;
-    hold.until = hold.sent.after(life.mul_f64(USED));
+    hold.valid_until = hold.call_sent.after(life.mul_f64(USABLE_FRACTION));
     hold.fence = hold.record.fence + 1;
     hold.token = format!("{}-{token:016x}", me.host).into();
     let value = json!({
@@ -273,59 +277,62 @@
     };
     let txn = Txn {
         compare: vec![
-            Compare::Absent { key: key(&name) },
+            Compare::Absent {
+                key: holder_key(&name),
+            },
             Compare::Modified {
                 key: fence_key(&name),
-                at: hold.modified,
+                at: hold.record_revision,
             },
         ],
         then: vec![
             Op::Put {
-                key: key(&name),
+                key: holder_key(&name),
                 value: hold.value.clone(),
                 lease,
             },
-            put(&name, &record),
+            put_record(&name, &record),
         ],
-        otherwise: both(&name),
+        otherwise: read_both(&name),
     };
     hold.record = record;
     hold.stage = Stage::Swapping;
     let job = Job::Holder(pool);
-    call(core, pool, Effect::Txn { job, txn }, out);
+    start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
 /// Reads back whether a write whose answer was lost took effect: only it has this token.
-fn settle(core: &mut Core, pool: PoolKey, txn: &TxnReply, out: &mut Effects) {
+fn resolve_write(core: &mut Core, pool: PoolKey, txn: &TxnReply, out: &mut Effects) {
     let name = name(core, pool);
-    let hold = &core.orders.desk(pool).hold;
-    let ours = pairs(txn).find(|pair| pair.key == key(&name) && pair.value == hold.value);
+    let hold = &core.orders.pool(pool).authority;
+    let ours =
+        read_pairs(txn).find(|pair| pair.key == holder_key(&name) && pair.value == hold.value);
     if let Some(pair) = ours {
-        held(core, pool, pair.modified, out);
+        taken_over(core, pool, pair.modified, out);
         return;
     }
-    let other = pairs(txn).any(|pair| pair.key == key(&name));
+    let other = read_pairs(txn).any(|pair| pair.key == holder_key(&name));
     let owed = record_in(txn, &name).is_some_and(|(record, _)| record.token == hold.token);
     if other || owed {
         give_up(core, pool, out);
     }
 }
 
-fn held(core: &mut Core, pool: PoolKey, revision: i64, out: &mut Effects) {
+fn taken_over(core: &mut Core, pool: PoolKey, revision: i64, out: &mut Effects) {
     let now = core.now;
     let me = Process::own(core);
     let life = core.settings.platform.lease;
     let host = core.members.name.clone();
-    let desk = core.orders.desk_mut(pool);
-    desk.work = super::Work::default();
-    desk.heard.clear();
-    let hold = &mut desk.hold;
+    let desk = core.orders.pool_mut(pool);
+    desk.holder = super::HolderState::default();
+    desk.confirms.clear();
+    let hold = &mut desk.authority;
     hold.stage = Stage::Held;
-    hold.taken = revision;
-    hold.next = hold.sent.after(life / RENEWALS).max(now);
-    hold.vacant = None;
-    hold.seen = Some(host);
-    hold.owed = true;
+    hold.taken_revision = revision;
+    hold.next_call = hold.call_sent.after(life / RENEWALS_PER_LEASE).max(now);
+    hold.vacant_since = None;
+    hold.watched_holder = Some(host);
+    hold.maybe_recorded = true;
     let others = hold.record.processes.iter().filter(|one| **one != me);
     hold.suspects = others.cloned().map(Suspect::new).collect();
     let (fence, count) = (hold.fence, hold.suspects.len());
@@ -339,23 +346,23 @@
 fn renewed(core: &mut Core, pool: PoolKey) {
     let now = core.now;
     let life = core.settings.platform.lease;
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    hold.until = hold.sent.after(life.mul_f64(USED));
-    hold.next = hold.sent.after(life / RENEWALS).max(now);
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    hold.valid_until = hold.call_sent.after(life.mul_f64(USABLE_FRACTION));
+    hold.next_call = hold.call_sent.after(life / RENEWALS_PER_LEASE).max(now);
 }
 
 /// Reads the record again: an earlier holder may have taken its name out.
-pub(super) fn check(core: &mut Core, pool: PoolKey, out: &mut Effects) {
-    if core.orders.desk(pool).hold.busy {
+pub(super) fn reread_record(core: &mut Core, pool: PoolKey, out: &mut Effects) {
+    if core.orders.pool(pool).authority.call_pending {
         return;
     }
     let span = Span::Key(fence_key(&name(core, pool)));
     let job = Job::Holder(pool);
-    call(core, pool, Effect::Read { job, span }, out);
+    start_call(core, pool, Effect::Read { job, span }, out);
 }
 
-fn reread(core: &mut Core, pool: PoolKey, range: &Range) {
-    let hold = &mut core.orders.desk_mut(pool).hold;
+fn record_reread(core: &mut Core, pool: PoolKey, range: &Range) {
+    let hold = &mut core.orders.pool_mut(pool).authority;
     let record = range.pairs.first().and_then(|p| Record::parse(&p.value));
     let Some(record) = record.filter(|record| record.token == hold.token) else {
         return;
@@ -366,38 +373,38 @@
 }
 
 /// Takes the processes that are known dead out of the record.
-pub(super) fn forget(core: &mut Core, pool: PoolKey, out: &mut Effects) {
+pub(super) fn remove_dead(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let pool_name = name(core, pool);
     let me = Process::own(core);
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    if hold.busy {
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    if hold.call_pending {
         return;
     }
     hold.suspects.clear();
     hold.record.processes = vec![me];
     let txn = Txn {
         compare: vec![Compare::Value {
-            key: key(&pool_name),
+            key: holder_key(&pool_name),
             is: hold.value.clone(),
         }],
-        then: vec![put(&pool_name, &hold.record)],
+        then: vec![put_record(&pool_name, &hold.record)],
         otherwise: Vec::new(),
     };
     let job = Job::Holder(pool);
-    call(core, pool, Effect::Txn { job, txn }, out);
+    start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
 /// Takes this process out of the record, once its orders have landed.
-fn leave(core: &mut Core, pool: PoolKey, txn: &TxnReply, out: &mut Effects) {
+fn remove_self(core: &mut Core, pool: PoolKey, txn: &TxnReply, out: &mut Effects) {
     let name = name(core, pool);
     let me = Process::own(core);
-    let hold = &mut core.orders.desk_mut(pool).hold;
+    let hold = &mut core.orders.pool_mut(pool).authority;
     let written = txn.succeeded && txn.replies.contains(&Reply::Put);
     let named = record_in(txn, &name).filter(|(record, _)| record.processes.contains(&me));
     let Some((mut record, modified)) = named.filter(|_| !written) else {
         // A failed write reads as a record without this process only if both keys were read.
-        hold.owed = !written && !txn.succeeded;
-        hold.stage = Stage::Away;
+        hold.maybe_recorded = !written && !txn.succeeded;
+        hold.stage = Stage::NotHeld;
         return;
     };
     record.processes.retain(|process| *process != me);
@@ -406,31 +413,31 @@
             key: fence_key(&name),
             at: modified,
         }],
-        then: vec![put(&name, &record)],
+        then: vec![put_record(&name, &record)],
         otherwise: Vec::new(),
     };
     let job = Job::Holder(pool);
-    call(core, pool, Effect::Txn { job, txn }, out);
+    start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
 fn give_up(core: &mut Core, pool: PoolKey, out: &mut Effects) {
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    hold.stage = Stage::Away;
-    hold.owed = true;
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    hold.stage = Stage::NotHeld;
+    hold.maybe_recorded = true;
     let lease = std::mem::take(&mut hold.lease);
     if lease != 0 {
         out.push(Effect::Revoke(lease));
     }
 }
 
-fn drop_hold(core: &mut Core, pool: PoolKey, why: &str, out: &mut Effects) {
+fn lose_authority(core: &mut Core, pool: PoolKey, why: &str, out: &mut Effects) {
     let now = core.now;
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    hold.stage = Stage::Away;
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    hold.stage = Stage::NotHeld;
     hold.lease = 0;
-    hold.seen = None;
-    hold.vacant = Some(now);
-    core.orders.desk_mut(pool).work = super::Work::default();
+    hold.watched_holder = None;
+    hold.vacant_since = Some(now);
+    core.orders.pool_mut(pool).holder = super::HolderState::default();
     let text = format!("lost {}: {why}", name(core, pool));
     out.push(log_event(log::Level::Warn, "pool.lost", text));
 }
@@ -438,20 +445,20 @@
 /// Takes in a change of the holder's key.
 pub(super) fn watched(core: &mut Core, pool: PoolKey, pair: &Watched, out: &mut Effects) {
     let now = core.now;
-    let hold = &mut core.orders.desk_mut(pool).hold;
+    let hold = &mut core.orders.pool_mut(pool).authority;
     // News from before the take-over is about an earlier holder.
-    if hold.stage == Stage::Held && pair.modified <= hold.taken {
+    if hold.stage == Stage::Held && pair.modified <= hold.taken_revision {
         return;
     }
     let value = pair.value.as_deref();
     if hold.stage == Stage::Held && value != Some(&*hold.value) {
-        drop_hold(core, pool, "another holder or none", out);
+        lose_authority(core, pool, "another holder or none", out);
     }
-    let hold = &mut core.orders.desk_mut(pool).hold;
-    hold.seen = value.and_then(host_of);
-    hold.vacant = match hold.seen {
+    let hold = &mut core.orders.pool_mut(pool).authority;
+    hold.watched_holder = value.and_then(host_of);
+    hold.vacant_since = match hold.watched_holder {
         Some(_) => None,
-        None => hold.vacant.or(Some(now)),
+        None => hold.vacant_since.or(Some(now)),
     };
 }
 
@@ -464,26 +471,26 @@
 pub(super) fn release(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let pool_name = name(core, pool);
     let me = Process::own(core);
-    let hold = &mut core.orders.desk_mut(pool).hold;
+    let hold = &mut core.orders.pool_mut(pool).authority;
     if hold.stage != Stage::Held {
         return;
     }
     // An order on its way may still land; then only the end of this process clears it.
-    if hold.flying.is_empty() {
+    if hold.in_flight.is_empty() {
         hold.record.processes.retain(|process| *process != me);
     }
     let txn = Txn {
         compare: vec![Compare::Value {
-            key: key(&pool_name),
+            key: holder_key(&pool_name),
             is: hold.value.clone(),
         }],
         then: vec![
-            Op::Delete(Span::Key(key(&pool_name))),
-            put(&pool_name, &hold.record),
+            Op::Delete(Span::Key(holder_key(&pool_name))),
+            put_record(&pool_name, &hold.record),
         ],
         otherwise: Vec::new(),
     };
-    hold.stage = Stage::Away;
+    hold.stage = Stage::NotHeld;
     hold.lease = 0;
     let job = Job::Holder(pool);
     out.push(Effect::Txn { job, txn });
--- a/src/core/order/change.rs
+++ b/src/core/order/change.rs
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::drain::{self, Word};
+use super::drain::{self, DrainState};
 use super::intent::{self, Call, Intent, Intents};
-use super::route::{self, Place, Route};
-use super::{DEMAND_AGE, name, publish, suspect};
+use super::route::{self, EngineState, Route};
+use super::{DEMAND_MAX_AGE, name, publish, suspect};
 use crate::core::effect::{Action, Effect, Meter, Order, log_event};
 use crate::core::event::{Ordered, Role};
 use crate::core::fleet::{Backend, Standing};
@@ -20,17 +20,17 @@
 use crate::core::{Core, Effects, Time};
 
 /// Time every host has to confirm a withdrawal before the change is called off.
-const CONFIRM_TIME: Duration = Duration::from_secs(5);
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time between two sendings of an order.
-const RESEND: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 /// Sendings of an order that was answered and did not come into force, before it is given up.
-const TRIES: u32 = 3;
+const MAX_TRIES: u32 = 3;
 /// Time between two decisions on a pool's roles.
-const DECIDE_EVERY: Duration = Duration::from_secs(1);
+const DECIDE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a pool's holder has under way.
 #[derive(Debug, Default)]
-pub struct Work {
+pub struct HolderState {
     /// Routing state as stored, with its revision there; `None` until it is read.
     pub route: Option<(Route, i64)>,
     /// Call about the routing state on its way.
@@ -40,15 +40,15 @@
     /// Call about intended orders on its way.
     pub(super) intent_call: Option<Call>,
     /// Nothing is sent to the key-value service before this time.
-    pub(super) next: Time,
+    pub(super) next_call: Time,
     /// The change under way.
     pub change: Option<Change>,
     /// Number of the last order under the present fencing number.
-    number: u64,
-    decided: Time,
+    last_order: u64,
+    last_decision: Time,
     memory: Memory,
     /// Since when engines report another role than routing assumes.
-    pub(super) odd: BTreeMap<Box<str>, Time>,
+    pub(super) role_mismatches: BTreeMap<Box<str>, Time>,
 }
 
 /// One engine's change.
@@ -61,22 +61,22 @@
     /// How far the change is.
     pub step: Step,
     /// Whether it can still be called off.
-    bound: Bound,
+    commitment: Commitment,
     since: Time,
     /// Since when no host has work there.
-    free: Option<Time>,
+    free_since: Option<Time>,
     tries: u32,
     /// Number of the last order that was answered and did not come into force.
-    spent: u64,
+    failed_order: u64,
     /// The order is not sent again before this time.
-    resend: Time,
+    resend_at: Time,
 }
 
 /// Whether a change can still be called off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Bound {
+enum Commitment {
     /// No order is recorded yet.
-    Open,
+    Revocable,
     /// An order is recorded and may reach the engine.
     Recorded,
 }
@@ -93,61 +93,66 @@
     /// The order is on its way.
     Sent,
     /// The order was answered at this time; the engine's report must show it.
-    Settle(Time),
+    AwaitReport(Time),
     /// The record is being taken away; then the engine serves in this role.
-    Close(Role),
+    DeleteRecord(Role),
     /// The engine goes back to work in this role.
     Restore(Role),
 }
 
 /// Goes on with the holder's work on a pool.
-pub(super) fn look(core: &mut Core, pool: PoolKey, out: &mut Effects) {
+pub(super) fn advance_holder(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let now = core.now;
-    let work = &core.orders.desk(pool).work;
-    if now < work.next {
+    let work = &core.orders.pool(pool).holder;
+    if now < work.next_call {
         return;
     }
     if work.route.is_none() && work.route_call.is_none() {
         route::read(core, pool, out);
     }
-    let work = &core.orders.desk(pool).work;
+    let work = &core.orders.pool(pool).holder;
     if work.intents.is_none() && work.intent_call.is_none() {
         intent::read(core, pool, out);
     }
-    let work = &core.orders.desk(pool).work;
+    let work = &core.orders.pool(pool).holder;
     if work.route.is_none() || work.intents.is_none() {
         return;
     }
-    publish::notice(core, pool);
-    if core.orders.desk(pool).work.change.is_none() {
-        let change = inherited(core, pool).or_else(|| decided(core, pool, out));
-        core.orders.desk_mut(pool).work.change = change;
+    publish::note_mismatches(core, pool);
+    if core.orders.pool(pool).holder.change.is_none() {
+        let change = inherited_change(core, pool).or_else(|| decided_change(core, pool, out));
+        core.orders.pool_mut(pool).holder.change = change;
     }
-    if let Some(change) = core.orders.desk_mut(pool).work.change.take() {
+    if let Some(change) = core.orders.pool_mut(pool).holder.change.take() {
         let change = advance(core, pool, change, out);
-        core.orders.desk_mut(pool).work.change = change;
+        core.orders.pool_mut(pool).holder.change = change;
     }
     publish::publish(core, pool, out);
 }
 
 /// Returns the change that an earlier holder's recorded order calls for.
-fn inherited(core: &Core, pool: PoolKey) -> Option<Change> {
-    let intents = core.orders.desk(pool).work.intents.as_ref()?;
+fn inherited_change(core: &Core, pool: PoolKey) -> Option<Change> {
+    let intents = core.orders.pool(pool).holder.intents.as_ref()?;
     let mut listed = intents
         .iter()
         .filter(|(engine, _)| core.fleet.find(engine).is_some());
     let (engine, (intent, _)) = listed.next()?;
-    Some(Change::new(engine, intent.role, Bound::Recorded, core.now))
+    Some(Change::new(
+        engine,
+        intent.role,
+        Commitment::Recorded,
+        core.now,
+    ))
 }
 
 /// Returns the change that the demand calls for.
-fn decided(core: &mut Core, pool: PoolKey, out: &mut Effects) -> Option<Change> {
+fn decided_change(core: &mut Core, pool: PoolKey, out: &mut Effects) -> Option<Change> {
     let now = core.now;
     let at = usize::from(pool.0);
-    let work = &core.orders.desk(pool).work;
-    let due = now.since(work.decided) >= DECIDE_EVERY;
+    let work = &core.orders.pool(pool).holder;
+    let due = now.since(work.last_decision) >= DECIDE_INTERVAL;
     let split = core.fleet.pools[at].settings.split;
-    if !split || !due || !drain::settled(core) || !suspect::clear(core, pool) {
+    if !split || !due || !drain::departed_stopped(core) || !suspect::no_suspects(core, pool) {
         return None;
     }
     let engines = core.fleet.pools[at].engines.iter();
@@ -156,10 +161,10 @@
         .collect();
     let decide = core.orders.decide;
     let settings = core.fleet.pools[at].settings.clone();
-    let desk = core.orders.desk_mut(pool);
-    desk.work.decided = now;
+    let desk = core.orders.pool_mut(pool);
+    desk.holder.last_decision = now;
     desk.demand
-        .retain(|_, (when, _)| now.since(*when) < DEMAND_AGE);
+        .retain(|_, (when, _)| now.since(*when) < DEMAND_MAX_AGE);
     let (prompt, output) = desk.demand.values().fold((0.0, 0.0), |sum, (_, demand)| {
         (sum.0 + demand.prompt, sum.1 + demand.output)
     });
@@ -170,7 +175,7 @@
         prompt,
         output,
     };
-    let wish = decide(&view, &mut desk.work.memory)?;
+    let wish = decide(&view, &mut desk.holder.memory)?;
     let engine = core.fleet.arena.get(wish.engine)?;
     if engine.role == wish.role || engine.listed != Standing::Serving {
         return None;
@@ -178,7 +183,7 @@
     let (name, role) = (engine.name.clone(), wish.role);
     let text = format!("{name} is to become {}", role.word());
     out.push(log_event(log::Level::Info, "change.begun", text));
-    Some(Change::new(&name, role, Bound::Open, now))
+    Some(Change::new(&name, role, Commitment::Revocable, now))
 }
 
 fn engine_view(core: &Core, key: crate::core::key::BackendKey, engine: &Backend) -> Engine {
@@ -202,21 +207,21 @@
 }
 
 impl Change {
-    fn new(engine: &str, role: Role, bound: Bound, now: Time) -> Self {
+    fn new(engine: &str, role: Role, bound: Commitment, now: Time) -> Self {
         Self {
             engine: engine.into(),
             role,
             step: Step::Drain,
-            bound,
+            commitment: bound,
             since: now,
-            free: None,
+            free_since: None,
             tries: 0,
-            spent: 0,
-            resend: now,
+            failed_order: 0,
+            resend_at: now,
         }
     }
 
-    fn at(mut self, step: Step) -> Self {
+    fn with_step(mut self, step: Step) -> Self {
         self.step = step;
         self
     }
@@ -228,73 +233,76 @@
     // again should it come back.
     core.fleet.find(&change.engine)?;
     match change.step {
-        Step::Drain => Some(drained(core, pool, change, out)),
-        Step::Record => Some(record(core, pool, change, out)),
-        Step::Order => Some(give(core, pool, change, out)),
+        Step::Drain => Some(await_drain(core, pool, change, out)),
+        Step::Record => Some(record_order(core, pool, change, out)),
+        Step::Order => Some(send_order(core, pool, change, out)),
         Step::Sent => Some(change),
-        Step::Settle(at) => Some(settle(core, pool, change, at)),
-        Step::Close(role) => Some(close(core, pool, change, role, out)),
+        Step::AwaitReport(at) => Some(await_report(core, pool, change, at)),
+        Step::DeleteRecord(role) => Some(delete_record(core, pool, change, role, out)),
         Step::Restore(role) => {
-            let wanted = Place {
+            let wanted = EngineState {
                 standing: Standing::Serving,
                 role,
             };
-            let stored = core.orders.desk(pool).work.route.as_ref();
-            let done = stored.is_some_and(|(route, _)| route.place(&change.engine) == wanted);
+            let stored = core.orders.pool(pool).holder.route.as_ref();
+            let done =
+                stored.is_some_and(|(route, _)| route.engine_state(&change.engine) == wanted);
             (!done).then_some(change)
         }
     }
 }
 
 /// Waits until the engine has no work, or calls the change off.
-fn drained(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
+fn await_drain(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
     let now = core.now;
-    let desk = core.orders.desk_mut(pool);
-    let Some((route, modified)) = &desk.work.route else {
+    let desk = core.orders.pool_mut(pool);
+    let Some((route, modified)) = &desk.holder.route else {
         return change;
     };
     let revision = route.revision;
-    let withdrawn = route.place(&change.engine).standing == Standing::Withdrawn;
+    let withdrawn = route.engine_state(&change.engine).standing == Standing::Withdrawn;
     // Only when this host's own watch shows the withdrawal does it know every host that
     // registered before it; a host that registers later starts from it.
     let word = if !withdrawn || desk.applied.modified < *modified {
-        Word::Missing
+        DrainState::Unconfirmed
     } else if desk.applied.modified > *modified {
         // Nobody else writes it, so what was read is from before this host became the holder.
-        desk.work.route = None;
-        Word::Missing
+        desk.holder.route = None;
+        DrainState::Unconfirmed
     } else {
-        drain::word(core, pool, &change.engine, revision)
+        drain::drain_state(core, pool, &change.engine, revision)
     };
-    if word != Word::Free {
-        change.free = None;
-        return if change.bound == Bound::Open {
+    if word != DrainState::Free {
+        change.free_since = None;
+        return if change.commitment == Commitment::Revocable {
             call_off(core, pool, change, word, out)
         } else {
             change
         };
     }
-    let free = *change.free.get_or_insert(now);
+    let free = *change.free_since.get_or_insert(now);
     let idle = drain::report(core, &change.engine).is_some_and(|(at, report)| {
         at > free.millis() && report.running == 0 && report.waiting == 0
     });
-    if idle && suspect::clear(core, pool) {
-        return if in_force(core, pool, &change) {
+    if idle && suspect::no_suspects(core, pool) {
+        return if order_in_force(core, pool, &change) {
             let role = change.role;
-            change.at(Step::Close(role))
+            change.with_step(Step::DeleteRecord(role))
         } else {
-            change.at(Step::Record)
+            change.with_step(Step::Record)
         };
     }
-    if change.bound == Bound::Open && now.since(change.since) >= core.settings.limits.drain {
+    if change.commitment == Commitment::Revocable
+        && now.since(change.since) >= core.settings.limits.drain
+    {
         return call_off(core, pool, change, word, out);
     }
     change
 }
 
 /// Returns whether an earlier holder's order has done what it was to do.
-fn in_force(core: &Core, pool: PoolKey, change: &Change) -> bool {
-    let intents = core.orders.desk(pool).work.intents.as_ref();
+fn order_in_force(core: &Core, pool: PoolKey, change: &Change) -> bool {
+    let intents = core.orders.pool(pool).holder.intents.as_ref();
     let intent = intents.and_then(|all| all.get(&change.engine));
     let report = drain::report(core, &change.engine);
     intent
@@ -311,14 +319,14 @@
     core: &mut Core,
     pool: PoolKey,
     change: Change,
-    word: Word,
+    word: DrainState,
     out: &mut Effects,
 ) -> Change {
     let waited = core.now.since(change.since);
     let (bound, why) = match word {
-        Word::Missing => (CONFIRM_TIME, "a host did not confirm the withdrawal"),
-        Word::Busy => (core.settings.limits.drain, "streams outlasted the drain"),
-        Word::Free => (
+        DrainState::Unconfirmed => (CONFIRM_TIMEOUT, "a host did not confirm the withdrawal"),
+        DrainState::Busy => (core.settings.limits.drain, "streams outlasted the drain"),
+        DrainState::Free => (
             core.settings.limits.drain,
             "its report does not show it idle",
         ),
@@ -331,31 +339,34 @@
     let why = if leaving { "it is leaving" } else { why };
     let text = format!("the change of {} is called off: {why}", change.engine);
     out.push(log_event(log::Level::Warn, "change.called_off", text));
-    let stored = core.orders.desk(pool).work.route.as_ref();
-    let role = stored.map_or(Role::Both, |(route, _)| route.place(&change.engine).role);
-    change.at(Step::Restore(role))
+    let stored = core.orders.pool(pool).holder.route.as_ref();
+    let role = stored.map_or(Role::Both, |(route, _)| {
+        route.engine_state(&change.engine).role
+    });
+    change.with_step(Step::Restore(role))
 }
 
 /// Records the order as the engine's one intended order.
-fn record(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
-    change.bound = Bound::Recorded;
-    let desk = core.orders.desk_mut(pool);
-    let fence = desk.hold.fence;
+fn record_order(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
+    change.commitment = Commitment::Recorded;
+    let desk = core.orders.pool_mut(pool);
+    let fence = desk.authority.fence;
     let known = desk
-        .work
+        .holder
         .intents
         .as_ref()
         .and_then(|all| all.get(&change.engine));
-    if known.is_some_and(|(intent, _)| intent.fence == fence && intent.order > change.spent) {
-        return change.at(Step::Order);
+    if known.is_some_and(|(intent, _)| intent.fence == fence && intent.order > change.failed_order)
+    {
+        return change.with_step(Step::Order);
     }
-    if desk.work.intent_call.is_some() {
+    if desk.holder.intent_call.is_some() {
         return change;
     }
-    desk.work.number += 1;
+    desk.holder.last_order += 1;
     let intent = Intent {
         fence,
-        order: desk.work.number,
+        order: desk.holder.last_order,
         role: change.role,
     };
     let call = Call::Put(change.engine.clone(), intent);
@@ -364,30 +375,30 @@
 }
 
 /// Sends the order, provided that the engine is still free of work.
-fn give(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
+fn send_order(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
     let now = core.now;
-    let desk = core.orders.desk(pool);
-    let intents = desk.work.intents.as_ref();
+    let desk = core.orders.pool(pool);
+    let intents = desk.holder.intents.as_ref();
     let Some((intent, _)) = intents.and_then(|all| all.get(&change.engine)).copied() else {
-        return change.at(Step::Record);
+        return change.with_step(Step::Record);
     };
-    if now < change.resend {
+    if now < change.resend_at {
         return change;
     }
     let seen = drain::report(core, &change.engine);
     if seen.is_some_and(|(_, r)| (r.fence, r.order) == (intent.fence, intent.order)) {
-        return change.at(Step::Settle(now));
+        return change.with_step(Step::AwaitReport(now));
     }
     let revision = desk
-        .work
+        .holder
         .route
         .as_ref()
         .map_or(0, |(route, _)| route.revision);
-    if !suspect::clear(core, pool)
-        || drain::word(core, pool, &change.engine, revision) != Word::Free
+    if !suspect::no_suspects(core, pool)
+        || drain::drain_state(core, pool, &change.engine, revision) != DrainState::Free
     {
-        change.free = None;
-        return change.at(Step::Drain);
+        change.free_since = None;
+        return change.with_step(Step::Drain);
     }
     let Some(key) = core.fleet.find(&change.engine) else {
         return change;
@@ -399,7 +410,7 @@
         order: intent.order,
         holder: core.members.name.clone(),
         action: Action::Role(change.role),
-        until: desk.hold.until,
+        until: desk.authority.valid_until,
     };
     let text = format!(
         "{} is ordered to become {} by order {}.{}",
@@ -412,13 +423,13 @@
     let pool_name = name(core, pool);
     out.push(Effect::Meter(Meter::Ordered { pool: pool_name }));
     out.push(Effect::Order(order));
-    core.orders.desk_mut(pool).hold.flies();
-    change.resend = now.after(RESEND);
-    change.at(Step::Sent)
+    core.orders.pool_mut(pool).authority.order_sent();
+    change.resend_at = now.after(RESEND_INTERVAL);
+    change.with_step(Step::Sent)
 }
 
 /// Takes in an order's answer.
-pub(super) fn ordered(
+pub(super) fn order_answered(
     core: &mut Core,
     pool: PoolKey,
     engine: &str,
@@ -428,7 +439,7 @@
 ) {
     let now = core.now;
     let reported = drain::report(core, engine).map(|(_, report)| report.role);
-    let work = &mut core.orders.desk_mut(pool).work;
+    let work = &mut core.orders.pool_mut(pool).holder;
     let intents = work.intents.as_ref().and_then(|all| all.get(engine));
     let current = intents.is_some_and(|(one, _)| (one.fence, one.order) == number);
     let Some(change) = work
@@ -439,20 +450,20 @@
         return;
     };
     change.step = match result {
-        Ordered::Done => Step::Settle(now),
+        Ordered::Done => Step::AwaitReport(now),
         // The same order again: an engine that has carried it out knows it, and to one that
         // takes any order it says the same.
         Ordered::Unsent | Ordered::Unknown => Step::Order,
         Ordered::Fenced(fence) => {
             let text = format!("{engine} has seen the fencing number {fence}");
             out.push(log_event(log::Level::Error, "change.fenced", text));
-            Step::Close(reported.unwrap_or_default())
+            Step::DeleteRecord(reported.unwrap_or_default())
         }
     };
 }
 
 /// Waits until the engine's report shows what became of the order.
-fn settle(core: &Core, pool: PoolKey, mut change: Change, at: Time) -> Change {
+fn await_report(core: &Core, pool: PoolKey, mut change: Change, at: Time) -> Change {
     let Some((told, report)) = drain::report(core, &change.engine) else {
         return change;
     };
@@ -460,28 +471,34 @@
         return change;
     }
     if report.role == change.role {
-        return change.at(Step::Close(report.role));
+        return change.with_step(Step::DeleteRecord(report.role));
     }
     // It crashed halfway. The order was answered, so it is no longer on its way; it goes out
     // again under a new number, for an engine that kept the old one takes it for a repeat.
     change.tries += 1;
-    let work = &core.orders.desk(pool).work;
-    change.spent = work.number;
-    if change.tries < TRIES {
-        return change.at(Step::Record);
+    let work = &core.orders.pool(pool).holder;
+    change.failed_order = work.last_order;
+    if change.tries < MAX_TRIES {
+        return change.with_step(Step::Record);
     }
     let role = report.role;
-    change.at(Step::Close(role))
+    change.with_step(Step::DeleteRecord(role))
 }
 
 /// Takes the record away.
-fn close(core: &mut Core, pool: PoolKey, change: Change, role: Role, out: &mut Effects) -> Change {
-    let work = &core.orders.desk(pool).work;
+fn delete_record(
+    core: &mut Core,
+    pool: PoolKey,
+    change: Change,
+    role: Role,
+    out: &mut Effects,
+) -> Change {
+    let work = &core.orders.pool(pool).holder;
     let intents = work.intents.as_ref();
     if intents.is_some_and(|all| !all.contains_key(&change.engine)) {
         let text = format!("{} goes back to work as {}", change.engine, role.word());
         out.push(log_event(log::Level::Info, "change.done", text));
-        return change.at(Step::Restore(role));
+        return change.with_step(Step::Restore(role));
     }
     if work.intent_call.is_none() {
         let call = Call::Delete(change.engine.clone());
--- a/src/core/order/drain.rs
+++ b/src/core/order/drain.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::name;
-use super::route::Told;
+use super::route::SentConfirm;
 use crate::core::effect::Effect;
 use crate::core::event::Report;
 use crate::core::fleet::Standing;
@@ -16,58 +16,58 @@
 use crate::core::{Core, Effects, Time};
 
 /// Time between two words to the holder while engines are withdrawn.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
 /// Time after a host's cut-off bound before it is counted out.
 ///
 /// Peers that have not yet seen that its registration is gone still send it beats, by which it
 /// thinks itself among them.
-const GONE_SLACK: Duration = Duration::from_secs(1);
+const CUT_OFF_MARGIN: Duration = Duration::from_secs(1);
 
 /// A host's last word on withdrawn engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Heard {
+pub(super) struct ReceivedConfirm {
     revision: u64,
     streams: Vec<(Box<str>, u32)>,
 }
 
 /// What the hosts say of a withdrawn engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Word {
+pub(super) enum DrainState {
     /// No host has a stream there, and none will open one.
     Free,
     /// A host has streams there.
     Busy,
     /// A host has not said that it acts on the withdrawal.
-    Missing,
+    Unconfirmed,
 }
 
 /// Tells the holder how many streams run here on withdrawn engines.
-pub(super) fn confirm(core: &mut Core, pool: PoolKey, out: &mut Effects) {
-    let streams = withdrawn(core, pool);
+pub(super) fn send_confirm(core: &mut Core, pool: PoolKey, out: &mut Effects) {
+    let streams = withdrawn_streams(core, pool);
     if streams.is_empty() {
         return;
     }
     let now = core.now;
     let pool_name = name(core, pool);
-    let desk = core.orders.desk_mut(pool);
+    let desk = core.orders.pool_mut(pool);
     let revision = desk.applied.route.revision;
-    let Some(holder) = desk.hold.host().map(Box::<str>::from) else {
+    let Some(holder) = desk.authority.holder().map(Box::<str>::from) else {
         return;
     };
     let Some(to) = core.members.find(&holder) else {
         return;
     };
-    let applied = &mut core.orders.desk_mut(pool).applied;
-    let told = applied.told.as_ref();
+    let applied = &mut core.orders.pool_mut(pool).applied;
+    let told = applied.last_confirm.as_ref();
     if told.is_some_and(|told| {
         told.holder == holder
             && told.revision == revision
             && told.streams == streams
-            && now.since(told.at) < TELL_EVERY
+            && now.since(told.at) < CONFIRM_INTERVAL
     }) {
         return;
     }
-    applied.told = Some(Told {
+    applied.last_confirm = Some(SentConfirm {
         holder,
         revision,
         streams: streams.clone(),
@@ -83,7 +83,7 @@
 }
 
 /// Returns this host's streams on each withdrawn engine of a pool.
-fn withdrawn(core: &Core, pool: PoolKey) -> Vec<(Box<str>, u32)> {
+fn withdrawn_streams(core: &Core, pool: PoolKey) -> Vec<(Box<str>, u32)> {
     let engines = core.fleet.pools[usize::from(pool.0)].engines.iter();
     let engines = engines.map(|&key| &core.fleet.arena[key]);
     engines
@@ -93,40 +93,44 @@
 }
 
 /// Keeps a host's word.
-pub(super) fn heard(core: &mut Core, pool: PoolKey, from: HostKey, confirm: &Confirm) {
-    let heard = Heard {
+pub(super) fn confirm_received(core: &mut Core, pool: PoolKey, from: HostKey, confirm: &Confirm) {
+    let heard = ReceivedConfirm {
         revision: confirm.revision,
         streams: confirm.streams.clone(),
     };
-    core.orders.desk_mut(pool).heard.insert(from, heard);
+    core.orders.pool_mut(pool).confirms.insert(from, heard);
 }
 
 /// Returns what the hosts say of an engine that is withdrawn since this revision.
-pub(super) fn word(core: &Core, pool: PoolKey, engine: &str, revision: u64) -> Word {
-    if !settled(core) {
-        return Word::Missing;
+pub(super) fn drain_state(core: &Core, pool: PoolKey, engine: &str, revision: u64) -> DrainState {
+    if !departed_stopped(core) {
+        return DrainState::Unconfirmed;
     }
     let own = core.fleet.find(engine).map(|key| &core.fleet.arena[key]);
     let mut busy = own.is_none_or(|engine| engine.streams > 0);
-    let desk = core.orders.desk(pool);
+    let desk = core.orders.pool(pool);
     for host in core.members.peers() {
-        let heard = desk.heard.get(&host);
+        let heard = desk.confirms.get(&host);
         let heard = heard.filter(|heard| heard.revision >= revision);
         let count =
             heard.and_then(|heard| heard.streams.iter().find(|(name, _)| **name == *engine));
         match count {
             Some((_, count)) => busy |= *count > 0,
-            None => return Word::Missing,
+            None => return DrainState::Unconfirmed,
         }
     }
-    if busy { Word::Busy } else { Word::Free }
+    if busy {
+        DrainState::Busy
+    } else {
+        DrainState::Free
+    }
 }
 
 /// Forgets hosts that have been gone for so long that they have stopped.
-pub(super) fn forget(core: &mut Core) {
-    let bound = crate::core::member::cut_off_bound(core) + GONE_SLACK;
+pub(super) fn expire_departed(core: &mut Core) {
+    let bound = crate::core::member::cut_off_bound(core) + CUT_OFF_MARGIN;
     let now = core.now;
-    core.orders.gone.retain(|_, at| now.since(*at) < bound);
+    core.orders.departed.retain(|_, at| now.since(*at) < bound);
 }
 
 /// Returns whether every host that is not registered has surely stopped taking new work.
@@ -134,10 +138,10 @@
 /// A host whose registration is gone may be cut off and act on an old routing state; it stops by
 /// itself after the cut-off bound. A holder that has only just started, or lost sight of the
 /// registrations, does not know whose went before.
-pub(super) fn settled(core: &Core) -> bool {
-    let bound = crate::core::member::cut_off_bound(core) + GONE_SLACK;
+pub(super) fn departed_stopped(core: &Core) -> bool {
+    let bound = crate::core::member::cut_off_bound(core) + CUT_OFF_MARGIN;
     let old = |at: &Time| core.now.since(*at) >= bound;
-    core.orders.known.as_ref().is_some_and(old) && core.orders.gone.values().all(old)
+    core.orders.known_since.as_ref().is_some_and(old) && core.orders.departed.values().all(old)
 }
 
 /// Returns an engine's report and the time it tells of, by the engine's own word on its age.
--- a/src/core/order/intent.rs
+++ b/src/core/order/intent.rs
@@ -40,7 +40,7 @@
     Delete(Box<str>),
 }
 
-fn folder(pool: &str) -> Box<str> {
+fn key_prefix(pool: &str) -> Box<str> {
     format!("d/intent/{pool}/").into()
 }
 
@@ -50,8 +50,8 @@
 
 /// Asks for all intended orders of a pool.
 pub(super) fn read(core: &mut Core, pool: PoolKey, out: &mut Effects) {
-    let span = Span::Prefix(folder(&name(core, pool)));
-    core.orders.desk_mut(pool).work.intent_call = Some(Call::Read);
+    let span = Span::Prefix(key_prefix(&name(core, pool)));
+    core.orders.pool_mut(pool).holder.intent_call = Some(Call::Read);
     let job = Job::Intent(pool);
     out.push(Effect::Read { job, span });
 }
@@ -59,25 +59,25 @@
 /// Records or takes away an engine's intended order, provided that this host is the holder.
 pub(super) fn write(core: &mut Core, pool: PoolKey, call: Call, out: &mut Effects) {
     let pool_name = name(core, pool);
-    let desk = core.orders.desk_mut(pool);
+    let desk = core.orders.pool_mut(pool);
     let (engine, op) = match &call {
         Call::Read => return,
         Call::Put(engine, intent) => (
             engine,
             Op::Put {
                 key: key(&pool_name, engine),
-                value: intent.write().into(),
+                value: intent.to_json().into(),
                 lease: 0,
             },
         ),
         Call::Delete(engine) => (engine, Op::Delete(Span::Key(key(&pool_name, engine)))),
     };
-    let known = desk.work.intents.as_ref().and_then(|all| all.get(engine));
+    let known = desk.holder.intents.as_ref().and_then(|all| all.get(engine));
     let txn = Txn {
         compare: vec![
             Compare::Value {
-                key: record::key(&pool_name),
-                is: desk.hold.value.clone(),
+                key: record::holder_key(&pool_name),
+                is: desk.authority.value.clone(),
             },
             Compare::Modified {
                 key: key(&pool_name, engine),
@@ -87,7 +87,7 @@
         then: vec![op],
         otherwise: Vec::new(),
     };
-    desk.work.intent_call = Some(call);
+    desk.holder.intent_call = Some(call);
     let job = Job::Intent(pool);
     out.push(Effect::Txn { job, txn });
 }
@@ -95,13 +95,13 @@
 /// Takes in the end of a read or write; all but a plain success is settled by reading again.
 pub(super) fn reply(core: &mut Core, pool: PoolKey, result: StoreResult) {
     let now = core.now;
-    let folder = folder(&name(core, pool));
-    let work = &mut core.orders.desk_mut(pool).work;
+    let folder = key_prefix(&name(core, pool));
+    let work = &mut core.orders.pool_mut(pool).holder;
     match (work.intent_call.take(), result) {
         (Some(Call::Read), StoreResult::Read(range)) => {
             let pairs = range.pairs.iter();
             work.intents = pairs.map(|pair| parse_pair(&folder, pair)).collect();
-            work.next = now.after(super::RETRY * u32::from(work.intents.is_none()));
+            work.next_call = now.after(super::RETRY_DELAY * u32::from(work.intents.is_none()));
         }
         (Some(Call::Put(engine, intent)), StoreResult::Txn(txn)) if txn.succeeded => {
             if let Some(all) = &mut work.intents {
@@ -116,7 +116,7 @@
         (None, _) => {}
         _ => {
             work.intents = None;
-            work.next = now.after(super::RETRY);
+            work.next_call = now.after(super::RETRY_DELAY);
         }
     }
 }
@@ -130,7 +130,7 @@
 impl Intent {
     /// Writes it as JSON.
     #[must_use]
-    pub fn write(&self) -> Vec<u8> {
+    pub fn to_json(&self) -> Vec<u8> {
         let role = self.role.word();
         json!({"fence": self.fence, "order": self.order, "role": role})
             .to_string()
--- a/src/core/order/mod.rs
+++ b/src/core/order/mod.rs
@@ -6,9 +6,9 @@
 //! engines take any order, the processes that held the authority before must be known dead first
 //! (`suspect`).
 
+pub mod authority;
 pub mod change;
 mod drain;
-pub mod hold;
 pub mod intent;
 mod publish;
 mod record;
@@ -26,10 +26,10 @@
 use super::{Core, Effects, Time};
 use crate::settings::Settings;
 
-use change::Work;
-use drain::Heard;
-pub use hold::FLIGHT;
-use hold::Hold;
+use authority::Authority;
+pub use authority::MAX_FLIGHT_TIME;
+use change::HolderState;
+use drain::ReceivedConfirm;
 use route::Applied;
 
 /// First word of the watched keys with a pool's routing state.
@@ -37,41 +37,41 @@
 /// First word of the watched keys that name a pool's holder.
 pub const HOLDER: &str = "holder";
 /// Time between two looks at authority, orders and confirmations.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two words to a pool's holder on the work taken in.
-const DEMAND_EVERY: Duration = Duration::from_secs(1);
+const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 /// Age from which a host's word on its demand is no longer counted.
-const DEMAND_AGE: Duration = Duration::from_secs(4);
+const DEMAND_MAX_AGE: Duration = Duration::from_secs(4);
 /// Time without effect after a call to the key-value service failed.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How a pool's role change is chosen.
 pub type Decide = fn(&View<'_>, &mut Memory) -> Option<Change>;
 
 /// What this host knows and does about the orders of one pool.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct PoolOrders {
     /// Authority.
-    pub hold: Hold,
+    pub authority: Authority,
     /// Routing state that this host acts on.
     pub applied: Applied,
     /// What the holder has under way.
-    pub work: Work,
+    pub holder: HolderState,
     /// What hosts said about withdrawn engines.
-    heard: BTreeMap<HostKey, Heard>,
+    confirms: BTreeMap<HostKey, ReceivedConfirm>,
     demand: BTreeMap<HostKey, (Time, Demand)>,
 }
 
 /// Authority over pools and orders on their way.
 #[derive(Debug)]
 pub struct Orders {
-    desks: Vec<Desk>,
+    pools: Vec<PoolOrders>,
     /// Since when this host has seen every host that came and went.
-    known: Option<Time>,
+    known_since: Option<Time>,
     /// Hosts whose registration is gone, and since when.
-    gone: BTreeMap<Box<str>, Time>,
+    departed: BTreeMap<Box<str>, Time>,
     /// When demand was last told.
-    told: Time,
+    demand_sent: Time,
     /// How role changes are chosen.
     pub decide: Decide,
 }
@@ -80,28 +80,28 @@
     /// Creates the state of a host that holds nothing.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
-        let desks = settings.pools.iter().map(|_| Desk::default());
+        let desks = settings.pools.iter().map(|_| PoolOrders::default());
         Self {
-            desks: desks.collect(),
-            known: None,
-            gone: BTreeMap::new(),
-            told: Time::default(),
+            pools: desks.collect(),
+            known_since: None,
+            departed: BTreeMap::new(),
+            demand_sent: Time::default(),
             decide: role::decide,
         }
     }
 
     /// Returns what is known about a pool.
     #[must_use]
-    pub fn desk(&self, pool: PoolKey) -> &Desk {
-        &self.desks[usize::from(pool.0)]
+    pub fn pool(&self, pool: PoolKey) -> &PoolOrders {
+        &self.pools[usize::from(pool.0)]
     }
 
-    fn desk_mut(&mut self, pool: PoolKey) -> &mut Desk {
-        &mut self.desks[usize::from(pool.0)]
+    fn pool_mut(&mut self, pool: PoolKey) -> &mut PoolOrders {
+        &mut self.pools[usize::from(pool.0)]
     }
 
-    fn pools(&self) -> impl Iterator<Item = PoolKey> + use<> {
-        let count = u16::try_from(self.desks.len()).unwrap_or(u16::MAX);
+    fn pool_keys(&self) -> impl Iterator<Item = PoolKey> + use<> {
+        let count = u16::try_from(self.pools.len()).unwrap_or(u16::MAX);
         (0..count).map(PoolKey)
     }
 }
@@ -117,27 +117,30 @@
 
 /// Goes on with authority and orders.
 pub fn timer(core: &mut Core, out: &mut Effects) {
-    if core.orders.known.is_none() && core.members.registered && core.members.store == Health::Up {
-        core.orders.known = Some(core.now);
+    if core.orders.known_since.is_none()
+        && core.members.registered
+        && core.members.store == Health::Up
+    {
+        core.orders.known_since = Some(core.now);
     }
-    drain::forget(core);
-    for pool in core.orders.pools() {
-        look(core, pool, out);
+    drain::expire_departed(core);
+    for pool in core.orders.pool_keys() {
+        advance(core, pool, out);
     }
-    tell_demand(core, out);
+    send_demand(core, out);
     out.push(Effect::Wake {
-        at: core.now.after(TICK),
+        at: core.now.after(TICK_INTERVAL),
         timer: Timer::Orders,
     });
 }
 
 /// Goes on with one pool as far as it goes without waiting.
-fn look(core: &mut Core, pool: PoolKey, out: &mut Effects) {
-    hold::look(core, pool, out);
-    suspect::look(core, pool, out);
-    drain::confirm(core, pool, out);
-    if hold::holds(core, pool) {
-        change::look(core, pool, out);
+fn advance(core: &mut Core, pool: PoolKey, out: &mut Effects) {
+    authority::advance(core, pool, out);
+    suspect::check_suspects(core, pool, out);
+    drain::send_confirm(core, pool, out);
+    if authority::holds(core, pool) {
+        change::advance_holder(core, pool, out);
     }
 }
 
@@ -145,14 +148,14 @@
 pub fn route_watched(core: &mut Core, pool: &str, pair: &Watched, out: &mut Effects) {
     if let Some(pool) = core.fleet.pool(pool) {
         route::watched(core, pool, pair);
-        look(core, pool, out);
+        advance(core, pool, out);
     }
 }
 
 /// Takes in a pool's holder.
 pub fn holder_watched(core: &mut Core, pool: &str, pair: &Watched, out: &mut Effects) {
     if let Some(pool) = core.fleet.pool(pool) {
-        hold::watched(core, pool, pair, out);
+        authority::watched(core, pool, pair, out);
     }
 }
 
@@ -161,7 +164,7 @@
     let StoreReply { job, result } = reply;
     let pool = match job {
         Job::Holder(pool) => {
-            hold::reply(core, pool, result, out);
+            authority::reply(core, pool, result, out);
             pool
         }
         Job::Intent(pool) => {
@@ -174,18 +177,18 @@
         }
         _ => return,
     };
-    look(core, pool, out);
+    advance(core, pool, out);
 }
 
 /// Takes in whether the key-value service answers.
 pub fn health(core: &mut Core, health: Health, _out: &mut Effects) {
     match health {
         Health::Up => {
-            for desk in &mut core.orders.desks {
-                desk.hold.noticed(core.now);
+            for desk in &mut core.orders.pools {
+                desk.authority.watch_opened(core.now);
             }
         }
-        Health::Down => missed(core),
+        Health::Down => watch_lost(core),
     }
 }
 
@@ -193,19 +196,19 @@
 ///
 /// One that came and went meanwhile may be cut off and act on an old routing state; nothing here
 /// would tell of it.
-pub fn missed(core: &mut Core) {
-    core.orders.known = None;
+pub fn watch_lost(core: &mut Core) {
+    core.orders.known_since = None;
 }
 
 /// Takes in the platform's list.
 pub fn fleet_changed(core: &mut Core, _out: &mut Effects) {
-    for pool in core.orders.pools() {
+    for pool in core.orders.pool_keys() {
         route::apply(core, pool);
     }
 }
 
 /// Takes in an order's answer.
-pub fn ordered(
+pub fn order_answered(
     core: &mut Core,
     name: &str,
     fence: u64,
@@ -213,11 +216,16 @@
     result: Ordered,
     out: &mut Effects,
 ) {
-    for pool in core.orders.pools() {
+    for pool in core.orders.pool_keys() {
         let now = core.now;
-        if core.orders.desk_mut(pool).hold.landed(fence, result, now) {
-            change::ordered(core, pool, name, (fence, order), result, out);
-            look(core, pool, out);
+        if core
+            .orders
+            .pool_mut(pool)
+            .authority
+            .order_ended(fence, result, now)
+        {
+            change::order_answered(core, pool, name, (fence, order), result, out);
+            advance(core, pool, out);
         }
     }
 }
@@ -225,54 +233,54 @@
 /// Takes in whether an address refuses connections.
 pub fn probed(core: &mut Core, addr: std::net::SocketAddr, probe: super::event::Probe) {
     let now = core.now;
-    for desk in &mut core.orders.desks {
-        suspect::probed(&mut desk.hold, addr, probe, now);
+    for desk in &mut core.orders.pools {
+        suspect::probed(&mut desk.authority, addr, probe, now);
     }
 }
 
 /// Takes in a host's word on a withdrawal.
-pub fn confirmed(core: &mut Core, from: HostKey, confirm: &Confirm, out: &mut Effects) {
+pub fn confirm_received(core: &mut Core, from: HostKey, confirm: &Confirm, out: &mut Effects) {
     if let Some(pool) = core.fleet.pool(&confirm.pool) {
-        drain::heard(core, pool, from, confirm);
-        look(core, pool, out);
+        drain::confirm_received(core, pool, from, confirm);
+        advance(core, pool, out);
     }
 }
 
 /// Takes in the work a host took in for a pool.
-pub fn demanded(core: &mut Core, from: HostKey, demand: &Demand) {
+pub fn demand_received(core: &mut Core, from: HostKey, demand: &Demand) {
     if let Some(pool) = core.fleet.pool(&demand.pool) {
         let now = core.now;
-        let desk = core.orders.desk_mut(pool);
+        let desk = core.orders.pool_mut(pool);
         desk.demand.insert(from, (now, demand.clone()));
     }
 }
 
 /// Notes that a host's registration is gone.
 pub fn left(core: &mut Core, host: &str) {
-    core.orders.gone.insert(host.into(), core.now);
+    core.orders.departed.insert(host.into(), core.now);
 }
 
 /// Notes that a host registered.
 pub fn joined(core: &mut Core, host: &str) {
-    core.orders.gone.remove(host);
+    core.orders.departed.remove(host);
 }
 
 /// Gives authority back.
 pub fn release(core: &mut Core, out: &mut Effects) {
-    for pool in core.orders.pools() {
-        hold::release(core, pool, out);
+    for pool in core.orders.pool_keys() {
+        authority::release(core, pool, out);
     }
 }
 
 /// Tells the holder of each split pool what this host took in since the last time.
-fn tell_demand(core: &mut Core, out: &mut Effects) {
-    let since = core.now.since(core.orders.told);
-    if since < DEMAND_EVERY {
+fn send_demand(core: &mut Core, out: &mut Effects) {
+    let since = core.now.since(core.orders.demand_sent);
+    if since < DEMAND_INTERVAL {
         return;
     }
-    core.orders.told = core.now;
+    core.orders.demand_sent = core.now;
     let taken = std::mem::take(&mut core.fleet.taken);
-    for pool in core.orders.pools() {
+    for pool in core.orders.pool_keys() {
         if !core.fleet.pools[usize::from(pool.0)].settings.split {
             continue;
         }
@@ -285,8 +293,12 @@
             output: output as f64 / second,
             refused: 0.0,
         };
-        let desk = core.orders.desk_mut(pool);
-        if let Some(to) = desk.hold.host().and_then(|host| core.members.find(host)) {
+        let desk = core.orders.pool_mut(pool);
+        if let Some(to) = desk
+            .authority
+            .holder()
+            .and_then(|host| core.members.find(host))
+        {
             let message = Message::Demand(demand);
             out.push(Effect::Send { to, message });
         } else {
--- a/src/core/order/publish.rs
+++ b/src/core/order/publish.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::change::{Change, Step};
-use super::route::{self, Place, Route};
+use super::route::{self, EngineState, Route};
 use crate::core::fleet::{Backend, Standing};
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects};
@@ -12,12 +12,12 @@
 /// Time an engine must report another role than routing assumes before routing follows it.
 ///
 /// Longer than a report is old, so that a report from before a change does not undo it.
-const ODD_TIME: Duration = Duration::from_secs(3);
+const MISMATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Notes which engines report another role than routing assumes, and since when.
-pub(super) fn notice(core: &mut Core, pool: PoolKey) {
+pub(super) fn note_mismatches(core: &mut Core, pool: PoolKey) {
     let now = core.now;
-    let Some((route, _)) = &core.orders.desk(pool).work.route else {
+    let Some((route, _)) = &core.orders.pool(pool).holder.route else {
         return;
     };
     let mut odd = BTreeMap::new();
@@ -26,22 +26,27 @@
         let Some((_, report)) = &engine.report else {
             continue;
         };
-        if !report.changing && report.role != route.place(&engine.name).role {
-            let since = core.orders.desk(pool).work.odd.get(&engine.name);
+        if !report.changing && report.role != route.engine_state(&engine.name).role {
+            let since = core
+                .orders
+                .pool(pool)
+                .holder
+                .role_mismatches
+                .get(&engine.name);
             odd.insert(engine.name.clone(), since.copied().unwrap_or(now));
         }
     }
-    core.orders.desk_mut(pool).work.odd = odd;
+    core.orders.pool_mut(pool).holder.role_mismatches = odd;
 }
 
 /// Writes the routing state where it is not what it should be.
 pub(super) fn publish(core: &mut Core, pool: PoolKey, out: &mut Effects) {
-    let work = &core.orders.desk(pool).work;
+    let work = &core.orders.pool(pool).holder;
     let Some((route, _)) = &work.route else {
         return;
     };
-    let engines = wanted(core, pool, route);
-    if engines == route.engines || work.route_call.is_some() || core.now < work.next {
+    let engines = wanted_engines(core, pool, route);
+    if engines == route.engines || work.route_call.is_some() || core.now < work.next_call {
         return;
     }
     let route = Route {
@@ -52,8 +57,8 @@
 }
 
 /// Returns the routing state as it should be.
-fn wanted(core: &Core, pool: PoolKey, route: &Route) -> BTreeMap<Box<str>, Place> {
-    let work = &core.orders.desk(pool).work;
+fn wanted_engines(core: &Core, pool: PoolKey, route: &Route) -> BTreeMap<Box<str>, EngineState> {
+    let work = &core.orders.pool(pool).holder;
     let mut engines = route.engines.clone();
     // What the list no longer names is forgotten, but for engines with a recorded order.
     let recorded = |name: &str| {
@@ -64,7 +69,7 @@
     engines.retain(|name, _| recorded(name) || core.fleet.find(name).is_some());
     for &key in &core.fleet.pools[usize::from(pool.0)].engines {
         let engine = &core.fleet.arena[key];
-        let mut place = route.place(&engine.name);
+        let mut place = route.engine_state(&engine.name);
         place.standing = Standing::Serving;
         let change = work.change.as_ref();
         match change.filter(|change| change.engine == engine.name) {
@@ -74,9 +79,9 @@
             }) => place.role = *role,
             Some(_) => place.standing = Standing::Withdrawn,
             None if recorded(&engine.name) => place.standing = Standing::Withdrawn,
-            None => follow(core, pool, engine, &mut place),
+            None => follow_report(core, pool, engine, &mut place),
         }
-        if place == Place::default() {
+        if place == EngineState::default() {
             engines.remove(&engine.name);
         } else {
             engines.insert(engine.name.clone(), place);
@@ -86,11 +91,11 @@
 }
 
 /// Lets routing follow an engine that has long reported another role: it restarted.
-fn follow(core: &Core, pool: PoolKey, engine: &Backend, place: &mut Place) {
-    let odd = &core.orders.desk(pool).work.odd;
+fn follow_report(core: &Core, pool: PoolKey, engine: &Backend, place: &mut EngineState) {
+    let odd = &core.orders.pool(pool).holder.role_mismatches;
     let long = odd
         .get(&engine.name)
-        .is_some_and(|since| core.now.since(*since) >= ODD_TIME);
+        .is_some_and(|since| core.now.since(*since) >= MISMATCH_TIMEOUT);
     if let Some((_, report)) = engine.report.as_ref().filter(|_| long) {
         place.role = report.role;
     }
--- a/src/core/order/record.rs
+++ b/src/core/order/record.rs
@@ -21,7 +21,7 @@
 
 impl Record {
     /// Writes it as JSON.
-    pub(super) fn write(&self) -> Vec<u8> {
+    pub(super) fn to_json(&self) -> Vec<u8> {
         let processes: Vec<Value> = self
             .processes
             .iter()
@@ -61,7 +61,7 @@
 }
 
 /// Returns the key of a pool's holder.
-pub(super) fn key(pool: &str) -> Box<str> {
+pub(super) fn holder_key(pool: &str) -> Box<str> {
     format!("w/{HOLDER}/{pool}").into()
 }
 
@@ -71,15 +71,15 @@
 }
 
 /// Returns the steps that read both keys.
-pub(super) fn both(pool: &str) -> Vec<Op> {
+pub(super) fn read_both(pool: &str) -> Vec<Op> {
     vec![
-        Op::Get(Span::Key(key(pool))),
+        Op::Get(Span::Key(holder_key(pool))),
         Op::Get(Span::Key(fence_key(pool))),
     ]
 }
 
 /// Returns what the reads of a transaction found.
-pub(super) fn pairs(txn: &TxnReply) -> impl Iterator<Item = &Pair> {
+pub(super) fn read_pairs(txn: &TxnReply) -> impl Iterator<Item = &Pair> {
     let got = txn.replies.iter().filter_map(|reply| match reply {
         Reply::Got(pairs) => Some(pairs),
         Reply::Put | Reply::Deleted(_) => None,
@@ -89,17 +89,17 @@
 
 /// Returns the record and its revision; `None` when it cannot be read.
 pub(super) fn record_in(txn: &TxnReply, name: &str) -> Option<(Record, i64)> {
-    match pairs(txn).find(|pair| pair.key == fence_key(name)) {
+    match read_pairs(txn).find(|pair| pair.key == fence_key(name)) {
         Some(pair) => Some((Record::parse(&pair.value)?, pair.modified)),
         None => Some((Record::default(), 0)),
     }
 }
 
 /// Returns the step that writes the record.
-pub(super) fn put(name: &str, record: &Record) -> Op {
+pub(super) fn put_record(name: &str, record: &Record) -> Op {
     Op::Put {
         key: fence_key(name),
-        value: record.write().into(),
+        value: record.to_json().into(),
         lease: 0,
     }
 }
--- a/src/core/order/route.rs
+++ b/src/core/order/route.rs
@@ -16,7 +16,7 @@
 
 /// What the routing state says of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Place {
+pub struct EngineState {
     /// Serving or withdrawn.
     pub standing: Standing,
     /// Role that routing assumes.
@@ -29,7 +29,7 @@
     /// Grows with each write.
     pub revision: u64,
     /// Engines by name.
-    pub engines: BTreeMap<Box<str>, Place>,
+    pub engines: BTreeMap<Box<str>, EngineState>,
 }
 
 /// The routing state that a host acts on.
@@ -40,12 +40,12 @@
     /// Revision of the key-value service at which it was written.
     pub modified: i64,
     /// Last word to the holder.
-    pub(super) told: Option<Told>,
+    pub(super) last_confirm: Option<SentConfirm>,
 }
 
 /// A word to the holder on withdrawn engines.
 #[derive(Debug)]
-pub(super) struct Told {
+pub(super) struct SentConfirm {
     pub holder: Box<str>,
     pub revision: u64,
     pub streams: Vec<(Box<str>, u32)>,
@@ -64,13 +64,13 @@
 impl Route {
     /// Returns what it says of an engine.
     #[must_use]
-    pub fn place(&self, engine: &str) -> Place {
+    pub fn engine_state(&self, engine: &str) -> EngineState {
         self.engines.get(engine).copied().unwrap_or_default()
     }
 
     /// Writes it as JSON.
     #[must_use]
-    pub fn write(&self) -> Vec<u8> {
+    pub fn to_json(&self) -> Vec<u8> {
         let engines: BTreeMap<&str, Value> = self
             .engines
             .iter()
@@ -98,7 +98,7 @@
                 _ => Standing::Withdrawn,
             };
             let role = Role::from_word(place["role"].as_str()?)?;
-            Some((Box::from(name.as_str()), Place { standing, role }))
+            Some((Box::from(name.as_str()), EngineState { standing, role }))
         });
         Some(Self {
             revision: value["revision"].as_u64()?,
@@ -117,7 +117,7 @@
         Some(bytes) => Route::parse(bytes),
         None => Some(Route::default()),
     };
-    let applied = &mut core.orders.desk_mut(pool).applied;
+    let applied = &mut core.orders.pool_mut(pool).applied;
     if let Some(route) = route.filter(|_| pair.modified >= applied.modified) {
         applied.route = route;
         applied.modified = pair.modified;
@@ -127,10 +127,10 @@
 
 /// Brings the engines in line with the routing state.
 pub(super) fn apply(core: &mut Core, pool: PoolKey) {
-    let route = &core.orders.desk(pool).applied.route;
+    let route = &core.orders.pool(pool).applied.route;
     for &key in &core.fleet.pools[usize::from(pool.0)].engines {
         let engine = &mut core.fleet.arena[key];
-        let place = route.place(&engine.name);
+        let place = route.engine_state(&engine.name);
         engine.routed = place.standing;
         engine.role = place.role;
     }
@@ -139,7 +139,7 @@
 /// Asks for the state as it is stored.
 pub(super) fn read(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let span = Span::Key(key(&name(core, pool)));
-    core.orders.desk_mut(pool).work.route_call = Some(Call::Read);
+    core.orders.pool_mut(pool).holder.route_call = Some(Call::Read);
     let job = Job::Route(pool);
     out.push(Effect::Read { job, span });
 }
@@ -147,15 +147,15 @@
 /// Writes a new state on top of the one that is stored, provided that this host is the holder.
 pub(super) fn write(core: &mut Core, pool: PoolKey, route: Route, out: &mut Effects) {
     let pool_name = name(core, pool);
-    let desk = core.orders.desk_mut(pool);
-    let Some((_, modified)) = desk.work.route else {
+    let desk = core.orders.pool_mut(pool);
+    let Some((_, modified)) = desk.holder.route else {
         return;
     };
     let txn = Txn {
         compare: vec![
             Compare::Value {
-                key: record::key(&pool_name),
-                is: desk.hold.value.clone(),
+                key: record::holder_key(&pool_name),
+                is: desk.authority.value.clone(),
             },
             Compare::Modified {
                 key: key(&pool_name),
@@ -164,12 +164,12 @@
         ],
         then: vec![Op::Put {
             key: key(&pool_name),
-            value: route.write().into(),
+            value: route.to_json().into(),
             lease: 0,
         }],
         otherwise: Vec::new(),
     };
-    desk.work.route_call = Some(Call::Write(route));
+    desk.holder.route_call = Some(Call::Write(route));
     let job = Job::Route(pool);
     out.push(Effect::Txn { job, txn });
 }
@@ -180,7 +180,7 @@
 /// lost may stand there or not, and the next write compares with what was found.
 pub(super) fn reply(core: &mut Core, pool: PoolKey, result: StoreResult) {
     let now = core.now;
-    let work = &mut core.orders.desk_mut(pool).work;
+    let work = &mut core.orders.pool_mut(pool).holder;
     match (work.route_call.take(), result) {
         (Some(Call::Read), StoreResult::Read(range)) => {
             let pair = range.pairs.first();
@@ -194,7 +194,7 @@
         (None, _) => {}
         _ => {
             work.route = None;
-            work.next = now.after(super::RETRY);
+            work.next_call = now.after(super::RETRY_DELAY);
         }
     }
 }
--- a/src/core/order/suspect.rs
+++ b/src/core/order/suspect.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::hold::{self, FLIGHT, Hold};
+use super::authority::{self, Authority, MAX_FLIGHT_TIME};
 use crate::core::effect::Effect;
 use crate::core::event::Probe;
 use crate::core::key::PoolKey;
@@ -17,9 +17,9 @@
 use crate::settings::Fencing;
 
 /// Time between two looks whether an earlier holder is dead.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Time a host must be off the platform's list before its process counts as dead.
-const QUARANTINE: Duration = Duration::from_mins(10);
+const UNLISTED_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// A process that gives orders.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -50,59 +50,63 @@
     /// The process.
     pub process: Process,
     /// Since when it is known dead.
-    dead: Option<Time>,
+    dead_since: Option<Time>,
     /// When it was last looked at.
-    looked: Option<Time>,
+    last_checked: Option<Time>,
     /// Since when the platform's list lacks its host.
-    unlisted: Option<Time>,
+    unlisted_since: Option<Time>,
 }
 
 impl Suspect {
     pub(super) fn new(process: Process) -> Self {
         Self {
             process,
-            dead: None,
-            looked: None,
-            unlisted: None,
+            dead_since: None,
+            last_checked: None,
+            unlisted_since: None,
         }
     }
 }
 
 /// Returns whether nobody else's order can reach an engine of the pool any more.
-pub(super) fn clear(core: &Core, pool: PoolKey) -> bool {
+pub(super) fn no_suspects(core: &Core, pool: PoolKey) -> bool {
     let checks = core.fleet.pools[usize::from(pool.0)].settings.fencing == Fencing::Checks;
-    checks || core.orders.desk(pool).hold.suspects.is_empty()
+    checks || core.orders.pool(pool).authority.suspects.is_empty()
 }
 
 /// Looks whether earlier holders are dead.
-pub(super) fn look(core: &mut Core, pool: PoolKey, out: &mut Effects) {
-    if clear(core, pool) || !hold::holds(core, pool) {
+pub(super) fn check_suspects(core: &mut Core, pool: PoolKey, out: &mut Effects) {
+    if no_suspects(core, pool) || !authority::holds(core, pool) {
         return;
     }
     let now = core.now;
-    let mut suspects = std::mem::take(&mut core.orders.desk_mut(pool).hold.suspects);
+    let mut suspects = std::mem::take(&mut core.orders.pool_mut(pool).authority.suspects);
     let mut stale = false;
-    for suspect in suspects.iter_mut().filter(|one| one.dead.is_none()) {
-        if suspect.looked.is_some_and(|at| now.since(at) < LOOK_EVERY) {
+    for suspect in suspects.iter_mut().filter(|one| one.dead_since.is_none()) {
+        if suspect
+            .last_checked
+            .is_some_and(|at| now.since(at) < CHECK_INTERVAL)
+        {
             continue;
         }
-        suspect.looked = Some(now);
-        if replaced(core, &suspect.process) || quarantined(core, suspect) {
-            suspect.dead = Some(now);
+        suspect.last_checked = Some(now);
+        if replaced(core, &suspect.process) || long_unlisted(core, suspect) {
+            suspect.dead_since = Some(now);
         } else {
             stale = true;
             let addr = suspect.process.addr;
             out.push(Effect::Probe(addr));
         }
     }
-    let over = suspects
-        .iter()
-        .all(|one| one.dead.is_some_and(|at| now.since(at) >= FLIGHT));
-    core.orders.desk_mut(pool).hold.suspects = suspects;
+    let over = suspects.iter().all(|one| {
+        one.dead_since
+            .is_some_and(|at| now.since(at) >= MAX_FLIGHT_TIME)
+    });
+    core.orders.pool_mut(pool).authority.suspects = suspects;
     if over {
-        hold::forget(core, pool, out);
+        authority::remove_dead(core, pool, out);
     } else if stale {
-        hold::check(core, pool, out);
+        authority::reread_record(core, pool, out);
     }
 }
 
@@ -123,24 +127,24 @@
 }
 
 /// Returns whether the platform's list has long lacked the host.
-fn quarantined(core: &Core, suspect: &mut Suspect) -> bool {
+fn long_unlisted(core: &Core, suspect: &mut Suspect) -> bool {
     let hosts = &core.fleet.hosts;
     if hosts.is_empty() || hosts.contains(&suspect.process.host) {
-        suspect.unlisted = None;
+        suspect.unlisted_since = None;
         return false;
     }
-    let since = *suspect.unlisted.get_or_insert(core.now);
-    core.now.since(since) >= QUARANTINE
+    let since = *suspect.unlisted_since.get_or_insert(core.now);
+    core.now.since(since) >= UNLISTED_TIMEOUT
 }
 
 /// Takes in whether an address refuses connections.
-pub(super) fn probed(hold: &mut Hold, addr: SocketAddr, probe: Probe, now: Time) {
+pub(super) fn probed(hold: &mut Authority, addr: SocketAddr, probe: Probe, now: Time) {
     if probe != Probe::Refused {
         return;
     }
     for suspect in &mut hold.suspects {
         if suspect.process.addr == addr {
-            suspect.dead.get_or_insert(now);
+            suspect.dead_since.get_or_insert(now);
         }
     }
 }
--- a/src/core/request/arrive.rs
+++ b/src/core/request/arrive.rs
@@ -41,7 +41,7 @@
         phase: Phase::Share,
         attempt: None,
         repeat: true,
-        taken: share::Taken::default(),
+        taken: share::Cost::default(),
         record,
         avoid: Vec::new(),
         result: None,
@@ -134,12 +134,12 @@
 
 fn take_share(core: &mut Core, key: RequestKey, out: &mut Effects) {
     match share::take(core, key, out) {
-        share::Answer::Taken => go(core, key, out),
-        share::Answer::Wait => out.push(Effect::Wake {
+        share::Admission::Granted => go(core, key, out),
+        share::Admission::Queued => out.push(Effect::Wake {
             at: core.now.after(SHARE_TIME),
             timer: Timer::Request(key),
         }),
-        share::Answer::Spent(retry) => spent(core, key, retry, out),
+        share::Admission::Exhausted(retry) => spent(core, key, retry, out),
     }
 }
 
@@ -173,7 +173,7 @@
         core.requests.arena[key].phase = Phase::Running;
         dispatch(core, key, out);
     } else if request.phase == Phase::Share {
-        share::forget(core, key);
+        share::cancel_wait(core, key);
         let detail = "no host lent a part of the plan's share in time";
         refuse(core, key, Refusal::new(Kind::ShareSpent, detail), out);
     }
--- a/src/core/request/end.rs
+++ b/src/core/request/end.rs
@@ -58,7 +58,7 @@
         out.push(Effect::Cancel(attempt));
         close_attempt(core, attempt, "the caller left", Ran::Unknown);
     }
-    share::forget(core, key);
+    share::cancel_wait(core, key);
     let ran = core.requests.arena[key].ran();
     note(core, key, "the caller left");
     end(core, key, Kind::CallerLeft.answer().code, ran, out);
@@ -96,7 +96,7 @@
     if let Some(attempt) = core.requests.arena[key].attempt {
         close_attempt(core, attempt, outcome, ran);
     }
-    share::settle(core, key, out);
+    share::reconcile(core, key, out);
     let now = core.now;
     let Some(mut request) = core.requests.arena.remove(key) else {
         return;
--- a/src/core/request/mod.rs
+++ b/src/core/request/mod.rs
@@ -61,7 +61,7 @@
     /// Whether it may run more than once.
     pub repeat: bool,
     /// What it took of its plan's share.
-    pub taken: share::Taken,
+    pub taken: share::Cost,
     /// What became of it so far.
     pub record: Record,
     /// Back ends that failed it.
--- a/src/core/share/borrow.rs
+++ b/src/core/share/borrow.rs
@@ -4,9 +4,10 @@
 use std::time::Duration;
 
 use super::ledger::Ledger;
-use super::pledge::{self, LOAN, Pledged, Source};
+use super::pledge::{self, LOAN_LIFETIME, Pledged, Source};
 use super::{
-    AHEAD, Open, Part, Taken, allowance, cost, refuse, serve, serve_own, source, wake, wish,
+    Cost, LocalShare, PREFETCH_SECS, PendingBorrow, admit_waiting, arm_timer, cost,
+    draw_for_waiting, quota_of, refuse_waiting, source, wish,
 };
 use crate::core::effect::Effect;
 use crate::core::key::HostKey;
@@ -15,36 +16,36 @@
 use crate::lists::Quota;
 
 /// Time after which a question without an answer is put anew.
-const ANSWER: Duration = Duration::from_millis(250);
+const BORROW_TIMEOUT: Duration = Duration::from_millis(250);
 /// Most time without a question after an answer that there is nothing: what was too little for
 /// one request may do for the next.
-const SPENT_MOST: Duration = Duration::from_millis(200);
+const MAX_BORROW_BACKOFF: Duration = Duration::from_millis(200);
 /// Places asked for ahead of need, as a part of those in use.
-const PLACES_AHEAD: u32 = 8;
+const PERMIT_PREFETCH_DIVISOR: u32 = 8;
 
 /// Draws from this host's own ledger what a request costs; returns when to come back if there is
 /// not enough.
-pub fn draw(core: &mut Core, plan: &str, allowance: &Quota, cost: Taken) -> Duration {
+pub fn draw(core: &mut Core, plan: &str, allowance: &Quota, cost: Cost) -> Duration {
     let now = core.now;
     let name = core.members.name.clone();
-    let part = core.shares.parts.entry(plan.into()).or_default();
+    let part = core.shares.local.entry(plan.into()).or_default();
     let mut wish = wish(plan, part, Some(cost));
-    let (requests, tokens) = part.have();
+    let (requests, tokens) = part.available();
     wish.requests = (cost.requests - requests).max(0.0);
-    wish.tokens = (cost.tokens + part.owed - tokens).max(0.0);
+    wish.tokens = (cost.tokens + part.debt - tokens).max(0.0);
     wish.least = wish.tokens;
-    wish.running = u32::from(cost.place && part.running >= part.places);
+    wish.running = u32::from(cost.permit && part.running >= part.permits);
     let loan = lend(core, plan, &name, &wish, allowance);
-    let part = core.shares.parts.entry(plan.into()).or_default();
-    part.add(now.after(LOAN), loan.requests, loan.tokens);
-    seat(part, loan.running, now);
+    let part = core.shares.local.entry(plan.into()).or_default();
+    part.add_loan(now.after(LOAN_LIFETIME), loan.requests, loan.tokens);
+    add_permits(part, loan.running, now);
     Duration::from_millis(u64::from(loan.wait))
 }
 
-fn seat(part: &mut Part, running: u32, now: Time) {
+fn add_permits(part: &mut LocalShare, running: u32, now: Time) {
     if running > 0 {
-        part.places += running;
-        part.idle = now.after(LOAN);
+        part.permits += running;
+        part.permits_until = now.after(LOAN_LIFETIME);
     }
 }
 
@@ -53,21 +54,21 @@
     let now = core.now;
     let apart = core
         .shares
-        .parts
+        .local
         .get(plan)
-        .is_some_and(|part| part.source == Some(Source::Part));
+        .is_some_and(|part| part.source == Some(Source::OwnFraction));
     let pledged = if apart {
         Pledged {
-            part: pledge::own_part(core),
-            whole: false,
-            alone: false,
+            fraction: pledge::own_fraction(core),
+            complete: false,
+            exclusive: false,
         }
     } else {
         pledge::pledged(core, plan)
     };
-    let calm = pledge::calm(core) && !apart;
+    let calm = pledge::stable(core) && !apart;
     let ledgers = if apart {
-        &mut core.shares.own
+        &mut core.shares.fallback
     } else {
         &mut core.shares.ledgers
     };
@@ -75,55 +76,60 @@
     let ledger = ledgers
         .entry(plan.into())
         .or_insert_with(|| Ledger::new(now));
-    ledger.allot(now, pledged);
+    ledger.set_pledged(now, pledged);
     if fresh && calm {
-        ledger.saved(allowance, pledge::CALM);
+        ledger.credit_stable_time(allowance, pledge::PLEDGE_STABLE_TIME);
     }
-    ledger.fill(allowance);
+    ledger.refill(allowance);
     ledger.lend(host, wish, allowance, now)
 }
 
 /// Puts what waits for a home and what will be short there into one question.
-pub fn ask(core: &mut Core, home: HostKey, out: &mut Effects) {
+pub fn send_borrow(core: &mut Core, owner: HostKey, out: &mut Effects) {
     let now = core.now;
-    let waits = core.shares.open.get(home);
-    if waits.is_some_and(|open| now.since(open.sent) < ANSWER) {
+    let waits = core.shares.pending.get(owner);
+    if waits.is_some_and(|open| now.since(open.sent) < BORROW_TIMEOUT) {
         return;
     }
     let plans: Vec<Box<str>> = core
         .shares
-        .parts
+        .local
         .iter()
-        .filter(|(_, part)| part.source == Some(Source::Peer(home)))
+        .filter(|(_, part)| part.source == Some(Source::Peer(owner)))
         .map(|(plan, _)| plan.clone())
         .collect();
-    let wishes: Vec<Wish> = plans.iter().filter_map(|plan| want(core, plan)).collect();
+    let wishes: Vec<Wish> = plans
+        .iter()
+        .filter_map(|plan| build_wish(core, plan))
+        .collect();
     if wishes.is_empty() {
         return;
     }
     core.shares.round += 1;
     let round = core.shares.round;
-    core.shares.open.insert(home, Open { round, sent: now });
+    core.shares
+        .pending
+        .insert(owner, PendingBorrow { round, sent: now });
     out.push(Effect::Send {
-        to: home,
+        to: owner,
         message: Message::Borrow(Borrow { round, wishes }),
     });
 }
 
 /// Returns what to ask for a plan, if anything.
-fn want(core: &mut Core, plan: &str) -> Option<Wish> {
+fn build_wish(core: &mut Core, plan: &str) -> Option<Wish> {
     let now = core.now;
-    let allowance = allowance(core, plan).unwrap_or_default();
-    let waiting = &core.shares.parts.get(plan)?.waiting;
-    let costs: Vec<Taken> = waiting
+    let allowance = quota_of(core, plan).unwrap_or_default();
+    let waiting = &core.shares.local.get(plan)?.waiting;
+    let costs: Vec<Cost> = waiting
         .iter()
         .map(|&key| cost(core, key, &allowance))
         .collect();
-    let part = core.shares.parts.get_mut(plan)?;
-    let back = part.lapsing(now);
+    let part = core.shares.local.get_mut(plan)?;
+    let back = part.take_expiring(now);
     let mut wish = wish(plan, part, costs.first().copied());
     (wish.back_requests, wish.back_tokens) = back;
-    let (requests, tokens) = part.have();
+    let (requests, tokens) = part.available();
     let short = |need: f64, ahead: f64, have: f64| {
         // Asking only when half is gone keeps the questions few.
         if need > have || have < ahead / 2.0 {
@@ -132,54 +138,58 @@
             0.0
         }
     };
-    let needs = |what: fn(&Taken) -> f64| costs.iter().map(what).sum::<f64>();
-    let part_ahead = (part.recent.0 * AHEAD, part.recent.1 * AHEAD);
+    let needs = |what: fn(&Cost) -> f64| costs.iter().map(what).sum::<f64>();
+    let part_ahead = (
+        part.use_rate.0 * PREFETCH_SECS,
+        part.use_rate.1 * PREFETCH_SECS,
+    );
     if allowance.requests.is_some() {
         wish.requests = short(needs(|cost| cost.requests), part_ahead.0, requests);
     }
     if allowance.tokens.is_some() {
-        wish.tokens = short(needs(|cost| cost.tokens) + part.owed, part_ahead.1, tokens);
-        let owed = if costs.is_empty() { 0.0 } else { part.owed };
+        wish.tokens = short(needs(|cost| cost.tokens) + part.debt, part_ahead.1, tokens);
+        let owed = if costs.is_empty() { 0.0 } else { part.debt };
         wish.least = (wish.least + owed - tokens).max(0.0);
     }
     if allowance.running.is_some() {
         let waiting = u32::try_from(costs.len()).unwrap_or(u32::MAX);
-        let idle = part.places.saturating_sub(part.running);
+        let idle = part.permits.saturating_sub(part.running);
         wish.running = waiting.saturating_sub(idle);
         if waiting > 0 {
-            wish.running += part.running / PLACES_AHEAD;
+            wish.running += part.running / PERMIT_PREFETCH_DIVISOR;
         }
     }
     wish.waiting = u32::try_from(costs.len()).unwrap_or(u32::MAX);
     let wanted = wish.requests > 0.0 || wish.tokens > 0.0 || wish.running > 0;
-    let gives = back.0 > 0.0 || back.1 > 0.0 || part.told != Some(part.places);
-    let tells = gives && (back.0 + back.1 > 0.0 || part.places > 0 || part.told.is_some());
-    ((wanted && part.spent <= now) || tells).then_some(wish)
+    let gives = back.0 > 0.0 || back.1 > 0.0 || part.reported_permits != Some(part.permits);
+    let tells =
+        gives && (back.0 + back.1 > 0.0 || part.permits > 0 || part.reported_permits.is_some());
+    ((wanted && part.retry_at <= now) || tells).then_some(wish)
 }
 
 /// Asks every home once, and brings this host's own ledgers up to date.
-pub fn round(core: &mut Core, out: &mut Effects) {
+pub fn run_round(core: &mut Core, out: &mut Effects) {
     let now = core.now;
-    let plans: Vec<Box<str>> = core.shares.parts.keys().cloned().collect();
-    let mut homes = BTreeSet::new();
+    let plans: Vec<Box<str>> = core.shares.local.keys().cloned().collect();
+    let mut owners = BTreeSet::new();
     for plan in plans {
         match source(core, &plan) {
-            Source::Peer(home) => {
-                homes.insert(home);
+            Source::Peer(owner) => {
+                owners.insert(owner);
             }
-            Source::Own => {
-                give_back(core, &plan, now);
-                serve_own(core, &plan, out);
+            Source::Local => {
+                return_expiring(core, &plan, now);
+                draw_for_waiting(core, &plan, out);
             }
-            Source::Part => {
-                lapse(core, &plan);
-                serve_own(core, &plan, out);
+            Source::OwnFraction => {
+                drop_expiring(core, &plan);
+                draw_for_waiting(core, &plan, out);
             }
-            Source::Silent(_) => lapse(core, &plan),
+            Source::OwnerSilent(_) => drop_expiring(core, &plan),
         }
     }
-    for home in homes {
-        ask(core, home, out);
+    for owner in owners {
+        send_borrow(core, owner, out);
     }
     let ledgers: Vec<Box<str>> = core.shares.ledgers.keys().cloned().collect();
     for plan in ledgers {
@@ -187,25 +197,25 @@
     }
 }
 
-fn lapse(core: &mut Core, plan: &str) {
+fn drop_expiring(core: &mut Core, plan: &str) {
     let now = core.now;
-    if let Some(part) = core.shares.parts.get_mut(plan) {
-        part.lapsing(now);
+    if let Some(part) = core.shares.local.get_mut(plan) {
+        part.take_expiring(now);
     }
 }
 
-fn give_back(core: &mut Core, plan: &str, now: Time) {
-    let Some(allowance) = allowance(core, plan) else {
+fn return_expiring(core: &mut Core, plan: &str, now: Time) {
+    let Some(allowance) = quota_of(core, plan) else {
         return;
     };
-    let Some(part) = core.shares.parts.get_mut(plan) else {
+    let Some(part) = core.shares.local.get_mut(plan) else {
         return;
     };
-    let back = part.lapsing(now);
+    let back = part.take_expiring(now);
     let mut wish = wish(plan, part, None);
     (wish.back_requests, wish.back_tokens) = back;
-    let untold = part.told != Some(part.places);
-    part.told = Some(part.places);
+    let untold = part.reported_permits != Some(part.permits);
+    part.reported_permits = Some(part.permits);
     if untold || back.0 + back.1 > 0.0 {
         let name = core.members.name.clone();
         lend(core, plan, &name, &wish, &allowance);
@@ -214,47 +224,47 @@
 
 /// Counts the time that passed at the part that is pledged.
 fn refill(core: &mut Core, plan: &str) {
-    let Some(allowance) = allowance(core, plan) else {
+    let Some(allowance) = quota_of(core, plan) else {
         return;
     };
     let pledged = pledge::pledged(core, plan);
     if let Some(ledger) = core.shares.ledgers.get_mut(plan) {
-        ledger.allot(core.now, pledged);
-        ledger.fill(&allowance);
+        ledger.set_pledged(core.now, pledged);
+        ledger.refill(&allowance);
     }
 }
 
 /// Forgets ledgers that hold nothing.
-pub fn tidy(core: &mut Core) {
+pub fn remove_idle_ledgers(core: &mut Core) {
     let now = core.now;
     let mut ledgers = std::mem::take(&mut core.shares.ledgers);
     ledgers.retain(|plan, ledger| {
-        ledger.keep(|host| pledge::may_hold(core, host));
-        allowance(core, plan).is_some_and(|allowance| !ledger.idle(&allowance, now))
+        ledger.retain_permits(|host| pledge::may_hold_permits(core, host));
+        quota_of(core, plan).is_some_and(|allowance| !ledger.is_idle(&allowance, now))
     });
     core.shares.ledgers = ledgers;
 }
 
 /// A peer asks for loans.
-pub fn asked(core: &mut Core, from: HostKey, borrow: &Borrow, out: &mut Effects) {
+pub fn borrow_received(core: &mut Core, from: HostKey, borrow: &Borrow, out: &mut Effects) {
     // A question that comes twice or late would lend and take back twice.
     if core
         .shares
-        .answered
+        .last_answered
         .get(from)
         .is_some_and(|&last| borrow.round <= last)
     {
         return;
     }
-    core.shares.answered.insert(from, borrow.round);
+    core.shares.last_answered.insert(from, borrow.round);
     let name = core.members.arena[from].name.clone();
     let mut loans = Vec::new();
     for wish in &borrow.wishes {
-        if pledge::source(core, &wish.plan) != Source::Own {
+        if pledge::source(core, &wish.plan) != Source::Local {
             continue;
         }
         // A peer may have newer lists than this host.
-        if let Some(allowance) = allowance(core, &wish.plan) {
+        if let Some(allowance) = quota_of(core, &wish.plan) {
             loans.push(lend(core, &wish.plan, &name, wish, &allowance));
         }
     }
@@ -262,54 +272,54 @@
         to: from,
         message: Message::Lend(Lend {
             round: borrow.round,
-            life: u32::try_from(LOAN.as_millis()).unwrap_or(u32::MAX),
+            life: u32::try_from(LOAN_LIFETIME.as_millis()).unwrap_or(u32::MAX),
             loans,
         }),
     });
-    wake(core, out);
+    arm_timer(core, out);
 }
 
 /// A peer granted loans.
-pub fn lent(core: &mut Core, from: HostKey, lend: &Lend, out: &mut Effects) {
+pub fn lend_received(core: &mut Core, from: HostKey, lend: &Lend, out: &mut Effects) {
     // The answer to a question that was put anew is void: the home was told so by the new one.
-    let Some(open) = core.shares.open.get(from).copied() else {
+    let Some(open) = core.shares.pending.get(from).copied() else {
         return;
     };
     if open.round != lend.round {
         return;
     }
-    core.shares.open.remove(from);
+    core.shares.pending.remove(from);
     let now = core.now;
-    let until = open.sent.after(LOAN);
+    let until = open.sent.after(LOAN_LIFETIME);
     let mut short = false;
     for loan in &lend.loans {
-        let Some(part) = core.shares.parts.get_mut(&loan.plan) else {
+        let Some(part) = core.shares.local.get_mut(&loan.plan) else {
             continue;
         };
         if part.source != Some(Source::Peer(from)) {
             continue;
         }
-        part.told = Some(part.places + loan.running);
+        part.reported_permits = Some(part.permits + loan.running);
         if until > now {
-            part.add(until, loan.requests, loan.tokens);
-            seat(part, loan.running, now);
+            part.add_loan(until, loan.requests, loan.tokens);
+            add_permits(part, loan.running, now);
         }
         if loan.wait > 0 {
             let wait = Duration::from_millis(u64::from(loan.wait));
-            part.spent = now.after(wait.min(SPENT_MOST));
+            part.retry_at = now.after(wait.min(MAX_BORROW_BACKOFF));
         }
-        serve(core, &loan.plan, out);
+        admit_waiting(core, &loan.plan, out);
         let wait = Duration::from_millis(u64::from(loan.wait));
-        let limits = allowance(core, &loan.plan).unwrap_or_default();
-        let part = core.shares.parts.get(&loan.plan);
-        if !part.is_some_and(|part| part.holds(&limits, wait)) {
-            refuse(core, &loan.plan, wait, out);
+        let limits = quota_of(core, &loan.plan).unwrap_or_default();
+        let part = core.shares.local.get(&loan.plan);
+        if !part.is_some_and(|part| part.may_queue(&limits, wait)) {
+            refuse_waiting(core, &loan.plan, wait, out);
         }
         let some = loan.requests + loan.tokens + f64::from(loan.running) > 0.0;
-        let part = core.shares.parts.get(&loan.plan);
+        let part = core.shares.local.get(&loan.plan);
         short |= some && part.is_some_and(|part| !part.waiting.is_empty());
     }
     if short {
-        ask(core, from, out);
+        send_borrow(core, from, out);
     }
 }
--- a/src/core/share/ledger.rs
+++ b/src/core/share/ledger.rs
@@ -11,18 +11,18 @@
 /// Seconds of its rate that a plan may save up at its home.
 ///
 /// Together with what is lent and not yet spent, a plan may use twice this at once.
-pub const SAVED: f64 = 0.75;
+pub const BURST_SECS: f64 = 0.75;
 /// Time after which a share that is saved up and not asked for is forgotten.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TTL: Duration = Duration::from_secs(10);
 /// Most time filled up at once. A pledge that was withdrawn rests for longer than this, so that
 /// its rest is always seen.
-const STEP: f64 = 1.0;
+const MAX_REFILL_SECS: f64 = 1.0;
 /// Time after which a refused request for a place may come back.
-const PLACE_WAIT: f64 = 1.0;
+const PERMIT_WAIT_SECS: f64 = 1.0;
 /// Least time before it is worth asking again.
-const WAIT_LEAST: f64 = 0.02;
+const MIN_WAIT_SECS: f64 = 0.02;
 /// Most time a caller is sent away for.
-const WAIT_MOST: f64 = 60.0;
+const MAX_WAIT_SECS: f64 = 60.0;
 
 /// One plan's share at its home.
 #[derive(Debug, Default)]
@@ -30,15 +30,15 @@
     requests: f64,
     tokens: f64,
     /// Part pledged at the last look, and the time since it has counted.
-    part: f64,
-    passed: f64,
-    looked: Time,
-    used: Time,
+    fraction: f64,
+    elapsed_secs: f64,
+    updated: Time,
+    last_used: Time,
     /// Whether what every host holds is known.
-    open: bool,
-    whole: bool,
+    permits_known: bool,
+    complete: bool,
     /// Places that each host has.
-    places: BTreeMap<Box<str>, u32>,
+    permits: BTreeMap<Box<str>, u32>,
 }
 
 impl Ledger {
@@ -46,15 +46,15 @@
     #[must_use]
     pub fn new(now: Time) -> Self {
         Self {
-            looked: now,
-            used: now,
+            updated: now,
+            last_used: now,
             ..Self::default()
         }
     }
 
     /// Counts as saved up what came in over a time that is known to have been quiet.
-    pub fn saved(&mut self, allowance: &Quota, quiet: Duration) {
-        let seconds = quiet.as_secs_f64() * self.part;
+    pub fn credit_stable_time(&mut self, allowance: &Quota, quiet: Duration) {
+        let seconds = quiet.as_secs_f64() * self.fraction;
         self.requests = allowance.requests.unwrap_or(0.0) * seconds;
         self.tokens = allowance.tokens.unwrap_or(0.0) * seconds;
         self.clamp(allowance);
@@ -64,20 +64,20 @@
     ///
     /// Time since the last look counts at the smaller of both parts, since the change between them
     /// may have come at any moment.
-    pub fn allot(&mut self, now: Time, pledged: Pledged) {
-        let passed = now.since(self.looked).as_secs_f64().min(STEP);
-        self.passed = passed * self.part.min(pledged.part);
-        self.looked = now;
-        self.part = pledged.part;
-        self.whole = pledged.whole;
+    pub fn set_pledged(&mut self, now: Time, pledged: Pledged) {
+        let passed = now.since(self.updated).as_secs_f64().min(MAX_REFILL_SECS);
+        self.elapsed_secs = passed * self.fraction.min(pledged.fraction);
+        self.updated = now;
+        self.fraction = pledged.fraction;
+        self.complete = pledged.complete;
         // Places outlast a loan. Until every host has told what it holds, none is lent: another
         // home may have lent them all.
-        self.open = pledged.whole || (self.open && pledged.alone);
+        self.permits_known = pledged.complete || (self.permits_known && pledged.exclusive);
     }
 
     /// Fills up at the allowance's rate.
-    pub fn fill(&mut self, allowance: &Quota) {
-        let passed = std::mem::take(&mut self.passed);
+    pub fn refill(&mut self, allowance: &Quota) {
+        let passed = std::mem::take(&mut self.elapsed_secs);
         let requests = allowance.requests.unwrap_or(0.0);
         let tokens = allowance.tokens.unwrap_or(0.0);
         self.requests += requests * passed;
@@ -86,34 +86,35 @@
     }
 
     fn clamp(&mut self, allowance: &Quota) {
-        self.requests = self.requests.min(requests_most(allowance) * self.part);
-        self.tokens = self.tokens.min(tokens_most(allowance) * self.part);
+        self.requests = self.requests.min(request_burst(allowance) * self.fraction);
+        self.tokens = self.tokens.min(token_burst(allowance) * self.fraction);
     }
 
     /// Lends what a host asks for, as far as there is.
     pub fn lend(&mut self, host: &str, wish: &Wish, allowance: &Quota, now: Time) -> Loan {
-        self.used = now;
+        self.last_used = now;
         self.requests += wish.back_requests;
         self.tokens += wish.back_tokens;
         self.clamp(allowance);
-        let running = self.seat(host, wish, allowance);
+        let running = self.lend_permits(host, wish, allowance);
         let mut loan = Loan {
             plan: wish.plan.clone(),
             running,
             ..Loan::default()
         };
-        if self.part <= 0.0 {
+        if self.fraction <= 0.0 {
             // Hosts have not settled yet: what asks waits, since nothing is used up.
             return loan;
         }
-        let wait = self.wait(wish, allowance, running);
+        let wait = self.wait_secs(wish, allowance, running);
         if wait > 0.0 {
-            let millis = Duration::from_secs_f64(wait.clamp(WAIT_LEAST, WAIT_MOST)).as_millis();
+            let millis =
+                Duration::from_secs_f64(wait.clamp(MIN_WAIT_SECS, MAX_WAIT_SECS)).as_millis();
             loan.wait = u32::try_from(millis).unwrap_or(u32::MAX);
             return loan;
         }
         if allowance.requests.is_some() {
-            let first = first(wish);
+            let first = first_request(wish);
             loan.requests = wish.requests.min(self.requests).max(first);
             self.requests -= loan.requests;
         }
@@ -127,68 +128,70 @@
     /// Returns the time until the first waiting request could go; 0 when it can.
     ///
     /// A request larger than what can be saved up goes when everything is saved up, and is owed.
-    fn wait(&self, wish: &Wish, allowance: &Quota, running: u32) -> f64 {
+    fn wait_secs(&self, wish: &Wish, allowance: &Quota, running: u32) -> f64 {
         let until = |need: f64, most: f64, have: f64, rate: Option<f64>| {
-            let rate = rate? * self.part;
-            Some((need.min(most * self.part) - have) / rate)
+            let rate = rate? * self.fraction;
+            Some((need.min(most * self.fraction) - have) / rate)
         };
-        let (most, rate) = (requests_most(allowance), allowance.requests);
-        let requests = until(first(wish), most, self.requests, rate).unwrap_or(0.0);
-        let (most, rate) = (tokens_most(allowance), allowance.tokens);
+        let (most, rate) = (request_burst(allowance), allowance.requests);
+        let requests = until(first_request(wish), most, self.requests, rate).unwrap_or(0.0);
+        let (most, rate) = (token_burst(allowance), allowance.tokens);
         let tokens = until(wish.least, most, self.tokens, rate).unwrap_or(0.0);
         let placeless = wish.waiting > 0 && wish.running > 0 && running == 0;
         let place = match allowance.running {
-            Some(_) if placeless => PLACE_WAIT,
+            Some(_) if placeless => PERMIT_WAIT_SECS,
             _ => 0.0,
         };
         requests.max(tokens).max(place)
     }
 
     /// Lends places for running requests.
-    fn seat(&mut self, host: &str, wish: &Wish, allowance: &Quota) -> u32 {
+    fn lend_permits(&mut self, host: &str, wish: &Wish, allowance: &Quota) -> u32 {
         let Some(most) = allowance.running else {
             return 0;
         };
-        self.places.insert(host.into(), wish.held);
-        if !self.open || self.part <= 0.0 {
+        self.permits.insert(host.into(), wish.held);
+        if !self.permits_known || self.fraction <= 0.0 {
             return 0;
         }
-        let lent: u32 = self.places.values().sum();
+        let lent: u32 = self.permits.values().sum();
         let running = wish.running.min(most.saturating_sub(lent));
-        self.places.insert(host.into(), wish.held + running);
+        self.permits.insert(host.into(), wish.held + running);
         running
     }
 
     /// Forgets the places of hosts that are gone.
-    pub fn keep(&mut self, may_hold: impl Fn(&str) -> bool) {
-        self.places
+    pub fn retain_permits(&mut self, may_hold: impl Fn(&str) -> bool) {
+        self.permits
             .retain(|name, count| *count > 0 && may_hold(name));
     }
 
     /// Returns whether nothing would be lost by forgetting the ledger.
     #[must_use]
-    pub fn idle(&self, allowance: &Quota, now: Time) -> bool {
-        let full = self.requests >= requests_most(allowance) * self.part
-            && self.tokens >= tokens_most(allowance) * self.part;
+    pub fn is_idle(&self, allowance: &Quota, now: Time) -> bool {
+        let full = self.requests >= request_burst(allowance) * self.fraction
+            && self.tokens >= token_burst(allowance) * self.fraction;
         // At less than a request or so a second, what is saved up could not be told again.
-        let slow = allowance.requests.is_some_and(|rate| rate * SAVED < 1.0);
-        let unasked = !slow && now.since(self.used) >= IDLE;
-        let places = self.whole && self.places.is_empty();
+        let slow = allowance
+            .requests
+            .is_some_and(|rate| rate * BURST_SECS < 1.0);
+        let unasked = !slow && now.since(self.last_used) >= IDLE_TTL;
+        let places = self.complete && self.permits.is_empty();
         unasked && full && (allowance.running.is_none() || places)
     }
 }
 
 /// Returns the requests without which the first waiting one cannot go.
-fn first(wish: &Wish) -> f64 {
+fn first_request(wish: &Wish) -> f64 {
     wish.requests.min(f64::from(wish.waiting.min(1)))
 }
 
-fn requests_most(allowance: &Quota) -> f64 {
+fn request_burst(allowance: &Quota) -> f64 {
     allowance
         .requests
-        .map_or(0.0, |rate| (rate * SAVED).max(1.0))
+        .map_or(0.0, |rate| (rate * BURST_SECS).max(1.0))
 }
 
-fn tokens_most(allowance: &Quota) -> f64 {
-    allowance.tokens.map_or(0.0, |rate| rate * SAVED)
+fn token_burst(allowance: &Quota) -> f64 {
+    allowance.tokens.map_or(0.0, |rate| rate * BURST_SECS)
 }
--- a/src/core/share/mod.rs
+++ b/src/core/share/mod.rs
@@ -22,51 +22,54 @@
 use super::{Core, Effects, Time, request};
 use crate::lists::Quota;
 use ledger::Ledger;
-use pledge::{LOAN, Pledges, Source};
+use pledge::{LOAN_LIFETIME, Pledges, Source};
 
-pub use borrow::{asked, lent};
-pub use pledge::{PLEDGE, SETTLE, heard, hosts, joined, left, listed, sending, views};
+pub use borrow::{borrow_received, lend_received};
+pub use pledge::{
+    PLEDGE_LIFETIME, SETTLE_TIME, heartbeat_received, heartbeat_sent, host_count, hosts_listed,
+    joined, left, recent_views,
+};
 
 /// Time between two looks at what is short.
-const ROUND: Duration = Duration::from_millis(100);
+const BORROW_INTERVAL: Duration = Duration::from_millis(100);
 /// Time of recent use that is asked for ahead of need.
-const AHEAD: f64 = 0.3;
+const PREFETCH_SECS: f64 = 0.3;
 /// Weight of the last round in the recent use.
-const RECENT: f64 = 0.2;
+const USE_EWMA_WEIGHT: f64 = 0.2;
 /// Time without use after which a plan costs nothing any more.
-const UNUSED: Duration = Duration::from_secs(5);
+const UNUSED_TTL: Duration = Duration::from_secs(5);
 /// Longest wait for which a request is held back rather than refused.
-const HOLD: Duration = Duration::from_millis(150);
+const MAX_QUEUE_WAIT: Duration = Duration::from_millis(150);
 /// Requests held at any rate.
-const HELD: f64 = 2.0;
+const MIN_QUEUE_LENGTH: f64 = 2.0;
 /// Remaining life at which what was not used goes back.
-const GIVE_BACK: Duration = Duration::from_millis(150);
+const RETURN_BEFORE_EXPIRY: Duration = Duration::from_millis(150);
 
 /// What a request took.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Taken {
+pub struct Cost {
     /// Requests taken: one or, without a limit, none.
     pub requests: f64,
     /// Tokens taken.
     pub tokens: f64,
     /// Whether a place for a running request was taken.
-    pub place: bool,
+    pub permit: bool,
 }
 
 /// Answer to a request that wants its share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum Admission {
     /// It has it.
-    Taken,
+    Granted,
     /// It waits for another host.
-    Wait,
+    Queued,
     /// There is none; it may come back after this time.
-    Spent(Duration),
+    Exhausted(Duration),
 }
 
 /// A loan that is not used up.
 #[derive(Debug)]
-struct Lot {
+struct HeldLoan {
     until: Time,
     requests: f64,
     tokens: f64,
@@ -74,30 +77,30 @@
 
 /// One plan's part at this host.
 #[derive(Debug, Default)]
-struct Part {
-    lots: VecDeque<Lot>,
+struct LocalShare {
+    loans: VecDeque<HeldLoan>,
     /// Tokens used beyond what was taken.
-    owed: f64,
+    debt: f64,
     /// Places lent to this host, used or idle.
-    places: u32,
+    permits: u32,
     running: u32,
     /// Idle places go back after this.
-    idle: Time,
+    permits_until: Time,
     /// Places that the home knows of; `None` when it may not.
-    told: Option<u32>,
+    reported_permits: Option<u32>,
     waiting: VecDeque<RequestKey>,
     /// Taken since the last round, and a second lately.
-    taken: (f64, f64),
-    recent: (f64, f64),
+    round_use: (f64, f64),
+    use_rate: (f64, f64),
     /// The home has nothing before this.
-    spent: Time,
-    used: Time,
+    retry_at: Time,
+    last_used: Time,
     source: Option<Source>,
 }
 
 /// A question to a home that is not answered yet.
 #[derive(Debug, Clone, Copy)]
-struct Open {
+struct PendingBorrow {
     round: u64,
     sent: Time,
 }
@@ -105,41 +108,41 @@
 /// Parts at this host, and ledgers of the plans it is the home of.
 #[derive(Debug, Default)]
 pub struct Shares {
-    parts: BTreeMap<Box<str>, Part>,
+    local: BTreeMap<Box<str>, LocalShare>,
     ledgers: BTreeMap<Box<str>, Ledger>,
     /// This host's own parts of plans whose home is silent.
-    own: BTreeMap<Box<str>, Ledger>,
+    fallback: BTreeMap<Box<str>, Ledger>,
     pledges: Pledges,
-    open: SecondaryMap<HostKey, Open>,
+    pending: SecondaryMap<HostKey, PendingBorrow>,
     /// Last round of questions answered, by peer.
-    answered: SecondaryMap<HostKey, u64>,
+    last_answered: SecondaryMap<HostKey, u64>,
     round: u64,
-    awake: bool,
+    timer_armed: bool,
 }
 
-impl Part {
+impl LocalShare {
     /// Takes what a request costs, if it is here.
-    fn pay(&mut self, cost: Taken, now: Time) -> bool {
-        self.lots.retain(|lot| lot.until > now);
-        let (requests, tokens) = self.have();
+    fn try_charge(&mut self, cost: Cost, now: Time) -> bool {
+        self.loans.retain(|lot| lot.until > now);
+        let (requests, tokens) = self.available();
         if requests < cost.requests || tokens < cost.tokens {
             return false;
         }
-        if cost.place && self.running >= self.places {
+        if cost.permit && self.running >= self.permits {
             return false;
         }
         let (mut requests, mut tokens) = (cost.requests, cost.tokens);
-        for lot in &mut self.lots {
+        for lot in &mut self.loans {
             let (some, more) = (lot.requests.min(requests), lot.tokens.min(tokens));
             lot.requests -= some;
             lot.tokens -= more;
             requests -= some;
             tokens -= more;
         }
-        self.running += u32::from(cost.place);
-        self.taken.0 += cost.requests;
-        self.taken.1 += cost.tokens;
-        self.used = now;
+        self.running += u32::from(cost.permit);
+        self.round_use.0 += cost.requests;
+        self.round_use.1 += cost.tokens;
+        self.last_used = now;
         true
     }
 
@@ -147,23 +150,23 @@
     ///
     /// A wait that is shorter than the caller's own next try would be is not worth a refusal; the
     /// queue is kept as short as the wait.
-    fn holds(&self, allowance: &Quota, wait: Duration) -> bool {
+    fn may_queue(&self, allowance: &Quota, wait: Duration) -> bool {
         let rate = allowance.requests.unwrap_or(0.0);
-        let most = HOLD.as_secs_f64() * rate + HELD;
-        wait.is_zero() || wait <= HOLD && (self.waiting.len() as f64) < most
+        let most = MAX_QUEUE_WAIT.as_secs_f64() * rate + MIN_QUEUE_LENGTH;
+        wait.is_zero() || wait <= MAX_QUEUE_WAIT && (self.waiting.len() as f64) < most
     }
 
-    fn have(&self) -> (f64, f64) {
-        let requests = self.lots.iter().map(|lot| lot.requests).sum();
-        let tokens: f64 = self.lots.iter().map(|lot| lot.tokens).sum();
+    fn available(&self) -> (f64, f64) {
+        let requests = self.loans.iter().map(|lot| lot.requests).sum();
+        let tokens: f64 = self.loans.iter().map(|lot| lot.tokens).sum();
         (requests, tokens)
     }
 
     /// Adds a loan; what is owed is paid from it first.
-    fn add(&mut self, until: Time, requests: f64, tokens: f64) {
-        let paid = self.owed.min(tokens);
-        self.owed -= paid;
-        self.lots.push_back(Lot {
+    fn add_loan(&mut self, until: Time, requests: f64, tokens: f64) {
+        let paid = self.debt.min(tokens);
+        self.debt -= paid;
+        self.loans.push_back(HeldLoan {
             until,
             requests,
             tokens: tokens - paid,
@@ -171,87 +174,91 @@
     }
 
     /// Takes out what is about to lapse unused, to be given back.
-    fn lapsing(&mut self, now: Time) -> (f64, f64) {
-        let soon = now.after(GIVE_BACK);
+    fn take_expiring(&mut self, now: Time) -> (f64, f64) {
+        let soon = now.after(RETURN_BEFORE_EXPIRY);
         let mut back = (0.0, 0.0);
-        self.lots.retain(|lot| {
+        self.loans.retain(|lot| {
             if lot.until > now && lot.until <= soon {
                 back.0 += lot.requests;
                 back.1 += lot.tokens;
             }
             lot.until > soon
         });
-        if self.idle <= soon {
-            self.places = self.running;
+        if self.permits_until <= soon {
+            self.permits = self.running;
         }
         back
     }
 
     /// Brings the recent use up to date; called once a round.
-    fn count(&mut self) {
-        let taken = std::mem::take(&mut self.taken);
+    fn update_use_rate(&mut self) {
+        let taken = std::mem::take(&mut self.round_use);
         let rate = |taken: f64, recent: f64| {
-            recent * (1.0 - RECENT) + taken / ROUND.as_secs_f64() * RECENT
+            recent * (1.0 - USE_EWMA_WEIGHT)
+                + taken / BORROW_INTERVAL.as_secs_f64() * USE_EWMA_WEIGHT
         };
-        self.recent = (rate(taken.0, self.recent.0), rate(taken.1, self.recent.1));
+        self.use_rate = (
+            rate(taken.0, self.use_rate.0),
+            rate(taken.1, self.use_rate.1),
+        );
     }
 }
 
-fn cost(core: &Core, key: RequestKey, allowance: &Quota) -> Taken {
+fn cost(core: &Core, key: RequestKey, allowance: &Quota) -> Cost {
     let tokens = match &core.requests.arena[key].want {
         Want::Model(want) => f64::from(want.prompt) + f64::from(want.output),
         Want::Service(_) => 0.0,
     };
-    Taken {
+    Cost {
         requests: f64::from(u8::from(allowance.requests.is_some())),
         tokens: allowance.tokens.map_or(0.0, |_| tokens),
-        place: allowance.running.is_some(),
+        permit: allowance.running.is_some(),
     }
 }
 
-fn allowance(core: &Core, plan: &str) -> Option<Quota> {
+fn quota_of(core: &Core, plan: &str) -> Option<Quota> {
     core.config.lists.uses.plans.get(plan)?.quota()
 }
 
 /// Takes a request's share.
-pub fn take(core: &mut Core, key: RequestKey, out: &mut Effects) -> Answer {
+pub fn take(core: &mut Core, key: RequestKey, out: &mut Effects) -> Admission {
     let plan = core.requests.arena[key].record.plan.clone();
-    let Some(allowance) = allowance(core, &plan) else {
-        return Answer::Taken;
+    let Some(allowance) = quota_of(core, &plan) else {
+        return Admission::Granted;
     };
     let cost = cost(core, key, &allowance);
-    wake(core, out);
+    arm_timer(core, out);
     let now = core.now;
     let source = source(core, &plan);
-    let part = core.shares.parts.entry(plan.clone()).or_default();
-    part.used = now;
-    if part.waiting.is_empty() && part.pay(cost, now) {
+    let part = core.shares.local.entry(plan.clone()).or_default();
+    part.last_used = now;
+    if part.waiting.is_empty() && part.try_charge(cost, now) {
         core.requests.arena[key].taken = cost;
-        return Answer::Taken;
+        return Admission::Granted;
     }
     match source {
-        Source::Own | Source::Part => {
+        Source::Local | Source::OwnFraction => {
             let wait = borrow::draw(core, &plan, &allowance, cost);
-            let part = core.shares.parts.entry(plan).or_default();
-            if part.pay(cost, now) {
+            let part = core.shares.local.entry(plan).or_default();
+            if part.try_charge(cost, now) {
                 core.requests.arena[key].taken = cost;
-                Answer::Taken
-            } else if part.holds(&allowance, wait) {
+                Admission::Granted
+            } else if part.may_queue(&allowance, wait) {
                 part.waiting.push_back(key);
-                Answer::Wait
+                Admission::Queued
             } else {
-                Answer::Spent(wait)
+                Admission::Exhausted(wait)
             }
         }
-        Source::Silent(_) => {
+        Source::OwnerSilent(_) => {
             part.waiting.push_back(key);
-            Answer::Wait
+            Admission::Queued
         }
-        Source::Peer(_) if part.spent > now => Answer::Spent(part.spent.since(now)),
-        Source::Peer(home) => {
+        Source::Peer(_) if part.retry_at > now => Admission::Exhausted(part.retry_at.since(now)),
+        Source::Peer(owner) => {
             part.waiting.push_back(key);
-            borrow::ask(core, home, out);
-            Answer::Wait
+            borrow::send_borrow(core, owner, out);
+            Admission::Queued
         }
     }
 }
@@ -260,20 +267,20 @@
 fn source(core: &mut Core, plan: &str) -> Source {
     let source = pledge::source(core, plan);
     let now = core.now;
-    let part = core.shares.parts.entry(plan.into()).or_default();
+    let part = core.shares.local.entry(plan.into()).or_default();
     if part.source != Some(source) {
         part.source = Some(source);
-        part.spent = now;
-        part.told = None;
-        if source != Source::Part {
-            core.shares.own.remove(plan);
+        part.retry_at = now;
+        part.reported_permits = None;
+        if source != Source::OwnFraction {
+            core.shares.fallback.remove(plan);
         }
     }
     source
 }
 
 /// Gives back what a request took and did not use.
-pub fn settle(core: &mut Core, key: RequestKey, _out: &mut Effects) {
+pub fn reconcile(core: &mut Core, key: RequestKey, _out: &mut Effects) {
     let now = core.now;
     let request = &core.requests.arena[key];
     let taken = request.taken;
@@ -283,45 +290,45 @@
         }
         _ => 0.0,
     };
-    if taken == Taken::default() {
+    if taken == Cost::default() {
         return;
     }
     let part = core
         .shares
-        .parts
+        .local
         .entry(request.record.plan.clone())
         .or_default();
-    if taken.place {
+    if taken.permit {
         part.running = part.running.saturating_sub(1);
-        part.idle = now.after(LOAN);
+        part.permits_until = now.after(LOAN_LIFETIME);
     }
     if taken.tokens > 0.0 {
         if used > taken.tokens {
-            part.owed += used - taken.tokens;
+            part.debt += used - taken.tokens;
         } else {
-            part.add(now.after(LOAN), 0.0, taken.tokens - used);
+            part.add_loan(now.after(LOAN_LIFETIME), 0.0, taken.tokens - used);
         }
     }
 }
 
 /// Forgets a request that waits for its share.
-pub fn forget(core: &mut Core, key: RequestKey) {
+pub fn cancel_wait(core: &mut Core, key: RequestKey) {
     let plan = &core.requests.arena[key].record.plan;
-    if let Some(part) = core.shares.parts.get_mut(plan) {
+    if let Some(part) = core.shares.local.get_mut(plan) {
         part.waiting.retain(|&waiting| waiting != key);
     }
 }
 
 /// Lets waiting requests go as far as what is here allows.
-fn serve(core: &mut Core, plan: &str, out: &mut Effects) {
-    let Some(allowance) = allowance(core, plan) else {
+fn admit_waiting(core: &mut Core, plan: &str, out: &mut Effects) {
+    let Some(allowance) = quota_of(core, plan) else {
         return;
     };
     let now = core.now;
-    while let Some(key) = first(core, plan) {
+    while let Some(key) = first_waiting(core, plan) {
         let cost = cost(core, key, &allowance);
-        let part = core.shares.parts.entry(plan.into()).or_default();
-        if !part.pay(cost, now) {
+        let part = core.shares.local.entry(plan.into()).or_default();
+        if !part.try_charge(cost, now) {
             return;
         }
         part.waiting.pop_front();
@@ -330,23 +337,23 @@
     }
 }
 
-fn first(core: &Core, plan: &str) -> Option<RequestKey> {
-    core.shares.parts.get(plan)?.waiting.front().copied()
+fn first_waiting(core: &Core, plan: &str) -> Option<RequestKey> {
+    core.shares.local.get(plan)?.waiting.front().copied()
 }
 
 /// Draws for the waiting requests of a plan that this host lends to itself.
-fn serve_own(core: &mut Core, plan: &str, out: &mut Effects) {
-    let Some(allowance) = allowance(core, plan) else {
+fn draw_for_waiting(core: &mut Core, plan: &str, out: &mut Effects) {
+    let Some(allowance) = quota_of(core, plan) else {
         return;
     };
-    while let Some(key) = first(core, plan) {
+    while let Some(key) = first_waiting(core, plan) {
         let cost = cost(core, key, &allowance);
         let wait = borrow::draw(core, plan, &allowance, cost);
-        serve(core, plan, out);
-        if first(core, plan) == Some(key) {
-            let part = core.shares.parts.get(plan);
-            if !part.is_some_and(|part| part.holds(&allowance, wait)) {
-                refuse(core, plan, wait, out);
+        admit_waiting(core, plan, out);
+        if first_waiting(core, plan) == Some(key) {
+            let part = core.shares.local.get(plan);
+            if !part.is_some_and(|part| part.may_queue(&allowance, wait)) {
+                refuse_waiting(core, plan, wait, out);
             }
             return;
         }
@@ -354,8 +361,8 @@
 }
 
 /// Refuses the waiting requests of a plan.
-fn refuse(core: &mut Core, plan: &str, wait: Duration, out: &mut Effects) {
-    while let Some(part) = core.shares.parts.get_mut(plan)
+fn refuse_waiting(core: &mut Core, plan: &str, wait: Duration, out: &mut Effects) {
+    while let Some(part) = core.shares.local.get_mut(plan)
         && let Some(key) = part.waiting.pop_front()
     {
         request::spent(core, key, wait, out);
@@ -363,51 +370,51 @@
 }
 
 /// The lists changed.
-pub fn changed(core: &mut Core) {
+pub fn lists_changed(core: &mut Core) {
     let plans = &core.config.lists.uses.plans;
     let shares = &mut core.shares;
     shares.ledgers.retain(|plan, _| plans.contains_key(plan));
-    shares.own.retain(|plan, _| plans.contains_key(plan));
+    shares.fallback.retain(|plan, _| plans.contains_key(plan));
 }
 
 /// The hosts changed.
-pub fn moved(core: &mut Core, out: &mut Effects) {
-    if !pledge::moved(core) {
+pub fn view_changed(core: &mut Core, out: &mut Effects) {
+    if !pledge::view_changed(core) {
         return;
     }
-    let plans: Vec<Box<str>> = core.shares.parts.keys().cloned().collect();
+    let plans: Vec<Box<str>> = core.shares.local.keys().cloned().collect();
     for plan in plans {
         source(core, &plan);
     }
-    wake(core, out);
+    arm_timer(core, out);
 }
 
 /// Checks on pledges; called with each beat.
-pub fn beat(core: &mut Core) {
-    pledge::look(core);
+pub fn check_pledges(core: &mut Core) {
+    pledge::check(core);
 }
 
 /// Returns whether the hosts have settled with this one since its start.
 ///
 /// Until then no home may lend and this host would refuse every caller with a limit.
 #[must_use]
-pub fn settled(core: &Core) -> bool {
-    pledge::settled_in(core)
+pub fn pledges_settled(core: &Core) -> bool {
+    pledge::ever_settled(core)
 }
 
 /// This host is leaving: what is here goes back with the next round, and it lends to its end.
 pub fn leave(core: &mut Core, out: &mut Effects) {
-    for part in core.shares.parts.values_mut() {
-        part.recent = (0.0, 0.0);
+    for part in core.shares.local.values_mut() {
+        part.use_rate = (0.0, 0.0);
     }
-    wake(core, out);
+    arm_timer(core, out);
 }
 
-fn wake(core: &mut Core, out: &mut Effects) {
-    if !core.shares.awake {
-        core.shares.awake = true;
+fn arm_timer(core: &mut Core, out: &mut Effects) {
+    if !core.shares.timer_armed {
+        core.shares.timer_armed = true;
         out.push(Effect::Wake {
-            at: core.now.after(ROUND),
+            at: core.now.after(BORROW_INTERVAL),
             timer: Timer::Shares,
         });
     }
@@ -415,29 +422,31 @@
 
 /// Gives back, asks ahead of need, and forgets what is not used.
 pub fn timer(core: &mut Core, out: &mut Effects) {
-    core.shares.awake = false;
+    core.shares.timer_armed = false;
     let now = core.now;
-    for part in core.shares.parts.values_mut() {
-        part.count();
+    for part in core.shares.local.values_mut() {
+        part.update_use_rate();
     }
-    borrow::round(core, out);
-    core.shares.parts.retain(|_, part| {
-        let unused = now.since(part.used) >= UNUSED && part.running == 0 && part.owed <= 0.0;
-        let idle = part.waiting.is_empty() && part.places == 0 && part.told.unwrap_or(0) == 0;
+    borrow::run_round(core, out);
+    core.shares.local.retain(|_, part| {
+        let unused =
+            now.since(part.last_used) >= UNUSED_TTL && part.running == 0 && part.debt <= 0.0;
+        let idle =
+            part.waiting.is_empty() && part.permits == 0 && part.reported_permits.unwrap_or(0) == 0;
         !(unused && idle)
     });
-    borrow::tidy(core);
-    if !(core.shares.parts.is_empty() && core.shares.ledgers.is_empty()) {
-        wake(core, out);
+    borrow::remove_idle_ledgers(core);
+    if !(core.shares.local.is_empty() && core.shares.ledgers.is_empty()) {
+        arm_timer(core, out);
     }
 }
 
-fn wish(plan: &str, part: &Part, cost: Option<Taken>) -> Wish {
+fn wish(plan: &str, part: &LocalShare, cost: Option<Cost>) -> Wish {
     Wish {
         plan: plan.into(),
         waiting: u32::from(cost.is_some()),
         least: cost.map_or(0.0, |cost| cost.tokens),
-        held: part.places,
+        held: part.permits,
         ..Wish::default()
     }
 }
--- a/src/core/share/tests/site.rs
+++ b/src/core/share/tests/site.rs
@@ -22,15 +22,15 @@
 use crate::wire::{Frame, encode};
 
 /// Life of a registration without renewal.
-const LEASE: Duration = Duration::from_secs(2);
-const TICK: Duration = Duration::from_millis(100);
+const LEASE_TTL: Duration = Duration::from_secs(2);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Bytes that tell the length of a frame.
-const LENGTH: usize = 4;
-const KEY: &str = "key";
+const FRAME_HEADER_BYTES: usize = 4;
+const API_KEY: &str = "key";
 
 /// Something at a point in virtual time.
 #[derive(Debug)]
-enum Item {
+enum QueuedEvent {
     Event {
         host: usize,
         life: u32,
@@ -53,7 +53,7 @@
     pub store: bool,
     pub paused: Time,
     /// The watch tells changes in order.
-    told: Time,
+    last_watch: Time,
 }
 
 /// Something that was let in.
@@ -70,9 +70,9 @@
     pub prompt: u32,
     /// Most tokens, as asked for, and tokens generated.
     pub output: u32,
-    pub made: u32,
+    pub generated: u32,
     /// Time a request runs.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 #[derive(Debug)]
@@ -85,14 +85,14 @@
     pub refused: usize,
     /// Requests running, by host, life and key; and the most there were at once.
     running: BTreeSet<(usize, u32, RequestKey)>,
-    pub most: usize,
+    pub max_running: usize,
     /// Bytes of frames sent between hosts.
     pub bytes: usize,
-    pub cut: BTreeSet<(usize, usize)>,
+    pub cut_links: BTreeSet<(usize, usize)>,
     pub load: Load,
     uses: Box<str>,
     registered: BTreeMap<Box<str>, (Box<[u8]>, Time)>,
-    queue: BTreeMap<(Time, u64), Item>,
+    events: BTreeMap<(Time, u64), QueuedEvent>,
     count: u64,
     tag: u64,
 }
@@ -107,23 +107,23 @@
             arrived: 0,
             refused: 0,
             running: BTreeSet::new(),
-            most: 0,
+            max_running: 0,
             bytes: 0,
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             load,
             uses: format!(
                 "[plan p]\nmodels = m\nservices = s\n{uses}\n[service s]\nrepeat = GET *\n"
             )
             .into(),
             registered: BTreeMap::new(),
-            queue: BTreeMap::new(),
+            events: BTreeMap::new(),
             count: 0,
             tag: 0,
         };
         for at in 0..hosts {
             site.start(&format!("host-{at}"));
         }
-        site.push(site.now, Item::Tick);
+        site.push(site.now, QueuedEvent::Tick);
         site
     }
 
@@ -132,7 +132,7 @@
         let settings = settings(name);
         let mut core = Core::new(settings, self.now, 1_000_000, self.rng.random());
         let mut out = Effects::new();
-        let key = KeyHash::of(KEY);
+        let key = KeyHash::of(API_KEY);
         let plans = format!("[customer c]\nplan = p\nkeys = {key}\n");
         config::told(&mut core, 1, &plans, &self.uses, &mut out);
         let found = self.hosts.iter().position(|host| *host.name == *name);
@@ -145,9 +145,9 @@
                 load: 0.0,
                 store: true,
                 paused: Time::default(),
-                told: Time::default(),
+                last_watch: Time::default(),
             });
-            self.push(self.now, Item::Arrive { host: at });
+            self.push(self.now, QueuedEvent::Arrive { host: at });
         }
         let host = &mut self.hosts[at];
         host.core = Some(core);
@@ -171,7 +171,7 @@
             self.snapshot(at);
         }
         if !reached && self.hosts[at].store {
-            self.later(at, Event::Store(StoreEvent::Health(Health::Down)));
+            self.feed_delayed(at, Event::Store(StoreEvent::Health(Health::Down)));
         }
         self.hosts[at].store = reached;
     }
@@ -182,7 +182,7 @@
         }
         let names: BTreeSet<Box<str>> = self.hosts.iter().map(|host| host.name.clone()).collect();
         let pairs = names.into_iter().map(|name| self.watched(&name)).collect();
-        self.later(at, Event::Store(StoreEvent::Health(Health::Up)));
+        self.feed_delayed(at, Event::Store(StoreEvent::Health(Health::Up)));
         self.watch(at, pairs);
     }
 
@@ -194,39 +194,39 @@
         }
     }
 
-    fn push(&mut self, at: Time, item: Item) {
+    fn push(&mut self, at: Time, item: QueuedEvent) {
         self.count += 1;
-        self.queue.insert((at, self.count), item);
+        self.events.insert((at, self.count), item);
     }
 
     fn feed(&mut self, host: usize, event: Event) {
         let life = self.hosts[host].life;
         let at = self.now;
-        self.push(at, Item::Event { host, life, event });
+        self.push(at, QueuedEvent::Event { host, life, event });
     }
 
     /// Feeds an event after the time a message takes.
-    fn later(&mut self, host: usize, event: Event) {
+    fn feed_delayed(&mut self, host: usize, event: Event) {
         let life = self.hosts[host].life;
         let at = self
             .now
             .after(Duration::from_micros(self.rng.random_range(500..2500)));
-        self.push(at, Item::Event { host, life, event });
+        self.push(at, QueuedEvent::Event { host, life, event });
     }
 
     fn watch(&mut self, host: usize, pairs: Vec<Watched>) {
         let life = self.hosts[host].life;
         let lag = Duration::from_micros(self.rng.random_range(500..2500));
-        let at = self.now.after(lag).max(self.hosts[host].told);
-        self.hosts[host].told = at;
+        let at = self.now.after(lag).max(self.hosts[host].last_watch);
+        self.hosts[host].last_watch = at;
         let event = Event::Store(StoreEvent::Watched(pairs));
-        self.push(at, Item::Event { host, life, event });
+        self.push(at, QueuedEvent::Event { host, life, event });
     }
 
     /// Runs for a time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now.after(span);
-        while let Some(entry) = self.queue.first_entry() {
+        while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end {
                 break;
             }
@@ -237,32 +237,32 @@
         self.now = end;
     }
 
-    fn step(&mut self, item: Item) {
+    fn step(&mut self, item: QueuedEvent) {
         match item {
-            Item::Tick => {
-                self.lapse();
-                self.push(self.now.after(TICK), Item::Tick);
+            QueuedEvent::Tick => {
+                self.expire_leases();
+                self.push(self.now.after(TICK_INTERVAL), QueuedEvent::Tick);
             }
-            Item::Arrive { host } => self.arrive(host),
-            Item::Event { host, life, event } => self.event(host, life, event),
+            QueuedEvent::Arrive { host } => self.arrive(host),
+            QueuedEvent::Event { host, life, event } => self.deliver(host, life, event),
         }
     }
 
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let now = self.now;
         let lapsed: Vec<Box<str>> = self
             .registered
             .iter()
-            .filter(|(_, (_, renewed))| now.since(*renewed) > LEASE)
+            .filter(|(_, (_, renewed))| now.since(*renewed) > LEASE_TTL)
             .map(|(name, _)| name.clone())
             .collect();
         for name in lapsed {
             self.registered.remove(&name);
-            self.tell(&name);
+            self.notify_watchers(&name);
         }
     }
 
-    fn tell(&mut self, name: &str) {
+    fn notify_watchers(&mut self, name: &str) {
         for at in 0..self.hosts.len() {
             if self.hosts[at].store {
                 let pairs = vec![self.watched(name)];
@@ -277,9 +277,9 @@
             let draw: f64 = self.rng.random_range(0.0001..1.0);
             Duration::from_secs_f64((-draw.ln() / load).min(1.0))
         } else {
-            TICK
+            TICK_INTERVAL
         };
-        self.push(self.now.after(wait), Item::Arrive { host });
+        self.push(self.now.after(wait), QueuedEvent::Arrive { host });
         let alive = self.hosts[host].core.is_some() && self.hosts[host].paused <= self.now;
         if load <= 0.0 || !alive {
             return;
@@ -302,7 +302,7 @@
         };
         let arrival = Arrival {
             tag: self.tag,
-            caller: KeyHash::of(KEY),
+            caller: KeyHash::of(API_KEY),
             want: target,
             idem: None,
             print: Print(u128::from(self.tag).to_le_bytes()),
@@ -313,7 +313,7 @@
         );
     }
 
-    fn event(&mut self, at: usize, life: u32, event: Event) {
+    fn deliver(&mut self, at: usize, life: u32, event: Event) {
         let host = &mut self.hosts[at];
         if host.life != life {
             return;
@@ -322,7 +322,7 @@
             let until = host.paused;
             self.push(
                 until,
-                Item::Event {
+                QueuedEvent::Event {
                     host: at,
                     life,
                     event,
@@ -336,16 +336,16 @@
         let mut out = Effects::new();
         core.reduce(self.now, event, &mut out);
         for effect in out {
-            self.carry(at, effect);
+            self.apply(at, effect);
         }
     }
 
-    fn carry(&mut self, at: usize, effect: Effect) {
+    fn apply(&mut self, at: usize, effect: Effect) {
         let life = self.hosts[at].life;
         match effect {
             Effect::Wake { at: when, timer } => self.push(
                 when,
-                Item::Event {
+                QueuedEvent::Event {
                     host: at,
                     life,
                     event: Event::Timer(timer),
@@ -361,14 +361,15 @@
                 encode(&Frame::Message(message.clone()), &mut bytes);
                 // What requests leave behind is counted elsewhere.
                 if !matches!(message, Message::Traces(_)) {
-                    self.bytes += bytes.len() + LENGTH;
+                    self.bytes += bytes.len() + FRAME_HEADER_BYTES;
                 }
                 let found = self.hosts.iter().position(|host| host.name == name);
-                let Some(other) = found.filter(|&other| !self.cut.contains(&(at, other))) else {
+                let Some(other) = found.filter(|&other| !self.cut_links.contains(&(at, other)))
+                else {
                     return;
                 };
                 let from = self.hosts[at].name.clone();
-                self.later(other, Event::Peer(PeerEvent::Message { from, message }));
+                self.feed_delayed(other, Event::Peer(PeerEvent::Message { from, message }));
             }
             Effect::Grant { job, .. } => {
                 self.reply(at, job, StoreResult::Lease(i64::from(life) + 7));
@@ -385,9 +386,9 @@
             Effect::Txn { job, txn } => self.write(at, job, &txn.then),
             Effect::Call {
                 request, attempt, ..
-            } => self.let_in(at, request, attempt, None),
+            } => self.admit(at, request, attempt, None),
             Effect::Open(open) => {
-                self.let_in(at, open.request, open.attempt, Some(self.load.made));
+                self.admit(at, open.request, open.attempt, Some(self.load.generated));
             }
             Effect::Reply { request, .. } | Effect::Finish(request) => {
                 self.running.remove(&(at, life, request));
@@ -407,7 +408,7 @@
         } else {
             StoreResult::Unknown
         };
-        self.later(
+        self.feed_delayed(
             at,
             Event::Store(StoreEvent::Reply(StoreReply { job, result })),
         );
@@ -426,19 +427,19 @@
             replies: Vec::new(),
         };
         self.reply(at, job, StoreResult::Txn(done));
-        self.tell(&name);
+        self.notify_watchers(&name);
     }
 
-    fn let_in(&mut self, at: usize, request: RequestKey, attempt: AttemptKey, made: Option<u32>) {
+    fn admit(&mut self, at: usize, request: RequestKey, attempt: AttemptKey, made: Option<u32>) {
         let life = self.hosts[at].life;
         self.running.insert((at, life, request));
-        self.most = self.most.max(self.running.len());
+        self.max_running = self.max_running.max(self.running.len());
         self.admitted.push(Admitted {
             at: self.now,
             requests: 1.0,
             tokens: made.map_or(0.0, |made| f64::from(self.load.prompt + made)),
         });
-        let end = self.now.after(self.load.lasts);
+        let end = self.now.after(self.load.duration);
         let events = match made {
             None => vec![RequestEvent::Answered {
                 attempt,
@@ -462,7 +463,7 @@
             let event = Event::Request(event);
             self.push(
                 end,
-                Item::Event {
+                QueuedEvent::Event {
                     host: at,
                     life,
                     event,
@@ -472,23 +473,23 @@
     }
 
     /// Returns the sum of the parts that hosts may lend or use now.
-    pub fn parts(&mut self) -> f64 {
+    pub fn lendable_fraction(&mut self) -> f64 {
         let now = self.now;
         let awake = self.hosts.iter_mut().filter(|host| host.paused <= now);
         let cores = awake.filter_map(|host| host.core.as_mut());
         let parts = cores.map(|core| {
             core.now = now;
             match pledge::source(core, "p") {
-                Source::Own => pledge::pledged(core, "p").part,
-                Source::Part => pledge::own_part(core),
-                Source::Peer(_) | Source::Silent(_) => 0.0,
+                Source::Local => pledge::pledged(core, "p").fraction,
+                Source::OwnFraction => pledge::own_fraction(core),
+                Source::Peer(_) | Source::OwnerSilent(_) => 0.0,
             }
         });
         parts.sum()
     }
 
     /// Returns the most by which any window's total went beyond `rate` times its length.
-    pub fn over(&self, rate: f64, what: impl Fn(&Admitted) -> f64) -> f64 {
+    pub fn max_excess(&self, rate: f64, what: impl Fn(&Admitted) -> f64) -> f64 {
         let (mut total, mut least, mut over) = (0.0_f64, f64::INFINITY, 0.0_f64);
         for admitted in &self.admitted {
             let due = rate * admitted.at.micros() as f64 / 1e6;
--- a/src/core/tests/order.rs
+++ b/src/core/tests/order.rs
@@ -10,7 +10,7 @@
 use crate::core::event::{Entry, EntryKind, Event, FleetEvent, Ordered, Probe, Report, Role};
 use crate::core::fleet::Standing;
 use crate::core::key::PoolKey;
-use crate::core::order::hold;
+use crate::core::order::authority;
 use crate::core::role::{Change, Memory, View};
 use crate::core::{Time, member};
 use crate::settings::Fencing;
@@ -370,7 +370,7 @@
         let hosts = self.world.hosts.iter();
         let mut holders = hosts
             .enumerate()
-            .filter(|(_, host)| !host.dead && !host.frozen && hold::holds(&host.core, POOL))
+            .filter(|(_, host)| !host.dead && !host.frozen && authority::holds(&host.core, POOL))
             .map(|(at, _)| at);
         let first = holders.next();
         assert_eq!(holders.next(), None, "two hosts hold the pool");
@@ -720,7 +720,7 @@
     site.until("another holds the pool", |site| site.holder().is_some());
     let next = site.holder().expect("it was there");
     assert_ne!(next, first);
-    let hold = &site.world.hosts[next].core.orders.desk(POOL).hold;
+    let hold = &site.world.hosts[next].core.orders.pool(POOL).authority;
     assert!(hold.suspects.is_empty(), "{:?}", hold.suspects);
 }
 
@@ -733,7 +733,7 @@
     for _ in 0..4 {
         site.until("somebody holds the pool", |site| site.holder().is_some());
         let at = site.holder().expect("it was there");
-        let fence = site.world.hosts[at].core.orders.desk(POOL).hold.fence;
+        let fence = site.world.hosts[at].core.orders.pool(POOL).authority.fence;
         assert!(fence > last, "{fence} after {last}");
         last = fence;
         site.world.freeze(at);
--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -28,7 +28,7 @@
 const CALLER_TIME: Duration = Duration::from_mins(1);
 /// Time the kernel goes on trying to deliver an order.
 ///
-/// With the time to connect it stays under [`crate::core::order::FLIGHT`].
+/// With the time to connect it stays under [`crate::core::order::MAX_FLIGHT_TIME`].
 const ORDER_LIFE: Duration = Duration::from_secs(2);
 /// Times and limits of an order's call.
 const ORDER_OPTIONS: backend::Options = backend::Options {
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -56,7 +56,7 @@
         Err("no lists in force yet")
     } else if !core.members.registered {
         Err("not registered among the hosts yet")
-    } else if !share::settled(core) {
+    } else if !share::pledges_settled(core) {
         Err("not counted among the hosts that share yet")
     } else if member::cut_off(core) {
         Err("cut off from the key-value service and the peers")
