--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -1,7 +1,8 @@
 //! An operator's edit on its way into the key-value service.
 
 use super::{
-    CHUNK_LIMIT, CHUNKS, HEAD, Head, enforce, fetch, name, parse_head, read_plans, write_head,
+    CHUNK_FOLDER, HEAD_KEY, Head, MAX_CHUNK_BYTES, chunk_name, fetch, parse_head, put_in_force,
+    read_plans, write_head,
 };
 use crate::core::effect::{Effect, OperatorAnswer};
 use crate::core::event::{Edit, Health, Job, StoreResult, Which};
@@ -11,11 +12,11 @@
 use crate::store::{Compare, Op, Pair, Reply, Span, Txn, TxnReply};
 
 /// Edits whose tokens a head remembers: more than come while a lost answer is settled.
-const BEFORE: usize = 8;
+const MAX_PRIOR_EDITS: usize = 8;
 /// Chunks deleted by one swap; a transaction takes 128 steps.
-const DELETES: usize = 100;
+const MAX_DELETES_PER_TXN: usize = 100;
 /// Tries of a write whose outcome is unknown before the operator is told so.
-const EDIT_TRIES: u32 = 20;
+const MAX_EDIT_TRIES: u32 = 20;
 
 /// An edit on its way into the key-value service.
 #[derive(Debug)]
@@ -23,15 +24,15 @@
     list: Which,
     head: Head,
     /// Revision of the key-value service at which the edited head stood; 0 for none.
-    base: i64,
+    base_modified: i64,
     /// Chunks that are still to be written.
     chunks: Vec<Chunk>,
     /// Chunks that no head names any more.
-    gone: Vec<Box<str>>,
+    deleted: Vec<Box<str>>,
     tries: u32,
     lists: Lists,
     /// Chunks of the plans, for the next edit.
-    parts: Vec<Chunk>,
+    plan_chunks: Vec<Chunk>,
 }
 
 /// Takes an operator's edit in hand.
@@ -47,7 +48,7 @@
     match prepare(core, edit) {
         Ok(pending) => {
             core.config.pending.insert(ask, pending);
-            write(core, ask, out);
+            write_next(core, ask, out);
         }
         Err(answer) => out.push(Effect::Answer { ask, answer }),
     }
@@ -57,13 +58,13 @@
     let current = &core.config.lists;
     // An edit on top of a head that is not in force here yet would be checked against the wrong
     // other list.
-    if edit.base != current.revision || core.config.newest() > current.revision {
+    if edit.base != current.revision || core.config.newest_known() > current.revision {
         return Err(conflict(core, edit.list));
     }
     let mut lists = current.clone();
     let parsed = match edit.list {
         Which::Plans => {
-            let parts = lists::chunks(&edit.text, CHUNK_LIMIT);
+            let parts = lists::chunks(&edit.text, MAX_CHUNK_BYTES);
             read_plans(&core.config, &parts).map(|plans| lists.plans = plans)
         }
         Which::Uses => Uses::parse(&edit.text, "use").map(|uses| lists.uses = uses),
@@ -74,9 +75,9 @@
         return Err(faults(&found));
     }
     lists.revision += 1;
-    let plans = lists::chunks(&lists.plans.to_string(), CHUNK_LIMIT);
-    let uses = lists::chunks(&lists.uses.to_string(), CHUNK_LIMIT);
-    let names = |chunks: &[Chunk]| chunks.iter().map(name).collect();
+    let plans = lists::chunks(&lists.plans.to_string(), MAX_CHUNK_BYTES);
+    let uses = lists::chunks(&lists.uses.to_string(), MAX_CHUNK_BYTES);
+    let names = |chunks: &[Chunk]| chunks.iter().map(chunk_name).collect();
     let token: u64 = rand::RngExt::random(&mut core.rng);
     let base = &core.config.head;
     let mut head = Head {
@@ -84,26 +85,26 @@
         token: format!("{}-{token:016x}", core.members.name).into(),
         plans: names(&plans),
         uses: names(&uses),
-        old: Vec::new(),
-        before: base.before.clone(),
+        retired: Vec::new(),
+        prior_tokens: base.prior_tokens.clone(),
     };
-    head.before.insert(0, base.token.clone());
-    head.before.truncate(BEFORE);
+    head.prior_tokens.insert(0, base.token.clone());
+    head.prior_tokens.truncate(MAX_PRIOR_EDITS);
     let (gone, old) = retire(base, &head);
-    head.old = old;
+    head.retired = old;
     let all = plans.iter().chain(&uses);
     // What the head names is there as long as the head stands, and the swap needs it to stand.
-    let chunks = all.filter(|chunk| !base.names(&name(chunk)));
+    let chunks = all.filter(|chunk| !base.names(&chunk_name(chunk)));
     let chunks: Vec<Chunk> = chunks.cloned().collect();
     Ok(Pending {
         list: edit.list,
         head,
-        base: core.config.stood,
+        base_modified: core.config.head_modified,
         chunks,
-        gone,
+        deleted: gone,
         tries: 0,
         lists,
-        parts: plans,
+        plan_chunks: plans,
     })
 }
 
@@ -117,8 +118,8 @@
         let chunks = chunks.iter().filter(|chunk| !head.names(chunk));
         chunks.cloned().collect()
     };
-    let mut gone = unnamed(&base.old);
-    let mut old = gone.split_off(gone.len().min(DELETES));
+    let mut gone = unnamed(&base.retired);
+    let mut old = gone.split_off(gone.len().min(MAX_DELETES_PER_TXN));
     old.extend(unnamed(&base.plans));
     old.extend(unnamed(&base.uses));
     (gone, old)
@@ -142,7 +143,7 @@
 }
 
 /// Writes the next chunk, or swaps the head when all chunks are there.
-fn write(core: &mut Core, ask: AskKey, out: &mut Effects) {
+fn write_next(core: &mut Core, ask: AskKey, out: &mut Effects) {
     let Some(pending) = core.config.pending.get(&ask) else {
         return;
     };
@@ -150,13 +151,13 @@
         Some(chunk) => Txn {
             compare: Vec::new(),
             then: vec![Op::Put {
-                key: format!("{CHUNKS}{}", name(chunk)).into(),
+                key: format!("{CHUNK_FOLDER}{}", chunk_name(chunk)).into(),
                 value: chunk.bytes.clone().into(),
                 lease: 0,
             }],
             otherwise: Vec::new(),
         },
-        None => swap(pending),
+        None => swap_head(pending),
     };
     out.push(Effect::Txn {
         job: Job::Apply(ask),
@@ -164,30 +165,32 @@
     });
 }
 
-fn swap(pending: &Pending) -> Txn {
-    let base = match pending.base {
-        0 => Compare::Absent { key: HEAD.into() },
+fn swap_head(pending: &Pending) -> Txn {
+    let base = match pending.base_modified {
+        0 => Compare::Absent {
+            key: HEAD_KEY.into(),
+        },
         modified => Compare::Modified {
-            key: HEAD.into(),
+            key: HEAD_KEY.into(),
             at: modified,
         },
     };
     let mut then = vec![Op::Put {
-        key: HEAD.into(),
+        key: HEAD_KEY.into(),
         value: write_head(&pending.head).into(),
         lease: 0,
     }];
-    let gone = pending.gone.iter();
-    then.extend(gone.map(|hash| Op::Delete(Span::Key(format!("{CHUNKS}{hash}").into()))));
+    let gone = pending.deleted.iter();
+    then.extend(gone.map(|hash| Op::Delete(Span::Key(format!("{CHUNK_FOLDER}{hash}").into()))));
     Txn {
         compare: vec![base],
         then,
-        otherwise: vec![Op::Get(Span::Key(HEAD.into()))],
+        otherwise: vec![Op::Get(Span::Key(HEAD_KEY.into()))],
     }
 }
 
 /// Goes on with an edit when the key-value service has answered.
-pub fn applied(core: &mut Core, ask: AskKey, result: &StoreResult, out: &mut Effects) {
+pub fn handle_reply(core: &mut Core, ask: AskKey, result: &StoreResult, out: &mut Effects) {
     let Some(pending) = core.config.pending.get_mut(&ask) else {
         return;
     };
@@ -195,34 +198,34 @@
         StoreResult::Txn(txn) if !pending.chunks.is_empty() => {
             debug_assert!(txn.succeeded, "a chunk is written without a condition");
             pending.chunks.pop();
-            write(core, ask, out);
+            write_next(core, ask, out);
         }
         StoreResult::Txn(txn) => {
             let theirs =
-                found(txn).find_map(|pair| Some((parse_head(&pair.value)?, pair.modified)));
+                read_pairs(txn).find_map(|pair| Some((parse_head(&pair.value)?, pair.modified)));
             if txn.succeeded {
                 finish(core, ask, Some(txn.revision), out);
             } else {
-                beaten(core, ask, theirs, out);
+                resolve_conflict(core, ask, theirs, out);
             }
         }
         // The same swap again settles it: it succeeds, or finds its own head, or another's.
-        StoreResult::Unknown if pending.tries < EDIT_TRIES => {
+        StoreResult::Unknown if pending.tries < MAX_EDIT_TRIES => {
             pending.tries += 1;
-            write(core, ask, out);
+            write_next(core, ask, out);
         }
         StoreResult::Unknown => close(core, ask, OperatorAnswer::Unclear, out),
         _ if pending.tries == 0 => close(core, ask, OperatorAnswer::StoreDown, out),
-        _ if pending.tries < EDIT_TRIES => {
+        _ if pending.tries < MAX_EDIT_TRIES => {
             pending.tries += 1;
-            write(core, ask, out);
+            write_next(core, ask, out);
         }
         _ => close(core, ask, OperatorAnswer::Unclear, out),
     }
 }
 
 /// Finds out what it means that another head stands where an edit was to go.
-fn beaten(core: &mut Core, ask: AskKey, theirs: Option<(Head, i64)>, out: &mut Effects) {
+fn resolve_conflict(core: &mut Core, ask: AskKey, theirs: Option<(Head, i64)>, out: &mut Effects) {
     let Some(pending) = core.config.pending.get_mut(&ask) else {
         return;
     };
@@ -234,19 +237,19 @@
     if head.token == *token {
         // The answer to the first swap was lost, and the second finds its own head there.
         finish(core, ask, Some(stood), out);
-    } else if head.before.contains(token) {
+    } else if head.prior_tokens.contains(token) {
         // It was lost, and the next edit came on top of this one.
         finish(core, ask, Some(0), out);
-    } else if head.revision + 1 == pending.head.revision && pending.tries < EDIT_TRIES {
+    } else if head.revision + 1 == pending.head.revision && pending.tries < MAX_EDIT_TRIES {
         // The lists came from a peer, while this host's own watch is silent: the edit stands on
         // the right head and only its place was not known here.
         pending.tries += 1;
-        pending.base = stood;
-        write(core, ask, out);
+        pending.base_modified = stood;
+        write_next(core, ask, out);
     } else {
         if head.revision > core.config.head.revision {
             core.config.head = head;
-            core.config.stood = stood;
+            core.config.head_modified = stood;
             fetch(core, out);
         }
         finish(core, ask, None, out);
@@ -254,7 +257,7 @@
 }
 
 /// Returns what the reads of a transaction found.
-fn found(txn: &TxnReply) -> impl Iterator<Item = &Pair> {
+fn read_pairs(txn: &TxnReply) -> impl Iterator<Item = &Pair> {
     txn.replies
         .iter()
         .filter_map(|reply| match reply {
@@ -275,9 +278,9 @@
         // taken for one on top of the head before.
         if pending.head.revision > core.config.head.revision && stood > 0 {
             core.config.head = pending.head;
-            core.config.stood = stood;
+            core.config.head_modified = stood;
         }
-        enforce(core, pending.lists, pending.parts, out);
+        put_in_force(core, pending.lists, pending.plan_chunks, out);
         OperatorAnswer::Accepted(revision)
     } else {
         conflict(core, pending.list)
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -24,15 +24,15 @@
 pub use edit::apply;
 
 /// First word of the watched key of the head.
-pub const WORD: &str = "lists";
+pub const WATCH_PREFIX: &str = "lists";
 /// The head's key.
-const HEAD: &str = "w/lists/head";
+const HEAD_KEY: &str = "w/lists/head";
 /// Folder of the chunks.
-const CHUNKS: &str = "d/chunk/";
+const CHUNK_FOLDER: &str = "d/chunk/";
 /// Largest chunk; well under the largest value of the key-value service.
-const CHUNK_LIMIT: usize = 256 * 1024;
+const MAX_CHUNK_BYTES: usize = 256 * 1024;
 /// Time until a list known to be newer is asked for again.
-const FETCH_EVERY: Duration = Duration::from_millis(500);
+const FETCH_INTERVAL: Duration = Duration::from_millis(500);
 /// What the head names.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct Head {
@@ -42,9 +42,9 @@
     plans: Vec<Box<str>>,
     uses: Vec<Box<str>>,
     /// Chunks that only the head before named: hosts may still read them.
-    old: Vec<Box<str>>,
+    retired: Vec<Box<str>>,
     /// Tokens of the edits before, newest first.
-    before: Vec<Box<str>>,
+    prior_tokens: Vec<Box<str>>,
 }
 
 impl Head {
@@ -62,15 +62,15 @@
     /// Customers by the hashes of their keys.
     pub index: Index,
     /// Chunks that the plans in force were read from.
-    parts: Vec<Chunk>,
+    plan_chunks: Vec<Chunk>,
     /// Newest head seen, and where it stood.
     head: Head,
-    stood: i64,
+    head_modified: i64,
     /// Chunks of the newest head, as far as they are here.
-    chunks: BTreeMap<Box<str>, Box<[u8]>>,
+    head_chunks: BTreeMap<Box<str>, Box<[u8]>>,
     /// Newest revision a peer has in force.
-    rumour: u64,
-    fetching: bool,
+    peer_revision: u64,
+    fetch_scheduled: bool,
     pending: BTreeMap<AskKey, edit::Pending>,
 }
 
@@ -81,8 +81,8 @@
         self.lists.revision
     }
 
-    fn newest(&self) -> u64 {
-        self.head.revision.max(self.rumour)
+    fn newest_known(&self) -> u64 {
+        self.head.revision.max(self.peer_revision)
     }
 }
 
@@ -95,7 +95,7 @@
         return;
     }
     core.config.head = head;
-    core.config.stood = pair.modified;
+    core.config.head_modified = pair.modified;
     fetch(core, out);
 }
 
@@ -103,22 +103,22 @@
 ///
 /// During an outage of the key-value service this is how a revision that was accepted just before
 /// reaches every host.
-pub fn heard(core: &mut Core, from: HostKey, revision: u64, out: &mut Effects) {
-    if revision > core.config.newest() {
-        core.config.rumour = revision;
+pub fn peer_revision_seen(core: &mut Core, from: HostKey, revision: u64, out: &mut Effects) {
+    if revision > core.config.newest_known() {
+        core.config.peer_revision = revision;
         out.push(Effect::Send {
             to: from,
             message: Message::Fetch(core.config.revision()),
         });
-        wake(core, out);
+        schedule_fetch(core, out);
     }
 }
 
-fn wake(core: &mut Core, out: &mut Effects) {
-    if !core.config.fetching {
-        core.config.fetching = true;
+fn schedule_fetch(core: &mut Core, out: &mut Effects) {
+    if !core.config.fetch_scheduled {
+        core.config.fetch_scheduled = true;
         out.push(Effect::Wake {
-            at: core.now.after(FETCH_EVERY),
+            at: core.now.after(FETCH_INTERVAL),
             timer: Timer::Fetch,
         });
     }
@@ -126,8 +126,8 @@
 
 /// Asks again for lists that are known to be newer.
 pub fn timer(core: &mut Core, out: &mut Effects) {
-    core.config.fetching = false;
-    if core.config.newest() <= core.config.revision() {
+    core.config.fetch_scheduled = false;
+    if core.config.newest_known() <= core.config.revision() {
         return;
     }
     fetch(core, out);
@@ -135,7 +135,7 @@
     let ahead: Vec<HostKey> = core
         .members
         .peers()
-        .filter(|&host| core.members.arena[host].beat.revision > have)
+        .filter(|&host| core.members.arena[host].heartbeat.revision > have)
         .take(2)
         .collect();
     for to in ahead {
@@ -154,10 +154,10 @@
         return;
     }
     let wanted: Vec<&Box<str>> = config.head.plans.iter().chain(&config.head.uses).collect();
-    config.chunks.retain(|hash, _| wanted.contains(&hash));
+    config.head_chunks.retain(|hash, _| wanted.contains(&hash));
     let missing: Vec<Box<str>> = wanted
         .into_iter()
-        .filter(|hash| !config.chunks.contains_key(*hash))
+        .filter(|hash| !config.head_chunks.contains_key(*hash))
         .cloned()
         .collect();
     if missing.is_empty() {
@@ -167,14 +167,14 @@
     for hash in missing {
         out.push(Effect::Read {
             job: Job::Chunk(revision),
-            span: Span::Key(format!("{CHUNKS}{hash}").into()),
+            span: Span::Key(format!("{CHUNK_FOLDER}{hash}").into()),
         });
     }
-    wake(core, out);
+    schedule_fetch(core, out);
 }
 
 /// Returns a chunk's name in the key-value service.
-fn name(chunk: &Chunk) -> Box<str> {
+fn chunk_name(chunk: &Chunk) -> Box<str> {
     blake3::Hash::from_bytes(chunk.hash)
         .to_hex()
         .as_str()
@@ -187,25 +187,30 @@
     let text = |hashes: &[Box<str>]| {
         let chunks: Option<Vec<Chunk>> = hashes
             .iter()
-            .map(|hash| core.config.chunks.get(hash).map(|bytes| Chunk::new(bytes)))
+            .map(|hash| {
+                core.config
+                    .head_chunks
+                    .get(hash)
+                    .map(|bytes| Chunk::new(bytes))
+            })
             .collect();
         lists::join(&chunks?).ok()
     };
     let (Some(plans), Some(uses)) = (text(&head.plans), text(&head.uses)) else {
         return;
     };
-    told(core, head.revision, &plans, &uses, out);
+    handle_lists(core, head.revision, &plans, &uses, out);
 }
 
 /// Takes in whole lists, from a peer or from the key-value service.
-pub fn told(core: &mut Core, revision: u64, plans: &str, uses: &str, out: &mut Effects) {
+pub fn handle_lists(core: &mut Core, revision: u64, plans: &str, uses: &str, out: &mut Effects) {
     let config = &core.config;
     // A host that starts on lists known to be old would let in who lost access long ago.
-    let starts_old = config.revision() == 0 && revision < config.newest();
+    let starts_old = config.revision() == 0 && revision < config.newest_known();
     if revision <= config.revision() || starts_old {
         return;
     }
-    let parts = lists::chunks(plans, CHUNK_LIMIT);
+    let parts = lists::chunks(plans, MAX_CHUNK_BYTES);
     let parsed = (read_plans(config, &parts), Uses::parse(uses, "use"));
     let (Ok(plans), Ok(uses)) = parsed else {
         let text = format!("revision {revision} of the lists cannot be read here");
@@ -217,7 +222,7 @@
         plans,
         uses,
     };
-    enforce(core, lists, parts, out);
+    put_in_force(core, lists, parts, out);
 }
 
 /// Reads the plans, and of them only what differs from those in force.
@@ -226,11 +231,11 @@
         .lists
         .plans
         .clone()
-        .reread(&config.parts, parts, "plans")
+        .reread(&config.plan_chunks, parts, "plans")
 }
 
 /// Puts lists in force; a revision that is not newer is left out, so that none reverts.
-fn enforce(core: &mut Core, lists: Lists, parts: Vec<Chunk>, out: &mut Effects) {
+fn put_in_force(core: &mut Core, lists: Lists, parts: Vec<Chunk>, out: &mut Effects) {
     if lists.revision <= core.config.lists.revision {
         return;
     }
@@ -239,13 +244,13 @@
     let config = &mut core.config;
     config.index.update(&config.lists.plans, &lists.plans);
     config.lists = lists;
-    config.parts = parts;
+    config.plan_chunks = parts;
     share::changed(core);
-    member::beats(core, out);
+    member::send_heartbeats(core, out);
 }
 
 /// Sends the lists to a peer that has an older revision.
-pub fn asked(core: &mut Core, from: HostKey, revision: u64, out: &mut Effects) {
+pub fn handle_fetch(core: &mut Core, from: HostKey, revision: u64, out: &mut Effects) {
     let lists = &core.config.lists;
     if lists.revision > revision {
         out.push(Effect::Send {
@@ -262,13 +267,13 @@
 /// Goes on with an edit, or takes in a chunk.
 pub fn reply(core: &mut Core, reply: StoreReply, out: &mut Effects) {
     match reply.job {
-        Job::Apply(ask) => edit::applied(core, ask, &reply.result, out),
+        Job::Apply(ask) => edit::handle_reply(core, ask, &reply.result, out),
         Job::Chunk(revision) => {
             if let StoreResult::Read(range) = reply.result
                 && revision == core.config.head.revision
             {
                 for pair in &range.pairs {
-                    keep_chunk(core, pair);
+                    store_chunk(core, pair);
                 }
                 assemble(core, out);
             }
@@ -277,14 +282,14 @@
     }
 }
 
-fn keep_chunk(core: &mut Core, pair: &Pair) {
-    let Some(hash) = pair.key.strip_prefix(CHUNKS) else {
+fn store_chunk(core: &mut Core, pair: &Pair) {
+    let Some(hash) = pair.key.strip_prefix(CHUNK_FOLDER) else {
         return;
     };
     let chunk = Chunk::new(&pair.value);
-    if *name(&chunk) == *hash {
+    if *chunk_name(&chunk) == *hash {
         core.config
-            .chunks
+            .head_chunks
             .insert(hash.into(), pair.value.to_vec().into());
     }
 }
@@ -295,8 +300,8 @@
         "token": &*head.token,
         "plans": head.plans,
         "use": head.uses,
-        "old": head.old,
-        "before": head.before,
+        "old": head.retired,
+        "before": head.prior_tokens,
     });
     value.to_string().into_bytes()
 }
@@ -315,7 +320,7 @@
         token: value["token"].as_str()?.into(),
         plans: names(&value["plans"])?,
         uses: names(&value["use"])?,
-        old: names(&value["old"])?,
-        before: names(&value["before"])?,
+        retired: names(&value["old"])?,
+        prior_tokens: names(&value["before"])?,
     })
 }
--- a/src/core/killer.rs
+++ b/src/core/killer.rs
@@ -183,7 +183,7 @@
     };
     let request = &core.requests.arena[key];
     let suspect = Suspect {
-        print: request.print,
+        print: request.fingerprint,
         engine,
         at: core.wall(),
         request: request.record.id.clone(),
--- a/src/core/member/beat.rs
+++ b/src/core/member/heartbeat.rs
@@ -10,15 +10,15 @@
 /// Time between two beats to a peer.
 ///
 /// With 16 hosts this costs each 3 KB a second; pledges of shares run out after six of them.
-pub const EVERY: Duration = Duration::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// Beats a peer may leave unechoed before the connection to it is opened anew.
 ///
 /// A connection can go silent for good while new ones work; the peer then still beats on its own
 /// connection, but its echo stands still.
-const UNECHOED: u64 = 16;
+const MAX_UNECHOED: u64 = 16;
 
 /// Sends a beat to every peer at once, out of turn.
-pub fn beats(core: &mut Core, out: &mut Effects) {
+pub fn send_heartbeats(core: &mut Core, out: &mut Effects) {
     let revision = core.config.revision();
     let stopping = core.stop.begun();
     let (mut views, hosts) = (share::views(core), share::hosts(core));
@@ -29,18 +29,20 @@
     };
     let peers: Vec<HostKey> = core.members.peers().collect();
     for to in peers {
-        let number = core.members.arena[to].sent + 1;
+        let number = core.members.arena[to].last_sent + 1;
         let pledged = share::sending(core, to, number);
         let peer = &mut core.members.arena[to];
-        let lost = peer.sent.saturating_sub(peer.beat.echo.max(peer.opened));
-        if lost >= UNECHOED {
-            peer.opened = peer.sent;
+        let lost = peer
+            .last_sent
+            .saturating_sub(peer.heartbeat.echo.max(peer.connection_start));
+        if lost >= MAX_UNECHOED {
+            peer.connection_start = peer.last_sent;
             out.push(Effect::Reconnect(to));
         }
-        peer.sent = number;
+        peer.last_sent = number;
         let beat = Beat {
-            number: peer.sent,
-            echo: peer.beat.number,
+            number: peer.last_sent,
+            echo: peer.heartbeat.number,
             view: newest.hash,
             settled: newest.age,
             revision,
@@ -57,21 +59,21 @@
 }
 
 /// Takes in a peer's beat.
-pub fn heard(core: &mut Core, from: HostKey, beat: &Beat, out: &mut Effects) {
+pub fn handle_heartbeat(core: &mut Core, from: HostKey, beat: &Beat, out: &mut Effects) {
     let peer = &mut core.members.arena[from];
-    if beat.number <= peer.beat.number {
+    if beat.number <= peer.heartbeat.number {
         return;
     }
-    let stopping = beat.stopping != peer.beat.stopping;
+    let stopping = beat.stopping != peer.heartbeat.stopping;
     let revision = beat.revision;
-    let first = peer.beat.number == 0;
-    peer.beat = beat.clone();
+    let first = peer.heartbeat.number == 0;
+    peer.heartbeat = beat.clone();
     share::heard(core, from, beat);
     if first {
         killer::welcome(core, from, out);
     }
     if stopping {
-        once::moved(core, out);
+        once::view_changed(core, out);
     }
-    config::heard(core, from, revision, out);
+    config::peer_revision_seen(core, from, revision, out);
 }
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -1,6 +1,6 @@
 //! The hosts of this deployment: registration, beats, and what each host vouches for.
 
-mod beat;
+mod heartbeat;
 mod inbox;
 
 use std::collections::BTreeMap;
@@ -18,12 +18,12 @@
 use crate::settings::HostSettings;
 use crate::store::{Op, Txn};
 
-pub use beat::beats;
+pub use heartbeat::send_heartbeats;
 
 /// First word of the watched keys that name hosts.
-pub const WORD: &str = "host";
+pub const WATCH_PREFIX: &str = "host";
 /// Silence after which a peer counts as unheard.
-pub const UNHEARD: Duration = Duration::from_secs(4);
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A host of this deployment other than this one.
 #[derive(Debug, Clone)]
@@ -39,13 +39,13 @@
     /// Wall clock at the start of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// When it was last heard.
-    pub heard: Option<Time>,
+    pub last_seen: Option<Time>,
     /// Its last beat.
-    pub beat: Beat,
+    pub heartbeat: Beat,
     /// Number of the last beat sent to it.
-    pub sent: u64,
+    pub last_sent: u64,
     /// Number of the first beat sent on the present connection.
-    opened: u64,
+    connection_start: u64,
 }
 
 /// The hosts, and this host's own standing among them.
@@ -60,20 +60,20 @@
     /// Hash of the names and incarnations of all hosts, this one included when registered.
     pub view: u64,
     /// When the view last changed.
-    pub settled: Time,
+    pub view_since: Time,
     /// Whether this host stands among the registered hosts.
     pub registered: bool,
     /// Whether this host has seen itself registered since it started or last slept.
-    pub proven: bool,
+    pub confirmed: bool,
     /// Registrations of rounds before this one are from before this host last slept.
-    floor: u64,
+    min_round: u64,
     /// Lease of the registration; 0 for none.
     lease: i64,
-    tries: u64,
+    last_round: u64,
     /// Whether the key-value service answers.
     pub store: Health,
     /// When the key-value service last answered.
-    pub store_heard: Option<Time>,
+    pub store_last_seen: Option<Time>,
 }
 
 impl Members {
@@ -86,14 +86,14 @@
             name: host.name.clone(),
             incarnation,
             view: 0,
-            settled: Time::default(),
+            view_since: Time::default(),
             registered: false,
-            proven: false,
-            floor: 0,
+            confirmed: false,
+            min_round: 0,
             lease: 0,
-            tries: 0,
+            last_round: 0,
             store: Health::Down,
-            store_heard: None,
+            store_last_seen: None,
         }
     }
 
@@ -122,11 +122,11 @@
 
     /// Returns whether a peer was heard lately.
     #[must_use]
-    pub fn hears(&self, host: HostKey, now: Time) -> bool {
+    pub fn is_alive(&self, host: HostKey, now: Time) -> bool {
         self.arena
             .get(host)
-            .and_then(|member| member.heard)
-            .is_some_and(|heard| now.since(heard) < UNHEARD)
+            .and_then(|member| member.last_seen)
+            .is_some_and(|heard| now.since(heard) < PEER_TIMEOUT)
     }
 
     /// Returns the host that `what` falls to by rendezvous hashing; `None` for this host.
@@ -134,17 +134,17 @@
     /// Hosts that are stopping are passed over, so that what they have is taken over before they
     /// are gone.
     #[must_use]
-    pub fn home(&self, what: &str) -> Option<HostKey> {
+    pub fn remote_owner(&self, what: &str) -> Option<HostKey> {
         let mine = (weight(&self.name, what), None);
         self.names
             .iter()
-            .filter(|(_, key)| !self.arena[**key].beat.stopping)
+            .filter(|(_, key)| !self.arena[**key].heartbeat.stopping)
             .map(|(name, key)| (weight(name, what), Some(*key)))
             .fold(mine, std::cmp::max)
             .1
     }
 
-    fn changed(&mut self, now: Time) {
+    fn update_view(&mut self, now: Time) {
         let mut hasher = blake3::Hasher::new();
         let mut all: BTreeMap<&str, u64> = self
             .names
@@ -162,7 +162,7 @@
         let view = u64::from_le_bytes(first);
         if view != self.view {
             self.view = view;
-            self.settled = now;
+            self.view_since = now;
         }
     }
 }
@@ -178,16 +178,20 @@
 /// Returns up to `count` peers that keep copies of this host's records, other failure domains
 /// first.
 #[must_use]
-pub fn keepers(core: &Core, count: usize) -> Vec<HostKey> {
+pub fn copy_targets(core: &Core, count: usize) -> Vec<HostKey> {
     let members = &core.members;
     let mut peers: Vec<HostKey> = members
         .peers()
-        .filter(|&host| members.hears(host, core.now))
+        .filter(|&host| members.is_alive(host, core.now))
         .collect();
     peers.sort_by_key(|&host| {
         let peer = &members.arena[host];
         let near = peer.domain == core.settings.host.domain;
-        (near, peer.beat.stopping, weight(&peer.name, &members.name))
+        (
+            near,
+            peer.heartbeat.stopping,
+            weight(&peer.name, &members.name),
+        )
     });
     peers.truncate(count);
     peers
@@ -203,28 +207,28 @@
     let bound = cut_off_bound(core);
     let members = &core.members;
     let recent = |heard: Option<Time>| heard.is_some_and(|at| core.now.since(at) < bound);
-    if !members.proven {
+    if !members.confirmed {
         return true;
     }
     // Peers pass on which back ends are leaving; a host that hears neither the list nor them may
     // send work to one that left long ago.
     let peers = members.names.len();
-    if peers > 0 && !recent(core.fleet.read) && !most(core, bound) {
+    if peers > 0 && !recent(core.fleet.read) && !most_peers_seen(core, bound) {
         return true;
     }
-    if recent(members.store_heard) {
+    if recent(members.store_last_seen) {
         return false;
     }
-    peers == 0 || !most(core, bound)
+    peers == 0 || !most_peers_seen(core, bound)
 }
 
 /// Returns whether most peers were heard within this time.
-fn most(core: &Core, bound: Duration) -> bool {
+fn most_peers_seen(core: &Core, bound: Duration) -> bool {
     let members = &core.members;
     let heard = members
         .peers()
         .filter(|&host| {
-            let heard = members.arena[host].heard;
+            let heard = members.arena[host].last_seen;
             heard.is_some_and(|at| core.now.since(at) < bound)
         })
         .count();
@@ -247,15 +251,15 @@
 /// is from before: a watch that tells of the past and beats that sound fresh. It takes no new
 /// work until the key-value service shows its registration anew, and with it all that came
 /// before. The renewal that is due by now asks for that.
-pub fn woke(core: &mut Core, gap: Duration, out: &mut Effects) {
-    if gap < core.settings.platform.lease || !core.members.proven {
+pub fn detect_pause(core: &mut Core, gap: Duration, out: &mut Effects) {
+    if gap < core.settings.platform.lease || !core.members.confirmed {
         return;
     }
-    core.members.proven = false;
+    core.members.confirmed = false;
     // What waits in its sockets may show its own registration, as it was before.
-    core.members.floor = core.members.tries + 1;
+    core.members.min_round = core.members.last_round + 1;
     core.members.registered = false;
-    core.members.store_heard = None;
+    core.members.store_last_seen = None;
     order::missed(core);
     let text = format!("nothing happened here for {} ms", gap.as_millis());
     out.push(log_event(log::Level::Warn, "host.woke", text));
@@ -263,7 +267,7 @@
 
 /// Starts beats and registration.
 pub fn start(core: &mut Core, out: &mut Effects) {
-    wake(core, Timer::Beat, beat::EVERY, out);
+    wake(core, Timer::Beat, heartbeat::HEARTBEAT_INTERVAL, out);
     register(core, out);
 }
 
@@ -272,9 +276,9 @@
     match timer {
         Timer::Beat => {
             share::beat(core);
-            beats(core, out);
+            send_heartbeats(core, out);
             load::tell_streams(core, out);
-            wake(core, Timer::Beat, beat::EVERY, out);
+            wake(core, Timer::Beat, heartbeat::HEARTBEAT_INTERVAL, out);
         }
         Timer::Register => register(core, out),
         _ => {}
@@ -290,18 +294,18 @@
 
 /// Asks for a lease or its renewal, and does so again in time.
 fn register(core: &mut Core, out: &mut Effects) {
-    ask(core, out);
+    request_lease(core, out);
     let life = core.settings.platform.lease;
     wake(core, Timer::Register, life / 3, out);
 }
 
 /// Gets a lease if there is none, renews it otherwise.
-fn ask(core: &mut Core, out: &mut Effects) {
+fn request_lease(core: &mut Core, out: &mut Effects) {
     if core.stop.begun() {
         return;
     }
-    core.members.tries += 1;
-    let job = Job::Register(core.members.tries);
+    core.members.last_round += 1;
+    let job = Job::Register(core.members.last_round);
     let life = core.settings.platform.lease;
     if core.members.lease == 0 {
         out.push(Effect::Grant { job, life });
@@ -314,7 +318,7 @@
 /// Goes on with the registration when the key-value service has answered.
 pub fn reply(core: &mut Core, reply: &StoreReply, out: &mut Effects) {
     if matches!(reply.result, StoreResult::Lease(_) | StoreResult::Txn(_)) {
-        core.members.store_heard = Some(core.now);
+        core.members.store_last_seen = Some(core.now);
     }
     match reply.result {
         StoreResult::Lease(0) => {
@@ -322,11 +326,11 @@
             core.members.registered = false;
             // Not with a time of its own: with each lapse there would be one more that asks, and
             // each of them would add another at the next.
-            ask(core, out);
+            request_lease(core, out);
         }
         StoreResult::Lease(lease) if lease != core.members.lease || !core.members.registered => {
             core.members.lease = lease;
-            let txn = registration(core, lease);
+            let txn = registration_txn(core, lease);
             out.push(Effect::Txn {
                 job: reply.job,
                 txn,
@@ -338,20 +342,20 @@
     }
 }
 
-fn registration(core: &mut Core, lease: i64) -> Txn {
-    core.members.tries += 1;
+fn registration_txn(core: &mut Core, lease: i64) -> Txn {
+    core.members.last_round += 1;
     let host = &core.settings.host;
     let value = json!({
         "addr": host.advertise.unwrap_or(host.peers).to_string(),
         "region": &*host.region,
         "domain": &*host.domain,
         "incarnation": core.members.incarnation,
-        "round": core.members.tries,
+        "round": core.members.last_round,
     });
     Txn {
         compare: Vec::new(),
         then: vec![Op::Put {
-            key: format!("w/{WORD}/{}", host.name).into(),
+            key: format!("w/{WATCH_PREFIX}/{}", host.name).into(),
             value: value.to_string().into(),
             lease,
         }],
@@ -369,18 +373,21 @@
 
 /// Takes in a change of one host's registration.
 pub fn watched(core: &mut Core, name: &str, pair: &Watched, out: &mut Effects) {
-    let entry = pair.value.as_deref().and_then(|bytes| parse(name, bytes));
+    let entry = pair
+        .value
+        .as_deref()
+        .and_then(|bytes| parse_member(name, bytes));
     if *name == *core.members.name {
-        let (incarnation, floor) = (core.members.incarnation, core.members.floor);
-        let round = pair.value.as_deref().map_or(0, round);
+        let (incarnation, floor) = (core.members.incarnation, core.members.min_round);
+        let round = pair.value.as_deref().map_or(0, parse_round);
         core.members.registered =
             round >= floor && entry.is_some_and(|entry| entry.incarnation == incarnation);
-        core.members.proven |= core.members.registered;
+        core.members.confirmed |= core.members.registered;
         return;
     }
     match entry {
-        Some(entry) => joined(core, entry, out),
-        None => left(core, name, out),
+        Some(entry) => add_peer(core, entry, out),
+        None => remove_peer(core, name, out),
     }
 }
 
@@ -388,19 +395,19 @@
 ///
 /// What comes in one batch is one change of the view: acting on each host in turn would move
 /// shares to hosts and away again.
-pub fn moved(core: &mut Core, out: &mut Effects) {
-    core.members.changed(core.now);
+pub fn view_changed(core: &mut Core, out: &mut Effects) {
+    core.members.update_view(core.now);
     share::moved(core, out);
-    once::moved(core, out);
+    once::view_changed(core, out);
 }
 
-fn joined(core: &mut Core, entry: Member, out: &mut Effects) {
+fn add_peer(core: &mut Core, entry: Member, out: &mut Effects) {
     if let Some(key) = core.members.find(&entry.name) {
         let known = &core.members.arena[key];
         if known.incarnation == entry.incarnation && known.addr == entry.addr {
             return;
         }
-        left(core, &entry.name.clone(), out);
+        remove_peer(core, &entry.name.clone(), out);
     }
     share::joined(core, &entry.name, entry.incarnation);
     let (name, addr) = (entry.name.clone(), entry.addr);
@@ -412,7 +419,7 @@
     out.push(Effect::Peer { host, name, addr });
 }
 
-fn left(core: &mut Core, name: &str, out: &mut Effects) {
+fn remove_peer(core: &mut Core, name: &str, out: &mut Effects) {
     if let Some(key) = core.members.names.remove(name) {
         if let Some(member) = core.members.arena.remove(key) {
             share::left(core, &member);
@@ -425,12 +432,12 @@
     }
 }
 
-fn round(bytes: &[u8]) -> u64 {
+fn parse_round(bytes: &[u8]) -> u64 {
     let value: Value = serde_json::from_slice(bytes).unwrap_or_default();
     value["round"].as_u64().unwrap_or(0)
 }
 
-fn parse(name: &str, bytes: &[u8]) -> Option<Member> {
+fn parse_member(name: &str, bytes: &[u8]) -> Option<Member> {
     let value: Value = serde_json::from_slice(bytes).ok()?;
     Some(Member {
         name: name.into(),
@@ -438,15 +445,15 @@
         region: value["region"].as_str()?.into(),
         domain: value["domain"].as_str()?.into(),
         incarnation: value["incarnation"].as_u64()?,
-        heard: None,
-        beat: Beat::default(),
-        sent: 0,
-        opened: 0,
+        last_seen: None,
+        heartbeat: Beat::default(),
+        last_sent: 0,
+        connection_start: 0,
     })
 }
 
 /// Takes in whether the key-value service answers.
-pub fn health(core: &mut Core, health: Health, out: &mut Effects) {
+pub fn handle_health(core: &mut Core, health: Health, out: &mut Effects) {
     if core.members.store != health {
         let (level, name) = match health {
             Health::Up => (log::Level::Info, "store.up"),
@@ -460,9 +467,9 @@
     }
     core.members.store = health;
     if health == Health::Up {
-        core.members.store_heard = Some(core.now);
+        core.members.store_last_seen = Some(core.now);
     }
-    once::health(core, health, out);
+    once::handle_health(core, health, out);
     order::health(core, health, out);
 }
 
@@ -471,7 +478,7 @@
     match event {
         PeerEvent::Down(host) => {
             if let Some(peer) = core.members.arena.get_mut(host) {
-                peer.opened = peer.sent;
+                peer.connection_start = peer.last_sent;
             }
             once::peer_down(core, host, out);
         }
@@ -481,8 +488,8 @@
             let Some(host) = core.members.find(&from) else {
                 return;
             };
-            core.members.arena[host].heard = Some(core.now);
-            inbox::message_from(core, host, message, out);
+            core.members.arena[host].last_seen = Some(core.now);
+            inbox::dispatch(core, host, message, out);
         }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -112,7 +112,7 @@
         let gap = at.since(self.now);
         // Time never runs backwards here, whatever order adapters read the clock in.
         self.now = self.now.max(at);
-        member::woke(self, gap, out);
+        member::detect_pause(self, gap, out);
         match event {
             Event::Start => self.start(out),
             Event::Request(event) => request::step(self, event, out),
@@ -157,7 +157,7 @@
         use event::{Job, StoreEvent};
         match event {
             StoreEvent::Watched(pairs) => self.watched(pairs, out),
-            StoreEvent::Health(up) => member::health(self, up, out),
+            StoreEvent::Health(up) => member::handle_health(self, up, out),
             StoreEvent::Reply(reply) => match reply.job {
                 Job::Register(_) => member::reply(self, &reply, out),
                 Job::Apply(_) | Job::Chunk(_) => config::reply(self, reply, out),
@@ -178,18 +178,18 @@
                 continue;
             };
             match word {
-                member::WORD => {
+                member::WATCH_PREFIX => {
                     member::watched(self, rest, &pair, out);
                     moved = true;
                 }
-                config::WORD => config::watched(self, &pair, out),
+                config::WATCH_PREFIX => config::watched(self, &pair, out),
                 order::ROUTE => order::route_watched(self, rest, &pair, out),
                 order::HOLDER => order::holder_watched(self, rest, &pair, out),
                 _ => {}
             }
         }
         if moved {
-            member::moved(self, out);
+            member::view_changed(self, out);
         }
     }
 
--- a/src/core/once/ask.rs
+++ b/src/core/once/ask.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::owner::{self, Queued};
-use super::{Asked, SWEEP_EVERY, Wish, home, look_after};
+use super::owner::{self, QueuedOp};
+use super::{PendingOp, RecordOp, SWEEP_INTERVAL, remote_owner, schedule_check};
 use crate::core::effect::{Effect, Refusal};
 use crate::core::event::Stored;
 use crate::core::key::{HostKey, RequestKey};
@@ -13,54 +13,54 @@
 use crate::error::{Kind, Ran};
 
 /// Largest answer kept with a record; a longer one is answered once and then only named.
-const RESULT_LIMIT: usize = 16 * 1024;
+const MAX_RESULT_BYTES: usize = 16 * 1024;
 /// Time a caller waits for the record of its call's start or end.
-const RECORD_TIME: Duration = Duration::from_secs(2);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two looks at questions that wait for an owner.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time until a question is put again.
-const PUT_EVERY: Duration = Duration::from_millis(400);
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 /// Most questions on their way; beyond it new calls are refused, for none may be forgotten.
-const MOST: usize = 4096;
+const MAX_PENDING_OPS: usize = 4096;
 /// Media type of the note that stands for an answer too long to keep.
-const TOO_LONG: &str = "application/problem+json";
+const PROBLEM_MEDIA: &str = "application/problem+json";
 
 /// Asks for the record that a call starts.
 pub fn begin(core: &mut Core, key: RequestKey, out: &mut Effects) {
-    if core.once.asked.len() >= MOST {
+    if core.once.pending.len() >= MAX_PENDING_OPS {
         let detail = "too many records are on their way to the key-value service";
         request::refuse(core, key, Refusal::new(Kind::StoreDown, detail), out);
         return;
     }
-    let round = next(core);
+    let round = next_round(core);
     let request = &core.requests.arena[key];
-    let wish = Wish::Begin(Begin {
+    let wish = RecordOp::Begin(Begin {
         round,
         customer: request.record.customer.clone(),
-        key: request.idem.clone().unwrap_or_default(),
-        print: request.print,
+        key: request.idempotency_key.clone().unwrap_or_default(),
+        print: request.fingerprint,
         request: request.record.id.clone(),
     });
-    put(core, round, Some(key), wish, out);
+    submit(core, round, Some(key), wish, out);
 }
 
 /// Asks for the record of a call's answer; the caller is answered once it is kept.
 pub fn finish(core: &mut Core, key: RequestKey, result: Stored, out: &mut Effects) {
-    let kept = if result.body.len() > RESULT_LIMIT {
-        too_long(result.status)
+    let kept = if result.body.len() > MAX_RESULT_BYTES {
+        oversized_placeholder(result.status)
     } else {
         result.clone()
     };
     core.requests.arena[key].result = Some(result);
-    ended(core, key, DoneState::Result(kept), out);
+    record_end(core, key, DoneState::Result(kept), out);
 }
 
 /// Returns the note that stands for an answer too long to keep.
-pub(super) fn too_long(status: u16) -> Stored {
+pub(super) fn oversized_placeholder(status: u16) -> Stored {
     let text = "{\"title\":\"The call ran; its answer was too long to be kept for a repeat.\"}";
     Stored {
         status,
-        media: TOO_LONG.into(),
+        media: PROBLEM_MEDIA.into(),
         body: text.as_bytes().into(),
     }
 }
@@ -71,23 +71,23 @@
         Ran::No => DoneState::NotRun,
         Ran::Yes | Ran::Unknown => DoneState::MayHaveRun,
     };
-    ended(core, key, outcome, out);
+    record_end(core, key, outcome, out);
     // The final answer does not wait for the record: whatever becomes of it, this host will not
     // run the call again, and a record left at "started" only refuses repeats.
     request::refuse(core, key, refusal, out);
 }
 
-fn ended(core: &mut Core, key: RequestKey, outcome: DoneState, out: &mut Effects) {
-    let round = next(core);
+fn record_end(core: &mut Core, key: RequestKey, outcome: DoneState, out: &mut Effects) {
+    let round = next_round(core);
     let request = &core.requests.arena[key];
-    let wish = Wish::Done(Done {
+    let wish = RecordOp::Done(Done {
         round,
         customer: request.record.customer.clone(),
-        key: request.idem.clone().unwrap_or_default(),
+        key: request.idempotency_key.clone().unwrap_or_default(),
         request: request.record.id.clone(),
         outcome,
     });
-    put(core, round, Some(key), wish, out);
+    submit(core, round, Some(key), wish, out);
 }
 
 /// Takes back the record of a request that ended without having been sent.
@@ -95,7 +95,7 @@
 /// A start can be recorded although its caller was told "not run": the answer of the write, or of
 /// the owner, was lost or late. The record would refuse every repeat for a day. This host's own
 /// explanation tells whether the request was ever sent; where that is forgotten nothing is done.
-fn release(core: &mut Core, id: &str, out: &mut Effects) {
+fn release_start(core: &mut Core, id: &str, out: &mut Effects) {
     let Some(record) = core.traces.own(id) else {
         return;
     };
@@ -106,166 +106,185 @@
         return;
     }
     let (customer, key) = (record.customer.clone(), record.key.clone());
-    let mut asked = core.once.asked.values();
-    if asked.any(|asked| matches!(&asked.wish, Wish::Done(done) if *done.request == *id)) {
+    let mut asked = core.once.pending.values();
+    if asked.any(|asked| matches!(&asked.op, RecordOp::Done(done) if *done.request == *id)) {
         return;
     }
-    let round = next(core);
-    let wish = Wish::Done(Done {
+    let round = next_round(core);
+    let wish = RecordOp::Done(Done {
         round,
         customer,
         key,
         request: id.into(),
         outcome: DoneState::NotRun,
     });
-    put(core, round, None, wish, out);
+    submit(core, round, None, wish, out);
 }
 
-fn next(core: &mut Core) -> u64 {
-    core.once.rounds += 1;
-    core.once.rounds
+fn next_round(core: &mut Core) -> u64 {
+    core.once.last_round += 1;
+    core.once.last_round
 }
 
-fn put(core: &mut Core, round: u64, request: Option<RequestKey>, wish: Wish, out: &mut Effects) {
-    let asked = Asked {
+fn submit(
+    core: &mut Core,
+    round: u64,
+    request: Option<RequestKey>,
+    wish: RecordOp,
+    out: &mut Effects,
+) {
+    let asked = PendingOp {
         request,
-        wish,
+        op: wish,
         since: core.now,
-        put: core.now,
-        puts: 0,
-        to: None,
+        last_sent: core.now,
+        sends: 0,
+        owner: None,
     };
-    core.once.asked.insert(round, asked);
-    ask(core, round, out);
-    look_after(core, LOOK_EVERY, out);
+    core.once.pending.insert(round, asked);
+    send_op(core, round, out);
+    schedule_check(core, CHECK_INTERVAL, out);
 }
 
 /// Puts a question to the shard's owner by the present view.
-fn ask(core: &mut Core, round: u64, out: &mut Effects) {
-    let Some(shard) = core.once.asked.get(&round).map(|asked| asked.wish.shard()) else {
+fn send_op(core: &mut Core, round: u64, out: &mut Effects) {
+    let Some(shard) = core.once.pending.get(&round).map(|asked| asked.op.shard()) else {
         return;
     };
-    let to = home(core, shard);
-    let Some(asked) = core.once.asked.get_mut(&round) else {
+    let to = remote_owner(core, shard);
+    let Some(asked) = core.once.pending.get_mut(&round) else {
         return;
     };
-    asked.to = to;
-    asked.put = core.now;
-    asked.puts += 1;
-    let wish = asked.wish.clone();
+    asked.owner = to;
+    asked.last_sent = core.now;
+    asked.sends += 1;
+    let wish = asked.op.clone();
     match to {
         Some(to) => out.push(Effect::Send {
             to,
             message: wish.message(),
         }),
-        None => owner::take(core, Queued { from: None, wish }, out),
+        None => owner::enqueue(
+            core,
+            QueuedOp {
+                from: None,
+                op: wish,
+            },
+            out,
+        ),
     }
 }
 
 /// Puts questions again that have waited, gives up those that waited too long, and unloads shards.
 pub fn timer(core: &mut Core, out: &mut Effects) {
-    if core.once.look.is_some_and(|look| core.now < look) {
+    if core.once.next_check.is_some_and(|look| core.now < look) {
         return;
     }
-    core.once.look = None;
-    let rounds: Vec<u64> = core.once.asked.keys().copied().collect();
+    core.once.next_check = None;
+    let rounds: Vec<u64> = core.once.pending.keys().copied().collect();
     for round in rounds {
-        let Some(asked) = core.once.asked.get(&round) else {
+        let Some(asked) = core.once.pending.get(&round) else {
             continue;
         };
-        if core.now.since(asked.since) >= RECORD_TIME {
-            expired(core, round, out);
-        } else if core.now.since(asked.put) >= PUT_EVERY {
-            ask(core, round, out);
+        if core.now.since(asked.since) >= RECORD_TIMEOUT {
+            op_timed_out(core, round, out);
+        } else if core.now.since(asked.last_sent) >= RESEND_INTERVAL {
+            send_op(core, round, out);
         }
     }
     owner::sweep(core);
-    if !core.once.asked.is_empty() {
-        look_after(core, LOOK_EVERY, out);
+    if !core.once.pending.is_empty() {
+        schedule_check(core, CHECK_INTERVAL, out);
     } else if !core.once.shards.is_empty() {
-        look_after(core, SWEEP_EVERY, out);
+        schedule_check(core, SWEEP_INTERVAL, out);
     }
 }
 
 /// The owner did not answer in time.
-fn expired(core: &mut Core, round: u64, out: &mut Effects) {
-    let Some(asked) = core.once.asked.get_mut(&round) else {
+fn op_timed_out(core: &mut Core, round: u64, out: &mut Effects) {
+    let Some(asked) = core.once.pending.get_mut(&round) else {
         return;
     };
-    match &asked.wish {
-        Wish::Begin(_) => {
+    match &asked.op {
+        RecordOp::Begin(_) => {
             let detail = "the start of the call could not be recorded in time";
-            refuse(core, round, detail, out);
+            refuse_start(core, round, detail, out);
         }
         // The caller gets its answer; the record is put again until it is kept.
-        Wish::Done(_) => {
+        RecordOp::Done(_) => {
             asked.since = core.now;
             if let Some(key) = asked.request.take() {
-                saved(core, key, out);
+                deliver_result(core, key, out);
             }
-            ask(core, round, out);
+            send_op(core, round, out);
         }
     }
 }
 
 /// Refuses a call whose start is not known to be recorded, and takes back what may be.
-fn refuse(core: &mut Core, round: u64, detail: &str, out: &mut Effects) {
-    let Some(asked) = core.once.asked.remove(&round) else {
+fn refuse_start(core: &mut Core, round: u64, detail: &str, out: &mut Effects) {
+    let Some(asked) = core.once.pending.remove(&round) else {
         return;
     };
-    if let Some(key) = asked.request.filter(|key| starting(core, *key)) {
+    if let Some(key) = asked.request.filter(|key| is_starting(core, *key)) {
         request::refuse(core, key, Refusal::new(Kind::StoreDown, detail), out);
     }
-    if let Wish::Begin(begin) = asked.wish {
-        release(core, &begin.request, out);
+    if let RecordOp::Begin(begin) = asked.op {
+        release_start(core, &begin.request, out);
     }
 }
 
-fn starting(core: &Core, key: RequestKey) -> bool {
+fn is_starting(core: &Core, key: RequestKey) -> bool {
     let request = core.requests.arena.get(key);
     request.is_some_and(|request| request.phase == Phase::Starting)
 }
 
 /// A peer is gone: questions to it are put again to whom its shards fall.
 pub fn peer_down(core: &mut Core, host: HostKey, out: &mut Effects) {
-    put_again(core, |asked| asked.to == Some(host), out);
+    resend_matching(core, |asked| asked.owner == Some(host), out);
 }
 
 /// The view changed: shards that fall to another host are given up, and questions are put again.
-pub fn moved(core: &mut Core, out: &mut Effects) {
-    owner::yield_shards(core, out);
-    put_again(core, |asked| asked.to.is_none(), out);
+pub fn view_changed(core: &mut Core, out: &mut Effects) {
+    owner::drop_moved_shards(core, out);
+    resend_matching(core, |asked| asked.owner.is_none(), out);
 }
 
-fn put_again(core: &mut Core, which: impl Fn(&Asked) -> bool, out: &mut Effects) {
-    let asked = core.once.asked.iter();
+fn resend_matching(core: &mut Core, which: impl Fn(&PendingOp) -> bool, out: &mut Effects) {
+    let asked = core.once.pending.iter();
     let asked = asked.filter(|(_, asked)| which(asked));
     let rounds: Vec<u64> = asked.map(|(round, _)| *round).collect();
     for round in rounds {
-        ask(core, round, out);
+        send_op(core, round, out);
     }
 }
 
 /// The owner answered about a start.
-pub fn begun(core: &mut Core, round: u64, state: BeginState, first: Box<str>, out: &mut Effects) {
-    let Some(asked) = core.once.asked.get(&round) else {
+pub fn handle_begun(
+    core: &mut Core,
+    round: u64,
+    state: BeginState,
+    first: Box<str>,
+    out: &mut Effects,
+) {
+    let Some(asked) = core.once.pending.get(&round) else {
         // The question was given up before its answer came, or an owner wonders about a record.
         if state == BeginState::Started {
-            release(core, &first, out);
+            release_start(core, &first, out);
         }
         return;
     };
-    let Wish::Begin(begin) = &asked.wish else {
+    let RecordOp::Begin(begin) = &asked.op else {
         return;
     };
-    let once = asked.puts == 1;
+    let once = asked.sends == 1;
     match state {
         // Put again at the next look, when this view or the peer's has caught up.
         BeginState::NotOwner => {}
         BeginState::Started if first != begin.request => {}
         // A host that was suspended in between has no idea what happened meanwhile.
-        BeginState::Started if core.now.since(asked.since) >= RECORD_TIME => {
-            refuse(
+        BeginState::Started if core.now.since(asked.since) >= RECORD_TIMEOUT => {
+            refuse_start(
                 core,
                 round,
                 "the start of the call was recorded too late",
@@ -273,32 +292,32 @@
             );
         }
         BeginState::StoreDown if once => {
-            if let Some(key) = asked.request.filter(|key| starting(core, *key)) {
+            if let Some(key) = asked.request.filter(|key| is_starting(core, *key)) {
                 let refusal = refusal(&BeginState::StoreDown, &first);
                 request::refuse(core, key, refusal, out);
             }
-            core.once.asked.remove(&round);
+            core.once.pending.remove(&round);
         }
         BeginState::StoreDown | BeginState::Unclear => {
             let detail = "the key-value service does not answer";
-            refuse(core, round, detail, out);
+            refuse_start(core, round, detail, out);
         }
-        state => decided(core, round, state, first, out),
+        state => apply_state(core, round, state, first, out),
     }
     stop::look(core, out);
 }
 
 /// Goes on with a call whose record is known.
-fn decided(core: &mut Core, round: u64, state: BeginState, first: Box<str>, out: &mut Effects) {
-    let asked = core.once.asked.remove(&round);
+fn apply_state(core: &mut Core, round: u64, state: BeginState, first: Box<str>, out: &mut Effects) {
+    let asked = core.once.pending.remove(&round);
     let key = asked.and_then(|asked| asked.request);
-    let Some(key) = key.filter(|key| starting(core, *key)) else {
+    let Some(key) = key.filter(|key| is_starting(core, *key)) else {
         return;
     };
     match state {
         BeginState::Started => {
             core.requests.arena[key].phase = Phase::Running;
-            request::note(core, key, trace::RECORDED);
+            request::note(core, key, trace::RECORDED_NOTE);
             request::dispatch(core, key, out);
         }
         BeginState::Done(result) => {
@@ -335,19 +354,19 @@
 }
 
 /// The owner answered about an end.
-pub fn recorded(core: &mut Core, round: u64, durable: bool, out: &mut Effects) {
+pub fn handle_recorded(core: &mut Core, round: u64, durable: bool, out: &mut Effects) {
     if !durable {
         return;
     }
-    let asked = core.once.asked.remove(&round);
+    let asked = core.once.pending.remove(&round);
     if let Some(key) = asked.and_then(|asked| asked.request) {
-        saved(core, key, out);
+        deliver_result(core, key, out);
     }
     stop::look(core, out);
 }
 
 /// Gives the caller the answer of its call.
-fn saved(core: &mut Core, key: RequestKey, out: &mut Effects) {
+fn deliver_result(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let request = core.requests.arena.get_mut(key);
     if let Some(result) = request.and_then(|request| request.result.take()) {
         request::reply(core, key, result, None, out);
--- a/src/core/once/mod.rs
+++ b/src/core/once/mod.rs
@@ -14,10 +14,12 @@
 mod path;
 mod record;
 
-pub use ask::{begin, begun, finish, give_up, moved, peer_down, recorded, timer};
-pub use owner::{asked, done_asked, health, reply};
-pub use path::canonical;
-pub use record::{Call, CallName, CallState, Calls, KEEP};
+pub use ask::{
+    begin, finish, give_up, handle_begun, handle_recorded, peer_down, timer, view_changed,
+};
+pub use owner::{handle_begin, handle_done, handle_health, reply};
+pub use path::is_canonical;
+pub use record::{Call, CallName, CallState, Calls, RETENTION};
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,20 +31,20 @@
 use super::{Core, Effects, Time};
 
 /// Number of shards. More shards make each value, and so each write, smaller.
-const SHARDS: u16 = 256;
+const SHARD_COUNT: u16 = 256;
 /// Rounds kept free for one millisecond of a host's starts; far more than it can ask in one.
-const ROUNDS: u64 = 1 << 20;
+const ROUNDS_PER_MS: u64 = 1 << 20;
 /// Time between two looks at shards that nobody uses.
-const SWEEP_EVERY: Duration = Duration::from_secs(10);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What a host asks of a shard's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Wish {
+enum RecordOp {
     Begin(Begin),
     Done(Done),
 }
 
-impl Wish {
+impl RecordOp {
     fn shard(&self) -> ShardKey {
         let (customer, key) = match self {
             Self::Begin(begin) => (&begin.customer, &begin.key),
@@ -68,25 +70,25 @@
 
 /// A question of this host to an owner.
 #[derive(Debug, Clone)]
-struct Asked {
+struct PendingOp {
     request: Option<RequestKey>,
-    wish: Wish,
+    op: RecordOp,
     since: Time,
     /// When the question was last put, and how often.
-    put: Time,
-    puts: u32,
-    to: Option<HostKey>,
+    last_sent: Time,
+    sends: u32,
+    owner: Option<HostKey>,
 }
 
 /// Records of calls that may not repeat.
 #[derive(Debug)]
 pub struct Once {
     shards: BTreeMap<ShardKey, owner::Shard>,
-    asked: BTreeMap<u64, Asked>,
-    rounds: u64,
-    jobs: u64,
+    pending: BTreeMap<u64, PendingOp>,
+    last_round: u64,
+    last_job: u64,
     /// When the next look is due.
-    look: Option<Time>,
+    next_check: Option<Time>,
 }
 
 impl Once {
@@ -99,22 +101,22 @@
     pub fn new(incarnation: u64) -> Self {
         Self {
             shards: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            rounds: incarnation.wrapping_mul(ROUNDS),
-            jobs: 0,
-            look: None,
+            pending: BTreeMap::new(),
+            last_round: incarnation.wrapping_mul(ROUNDS_PER_MS),
+            last_job: 0,
+            next_check: None,
         }
     }
 
     /// Returns whether no record is on its way.
     #[must_use]
     pub fn idle(&self) -> bool {
-        self.asked.is_empty() && self.shards.values().all(owner::Shard::idle)
+        self.pending.is_empty() && self.shards.values().all(owner::Shard::idle)
     }
 
     /// Returns how many shards are held in memory.
     #[must_use]
-    pub fn loaded(&self) -> usize {
+    pub fn loaded_shards(&self) -> usize {
         self.shards.len()
     }
 }
@@ -123,18 +125,18 @@
 pub(super) fn shard_of(customer: &str, key: &str) -> ShardKey {
     let hash = blake3::hash(format!("{customer}\n{key}").as_bytes());
     let bytes = hash.as_bytes();
-    ShardKey(u16::from_le_bytes([bytes[0], bytes[1]]) % SHARDS)
+    ShardKey(u16::from_le_bytes([bytes[0], bytes[1]]) % SHARD_COUNT)
 }
 
-fn home(core: &Core, shard: ShardKey) -> Option<HostKey> {
-    core.members.home(&format!("once/{}", shard.0))
+fn remote_owner(core: &Core, shard: ShardKey) -> Option<HostKey> {
+    core.members.remote_owner(&format!("once/{}", shard.0))
 }
 
 /// Asks for a look after `span`, unless one comes sooner.
-fn look_after(core: &mut Core, span: Duration, out: &mut Effects) {
+fn schedule_check(core: &mut Core, span: Duration, out: &mut Effects) {
     let at = core.now.after(span);
-    if core.once.look.is_none_or(|look| at < look) {
-        core.once.look = Some(at);
+    if core.once.next_check.is_none_or(|look| at < look) {
+        core.once.next_check = Some(at);
         let timer = Timer::Once;
         out.push(Effect::Wake { at, timer });
     }
--- a/src/core/once/owner.rs
+++ b/src/core/once/owner.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::record::{self, CallState, Calls};
-use super::{SWEEP_EVERY, Wish, ask, home, look_after};
+use super::{RecordOp, SWEEP_INTERVAL, ask, remote_owner, schedule_check};
 use crate::core::effect::{Effect, log_event};
 use crate::core::event::{Health, Job, StoreReply, StoreResult};
 use crate::core::key::{HostKey, ShardKey};
@@ -13,17 +13,17 @@
 use crate::wire;
 
 /// Time after which an unused shard leaves the memory.
-const IDLE: Duration = Duration::from_mins(1);
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 /// Time for which what was read about a running call is passed on without reading it again.
-const FRESH: Duration = Duration::from_secs(1);
+const MAX_READ_AGE: Duration = Duration::from_secs(1);
 /// Most bytes of unused shards kept in memory; a host's whole budget is 64 MB.
-const LOADED: usize = 8 * 1024 * 1024;
+const MAX_LOADED_BYTES: usize = 8 * 1024 * 1024;
 
 /// A wish and where its answer goes; `None` for this host.
 #[derive(Debug, Clone)]
-pub(super) struct Queued {
+pub(super) struct QueuedOp {
     pub(super) from: Option<HostKey>,
-    pub(super) wish: Wish,
+    pub(super) op: RecordOp,
 }
 
 /// A shard that this host owns by its view.
@@ -34,19 +34,19 @@
     pub(super) bytes: usize,
     /// Revision of the value in the key-value service that `calls` grew from; `None` before it
     /// was read.
-    read: Option<i64>,
+    revision: Option<i64>,
     /// Number of the read or write on its way.
     ///
     /// A shard can move away and back while a call is on its way. Without a number the answer of
     /// an old write would be taken for that of a new read, and the records for none.
     job: Option<u64>,
     /// Wishes in the write on its way, with their answers.
-    writing: Vec<(Queued, Message)>,
+    writing: Vec<(QueuedOp, Message)>,
     /// Wishes not looked at yet.
-    queue: Vec<Queued>,
-    used: Time,
+    queue: Vec<QueuedOp>,
+    last_used: Time,
     /// When the key-value service last confirmed what is here.
-    fresh: Time,
+    last_confirmed: Time,
 }
 
 impl Shard {
@@ -61,78 +61,80 @@
 }
 
 /// Gives up shards that fall to another host.
-pub(super) fn yield_shards(core: &mut Core, out: &mut Effects) {
+pub(super) fn drop_moved_shards(core: &mut Core, out: &mut Effects) {
     let shards = core.once.shards.keys().copied();
-    let gone: Vec<ShardKey> = shards.filter(|&key| home(core, key).is_some()).collect();
+    let gone: Vec<ShardKey> = shards
+        .filter(|&key| remote_owner(core, key).is_some())
+        .collect();
     for key in gone {
         let Some(shard) = core.once.shards.remove(&key) else {
             continue;
         };
         let writing = shard.writing.into_iter().map(|(queued, _)| queued);
         for queued in writing.chain(shard.queue) {
-            refer(core, &queued, out);
+            reply_not_owner(core, &queued, out);
         }
     }
 }
 
 /// Tells a peer that this host does not own the shard.
-fn refer(core: &mut Core, queued: &Queued, out: &mut Effects) {
-    if let (Some(_), Wish::Begin(begin)) = (queued.from, &queued.wish) {
-        let message = begun(begin, BeginState::NotOwner);
-        answer(core, queued, message, out);
+fn reply_not_owner(core: &mut Core, queued: &QueuedOp, out: &mut Effects) {
+    if let (Some(_), RecordOp::Begin(begin)) = (queued.from, &queued.op) {
+        let message = begun_message(begin, BeginState::NotOwner);
+        send_answer(core, queued, message, out);
     }
 }
 
 /// When the key-value service is back, reads what waits.
-pub fn health(core: &mut Core, health: Health, out: &mut Effects) {
+pub fn handle_health(core: &mut Core, health: Health, out: &mut Effects) {
     if health == Health::Up {
         let shards: Vec<ShardKey> = core.once.shards.keys().copied().collect();
         for shard in shards {
-            push(core, shard, out);
+            process_queue(core, shard, out);
         }
     }
 }
 
 /// A peer asks for the record of a start.
-pub fn asked(core: &mut Core, from: HostKey, begin: Begin, out: &mut Effects) {
-    let (from, wish) = (Some(from), Wish::Begin(begin));
-    take(core, Queued { from, wish }, out);
+pub fn handle_begin(core: &mut Core, from: HostKey, begin: Begin, out: &mut Effects) {
+    let (from, wish) = (Some(from), RecordOp::Begin(begin));
+    enqueue(core, QueuedOp { from, op: wish }, out);
 }
 
 /// A peer asks for the record of an end.
-pub fn done_asked(core: &mut Core, from: HostKey, done: Done, out: &mut Effects) {
-    let (from, wish) = (Some(from), Wish::Done(done));
-    take(core, Queued { from, wish }, out);
+pub fn handle_done(core: &mut Core, from: HostKey, done: Done, out: &mut Effects) {
+    let (from, wish) = (Some(from), RecordOp::Done(done));
+    enqueue(core, QueuedOp { from, op: wish }, out);
 }
 
 /// Takes a wish into the queue of its shard.
-pub(super) fn take(core: &mut Core, queued: Queued, out: &mut Effects) {
-    let key = queued.wish.shard();
-    if queued.from.is_some() && home(core, key).is_some() {
-        refer(core, &queued, out);
+pub(super) fn enqueue(core: &mut Core, queued: QueuedOp, out: &mut Effects) {
+    let key = queued.op.shard();
+    if queued.from.is_some() && remote_owner(core, key).is_some() {
+        reply_not_owner(core, &queued, out);
         return;
     }
     if core.members.store == Health::Down
-        && let Wish::Begin(begin) = &queued.wish
+        && let RecordOp::Begin(begin) = &queued.op
     {
-        let message = begun(begin, BeginState::StoreDown);
-        answer(core, &queued, message, out);
+        let message = begun_message(begin, BeginState::StoreDown);
+        send_answer(core, &queued, message, out);
         return;
     }
     let now = core.now;
     let shard = core.once.shards.entry(key).or_default();
-    shard.used = now;
+    shard.last_used = now;
     let sent = shard.writing.iter().map(|(other, _)| other);
     let mut known = shard.queue.iter().chain(sent);
-    if !known.any(|other| other.wish == queued.wish) {
+    if !known.any(|other| other.op == queued.op) {
         shard.queue.push(queued);
     }
-    push(core, key, out);
-    look_after(core, SWEEP_EVERY, out);
+    process_queue(core, key, out);
+    schedule_check(core, SWEEP_INTERVAL, out);
 }
 
 /// Reads the shard if need be, then writes what the queue changes.
-fn push(core: &mut Core, key: ShardKey, out: &mut Effects) {
+fn process_queue(core: &mut Core, key: ShardKey, out: &mut Effects) {
     // Ends wait here for the service to come back; asking meanwhile would only add to its load.
     if core.members.store == Health::Down {
         return;
@@ -144,39 +146,39 @@
     if shard.job.is_some() || shard.queue.is_empty() {
         return;
     }
-    if time.since(shard.fresh) > FRESH && unsure(shard) {
-        shard.read = None;
+    if time.since(shard.last_confirmed) > MAX_READ_AGE && needs_reread(shard) {
+        shard.revision = None;
     }
-    let Some(read) = shard.read else {
+    let Some(read) = shard.revision else {
         let span = Span::Key(shard_key(key));
-        let job = start(core, key);
+        let job = new_job(core, key);
         out.push(Effect::Read { job, span });
         return;
     };
     record::expire(&mut shard.calls, now);
     for queued in std::mem::take(&mut shard.queue) {
-        consider(core, key, queued, out);
+        apply_op(core, key, queued, out);
     }
-    write(core, key, read, out);
+    write_shard(core, key, read, out);
 }
 
 /// Returns whether a start is about another request's call that had started when the shard was last read.
 ///
 /// Another host may have owned the shard since, while this one was suspended or cut off, and have
 /// written the call's end. Callers would be told "running" for as long as this host remembers.
-fn unsure(shard: &Shard) -> bool {
+fn needs_reread(shard: &Shard) -> bool {
     shard.queue.iter().any(|queued| {
-        let Wish::Begin(begin) = &queued.wish else {
+        let RecordOp::Begin(begin) = &queued.op else {
             return false;
         };
-        let call = shard.calls.get(&queued.wish.name());
+        let call = shard.calls.get(&queued.op.name());
         call.is_some_and(|call| call.state == CallState::Started && call.request != begin.request)
     })
 }
 
-fn start(core: &mut Core, key: ShardKey) -> Job {
-    core.once.jobs += 1;
-    let number = core.once.jobs;
+fn new_job(core: &mut Core, key: ShardKey) -> Job {
+    core.once.last_job += 1;
+    let number = core.once.last_job;
     if let Some(shard) = core.once.shards.get_mut(&key) {
         shard.job = Some(number);
     }
@@ -187,10 +189,10 @@
 ///
 /// What changes nothing is answered at once, but for what this very write is about: that is
 /// looked at again when the write is done.
-fn consider(core: &mut Core, key: ShardKey, queued: Queued, out: &mut Effects) {
-    let (changed, message) = match &queued.wish {
-        Wish::Begin(begin) => {
-            let (changed, state, first) = record::look_begin(core, key, begin, out);
+fn apply_op(core: &mut Core, key: ShardKey, queued: QueuedOp, out: &mut Effects) {
+    let (changed, message) = match &queued.op {
+        RecordOp::Begin(begin) => {
+            let (changed, state, first) = record::apply_begin(core, key, begin, out);
             let message = Message::Begun {
                 round: begin.round,
                 state,
@@ -198,8 +200,8 @@
             };
             (changed, message)
         }
-        Wish::Done(done) => {
-            let changed = record::look_done(core, key, done);
+        RecordOp::Done(done) => {
+            let changed = record::apply_done(core, key, done);
             let round = done.round;
             let durable = true;
             (changed, Message::Recorded { round, durable })
@@ -208,18 +210,18 @@
     let Some(shard) = core.once.shards.get_mut(&key) else {
         return;
     };
-    let name = queued.wish.name();
+    let name = queued.op.name();
     let mut writing = shard.writing.iter();
     if changed {
         shard.writing.push((queued, message));
-    } else if writing.any(|(other, _)| other.wish.name() == name) {
+    } else if writing.any(|(other, _)| other.op.name() == name) {
         shard.queue.push(queued);
     } else {
-        answer(core, &queued, message, out);
+        send_answer(core, &queued, message, out);
     }
 }
 
-fn write(core: &mut Core, key: ShardKey, read: i64, out: &mut Effects) {
+fn write_shard(core: &mut Core, key: ShardKey, read: i64, out: &mut Effects) {
     let Some(shard) = core.once.shards.get_mut(&key) else {
         return;
     };
@@ -241,7 +243,7 @@
         value: value.into(),
         lease: 0,
     };
-    let job = start(core, key);
+    let job = new_job(core, key);
     let txn = Txn {
         compare: vec![compare],
         then: vec![put],
@@ -265,25 +267,25 @@
     match reply.result {
         StoreResult::Read(range) => read(core, key, &range, out),
         StoreResult::Txn(txn) if txn.succeeded => {
-            shard.read = Some(txn.revision);
-            shard.fresh = core.now;
+            shard.revision = Some(txn.revision);
+            shard.last_confirmed = core.now;
             for (queued, message) in std::mem::take(&mut shard.writing) {
-                answer(core, &queued, message, out);
+                send_answer(core, &queued, message, out);
             }
-            push(core, key, out);
+            process_queue(core, key, out);
         }
         // Another host wrote the shard: read it anew and look at each wish again.
         StoreResult::Txn(_) => {
-            again_later(shard);
-            push(core, key, out);
+            requeue_writes(shard);
+            process_queue(core, key, out);
         }
         StoreResult::Refused => {
-            again_later(shard);
+            requeue_writes(shard);
             refuse_begins(core, key, &BeginState::StoreDown, out);
         }
         _ => {
             let wrote = !shard.writing.is_empty();
-            again_later(shard);
+            requeue_writes(shard);
             let state = if wrote {
                 BeginState::Unclear
             } else {
@@ -303,15 +305,15 @@
         refuse_begins(core, key, &BeginState::StoreDown, out);
         return;
     };
-    shard.read = Some(pair.map_or(0, |pair| pair.modified));
-    shard.fresh = core.now;
+    shard.revision = Some(pair.map_or(0, |pair| pair.modified));
+    shard.last_confirmed = core.now;
     shard.bytes = pair.map_or(0, |pair| pair.value.len());
     shard.calls = calls;
-    push(core, key, out);
+    process_queue(core, key, out);
 }
 
-fn again_later(shard: &mut Shard) {
-    shard.read = None;
+fn requeue_writes(shard: &mut Shard) {
+    shard.revision = None;
     let writing = std::mem::take(&mut shard.writing);
     let queue = std::mem::take(&mut shard.queue);
     let before = writing.into_iter().map(|(queued, _)| queued);
@@ -324,18 +326,18 @@
         return;
     };
     let queue = std::mem::take(&mut shard.queue).into_iter();
-    let (begins, dones): (Vec<Queued>, Vec<Queued>) =
-        queue.partition(|queued| matches!(queued.wish, Wish::Begin(_)));
+    let (begins, dones): (Vec<QueuedOp>, Vec<QueuedOp>) =
+        queue.partition(|queued| matches!(queued.op, RecordOp::Begin(_)));
     shard.queue = dones;
     for queued in begins {
-        if let Wish::Begin(begin) = &queued.wish {
-            let message = begun(begin, state.clone());
-            answer(core, &queued, message, out);
+        if let RecordOp::Begin(begin) = &queued.op {
+            let message = begun_message(begin, state.clone());
+            send_answer(core, &queued, message, out);
         }
     }
 }
 
-fn begun(begin: &Begin, state: BeginState) -> Message {
+fn begun_message(begin: &Begin, state: BeginState) -> Message {
     Message::Begun {
         round: begin.round,
         state,
@@ -343,7 +345,7 @@
     }
 }
 
-fn answer(core: &mut Core, queued: &Queued, message: Message, out: &mut Effects) {
+fn send_answer(core: &mut Core, queued: &QueuedOp, message: Message, out: &mut Effects) {
     match (queued.from, message) {
         (Some(to), message) => out.push(Effect::Send { to, message }),
         (
@@ -353,8 +355,10 @@
                 state,
                 request,
             },
-        ) => ask::begun(core, round, state, request, out),
-        (None, Message::Recorded { round, durable }) => ask::recorded(core, round, durable, out),
+        ) => ask::handle_begun(core, round, state, request, out),
+        (None, Message::Recorded { round, durable }) => {
+            ask::handle_recorded(core, round, durable, out)
+        }
         (None, _) => {}
     }
 }
@@ -363,12 +367,12 @@
 pub(super) fn sweep(core: &mut Core) {
     let now = core.now;
     let shards = &mut core.once.shards;
-    shards.retain(|_, shard| !shard.idle() || now.since(shard.used) < IDLE);
+    shards.retain(|_, shard| !shard.idle() || now.since(shard.last_used) < IDLE_TIMEOUT);
     let mut loaded: usize = shards.values().map(|shard| shard.bytes).sum();
-    while loaded > LOADED {
+    while loaded > MAX_LOADED_BYTES {
         let idle = shards.iter().filter(|(_, shard)| shard.idle());
         let Some(key) = idle
-            .min_by_key(|(_, shard)| shard.used)
+            .min_by_key(|(_, shard)| shard.last_used)
             .map(|(key, _)| *key)
         else {
             break;
--- a/src/core/once/path.rs
+++ b/src/core/once/path.rs
@@ -7,7 +7,7 @@
 /// a filing would be sent twice. Such paths are refused instead of being put right: the service
 /// then sees exactly the bytes that the rule matched.
 #[must_use]
-pub fn canonical(method: &str, path: &str) -> bool {
+pub fn is_canonical(method: &str, path: &str) -> bool {
     let method = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
     let mut segments = path.split('/');
     // A path starts with a slash and may end in one; nothing else between two slashes is empty.
@@ -16,13 +16,13 @@
     let mut plain = rest.peek().is_some();
     while let Some(segment) = rest.next() {
         let last = rest.peek().is_none();
-        plain &= (last || !segment.is_empty()) && whole(segment);
+        plain &= (last || !segment.is_empty()) && is_canonical_segment(segment);
     }
     method && rooted && plain
 }
 
 /// Returns whether a segment names something, and each of its letters is written in one way.
-fn whole(segment: &str) -> bool {
+fn is_canonical_segment(segment: &str) -> bool {
     // Some services cut parameters off before they look for dots.
     let name = segment.split(';').next().unwrap_or_default();
     if name == "." || name == ".." || segment.contains('\\') {
@@ -30,7 +30,7 @@
     }
     let mut bytes = segment.bytes();
     while let Some(byte) = bytes.next() {
-        if byte == b'%' && !escaped(bytes.next(), bytes.next()) {
+        if byte == b'%' && !is_canonical_escape(bytes.next(), bytes.next()) {
             return false;
         }
     }
@@ -38,7 +38,7 @@
 }
 
 /// Returns whether an escape is needed, and written in capitals.
-fn escaped(high: Option<u8>, low: Option<u8>) -> bool {
+fn is_canonical_escape(high: Option<u8>, low: Option<u8>) -> bool {
     let digit = |byte: Option<u8>| match byte? {
         byte @ b'0'..=b'9' => Some(byte - b'0'),
         byte @ b'A'..=b'F' => Some(byte - b'A' + 10),
--- a/src/core/once/record.rs
+++ b/src/core/once/record.rs
@@ -11,27 +11,27 @@
 use crate::core::{Core, Effects, trace};
 
 /// Time a record is kept, from the start of its call; hosts' clocks must agree to far less.
-pub const KEEP: Duration = Duration::from_hours(24);
+pub const RETENTION: Duration = Duration::from_hours(24);
 /// Bytes of a shard from which on new calls are refused; a value holds a megabyte.
-const FULL: usize = 800 * 1024;
+const MAX_BYTES_FOR_STARTS: usize = 800 * 1024;
 /// Bytes of a shard from which on answers are no longer kept, only that the call ran.
-const BRIM: usize = 900 * 1024;
+const MAX_BYTES_FOR_RESULTS: usize = 900 * 1024;
 /// Bytes that a record takes besides its texts and its answer.
-const ROW: usize = 64;
+const RECORD_OVERHEAD_BYTES: usize = 64;
 /// Bytes kept free for the end of a call that has started.
-const RESERVE: usize = 192;
+const END_RESERVE_BYTES: usize = 192;
 
 /// One recorded call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// Fingerprint of the call.
-    pub print: Print,
+    pub fingerprint: Print,
     /// Request that started it.
     pub request: Box<str>,
     /// How far it is.
     pub state: CallState,
     /// When it was recorded; milliseconds since the Unix epoch.
-    pub at: u64,
+    pub recorded_ms: u64,
 }
 
 /// How far a recorded call is.
@@ -52,7 +52,7 @@
 pub type Calls = BTreeMap<CallName, Call>;
 
 /// Where the host is that serves a request.
-enum Server {
+enum ServingHost {
     This,
     Peer(HostKey),
     /// It is not registered, or another process has its name.
@@ -61,13 +61,13 @@
 
 /// Drops records whose time is over.
 pub(super) fn expire(calls: &mut Calls, now: u64) {
-    let keep = u64::try_from(KEEP.as_millis()).unwrap_or(u64::MAX);
-    calls.retain(|_, call| call.at.saturating_add(keep) > now);
+    let keep = u64::try_from(RETENTION.as_millis()).unwrap_or(u64::MAX);
+    calls.retain(|_, call| call.recorded_ms.saturating_add(keep) > now);
 }
 
 /// Looks up a start; returns whether it changed the records, what they say, and the request that
 /// first used the key.
-pub(super) fn look_begin(
+pub(super) fn apply_begin(
     core: &mut Core,
     key: ShardKey,
     begin: &Begin,
@@ -78,30 +78,31 @@
     let now = core.wall();
     let shard = core.once.shards.entry(key).or_default();
     let Some(call) = shard.calls.get(&name) else {
-        let size = name.0.len() + name.1.len() + own.len() + ROW + RESERVE;
-        if shard.bytes + size > FULL {
+        let size =
+            name.0.len() + name.1.len() + own.len() + RECORD_OVERHEAD_BYTES + END_RESERVE_BYTES;
+        if shard.bytes + size > MAX_BYTES_FOR_STARTS {
             return (false, BeginState::Full, own);
         }
         shard.bytes += size;
         let call = Call {
-            print: begin.print,
+            fingerprint: begin.print,
             request: own.clone(),
             state: CallState::Started,
-            at: now,
+            recorded_ms: now,
         };
         shard.calls.insert(name, call);
         return (true, BeginState::Started, own);
     };
     let first = call.request.clone();
     let state = match &call.state {
-        _ if call.print != begin.print => BeginState::OtherBody,
+        _ if call.fingerprint != begin.print => BeginState::OtherBody,
         CallState::Done(result) => BeginState::Done(result.clone()),
         CallState::MayHaveRun => BeginState::MayHaveRun,
         CallState::Started if first == own => BeginState::Started,
-        CallState::Started => match server(core, &first) {
-            Server::Gone => BeginState::MayHaveRun,
+        CallState::Started => match serving_host(core, &first) {
+            ServingHost::Gone => BeginState::MayHaveRun,
             server => {
-                wonder(core, &server, &first, out);
+                notify_started(core, &server, &first, out);
                 BeginState::Running
             }
         },
@@ -113,13 +114,13 @@
 ///
 /// Where that host has long told its caller "not run", because the answer about the record was
 /// lost on the way, it then takes the record back, and the key's next repeat can run.
-fn wonder(core: &mut Core, server: &Server, first: &str, out: &mut Effects) {
+fn notify_started(core: &mut Core, server: &ServingHost, first: &str, out: &mut Effects) {
     // No question has this number: hosts count from the time of their start.
     let round = 0;
     let request: Box<str> = first.into();
     match *server {
-        Server::This => ask::begun(core, round, BeginState::Started, request, out),
-        Server::Peer(to) => out.push(Effect::Send {
+        ServingHost::This => ask::handle_begun(core, round, BeginState::Started, request, out),
+        ServingHost::Peer(to) => out.push(Effect::Send {
             to,
             message: Message::Begun {
                 round,
@@ -127,20 +128,20 @@
                 request,
             },
         }),
-        Server::Gone => {}
+        ServingHost::Gone => {}
     }
 }
 
 /// Returns where the host is that serves a request, in the same life.
-fn server(core: &Core, request: &str) -> Server {
+fn serving_host(core: &Core, request: &str) -> ServingHost {
     let tag = request.split('-').next().unwrap_or_default();
     let members = &core.members;
-    if *trace::tag(&members.name, members.incarnation()) == *tag {
-        return Server::This;
+    if *trace::process_tag(&members.name, members.incarnation()) == *tag {
+        return ServingHost::This;
     }
     let mut peers = members.arena.iter();
-    let found = peers.find(|(_, peer)| *trace::tag(&peer.name, peer.incarnation) == *tag);
-    found.map_or(Server::Gone, |(host, _)| Server::Peer(host))
+    let found = peers.find(|(_, peer)| *trace::process_tag(&peer.name, peer.incarnation) == *tag);
+    found.map_or(ServingHost::Gone, |(host, _)| ServingHost::Peer(host))
 }
 
 /// Takes in an end; returns whether the shard is to be written for it.
@@ -148,7 +149,7 @@
 /// Ends can come late and more than once. Only a record that is still at "started" is taken back,
 /// and a result stands for good: a late "not run" would otherwise let the next repeat run a call
 /// that has run.
-pub(super) fn look_done(core: &mut Core, key: ShardKey, done: &Done) -> bool {
+pub(super) fn apply_done(core: &mut Core, key: ShardKey, done: &Done) -> bool {
     let name = (done.customer.clone(), done.key.clone());
     let shard = core.once.shards.entry(key).or_default();
     let call = shard.calls.get_mut(&name);
@@ -162,11 +163,12 @@
     match &done.outcome {
         _ if matches!(call.state, CallState::Done(_)) => false,
         DoneState::Result(result) => {
-            let fits = shard.bytes + result.body.len() + result.media.len() <= BRIM;
+            let fits =
+                shard.bytes + result.body.len() + result.media.len() <= MAX_BYTES_FOR_RESULTS;
             let kept = if fits {
                 result.clone()
             } else {
-                ask::too_long(result.status)
+                ask::oversized_placeholder(result.status)
             };
             shard.bytes += kept.body.len() + kept.media.len();
             call.state = CallState::Done(kept);
--- a/src/core/order/hold.rs
+++ b/src/core/order/hold.rs
@@ -170,7 +170,7 @@
     let Some(vacant) = core.orders.desk(pool).hold.vacant else {
         return false;
     };
-    let preferred = members.home(&key(&name(core, pool))).is_none();
+    let preferred = members.remote_owner(&key(&name(core, pool))).is_none();
     // The others wait differently long, so that they do not all try at the same moment.
     let hash = blake3::hash(&members.incarnation().to_le_bytes());
     let spread = TAKE_DELAY.mul_f64(f64::from(hash.as_bytes()[0]) / 256.0);
--- a/src/core/request/arrive.rs
+++ b/src/core/request/arrive.rs
@@ -8,14 +8,14 @@
 use super::super::{Core, Effects, admit, killer, member, once, share};
 use super::attempt::{dispatch, need};
 use super::end::refuse;
-use super::{Heard, Phase, RETRY_MOST, RETRY_SHARE, Request};
+use super::{MAX_RETRY_BUDGET, Phase, Progress, RETRY_FRACTION, Request};
 use crate::error::Kind;
 
 /// Time a request waits for its plan's share: longer than hosts need to settle after a change.
-const SHARE_TIME: Duration = Duration::from_secs(4);
+const SHARE_TIMEOUT: Duration = Duration::from_secs(4);
 
 pub(super) fn arrived(core: &mut Core, arrival: Arrival, out: &mut Effects) {
-    let mut record = core.traces.open(core.wall());
+    let mut record = core.traces.new_record(core.wall());
     let holder = core.config.index.get(arrival.caller).cloned();
     if let Some(holder) = &holder {
         record.customer = holder.customer.clone();
@@ -33,27 +33,28 @@
     let id = record.id.clone();
     let key = core.requests.arena.insert(Request {
         want: arrival.want,
-        idem: arrival.idem,
-        print: arrival.print,
+        idempotency_key: arrival.idem,
+        fingerprint: arrival.print,
         arrived: core.now,
-        last: None,
+        last_token: None,
         delivered: 0,
         phase: Phase::Share,
         attempt: None,
-        repeat: true,
+        retryable: true,
         taken: share::Taken::default(),
         record,
         avoid: Vec::new(),
         result: None,
-        left: false,
+        caller_left: false,
         finished: false,
-        heard: Heard::Nothing,
-        lost: None,
+        progress: Progress::Nothing,
+        last_break: None,
         tries: 0,
         resumes: 0,
         class,
     });
-    core.requests.budget = (core.requests.budget + RETRY_SHARE).min(RETRY_MOST);
+    core.requests.retry_budget =
+        (core.requests.retry_budget + RETRY_FRACTION).min(MAX_RETRY_BUDGET);
     out.push(Effect::Opened {
         tag: arrival.tag,
         request: key,
@@ -88,9 +89,9 @@
         let detail = format!("this host holds {most} requests");
         return Err(Refusal::new(Kind::Overloaded, detail));
     }
-    allowed(core, key)?;
+    check_plan(core, key)?;
     let request = &core.requests.arena[key];
-    let print = request.print;
+    let print = request.fingerprint;
     killer::check(core, print)?;
     if let Some(need) = need(request) {
         admit::check(core, &need, print)?;
@@ -99,7 +100,7 @@
 }
 
 /// Checks that the plan may use what the caller wants.
-fn allowed(core: &mut Core, key: RequestKey) -> Result<(), Refusal> {
+fn check_plan(core: &mut Core, key: RequestKey) -> Result<(), Refusal> {
     let request = &mut core.requests.arena[key];
     let uses = &core.config.lists.uses;
     let plan = &request.record.plan;
@@ -123,8 +124,8 @@
         return Err(Refusal::new(Kind::NotAllowed, detail));
     }
     if let Want::Service(want) = &request.want {
-        request.repeat = uses.rule(&want.service, &want.method, &want.path);
-        if !request.repeat && request.idem.is_none() {
+        request.retryable = uses.rule(&want.service, &want.method, &want.path);
+        if !request.retryable && request.idempotency_key.is_none() {
             let detail = "this call may not repeat and has no Idempotency-Key";
             return Err(Refusal::new(Kind::KeyMissing, detail));
         }
@@ -134,17 +135,17 @@
 
 fn take_share(core: &mut Core, key: RequestKey, out: &mut Effects) {
     match share::take(core, key, out) {
-        share::Answer::Taken => go(core, key, out),
+        share::Answer::Taken => share_granted(core, key, out),
         share::Answer::Wait => out.push(Effect::Wake {
-            at: core.now.after(SHARE_TIME),
+            at: core.now.after(SHARE_TIMEOUT),
             timer: Timer::Request(key),
         }),
-        share::Answer::Spent(retry) => spent(core, key, retry, out),
+        share::Answer::Spent(retry) => refuse_spent(core, key, retry, out),
     }
 }
 
 /// Refuses a request whose plan's share is used up.
-pub fn spent(core: &mut Core, key: RequestKey, retry: Duration, out: &mut Effects) {
+pub fn refuse_spent(core: &mut Core, key: RequestKey, retry: Duration, out: &mut Effects) {
     let plan = &core.requests.arena[key].record.plan;
     let refusal = Refusal::new(
         Kind::ShareSpent,
@@ -154,9 +155,9 @@
 }
 
 /// Goes on with a request that has its share.
-pub fn go(core: &mut Core, key: RequestKey, out: &mut Effects) {
+pub fn share_granted(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let request = &mut core.requests.arena[key];
-    if request.repeat {
+    if request.retryable {
         request.phase = Phase::Running;
         dispatch(core, key, out);
     } else {
@@ -165,7 +166,7 @@
     }
 }
 
-pub(super) fn waited(core: &mut Core, key: RequestKey, out: &mut Effects) {
+pub(super) fn wait_ended(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let Some(request) = core.requests.arena.get(key) else {
         return;
     };
--- a/src/core/request/attempt.rs
+++ b/src/core/request/attempt.rs
@@ -6,19 +6,19 @@
 use super::super::route::{self, Choice, Need};
 use super::super::{Core, Effects, killer, load, once, trace};
 use super::end::{close_attempt, end, give_up, reply};
-use super::lost::broke;
-use super::{Attempt, Flow, Heard, Phase, Request, millis};
+use super::failure::attempt_failed;
+use super::{Attempt, Flow, Phase, Progress, Request, millis};
 use crate::error::{Kind, Ran};
 
 /// Sends a request to a back end.
 pub fn dispatch(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let request = &core.requests.arena[key];
-    if let Err(refusal) = killer::check(core, request.print) {
+    if let Err(refusal) = killer::check(core, request.fingerprint) {
         let ran = request.ran();
         give_up(core, key, refusal.ran(ran), out);
         return;
     }
-    let print = request.print;
+    let print = request.fingerprint;
     let chosen = if let Some(mut need) = need(request) {
         killer::narrow(core, &mut need, print);
         route::engine(core, &need)
@@ -39,8 +39,8 @@
     };
     let request = &mut core.requests.arena[key];
     request.tries += 1;
-    request.heard = Heard::Nothing;
-    attempt(core, key, choice, None, out);
+    request.progress = Progress::Nothing;
+    open_attempt(core, key, choice, None, out);
 }
 
 /// Returns what a completion needs of an engine; `None` for a call of a service.
@@ -56,7 +56,7 @@
 }
 
 /// Opens an attempt at a back end; `label` resumes the one of that name.
-pub(super) fn attempt(
+pub(super) fn open_attempt(
     core: &mut Core,
     key: RequestKey,
     choice: Choice,
@@ -82,11 +82,11 @@
         backend,
         prefill: choice.prefill,
         sent: core.now,
-        first: core.now,
-        ahead: prompt + queued,
+        first_token: core.now,
+        backlog: prompt + queued,
         label: label.clone(),
-        last: core.now,
-        began: false,
+        last_progress: core.now,
+        has_tokens: false,
         flow: Flow::Open,
         prompt,
         output,
@@ -145,14 +145,14 @@
 
 pub(super) fn began(core: &mut Core, attempt: AttemptKey) {
     if let Some(attempt) = core.requests.attempts.get_mut(attempt) {
-        attempt.last = core.now;
+        attempt.last_progress = core.now;
         attempt.flow = Flow::Open;
         core.fleet.works(attempt.backend);
         if let Some(prefill) = attempt.prefill.take() {
             core.fleet.works(prefill);
             core.fleet
                 .ended(prefill, std::mem::take(&mut attempt.prompt), 0);
-            let (sent, ahead) = (attempt.sent, attempt.ahead);
+            let (sent, ahead) = (attempt.sent, attempt.backlog);
             load::filled(core, prefill, sent, ahead);
         }
     }
@@ -162,9 +162,9 @@
 ///
 /// Reading on would pile the answer up here, and a few callers on a weak signal would end the
 /// host. The engine is not silent meanwhile: it is not read.
-pub(super) fn held(core: &mut Core, attempt: AttemptKey) {
+pub(super) fn delivery_blocked(core: &mut Core, attempt: AttemptKey) {
     if let Some(attempt) = core.requests.attempts.get_mut(attempt) {
-        attempt.flow = Flow::Held;
+        attempt.flow = Flow::Paused;
     }
 }
 
@@ -173,11 +173,17 @@
 /// Pieces may come late, twice or out of order, and those of an attempt that was given up may
 /// still arrive. Only the piece that starts where the caller's answer ends is passed on; one that
 /// starts later means that something between is lost, and the attempt is resumed from there.
-pub(super) fn chunk(core: &mut Core, key: AttemptKey, offset: u64, tokens: u32, out: &mut Effects) {
+pub(super) fn stream_event(
+    core: &mut Core,
+    key: AttemptKey,
+    offset: u64,
+    tokens: u32,
+    out: &mut Effects,
+) {
     let Some(attempt) = core.requests.attempts.get_mut(key) else {
         return;
     };
-    attempt.last = core.now;
+    attempt.last_progress = core.now;
     attempt.flow = Flow::Open;
     let request = &mut core.requests.arena[attempt.request];
     if request.attempt != Some(key) || offset < request.delivered || request.finished {
@@ -185,7 +191,7 @@
     }
     if offset > request.delivered {
         let detail = format!("tokens {} to {offset} are missing", request.delivered);
-        broke(core, key, Ran::Yes, Break::Cut, &detail, out);
+        attempt_failed(core, key, Ran::Yes, Break::Cut, &detail, out);
         return;
     }
     out.push(Effect::Deliver {
@@ -196,7 +202,7 @@
         return;
     }
     let class = request.class.clone();
-    if let Some(last) = request.last {
+    if let Some(last) = request.last_token {
         let gap = core.now.since(last);
         out.push(Effect::Meter(Meter::Between { class, gap }));
     } else {
@@ -208,17 +214,17 @@
             after,
         }));
     }
-    let filled = (!attempt.began).then(|| {
-        attempt.began = true;
-        attempt.first = core.now;
+    let filled = (!attempt.has_tokens).then(|| {
+        attempt.has_tokens = true;
+        attempt.first_token = core.now;
         let prompt = std::mem::take(&mut attempt.prompt);
         if let Some(backend) = core.fleet.arena.get_mut(attempt.backend) {
             backend.prefill = backend.prefill.saturating_sub(prompt);
         }
-        (attempt.backend, attempt.sent, attempt.ahead, prompt)
+        (attempt.backend, attempt.sent, attempt.backlog, prompt)
     });
-    request.last = Some(core.now);
-    request.heard = Heard::Tokens;
+    request.last_token = Some(core.now);
+    request.progress = Progress::Tokens;
     request.delivered += u64::from(tokens);
     if let Some(record) = request.record.attempts.last_mut() {
         record.tokens += tokens;
@@ -230,7 +236,7 @@
     }
 }
 
-pub(super) fn whole(core: &mut Core, key: AttemptKey, out: &mut Effects) {
+pub(super) fn stream_completed(core: &mut Core, key: AttemptKey, out: &mut Effects) {
     let Some(attempt) = core.requests.attempts.get(key) else {
         return;
     };
@@ -240,10 +246,10 @@
     }
     if !core.requests.arena[request].finished {
         let detail = "the end marker came before the end of the answer";
-        broke(core, key, Ran::Yes, Break::Cut, detail, out);
+        attempt_failed(core, key, Ran::Yes, Break::Cut, detail, out);
         return;
     }
-    let (backend, span) = (attempt.backend, core.now.since(attempt.first));
+    let (backend, span) = (attempt.backend, core.now.since(attempt.first_token));
     core.fleet.works(backend);
     let entry = &core.requests.arena[request];
     let record = entry.record.attempts.last();
@@ -262,7 +268,7 @@
     let request = attempt.request;
     core.fleet.works(attempt.backend);
     close_attempt(core, key, "whole", Ran::Yes);
-    if core.requests.arena[request].repeat {
+    if core.requests.arena[request].retryable {
         reply(core, request, result, None, out);
     } else {
         core.requests.arena[request].phase = Phase::Saving;
--- a/src/core/request/end.rs
+++ b/src/core/request/end.rs
@@ -25,7 +25,7 @@
 
 /// Refuses a request, after its record says so where it may not repeat.
 pub(super) fn give_up(core: &mut Core, key: RequestKey, refusal: Refusal, out: &mut Effects) {
-    if core.requests.arena[key].repeat {
+    if core.requests.arena[key].retryable {
         refuse(core, key, refusal, out);
     } else {
         core.requests.arena[key].phase = Phase::Saving;
@@ -44,13 +44,13 @@
     end(core, key, outcome, ran, out);
 }
 
-pub(super) fn left(core: &mut Core, key: RequestKey, out: &mut Effects) {
+pub(super) fn caller_left(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let Some(request) = core.requests.arena.get_mut(key) else {
         return;
     };
-    request.left = true;
+    request.caller_left = true;
     // A call that may not repeat goes on: its caller will ask for the result with the same key.
-    if !request.repeat && request.phase != Phase::Share {
+    if !request.retryable && request.phase != Phase::Share {
         note(core, key, "the caller left; the call goes on");
         return;
     }
--- a/src/core/request/lost.rs
+++ b/src/core/request/failure.rs
@@ -7,24 +7,24 @@
 use super::super::key::{AttemptKey, BackendKey, RequestKey};
 use super::super::route::Choice;
 use super::super::{Core, Effects, killer};
-use super::attempt::{attempt, dispatch};
+use super::attempt::{dispatch, open_attempt};
 use super::end::{close_attempt, give_up, refuse};
 use super::{Flow, Phase, millis, note};
 use crate::error::{Kind, Ran};
 
 /// Most attempts at one request, resumed streams not counted.
-const TRIES: u8 = 4;
+const MAX_TRIES: u8 = 4;
 /// Times one stream is resumed at the same engine.
-const RESUMES: u8 = 2;
+const MAX_RESUMES: u8 = 2;
 /// Time between the loss of an engine and the next try elsewhere.
 ///
 /// The request may be what the engine died of. Another host may have lost an engine to it in the
 /// same moment, and what that host says is on its way.
-const HOLD_OFF: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Takes in the end of an attempt without a whole answer: resumes it, tries elsewhere, or gives
 /// the request up.
-pub(super) fn broke(
+pub(super) fn attempt_failed(
     core: &mut Core,
     key: AttemptKey,
     ran: Ran,
@@ -46,7 +46,7 @@
     let entry = &mut core.requests.arena[request];
     if matches!(entry.want, Want::Service(_)) {
         core.fleet.failed(backend, core.now);
-        service_broke(core, request, backend, ran, how, detail, out);
+        service_failed(core, request, backend, ran, how, detail, out);
         return;
     }
     if how == Break::Rejected {
@@ -54,15 +54,15 @@
         refuse(core, request, refusal, out);
         return;
     }
-    if matches!(how, Break::Cut | Break::Silent) && entry.resumes < RESUMES && !split {
+    if matches!(how, Break::Cut | Break::Silent) && entry.resumes < MAX_RESUMES && !split {
         entry.resumes += 1;
-        entry.lost = Some(how);
+        entry.last_break = Some(how);
         note(
             core,
             request,
             format!("{detail}; resumed at the same engine"),
         );
-        attempt_again(core, request, backend, label, out);
+        resume(core, request, backend, label, out);
         return;
     }
     if how == Break::Forgotten {
@@ -75,23 +75,23 @@
     // a silence the same shows only that the connection or the network is lost.
     let gone = matches!(how, Break::Unreachable | Break::Forgotten);
     // While it prefills for another there is nothing to resume, and so nothing more to ask it.
-    let died = gone && entry.lost == Some(Break::Cut) || split && how == Break::Cut;
+    let died = gone && entry.last_break == Some(Break::Cut) || split && how == Break::Cut;
     if died || how != Break::Forgotten {
         entry.avoid.push(backend);
     }
     entry.resumes = 0;
-    entry.lost = None;
+    entry.last_break = None;
     if died {
         killer::suspect(core, request, backend, out);
     }
     let pause = match how {
         Break::Refused | Break::Forgotten if !died => Duration::ZERO,
-        _ => HOLD_OFF,
+        _ => RETRY_DELAY,
     };
-    again(core, request, detail, Kind::EngineFailed, pause, out);
+    retry(core, request, detail, Kind::EngineFailed, pause, out);
 }
 
-pub(super) fn attempt_again(
+pub(super) fn resume(
     core: &mut Core,
     request: RequestKey,
     backend: BackendKey,
@@ -99,14 +99,14 @@
     out: &mut Effects,
 ) {
     if core.fleet.arena.contains_key(backend) {
-        attempt(core, request, Choice::whole(backend), Some(label), out);
+        open_attempt(core, request, Choice::whole(backend), Some(label), out);
     } else {
         dispatch(core, request, out);
     }
 }
 
 /// Tries elsewhere if tries and the budget of repeats allow, and gives the request up otherwise.
-pub(super) fn again(
+pub(super) fn retry(
     core: &mut Core,
     key: RequestKey,
     detail: &str,
@@ -116,10 +116,10 @@
 ) {
     let request = &core.requests.arena[key];
     let ran = request.ran();
-    if request.tries >= TRIES {
+    if request.tries >= MAX_TRIES {
         let refusal = Refusal::new(kind, format!("{detail}; no try is left")).ran(ran);
         give_up(core, key, refusal, out);
-    } else if core.requests.spend() {
+    } else if core.requests.take_retry() {
         let class = core.requests.arena[key].class.clone();
         out.push(Effect::Meter(Meter::Retried { class }));
         note(core, key, format!("{detail}; tried elsewhere"));
@@ -138,7 +138,7 @@
     }
 }
 
-fn service_broke(
+fn service_failed(
     core: &mut Core,
     key: RequestKey,
     backend: BackendKey,
@@ -153,8 +153,8 @@
         Break::Unreachable | Break::Refused => Kind::ServiceDown,
         Break::Cut | Break::Silent | Break::Forgotten | Break::Rejected => Kind::ServiceFailed,
     };
-    if ran == Ran::No || request.repeat {
-        again(core, key, detail, kind, Duration::ZERO, out);
+    if ran == Ran::No || request.retryable {
+        retry(core, key, detail, kind, Duration::ZERO, out);
     } else {
         let refusal = Refusal::new(kind, detail).ran(ran);
         give_up(core, key, refusal, out);
@@ -166,19 +166,19 @@
 /// Something between the two ends can lose track of a connection: it then stays open and silent
 /// for good, while new ones work. The caller would wait for ever; a fresh connection resumes the
 /// stream where it stopped.
-pub(super) fn listen(core: &mut Core, key: AttemptKey, out: &mut Effects) {
+pub(super) fn check_silence(core: &mut Core, key: AttemptKey, out: &mut Effects) {
     let Some(attempt) = core.requests.attempts.get(key) else {
         return;
     };
     let limits = &core.settings.limits;
-    let bound = if attempt.began {
+    let bound = if attempt.has_tokens {
         limits.token_silence
     } else {
         limits.first_silence
     };
     let last = match attempt.flow {
-        Flow::Open => attempt.last,
-        Flow::Held => core.now,
+        Flow::Open => attempt.last_progress,
+        Flow::Paused => core.now,
     };
     let due = last.after(bound);
     if due > core.now {
@@ -188,6 +188,9 @@
         });
         return;
     }
-    let detail = format!("silent for {} ms", millis(core.now.since(attempt.last)));
-    broke(core, key, Ran::Unknown, Break::Silent, &detail, out);
+    let detail = format!(
+        "silent for {} ms",
+        millis(core.now.since(attempt.last_progress))
+    );
+    attempt_failed(core, key, Ran::Unknown, Break::Silent, &detail, out);
 }
--- a/src/core/request/mod.rs
+++ b/src/core/request/mod.rs
@@ -3,7 +3,7 @@
 mod arrive;
 mod attempt;
 mod end;
-mod lost;
+mod failure;
 
 use std::time::Duration;
 
@@ -15,14 +15,14 @@
 use super::{Core, Effects, Time, share};
 use crate::error::Ran;
 
-pub use arrive::{go, spent};
+pub use arrive::{refuse_spent, share_granted};
 pub use attempt::dispatch;
 pub use end::{refuse, reply};
 
 /// Part of the requests that our own repeats may add.
-const RETRY_SHARE: f64 = 0.1;
+const RETRY_FRACTION: f64 = 0.1;
 /// Repeats that may be saved up: enough for every stream of a few engines that die at once.
-const RETRY_MOST: f64 = 64.0;
+const MAX_RETRY_BUDGET: f64 = 64.0;
 
 /// What a request waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,13 +45,13 @@
     /// What the caller wants.
     pub want: Want,
     /// The caller's idempotency key.
-    pub idem: Option<Box<str>>,
+    pub idempotency_key: Option<Box<str>>,
     /// Fingerprint of target and body.
-    pub print: Print,
+    pub fingerprint: Print,
     /// When it arrived.
     pub arrived: Time,
     /// When the last token was passed on.
-    pub last: Option<Time>,
+    pub last_token: Option<Time>,
     /// Tokens passed on to the caller.
     pub delivered: u64,
     /// What it waits for.
@@ -59,7 +59,7 @@
     /// The attempt in hand.
     pub attempt: Option<AttemptKey>,
     /// Whether it may run more than once.
-    pub repeat: bool,
+    pub retryable: bool,
     /// What it took of its plan's share.
     pub taken: share::Taken,
     /// What became of it so far.
@@ -69,12 +69,12 @@
     /// Answer of a call that may not repeat, while its record is on its way.
     pub result: Option<Stored>,
     /// Whether the caller has closed its connection.
-    pub left: bool,
+    pub caller_left: bool,
     /// Whether the piece with the finish reason was passed on.
     finished: bool,
-    heard: Heard,
+    progress: Progress,
     /// How the last attempt was lost, while the same engine is asked to go on with it.
-    lost: Option<Break>,
+    last_break: Option<Break>,
     tries: u8,
     resumes: u8,
     class: Box<str>,
@@ -82,7 +82,7 @@
 
 /// What the engine in hand has brought of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Heard {
+enum Progress {
     Nothing,
     Tokens,
 }
@@ -93,7 +93,7 @@
     /// The engine has nothing yet, or its connection is lost.
     Open,
     /// The caller does not take what came; nothing is read from the engine.
-    Held,
+    Paused,
 }
 
 /// One attempt at one back end.
@@ -108,15 +108,15 @@
     /// When it was sent.
     sent: Time,
     /// When it brought the first token.
-    first: Time,
+    first_token: Time,
     /// Prompt tokens that the engine had then, by this host's reckoning, its own among them.
-    ahead: u64,
+    backlog: u64,
     /// Name at the back end.
     label: Box<str>,
     /// When it was sent, or last brought something.
-    last: Time,
+    last_progress: Time,
     /// Whether anything of the answer arrived.
-    began: bool,
+    has_tokens: bool,
     flow: Flow,
     /// Tokens counted into the back end's backlog.
     prompt: u64,
@@ -131,7 +131,7 @@
     /// Attempts.
     pub attempts: SlotMap<AttemptKey, Attempt>,
     /// Repeats that may be made now.
-    budget: f64,
+    retry_budget: f64,
 }
 
 impl Default for Requests {
@@ -139,17 +139,17 @@
         Self {
             arena: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
-            budget: RETRY_MOST,
+            retry_budget: MAX_RETRY_BUDGET,
         }
     }
 }
 
 impl Requests {
     /// Returns whether one more repeat may be made, and counts it.
-    fn spend(&mut self) -> bool {
-        let may = self.budget >= 1.0;
+    fn take_retry(&mut self) -> bool {
+        let may = self.retry_budget >= 1.0;
         if may {
-            self.budget -= 1.0;
+            self.retry_budget -= 1.0;
         }
         may
     }
@@ -159,30 +159,30 @@
 pub fn step(core: &mut Core, event: RequestEvent, out: &mut Effects) {
     match event {
         RequestEvent::Arrived(arrival) => arrive::arrived(core, *arrival, out),
-        RequestEvent::Left(request) => end::left(core, request, out),
+        RequestEvent::Left(request) => end::caller_left(core, request, out),
         RequestEvent::Began(attempt) => attempt::began(core, attempt),
-        RequestEvent::Held(attempt) => attempt::held(core, attempt),
+        RequestEvent::Held(attempt) => attempt::delivery_blocked(core, attempt),
         RequestEvent::Chunk {
             attempt,
             offset,
             tokens,
-        } => attempt::chunk(core, attempt, offset, tokens, out),
-        RequestEvent::Whole(attempt) => attempt::whole(core, attempt, out),
+        } => attempt::stream_event(core, attempt, offset, tokens, out),
+        RequestEvent::Whole(attempt) => attempt::stream_completed(core, attempt, out),
         RequestEvent::Answered { attempt, result } => attempt::answered(core, attempt, result, out),
         RequestEvent::Broke {
             attempt,
             ran,
             end,
             detail,
-        } => lost::broke(core, attempt, ran, end, &detail, out),
+        } => failure::attempt_failed(core, attempt, ran, end, &detail, out),
     }
 }
 
 /// Takes in the end of a wait.
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
     match timer {
-        Timer::Request(key) => arrive::waited(core, key, out),
-        Timer::Silence(attempt) => lost::listen(core, attempt, out),
+        Timer::Request(key) => arrive::wait_ended(core, key, out),
+        Timer::Silence(attempt) => failure::check_silence(core, attempt, out),
         _ => {}
     }
 }
@@ -217,7 +217,7 @@
     /// Returns whether the engine in hand has brought tokens.
     #[must_use]
     pub fn answering(&self) -> bool {
-        self.heard == Heard::Tokens
+        self.progress == Progress::Tokens
     }
 
     /// Returns the model that the caller wants.
--- a/src/core/share/mod.rs
+++ b/src/core/share/mod.rs
@@ -326,7 +326,7 @@
         }
         part.waiting.pop_front();
         core.requests.arena[key].taken = cost;
-        request::go(core, key, out);
+        request::share_granted(core, key, out);
     }
 }
 
@@ -358,7 +358,7 @@
     while let Some(part) = core.shares.parts.get_mut(plan)
         && let Some(key) = part.waiting.pop_front()
     {
-        request::spent(core, key, wait, out);
+        request::refuse_spent(core, key, wait, out);
     }
 }
 
--- a/src/core/share/pledge.rs
+++ b/src/core/share/pledge.rs
@@ -136,7 +136,7 @@
 pub fn left(core: &mut Core, member: &Member) {
     let ghost = Ghost {
         since: core.now,
-        stopped: member.beat.stopping,
+        stopped: member.heartbeat.stopping,
         listed: false,
     };
     core.shares
@@ -216,7 +216,7 @@
     // A peer that knows of more hosts knows one that this host does not count, and that may not
     // count this host.
     let count = hosts(core);
-    let more = |member: &Member| member.beat.hosts > count;
+    let more = |member: &Member| member.heartbeat.hosts > count;
     if members.arena.values().any(more) {
         return false;
     }
@@ -298,7 +298,12 @@
         .members
         .arena
         .iter()
-        .map(|(key, member)| (key, member.heard.is_some_and(|at| now.since(at) < PLEDGE)))
+        .map(|(key, member)| {
+            (
+                key,
+                member.last_seen.is_some_and(|at| now.since(at) < PLEDGE),
+            )
+        })
         .collect();
     let pledges = &mut core.shares.pledges;
     for (key, hears) in hears {
@@ -321,7 +326,7 @@
         !gone && !stopped
     });
     let count = arena.keys().filter(|&key| settled(core, key)).count();
-    let long = now.since(core.members.settled) >= SETTLE + PLEDGE / 3;
+    let long = now.since(core.members.view_since) >= SETTLE + PLEDGE / 3;
     let settled = long && calm(core);
     let hosts = hosts(core) as usize;
     let pledges = &mut core.shares.pledges;
@@ -335,7 +340,7 @@
 
 /// Returns whether a peer has pledged to this host, at the same view, for long enough.
 fn settled(core: &Core, key: HostKey) -> bool {
-    let beat = &core.members.arena[key].beat;
+    let beat = &core.members.arena[key].heartbeat;
     let same = beat.view == core.members.view;
     same && fresh(core, key) && Duration::from_millis(beat.pledged) >= SETTLE
 }
@@ -364,11 +369,11 @@
     let mut count = u32::from(own(core, &mine));
     let mut alone = true;
     for (key, member) in &core.members.arena {
-        let stand = stand(core, key, &member.beat, &mine);
+        let stand = stand(core, key, &member.heartbeat, &mine);
         alone &= stand != Stand::Elsewhere;
         if stand == Stand::Counts {
             count += 1;
-            hosts = hosts.max(member.beat.hosts);
+            hosts = hosts.max(member.heartbeat.hosts);
         }
     }
     Pledged {
--- a/src/core/share/tests/site.rs
+++ b/src/core/share/tests/site.rs
@@ -134,7 +134,7 @@
         let mut out = Effects::new();
         let key = KeyHash::of(KEY);
         let plans = format!("[customer c]\nplan = p\nkeys = {key}\n");
-        config::told(&mut core, 1, &plans, &self.uses, &mut out);
+        config::handle_lists(&mut core, 1, &plans, &self.uses, &mut out);
         let found = self.hosts.iter().position(|host| *host.name == *name);
         let at = found.unwrap_or(self.hosts.len());
         if found.is_none() {
--- a/src/core/stop.rs
+++ b/src/core/stop.rs
@@ -98,10 +98,10 @@
         timer: Timer::Stop,
     });
     // Peers pass this host over from now on; shards and loans move while it still answers.
-    member::beats(core, out);
+    member::send_heartbeats(core, out);
     share::leave(core, out);
     order::release(core, out);
-    super::once::moved(core, out);
+    super::once::view_changed(core, out);
     look(core, out);
 }
 
--- a/src/core/tests/lists.rs
+++ b/src/core/tests/lists.rs
@@ -170,7 +170,7 @@
     let theirs = world.hosts[1].core.config.lists.clone();
     assert!(uses.is_empty());
     let text = (theirs.plans.to_string(), theirs.uses.to_string());
-    config::told(&mut host, theirs.revision, &text.0, &text.1, &mut out);
+    config::handle_lists(&mut host, theirs.revision, &text.0, &text.1, &mut out);
     world.hosts[0].core = host;
     apply(&mut world, 0, 3, "third");
     run(&mut world, 2);
@@ -191,9 +191,9 @@
     let watched = Event::Store(StoreEvent::Watched(world.store.watched()));
     core.reduce(world.now, watched, &mut out);
     let uses = world.hosts[0].core.config.lists.uses.to_string();
-    config::told(&mut core, 1, &plans("old"), &uses, &mut out);
+    config::handle_lists(&mut core, 1, &plans("old"), &uses, &mut out);
     assert_eq!(core.config.revision(), 0);
-    config::told(&mut core, 2, &plans("newest"), &uses, &mut out);
+    config::handle_lists(&mut core, 2, &plans("newest"), &uses, &mut out);
     assert_eq!(core.config.revision(), 2);
 }
 
--- a/src/core/tests/mod.rs
+++ b/src/core/tests/mod.rs
@@ -262,7 +262,7 @@
         );
         self.feed(at, Event::Start);
         let mut out = Effects::new();
-        config::told(&mut self.hosts[at].core, 1, &plans, &uses, &mut out);
+        config::handle_lists(&mut self.hosts[at].core, 1, &plans, &uses, &mut out);
         self.carry_all(at, out);
         let entries = (1..=2).map(|number| Entry {
             name: format!("{SERVICE}-{number}").into(),
--- a/src/core/tests/once.rs
+++ b/src/core/tests/once.rs
@@ -10,7 +10,7 @@
 use crate::core::event::PeerEvent;
 use crate::core::key::ShardKey;
 use crate::core::message::{Beat, BeginState, Done, DoneState, Message};
-use crate::core::once::{KEEP, canonical, shard_of};
+use crate::core::once::{RETENTION, is_canonical, shard_of};
 use crate::error::{Kind, Ran};
 
 /// Anglers book from the shore with a weak signal: the same key reaches several hosts at once and
@@ -280,7 +280,7 @@
     let mut world = World::new(2, 13);
     world.call(0, "k", 1);
     world.run(Duration::from_secs(1));
-    world.sleep(KEEP.saturating_sub(Duration::from_mins(1)));
+    world.sleep(RETENTION.saturating_sub(Duration::from_mins(1)));
     world.call(1, "k", 1);
     world.run(Duration::from_secs(1));
     assert_eq!(world.runs["k"], 1);
@@ -299,11 +299,11 @@
         world.call(0, &format!("k-{number}"), 1);
         world.run(Duration::from_millis(20));
     }
-    assert!(world.hosts[0].core.once.loaded() > 100);
+    assert!(world.hosts[0].core.once.loaded_shards() > 100);
     world.run(Duration::from_mins(2));
     world.call(0, "last", 1);
     world.run(Duration::from_mins(2));
-    assert_eq!(world.hosts[0].core.once.loaded(), 0);
+    assert_eq!(world.hosts[0].core.once.loaded_shards(), 0);
     world.call(0, "k-7", 1);
     world.run(Duration::from_secs(1));
     world.check("read again");
@@ -334,7 +334,7 @@
     ($($name:ident: $method:literal $path:literal => $fit:literal;)+) => {
         $(#[test]
         fn $name() {
-            assert_eq!(canonical($method, $path), $fit);
+            assert_eq!(is_canonical($method, $path), $fit);
         })+
     };
 }
--- a/src/core/tests/trace.rs
+++ b/src/core/tests/trace.rs
@@ -140,7 +140,7 @@
     let mut traces = Traces::new(&world.hosts[0].core.settings.host, 1);
     let mut kept = 0;
     for number in 0..60_000_u64 {
-        let mut record = traces.open(number);
+        let mut record = traces.new_record(number);
         record.customer = "a customer".into();
         record.attempts = vec![Attempt::default(); 2];
         record.notes = (0..number % 5)
--- a/src/core/trace/mod.rs
+++ b/src/core/trace/mod.rs
@@ -3,11 +3,11 @@
 //! Every record is copied to two peers. What is unusual or must not repeat goes to the key-value
 //! service as well, in batches, so that it outlives the hosts.
 
+mod buffer;
 mod search;
 mod segment;
-mod shelf;
 
-pub use search::{asked, explain, found, told};
+pub use search::{answer_peer, explain, found, handle_answer};
 pub use segment::{RETENTION, written};
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,25 +20,25 @@
 use super::{Core, Effects};
 use crate::error::Ran;
 use crate::settings::HostSettings;
+use buffer::RecordBuffer;
 use search::Search;
 use segment::Segments;
-use shelf::Shelf;
 
 /// Bytes of records a host keeps of requests it served itself.
-const KEEP_OWN: usize = 12 * 1024 * 1024;
+const MAX_OWN_BYTES: usize = 12 * 1024 * 1024;
 /// Bytes of records a host keeps for its peers.
-const KEEP_COPIES: usize = 20 * 1024 * 1024;
+const MAX_COPY_BYTES: usize = 20 * 1024 * 1024;
 /// Note on a call that may not repeat, once its start is recorded.
-pub const RECORDED: &str = "recorded as started";
+pub const RECORDED_NOTE: &str = "recorded as started";
 /// Time between two batches of copies.
 ///
 /// A host that is killed takes with it what it has not yet copied: at most this much of its last
 /// decisions.
-const COPY_EVERY: Duration = Duration::from_millis(200);
+const COPY_INTERVAL: Duration = Duration::from_millis(200);
 /// Peers that get a copy of each record.
-const COPIES: usize = 2;
+const COPY_COUNT: usize = 2;
 /// Most records in one message, so that a frame stays well under its bound.
-const BATCH: usize = 256;
+const MAX_BATCH_RECORDS: usize = 256;
 /// What became of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Record {
@@ -103,14 +103,14 @@
 pub struct Traces {
     host: Box<str>,
     tag: Box<str>,
-    next: u64,
+    last_number: u64,
     since: u64,
-    own: Shelf,
-    copies: Shelf,
+    own: RecordBuffer,
+    copies: RecordBuffer,
     /// Own records changed since the last batch of copies.
     dirty: BTreeSet<Box<str>>,
     searches: BTreeMap<u64, Search>,
-    rounds: u64,
+    last_round: u64,
     segments: Segments,
 }
 
@@ -123,23 +123,23 @@
     pub fn new(host: &HostSettings, incarnation: u64) -> Self {
         Self {
             host: host.name.clone(),
-            tag: tag(&host.name, incarnation),
-            next: 0,
+            tag: process_tag(&host.name, incarnation),
+            last_number: 0,
             since: incarnation,
-            own: Shelf::default(),
-            copies: Shelf::default(),
+            own: RecordBuffer::default(),
+            copies: RecordBuffer::default(),
             dirty: BTreeSet::new(),
             searches: BTreeMap::new(),
-            rounds: 0,
+            last_round: 0,
             segments: Segments::default(),
         }
     }
 
     /// Returns a new record with its own id: host tag, arrival and count, in hexadecimal.
-    pub fn open(&mut self, wall: u64) -> Record {
-        self.next += 1;
+    pub fn new_record(&mut self, wall: u64) -> Record {
+        self.last_number += 1;
         Record {
-            id: format!("{}-{wall:x}-{:x}", self.tag, self.next).into(),
+            id: format!("{}-{wall:x}-{:x}", self.tag, self.last_number).into(),
             host: self.host.clone(),
             arrived: wall,
             ..Record::default()
@@ -150,7 +150,7 @@
     pub fn keep(&mut self, record: Record) {
         self.dirty.insert(record.id.clone());
         self.segments.offer(&record);
-        self.own.put(record, KEEP_OWN);
+        self.own.put(record, MAX_OWN_BYTES);
     }
 
     /// Returns the record of a request, own or copied.
@@ -173,13 +173,15 @@
 
     /// Returns the time since which every record this host was given is kept.
     fn complete_since(&self) -> u64 {
-        self.since.max(self.own.forgot()).max(self.copies.forgot())
+        self.since
+            .max(self.own.newest_evicted())
+            .max(self.copies.newest_evicted())
     }
 }
 
 /// Returns the first part of the ids that a host gives out in one life.
 #[must_use]
-pub fn tag(host: &str, incarnation: u64) -> Box<str> {
+pub fn process_tag(host: &str, incarnation: u64) -> Box<str> {
     let hash = blake3::hash(format!("{host}\n{incarnation}").as_bytes());
     hash.to_hex()[..8].into()
 }
@@ -196,7 +198,7 @@
 /// Starts the batches of copies.
 pub fn start(core: &mut Core, out: &mut Effects) {
     out.push(Effect::Wake {
-        at: core.now.after(COPY_EVERY),
+        at: core.now.after(COPY_INTERVAL),
         timer: Timer::Traces,
     });
 }
@@ -209,7 +211,7 @@
             segment::tick(core, out);
             start(core, out);
         }
-        Timer::Ask(ask) => search::late(core, ask, out),
+        Timer::Ask(ask) => search::timed_out(core, ask, out),
         _ => {}
     }
 }
@@ -222,14 +224,14 @@
     if core.traces.dirty.is_empty() {
         return;
     }
-    let keepers = member::keepers(core, COPIES);
+    let keepers = member::copy_targets(core, COPY_COUNT);
     let dirty = std::mem::take(&mut core.traces.dirty);
     let records: Vec<Record> = dirty
         .iter()
         .filter_map(|id| core.traces.own.get(id).cloned())
         .collect();
     for to in keepers {
-        for batch in records.chunks(BATCH) {
+        for batch in records.chunks(MAX_BATCH_RECORDS) {
             out.push(Effect::Send {
                 to,
                 message: Message::Traces(batch.to_vec()),
@@ -239,8 +241,8 @@
 }
 
 /// Keeps copies for a peer.
-pub fn copied(core: &mut Core, records: Vec<Record>) {
+pub fn store_copies(core: &mut Core, records: Vec<Record>) {
     for record in records {
-        core.traces.copies.put(record, KEEP_COPIES);
+        core.traces.copies.put(record, MAX_COPY_BYTES);
     }
 }
--- a/src/core/trace/search.rs
+++ b/src/core/trace/search.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::{Note, Record, arrival_of, segment, tag};
+use super::{Note, Record, arrival_of, process_tag, segment};
 use crate::core::effect::{Effect, OperatorAnswer};
 use crate::core::event::{StoreReply, StoreResult, Timer};
 use crate::core::key::{AskKey, HostKey};
@@ -13,9 +13,9 @@
 use crate::wire;
 
 /// Time a question waits for peers, and then for the key-value service.
-const ASK_TIME: Duration = Duration::from_millis(1500);
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Outcome of a request whose host is gone.
-const LOST: &str = "lost";
+const LOST_OUTCOME: &str = "lost";
 
 /// Where a question looks now.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     /// Time since which every host that answered has kept what it was given.
     since: u64,
     /// Hosts that did not answer, the key-value service counted as one.
-    silent: usize,
+    unanswered: usize,
 }
 
 fn finished(record: Option<&Record>) -> bool {
@@ -48,14 +48,14 @@
 pub fn explain(core: &mut Core, ask: AskKey, id: &str, out: &mut Effects) {
     let best = core.traces.find(id).cloned().map(Box::new);
     let peers: BTreeSet<HostKey> = core.members.peers().collect();
-    core.traces.rounds += 1;
-    let round = core.traces.rounds;
+    core.traces.last_round += 1;
+    let round = core.traces.last_round;
     let search = Search {
         ask,
         id: id.into(),
         stage: Stage::Peers(peers.clone()),
         since: core.traces.complete_since(),
-        silent: 0,
+        unanswered: 0,
         best,
     };
     let here = finished(search.best.as_deref());
@@ -65,7 +65,7 @@
         return;
     }
     if peers.is_empty() {
-        look_further(core, round, out);
+        search_segments(core, round, out);
         return;
     }
     for to in peers {
@@ -78,13 +78,13 @@
 
 fn wait(core: &Core, ask: AskKey, out: &mut Effects) {
     out.push(Effect::Wake {
-        at: core.now.after(ASK_TIME),
+        at: core.now.after(SEARCH_TIMEOUT),
         timer: Timer::Ask(ask),
     });
 }
 
 /// Answers a peer's question.
-pub fn asked(core: &mut Core, from: HostKey, round: u64, id: &str, out: &mut Effects) {
+pub fn answer_peer(core: &mut Core, from: HostKey, round: u64, id: &str, out: &mut Effects) {
     let record = core.traces.find(id).cloned().map(Box::new);
     let since = core.traces.complete_since();
     let message = Message::Told {
@@ -96,7 +96,7 @@
 }
 
 /// Takes in a peer's answer.
-pub fn told(
+pub fn handle_answer(
     core: &mut Core,
     from: HostKey,
     round: u64,
@@ -113,11 +113,11 @@
     waiting.remove(&from);
     let last = waiting.is_empty();
     search.since = search.since.max(since);
-    search.hear(record.map(|record| *record));
+    search.merge(record.map(|record| *record));
     if finished(search.best.as_deref()) {
         conclude(core, round, out);
     } else if last {
-        look_further(core, round, out);
+        search_segments(core, round, out);
     }
 }
 
@@ -126,7 +126,7 @@
     ///
     /// A host that was restarted under its name may answer a question that its former self was
     /// put, so the id is compared.
-    fn hear(&mut self, record: Option<Record>) {
+    fn merge(&mut self, record: Option<Record>) {
         let Some(record) = record.filter(|record| record.id == self.id) else {
             return;
         };
@@ -139,25 +139,25 @@
 }
 
 /// A question has waited long enough for what it waits for.
-pub(super) fn late(core: &mut Core, ask: AskKey, out: &mut Effects) {
+pub(super) fn timed_out(core: &mut Core, ask: AskKey, out: &mut Effects) {
     let mut searches = core.traces.searches.iter_mut();
     let Some((&round, search)) = searches.find(|(_, search)| search.ask == ask) else {
         return;
     };
     match &search.stage {
         Stage::Peers(waiting) => {
-            search.silent += waiting.len();
-            look_further(core, round, out);
+            search.unanswered += waiting.len();
+            search_segments(core, round, out);
         }
         Stage::Segments => {
-            search.silent += 1;
+            search.unanswered += 1;
             conclude(core, round, out);
         }
     }
 }
 
 /// Looks in the key-value service, which keeps what is unusual or must not repeat.
-fn look_further(core: &mut Core, round: u64, out: &mut Effects) {
+fn search_segments(core: &mut Core, round: u64, out: &mut Effects) {
     let Some(search) = core.traces.searches.get_mut(&round) else {
         return;
     };
@@ -178,11 +178,11 @@
     if let StoreResult::Read(range) = reply.result {
         for pair in &range.pairs {
             for record in wire::decode_records(&pair.value).unwrap_or_default() {
-                search.hear(Some(record));
+                search.merge(Some(record));
             }
         }
     } else {
-        search.silent += 1;
+        search.unanswered += 1;
     }
     conclude(core, round, out);
 }
@@ -196,29 +196,29 @@
             mark_lost(core, &mut record);
             OperatorAnswer::Record(record)
         }
-        None => missing(core, &search),
+        None => no_record(core, &search),
     };
     let ask = search.ask;
     out.push(Effect::Answer { ask, answer });
 }
 
 /// Returns whether the host that gave out an id is among the hosts, in the same life.
-fn serves(core: &Core, id: &str) -> bool {
+fn is_issuer_present(core: &Core, id: &str) -> bool {
     let wanted = id.split('-').next().unwrap_or_default();
     let members = &core.members;
     let mut peers = members.arena.values();
-    *tag(&members.name, members.incarnation()) == *wanted
-        || peers.any(|peer| *tag(&peer.name, peer.incarnation) == *wanted)
+    *process_tag(&members.name, members.incarnation()) == *wanted
+        || peers.any(|peer| *process_tag(&peer.name, peer.incarnation) == *wanted)
 }
 
 /// Says so where a request can no longer end because its host is gone.
 ///
 /// Its last copy still says "running"; a support engineer would wait for an end that never comes.
 fn mark_lost(core: &Core, record: &mut Record) {
-    if !record.outcome.is_empty() || serves(core, &record.id) {
+    if !record.outcome.is_empty() || is_issuer_present(core, &record.id) {
         return;
     }
-    record.outcome = LOST.into();
+    record.outcome = LOST_OUTCOME.into();
     record.ran = Some(Ran::Unknown);
     let text = format!(
         "{} is gone; what it decided after the last copy of this record is lost",
@@ -229,7 +229,7 @@
     record.notes.push(Note { at, text });
 }
 
-fn missing(core: &Core, search: &Search) -> OperatorAnswer {
+fn no_record(core: &Core, search: &Search) -> OperatorAnswer {
     let hours = segment::RETENTION.as_secs() / 3600;
     let keep = u64::try_from(segment::RETENTION.as_millis()).unwrap_or(u64::MAX);
     let why: Box<str> = match arrival_of(&search.id) {
@@ -238,11 +238,11 @@
         Some(arrived) if arrived + keep < core.wall() => {
             format!("the record has aged out: none is kept for sure after {hours} hours").into()
         }
-        Some(_) if search.silent > 0 => {
-            let silent = search.silent;
+        Some(_) if search.unanswered > 0 => {
+            let silent = search.unanswered;
             format!("{silent} of those who may have the record did not answer; ask again").into()
         }
-        Some(_) if !serves(core, &search.id) => {
+        Some(_) if !is_issuer_present(core, &search.id) => {
             "the host that served it is gone; a record that nothing unusual was in goes with it \
              and with the two hosts that kept copies"
                 .into()
--- a/src/core/trace/segment.rs
+++ b/src/core/trace/segment.rs
@@ -9,7 +9,7 @@
 
 use rand::RngExt;
 
-use super::{RECORDED, Record, shelf};
+use super::{RECORDED_NOTE, Record, buffer};
 use crate::core::effect::{Effect, log_event};
 use crate::core::event::{Health, Job, StoreReply, StoreResult};
 use crate::core::{Core, Effects, Time};
@@ -20,47 +20,47 @@
 /// Least time that a segment lasts.
 pub const RETENTION: Duration = Duration::from_hours(24);
 /// Time for which one lease is used; a segment lasts up to this much longer.
-const LEASE_USE: Duration = Duration::from_hours(1);
+const LEASE_REUSE: Duration = Duration::from_hours(1);
 /// Least time between two writes of a host.
-const LEAST: Duration = Duration::from_secs(2);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two writes of all hosts together: ten a second at most, of several hundred that
 /// the service takes, however many hosts there are.
-const SHARED: Duration = Duration::from_millis(100);
+const GLOBAL_WRITE_INTERVAL: Duration = Duration::from_millis(100);
 /// Milliseconds of arrivals that share a folder; one read of it finds a record.
-const FOLDER: u64 = 10_000;
+const FOLDER_SPAN_MS: u64 = 10_000;
 /// Most bytes in one write, by the records' weight in memory; a value holds a megabyte.
-const BATCH: usize = 256 * 1024;
+const MAX_BATCH_BYTES: usize = 256 * 1024;
 /// Most bytes that wait for a write.
-const WAITING: usize = 2 * 1024 * 1024;
+const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
 /// Most bytes of all hosts' segments together, over the time they last.
-const TOTAL: f64 = 512.0 * 1024.0 * 1024.0;
+const MAX_TOTAL_BYTES: f64 = 512.0 * 1024.0 * 1024.0;
 /// Part of its budget that a host may save up.
-const BURST: f64 = 1.0 / 24.0;
+const BURST_FRACTION: f64 = 1.0 / 24.0;
 
 /// What waits to be written, and what is on its way.
 #[derive(Debug, Default)]
 pub(super) struct Segments {
     queue: BTreeMap<Box<str>, Record>,
-    waiting: usize,
+    queued_bytes: usize,
     /// Records in the write on its way; written again under the same keys when it fails.
     batch: Vec<Record>,
     /// Number of the batch.
-    number: u64,
-    busy: bool,
+    batch_number: u64,
+    in_flight: bool,
     lease: i64,
-    granted: Time,
+    lease_granted: Time,
     /// Earliest time of the next write.
-    due: Time,
+    next_write: Time,
     /// Bytes that may be written now.
     budget: f64,
-    filled: Option<Time>,
+    last_refill: Option<Time>,
     /// Records left out because too many came.
     left_out: u64,
 }
 
 /// Tells whether a record must outlive the hosts.
-fn notable(record: &Record) -> bool {
-    let recorded = record.notes.iter().any(|note| *note.text == *RECORDED);
+fn must_persist(record: &Record) -> bool {
+    let recorded = record.notes.iter().any(|note| *note.text == *RECORDED_NOTE);
     let ended = !record.outcome.is_empty();
     let failed = &*record.outcome != "answered" && record.ran != Some(Ran::No);
     recorded || ended && (failed || record.attempts.len() > 1)
@@ -69,45 +69,47 @@
 impl Segments {
     /// Takes a record in if it must outlive the hosts.
     pub(super) fn offer(&mut self, record: &Record) {
-        if !notable(record) {
+        if !must_persist(record) {
             return;
         }
-        let weight = shelf::weight(record);
+        let weight = buffer::record_bytes(record);
         if let Some(known) = self.queue.remove(&record.id) {
-            self.waiting -= shelf::weight(&known);
+            self.queued_bytes -= buffer::record_bytes(&known);
         }
-        if self.waiting + weight > WAITING {
+        if self.queued_bytes + weight > MAX_QUEUED_BYTES {
             self.left_out += 1;
             return;
         }
-        self.waiting += weight;
+        self.queued_bytes += weight;
         self.queue.insert(record.id.clone(), record.clone());
     }
 
     /// Takes the next batch out of the queue, within the budget.
-    fn next(&mut self) {
+    fn take_batch(&mut self) {
         let mut bytes = 0;
         while let Some(entry) = self.queue.first_entry() {
-            let weight = shelf::weight(entry.get());
+            let weight = buffer::record_bytes(entry.get());
             let spent = (bytes + weight) as f64;
-            if bytes + weight > BATCH || spent > self.budget {
+            if bytes + weight > MAX_BATCH_BYTES || spent > self.budget {
                 break;
             }
             bytes += weight;
             self.batch.push(entry.remove());
         }
-        self.waiting -= bytes;
+        self.queued_bytes -= bytes;
         self.budget -= bytes as f64;
-        self.number += u64::from(!self.batch.is_empty());
+        self.batch_number += u64::from(!self.batch.is_empty());
     }
 
     fn refill(&mut self, now: Time, hosts: f64) {
-        let most = TOTAL / hosts * BURST;
-        let rate = TOTAL / hosts / RETENTION.as_secs_f64();
-        let passed = self.filled.map(|filled| now.since(filled).as_secs_f64());
+        let most = MAX_TOTAL_BYTES / hosts * BURST_FRACTION;
+        let rate = MAX_TOTAL_BYTES / hosts / RETENTION.as_secs_f64();
+        let passed = self
+            .last_refill
+            .map(|filled| now.since(filled).as_secs_f64());
         let more = passed.map_or(most, |passed| passed * rate);
         self.budget = (self.budget + more).min(most);
-        self.filled = Some(now);
+        self.last_refill = Some(now);
     }
 }
 
@@ -115,29 +117,29 @@
 pub(super) fn folder(id: &str) -> Option<Box<str>> {
     let arrived = super::arrival_of(id)?;
     let tag = id.split('-').next()?;
-    Some(format!("d/trace/{tag}/{:x}/", arrived / FOLDER).into())
+    Some(format!("d/trace/{tag}/{:x}/", arrived / FOLDER_SPAN_MS).into())
 }
 
 /// Writes what waits, when it is time.
 pub(super) fn tick(core: &mut Core, out: &mut Effects) {
     let hosts = u32::try_from(core.members.count()).unwrap_or(u32::MAX);
-    let every = LEAST.max(SHARED * hosts);
+    let every = MIN_WRITE_INTERVAL.max(GLOBAL_WRITE_INTERVAL * hosts);
     if core.members.store == Health::Down {
         // All hosts see the service come back at the same moment; each waits a time of its own.
         let part = core.rng.random_range(0.0..1.0);
-        core.traces.segments.due = core.now.after(every.mul_f64(part));
+        core.traces.segments.next_write = core.now.after(every.mul_f64(part));
         return;
     }
     let segments = &mut core.traces.segments;
     segments.refill(core.now, f64::from(hosts));
-    if core.now >= segments.due {
-        segments.due = core.now.after(every);
+    if core.now >= segments.next_write {
+        segments.next_write = core.now.after(every);
         write(core, out);
     }
-    tell(core, out);
+    report_left_out(core, out);
 }
 
-fn tell(core: &mut Core, out: &mut Effects) {
+fn report_left_out(core: &mut Core, out: &mut Effects) {
     let count = std::mem::take(&mut core.traces.segments.left_out);
     if count > 0 {
         let text = format!("{count} explanations are kept in hosts' memory only: too many came");
@@ -149,27 +151,27 @@
 pub(super) fn write(core: &mut Core, out: &mut Effects) {
     let now = core.now;
     let segments = &mut core.traces.segments;
-    if segments.busy {
+    if segments.in_flight {
         return;
     }
     if segments.batch.is_empty() {
-        segments.next();
+        segments.take_batch();
     }
     if segments.batch.is_empty() {
         return;
     }
-    segments.busy = true;
+    segments.in_flight = true;
     let job = Job::Segment;
-    if segments.lease == 0 || now.since(segments.granted) > LEASE_USE {
-        let life = RETENTION + LEASE_USE;
+    if segments.lease == 0 || now.since(segments.lease_granted) > LEASE_REUSE {
+        let life = RETENTION + LEASE_REUSE;
         out.push(Effect::Grant { job, life });
     } else {
-        let txn = batch(segments);
+        let txn = batch_txn(segments);
         out.push(Effect::Txn { job, txn });
     }
 }
 
-fn batch(segments: &Segments) -> Txn {
+fn batch_txn(segments: &Segments) -> Txn {
     let mut folders: BTreeMap<Box<str>, Vec<Record>> = BTreeMap::new();
     for record in &segments.batch {
         if let Some(folder) = folder(&record.id) {
@@ -177,7 +179,7 @@
         }
     }
     let puts = folders.into_iter().map(|(folder, records)| Op::Put {
-        key: format!("{folder}{:x}", segments.number).into(),
+        key: format!("{folder}{:x}", segments.batch_number).into(),
         value: wire::encode_records(&records).into(),
         lease: segments.lease,
     });
@@ -192,11 +194,11 @@
 pub fn written(core: &mut Core, reply: &StoreReply, out: &mut Effects) {
     let now = core.now;
     let segments = &mut core.traces.segments;
-    segments.busy = false;
+    segments.in_flight = false;
     match &reply.result {
         StoreResult::Lease(lease) => {
             segments.lease = *lease;
-            segments.granted = now;
+            segments.lease_granted = now;
             if *lease != 0 {
                 write(core, out);
             }
--- a/src/host/callers.rs
+++ b/src/host/callers.rs
@@ -370,7 +370,7 @@
     let query = req.uri().query();
     let full = query.map_or_else(|| path.to_owned(), |query| format!("{path}?{query}"));
     let method: Box<str> = req.method().as_str().into();
-    if !once::canonical(&method, path) {
+    if !once::is_canonical(&method, path) {
         let detail = "the method or path is not in its one canonical form: no empty or dot \
                       segments, no needless escapes, capitals in escapes and in the method";
         return refuse(Kind::Malformed, detail);
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -81,9 +81,9 @@
         hosts.push(json!({
             "name": &*peer.name,
             "domain": &*peer.domain,
-            "revision": peer.beat.revision,
-            "heard_ms": peer.heard.map(|at| core.now.since(at).as_millis()),
-            "stopping": peer.beat.stopping,
+            "revision": peer.heartbeat.revision,
+            "heard_ms": peer.last_seen.map(|at| core.now.since(at).as_millis()),
+            "stopping": peer.heartbeat.stopping,
         }));
     }
     let backends: Vec<Value> = core
@@ -129,8 +129,8 @@
     }
     for key in members.peers() {
         let peer = &members.arena[key];
-        hosts.push(json!({"name": &*peer.name, "revision": peer.beat.revision}));
-        if peer.beat.revision < revision {
+        hosts.push(json!({"name": &*peer.name, "revision": peer.heartbeat.revision}));
+        if peer.heartbeat.revision < revision {
             missing.push(peer.name.clone());
         }
     }
--- a/src/wire/shard.rs
+++ b/src/wire/shard.rs
@@ -23,11 +23,11 @@
         generated::Call {
             customer: customer.to_string(),
             key: key.to_string(),
-            print: call.print.0.to_vec(),
+            print: call.fingerprint.0.to_vec(),
             request: call.request.to_string(),
             state,
             result,
-            at: call.at,
+            at: call.recorded_ms,
         }
     });
     let shard = generated::Shard {
@@ -53,10 +53,10 @@
     };
     let name = (call.customer.into(), call.key.into());
     let call = Call {
-        print: Print(array(&call.print, "print").ok()?),
+        fingerprint: Print(array(&call.print, "print").ok()?),
         request: call.request.into(),
         state,
-        at: call.at,
+        recorded_ms: call.at,
     };
     Some((name, call))
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -82,10 +82,10 @@
 #[test]
 fn shard_returns() {
     let call = |state| Call {
-        print: Print([1; 16]),
+        fingerprint: Print([1; 16]),
         request: "r".into(),
         state,
-        at: 99,
+        recorded_ms: 99,
     };
     let name = |key: &str| ("c".into(), key.into());
     let calls = Calls::from([
