--- a/src/core/poison.rs
+++ b/src/core/poison.rs
@@ -187,7 +187,7 @@
     };
     let request = &core.requests.arena[key];
     let suspect = Suspect {
-        print: request.print,
+        print: request.fingerprint,
         engine,
         at: core.wall(),
         request: request.record.id.clone(),
--- a/src/core/share/mod.rs
+++ b/src/core/share/mod.rs
@@ -333,7 +333,7 @@
         }
         part.waiting.pop_front();
         core.requests.arena[key].taken = cost;
-        request::go(core, key, out);
+        request::share_granted(core, key, out);
     }
 }
 
@@ -365,7 +365,7 @@
     while let Some(part) = core.shares.local.get_mut(plan)
         && let Some(key) = part.waiting.pop_front()
     {
-        request::spent(core, key, wait, out);
+        request::refuse_spent(core, key, wait, out);
     }
 }
 
--- a/src/core/share/pledge.rs
+++ b/src/core/share/pledge.rs
@@ -136,7 +136,7 @@
 pub fn left(core: &mut Core, member: &Member) {
     let ghost = DepartedHost {
         since: core.now,
-        stopped: member.beat.stopping,
+        stopped: member.heartbeat.stopping,
         listed: false,
     };
     core.shares
@@ -216,7 +216,7 @@
     // A peer that knows of more hosts knows one that this host does not count, and that may not
     // count this host.
     let count = host_count(core);
-    let more = |member: &Member| member.beat.hosts > count;
+    let more = |member: &Member| member.heartbeat.hosts > count;
     if members.arena.values().any(more) {
         return false;
     }
@@ -306,8 +306,7 @@
             (
                 key,
                 member
-                    .heard
-                    .is_some_and(|at| now.since(at) < PLEDGE_LIFETIME),
+                    .last_seen.is_some_and(|at| now.since(at) < PLEDGE_LIFETIME),
             )
         })
         .collect();
@@ -332,7 +331,7 @@
         !gone && !stopped
     });
     let count = arena.keys().filter(|&key| peer_settled(core, key)).count();
-    let long = now.since(core.members.settled) >= SETTLE_TIME + PLEDGE_LIFETIME / 3;
+    let long = now.since(core.members.view_since) >= SETTLE_TIME + PLEDGE_LIFETIME / 3;
     let settled = long && stable(core);
     let hosts = host_count(core) as usize;
     let pledges = &mut core.shares.pledges;
@@ -346,7 +345,7 @@
 
 /// Returns whether a peer has pledged to this host, at the same view, for long enough.
 fn peer_settled(core: &Core, key: HostKey) -> bool {
-    let beat = &core.members.arena[key].beat;
+    let beat = &core.members.arena[key].heartbeat;
     let same = beat.view == core.members.view;
     same && echo_fresh(core, key) && Duration::from_millis(beat.pledged) >= SETTLE_TIME
 }
@@ -375,11 +374,11 @@
     let mut count = u32::from(own_counts(core, &mine));
     let mut alone = true;
     for (key, member) in &core.members.arena {
-        let stand = pledge_state(core, key, &member.beat, &mine);
+        let stand = pledge_state(core, key, &member.heartbeat, &mine);
         alone &= stand != PledgeState::PledgedElsewhere;
         if stand == PledgeState::Counted {
             count += 1;
-            hosts = hosts.max(member.beat.hosts);
+            hosts = hosts.max(member.heartbeat.hosts);
         }
     }
     Pledged {
