--- a/src/core/relay/choose/handover.rs
+++ b/src/core/relay/choose/handover.rs
@@ -1,4 +1,4 @@
-//! Which engine takes a prompt over that another one has read.
+//! Selection of the decode engine for a prompt that another engine has prefilled.
 
 use super::super::event::{Stage, Task};
 use super::super::instance::Work;
@@ -11,26 +11,25 @@
 use crate::core::effect::Refusal;
 use crate::core::key::{BackendKey, CallKey};
 
-/// Urgency of a request whose prompt is read: all but a step of the work is done, and behind the
-/// prompts that its engine reads itself it would wait for them.
+/// Urgency of a handed-over request: nearly all of its work is done, and it must not queue behind
+/// the prompts that the decode engine prefills itself.
 const HANDOVER_URGENCY: u8 = 0;
-/// Part of the time for the prompts that an engine reads itself by which a handed-over request waits
-/// for them.
+/// Fraction of an engine's own queued prefill time that a handed-over request waits.
 const PREFILL_WAIT_FRACTION: f64 = 0.5;
 
-/// Returns the milliseconds from the end of the prefill to the first token, beside the transfer;
-/// `None` where no engine decodes.
+/// Returns the expected time from the end of the prefill to the first token, without the transfer;
+/// `None` if there is no decode engine.
 pub(super) fn expected_ms(core: &Core, call: &Call) -> Option<f64> {
-    let takers = eligible_servers(core, call, Some(Stage::Decode));
-    let learned = core.relay.model.of(&call.service);
-    let waits = takers.iter().map(|key| {
+    let eligible = eligible_servers(core, call, Some(Stage::Decode));
+    let model = core.relay.model.of(&call.service);
+    let times = eligible.iter().map(|key| {
         let instance = &core.relay.instances.arena[*key];
-        learned.handover_ms(instance.pace) + slot_wait_ms(instance)
+        model.handover_ms(instance.pace) + slot_wait_ms(instance)
     });
-    waits.min_by(f64::total_cmp)
+    times.min_by(f64::total_cmp)
 }
 
-/// Chooses the engine that goes on from a KV cache.
+/// Chooses the engine that decodes from the request's KV cache.
 pub(super) fn choose(core: &mut Core, key: CallKey) -> Result<Choice, Refusal> {
     let call = &core.relay.calls[key];
     let Some(cache) = call.cache.clone() else {
@@ -41,40 +40,44 @@
     let engines = sampling::sample(core, key, &prompt, engines);
     let call = &core.relay.calls[key];
     let source = core.relay.instances.arena.get(cache.engine);
-    let waits = source.map_or(0.0, |instance| instance.link.wait_ms(core.now));
+    let source_wait = source.map_or(0.0, |instance| instance.link.wait_ms(core.now));
     let source = source.map(|instance| instance.domain.clone());
     let policy = policy(core);
-    let moving = transfer_ms(core, call, &prompt);
-    let learned = core.relay.model.of(&call.service);
+    let transfer = transfer_ms(core, call, &prompt);
+    let model = core.relay.model.of(&call.service);
     let mut best: Option<(f64, Reads, f64, BackendKey)> = None;
     for backend in engines {
         let instance = &core.relay.instances.arena[backend];
-        let far = source.as_ref() != Some(&instance.domain);
-        let moving = if far { moving * 2.0 } else { moving };
-        let link = waits.max(instance.link.wait_ms(core.now));
-        let reading =
-            load::prefill_ms(learned, instance, instance.work().tokens) * PREFILL_WAIT_FRACTION;
-        let queue = reading + slot_wait_ms(instance);
-        let own = learned.handover_ms(instance.pace);
-        let reads = Reads {
-            before: moving + link + queue,
-            moving,
+        let cross_domain = source.as_ref() != Some(&instance.domain);
+        let transfer = if cross_domain {
+            transfer * 2.0
+        } else {
+            transfer
+        };
+        let link_wait = source_wait.max(instance.link.wait_ms(core.now));
+        let prefill_wait =
+            load::prefill_ms(model, instance, instance.work().tokens) * PREFILL_WAIT_FRACTION;
+        let queue = prefill_wait + slot_wait_ms(instance);
+        let own = model.handover_ms(instance.pace);
+        let prefill = Reads {
+            before: transfer + link_wait + queue,
+            moving: transfer,
             rest: own + queue,
             ..Reads::default()
         };
-        let expected = own + reads.before;
-        let brought = prefix_cache::missing_tokens(instance, &prompt);
+        let expected = own + prefill.before;
+        let copied = prefix_cache::missing_tokens(instance, &prompt);
         let cost = expected
             + batching_delay_ms(instance)
-            + eviction_cost_ms(learned, brought)
+            + eviction_cost_ms(model, copied)
             + instance.risk()
             - instance.limit.preference(core.now)
             + crossing_cost_ms(core, call, instance, policy);
         if best.is_none_or(|(least, ..)| cost < least) {
-            best = Some((cost, reads, expected, backend));
+            best = Some((cost, prefill, expected, backend));
         }
     }
-    let Some((_, reads, expected, backend)) = best else {
+    let Some((_, prefill, expected, backend)) = best else {
         return Err(no_server(core, key));
     };
     let call = &core.relay.calls[key];
@@ -89,7 +92,7 @@
             ..Work::default()
         },
         expected_ms: expected,
-        prefill: reads,
+        prefill,
         urgency: Some(if call.late {
             HANDOVER_URGENCY + 1
         } else {
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request goes to, and whether it is taken at all.
+//! Selection of a backend server for a request, and admission control.
 
 mod handover;
 mod plain;
@@ -19,57 +19,57 @@
 use crate::error::Kind;
 use crate::settings::relay::Policy;
 
-/// Urgency of requests that can no longer be in time.
+/// Urgency of requests that can no longer meet their target.
 const LATE_URGENCY: u8 = 8;
-/// Urgency of the most urgent rank; each rank below adds one.
+/// Urgency of rank 0; each further rank adds one.
 const BASE_URGENCY: u8 = 2;
-/// Part of the time that is left which the expected time may take: a caller that waits longer
-/// gives up while the work is done in vain.
+/// Fraction of the remaining time that the expected time may take: callers that wait longer give
+/// up, and the work is wasted.
 const MAX_WAIT_FRACTION: f64 = 0.7;
-/// Milliseconds a stream lasts that waits for a slot at a full engine, by rule of thumb.
+/// Assumed duration of a stream at an engine whose slots are all taken.
 const STREAM_DURATION_MS: f64 = 250.0;
-/// Part of the shortest wanted time that the queue may be long for what is late in any case.
+/// Queue length, as a fraction of the shortest target, up to which late requests are admitted.
 const LATE_QUEUE_FRACTION: f64 = 0.2;
-/// What another copy of a prompt part costs, as a part of the time in which it is read.
+/// Cost of another copy of a prefix block, as a fraction of its prefill time.
 ///
-/// Each request leaves its shared parts at the engine that read them and at the one that generates.
-/// At no cost engines fill with copies of the same parts, others are dropped and read again, and
-/// their prompts come late.
+/// Each request leaves its shared blocks at the engines that prefill and decode it. Without a cost,
+/// engines fill with copies of the same blocks, others are evicted and prefilled again, and their
+/// prompts come late.
 const EVICTION_COST_FRACTION: f64 = 0.3;
 
-/// Times as long as expected after which an attempt that brought nothing may be silent.
+/// Multiple of the expected time after which an attempt without an answer is checked for silence.
 const SILENCE_FACTOR: f64 = 3.0;
-/// Time beyond that, for what is expected almost at once.
+/// Time in addition to that, for short expected times.
 const SILENCE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Where a request goes.
+/// The backend server chosen for a request, and what it has to do.
 #[derive(Debug, Clone)]
 pub struct Choice {
     /// The backend server.
     pub backend: BackendKey,
-    /// What it is to do.
+    /// The task.
     pub task: Task,
     /// Work that the request adds there.
     pub work: Work,
-    /// Milliseconds until the first of the answer.
+    /// Expected time until the first part of the answer.
     pub expected_ms: f64,
-    /// What is to be read there before its first token.
+    /// What the engine has to prefill before the first token.
     pub prefill: Reads,
     /// Urgency at an engine.
     pub urgency: Option<u8>,
-    /// Whether it can no longer be in time.
+    /// Whether the request can no longer meet its target.
     pub is_late: bool,
-    /// What it copies first of the prompt from another engine.
+    /// Prefix that the engine first copies from another one.
     pub fetch: Option<Fetch>,
-    /// Time after which it is looked at whether the attempt is silent.
+    /// Time after which the attempt is checked for silence.
     pub silence_timeout: Option<Duration>,
 }
 
-/// Chooses where a request goes.
+/// Chooses a backend server for a request.
 ///
 /// # Errors
 ///
-/// Returns the refusal where nothing takes it, or takes it too late.
+/// Returns a refusal if no server can take the request, or none soon enough.
 pub fn choose(core: &mut Core, key: CallKey) -> Result<Choice, Refusal> {
     let call = &core.relay.calls[key];
     let engines = core.relay.catalog.as_ref().is_some_and(|catalog| {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Tells whether another backend server than this one could take the request.
+/// Returns whether another backend server than this one could take the request.
 pub fn has_alternative(core: &Core, key: CallKey, backend: BackendKey) -> bool {
     let call = &core.relay.calls[key];
     let all = core.relay.instances.of(&call.service);
@@ -98,24 +98,28 @@
     })
 }
 
-/// Returns the backend servers of a request's service that take work, those that failed it last.
+/// Returns the backend servers of the request's service that accept work; those that already failed
+/// the request only if there are no others.
 fn eligible_servers(core: &Core, call: &Call, stage: Option<Stage>) -> Vec<BackendKey> {
     let all = core.relay.instances.of(&call.service).iter().copied();
-    let takers = all.filter(|key| {
+    let eligible = all.filter(|key| {
         let instance = &core.relay.instances.arena[*key];
         instance.admits(core.now) && (stage.is_none() || instance.stage == stage)
     });
-    let takers: Vec<BackendKey> = takers.collect();
-    let fresh: Vec<BackendKey> = takers
+    let eligible: Vec<BackendKey> = eligible.collect();
+    let untried: Vec<BackendKey> = eligible
         .iter()
         .copied()
         .filter(|key| !call.tried.contains(key))
         .collect();
-    if fresh.is_empty() { takers } else { fresh }
+    if untried.is_empty() {
+        eligible
+    } else {
+        untried
+    }
 }
 
-/// Returns when to look whether an attempt is silent from which an answer is expected after so many
-/// milliseconds.
+/// Returns the time after which to check an attempt for silence, by its expected milliseconds.
 fn silence_timeout(expected: f64) -> Duration {
     span(expected * SILENCE_FACTOR) + SILENCE_MARGIN
 }
@@ -138,19 +142,20 @@
     let service = core.relay.calls[key].service.clone();
     if let Some(wait) = limit_wait(core, &service) {
         let retry = retry_after(core, millis(wait));
-        let detail = format!("servers of {service} take no more for now, by limits that they name");
+        let detail =
+            format!("all available servers of {service} have reached their own rate limits");
         return Refusal::new(Kind::Overloaded, detail).retry(retry);
     }
     let retry = retry_after(core, 0.0);
     Refusal::new(
         Kind::NoEngine,
-        format!("nothing that serves {service} takes work"),
+        format!("no server of {service} is available"),
     )
     .retry(retry)
 }
 
-/// Returns the time until this host may send to a limited backend server, where only limits keep it from
-/// those that take work.
+/// Returns the time until a rate limit admits the next request; `None` if no available server is
+/// held back by its limit.
 fn limit_wait(core: &Core, service: &str) -> Option<Duration> {
     let all = core.relay.instances.of(service).iter();
     let all = all.map(|key| &core.relay.instances.arena[*key]);
@@ -160,98 +165,101 @@
         .min()
 }
 
-/// One way to serve a model request.
+/// A candidate engine for a model request, with its estimated times.
 #[derive(Debug, Clone, Copy)]
 struct Placement {
     backend: BackendKey,
     stage: Stage,
-    /// Work of reading it there, in tokens of a short prompt.
+    /// Prefill work, in equivalent tokens.
     tokens: u64,
-    /// What is copied from another engine first.
+    /// Prefix that is first copied from another engine.
     fetch: Option<Fetch>,
-    /// What is to be read there.
+    /// What the engine has to prefill.
     prefill: Reads,
-    /// Milliseconds until those are read.
+    /// Time for the work queued there.
     queue_ms: f64,
-    /// Milliseconds until its own part is done there.
+    /// Time until this stage is done.
     stage_ms: f64,
-    /// Milliseconds until the first token.
+    /// Time until the first token.
     first_token_ms: f64,
-    /// What it costs, in milliseconds of delay.
+    /// Cost in milliseconds of delay; the lowest wins.
     cost: f64,
 }
 
-/// Chooses for a model request of which nothing is read yet.
+/// Chooses an engine for a model request whose prompt is not prefilled yet.
 fn choose_placement(core: &mut Core, key: CallKey) -> Result<Choice, Refusal> {
     let Some(prompt) = core.relay.calls[key].prompt.clone() else {
         return Err(no_server(core, key));
     };
     let policy = policy(core);
     let engines = [Stage::Prefill, Stage::Decode].map(|stage| {
-        let takers = eligible_servers(core, &core.relay.calls[key], Some(stage));
-        sampling::sample(core, key, &prompt, takers)
+        let eligible = eligible_servers(core, &core.relay.calls[key], Some(stage));
+        sampling::sample(core, key, &prompt, eligible)
     });
     let call = &core.relay.calls[key];
     let handover = handover::expected_ms(core, call);
-    let moving = transfer_ms(core, call, &prompt);
+    let transfer = transfer_ms(core, call, &prompt);
     let left = millis(call.end.since(core.now));
     let spent = millis(core.now.since(call.arrived));
-    let wanted = millis(call.route.target) * policy.patience - spent;
+    let target = millis(call.route.target) * policy.patience - spent;
     let holders = prefix_cache::holders(core, call, &prompt);
-    let mut ways = Vec::new();
+    let mut placements = Vec::new();
     for (stage, engines) in [Stage::Prefill, Stage::Decode].into_iter().zip(engines) {
         if stage == Stage::Prefill && handover.is_none() {
             continue;
         }
-        ways.extend(engines.into_iter().map(|backend| {
-            let waits = core.relay.instances.arena[backend].link.wait_ms(core.now);
-            let after = handover.unwrap_or(0.0) + moving + waits;
+        placements.extend(engines.into_iter().map(|backend| {
+            let link_wait = core.relay.instances.arena[backend].link.wait_ms(core.now);
+            let after = handover.unwrap_or(0.0) + transfer + link_wait;
             evaluate(core, call, &prompt, backend, after, &holders, policy)
         }));
     }
-    let cheapest = |ways: &mut dyn Iterator<Item = &Placement>| {
-        ways.min_by(|one, two| one.cost.total_cmp(&two.cost))
+    let cheapest = |placements: &mut dyn Iterator<Item = &Placement>| {
+        placements
+            .min_by(|one, two| one.cost.total_cmp(&two.cost))
             .copied()
     };
-    let Some(mut way) = cheapest(&mut ways.iter()) else {
+    let Some(mut best) = cheapest(&mut placements.iter()) else {
         return Err(no_server(core, key));
     };
-    // The cheapest may be the one that holds the prompt's parts and is busy for longer than wanted.
-    // Reading them again pays where an engine is idle; anywhere else it delays others by as much.
-    let spare = max_late_queue_ms(core, call);
-    if way.first_token_ms > wanted {
-        let idle = |way: &&Placement| way.first_token_ms <= wanted && way.queue_ms <= spare;
-        way = cheapest(&mut ways.iter().filter(idle)).unwrap_or(way);
+    // The cheapest may be an engine that has the prefix cached and a queue longer than the target.
+    // Prefilling the prefix again pays only at an idle engine; elsewhere it delays other requests.
+    let max_queue = max_late_queue_ms(core, call);
+    if best.first_token_ms > target {
+        let idle = |placement: &&Placement| {
+            placement.first_token_ms <= target && placement.queue_ms <= max_queue
+        };
+        best = cheapest(&mut placements.iter().filter(idle)).unwrap_or(best);
     }
-    let late = way.first_token_ms > wanted;
+    let late = best.first_token_ms > target;
     let call = &core.relay.calls[key];
-    if late && way.queue_ms > spare || way.first_token_ms > left * MAX_WAIT_FRACTION {
+    if late && best.queue_ms > max_queue || best.first_token_ms > left * MAX_WAIT_FRACTION {
         let detail = format!(
             "the first token would come after {:.0} ms",
-            way.first_token_ms
+            best.first_token_ms
         );
-        let retry = retry_after(core, way.queue_ms);
+        let retry = retry_after(core, best.queue_ms);
         return Err(Refusal::new(Kind::Overloaded, detail).retry(retry));
     }
     let work = Work {
         calls: 1,
         fill: 0,
-        tokens: way.tokens,
+        tokens: best.tokens,
     };
-    let task = match way.stage {
+    let task = match best.stage {
         Stage::Prefill => Task::Prefill,
         Stage::Decode => Task::Whole,
     };
     Ok(Choice {
-        backend: way.backend,
+        backend: best.backend,
         task,
         work,
-        expected_ms: way.stage_ms,
-        prefill: way.prefill,
+        expected_ms: best.stage_ms,
+        prefill: best.prefill,
         urgency: Some(urgency(call, late)),
         is_late: late,
-        fetch: way.fetch,
-        silence_timeout: Some(silence_timeout(way.stage_ms)),
+        fetch: best.fetch,
+        silence_timeout: Some(silence_timeout(best.stage_ms)),
     })
 }
 
@@ -263,7 +271,7 @@
     }
 }
 
-/// Works out one way to serve a model request.
+/// Estimates the times and the cost of a model request at an engine.
 fn evaluate(
     core: &Core,
     call: &Call,
@@ -275,23 +283,23 @@
 ) -> Placement {
     let instance = &core.relay.instances.arena[backend];
     let stage = instance.stage.unwrap_or(Stage::Decode);
-    let unread = prefix_cache::uncached_tokens(instance, prompt);
+    let uncached = prefix_cache::uncached_tokens(instance, prompt);
     let fetch = engine_spec(core, call).and_then(|engine| {
-        prefix_cache::best_fetch(instance, backend, unread, prompt, holders, engine)
+        prefix_cache::best_fetch(instance, backend, uncached, prompt, holders, engine)
     });
     let work = instance.work();
-    let reads = Reads {
-        unread: unread - fetch.map_or(0, |fetch| fetch.tokens),
-        held: prompt.tokens - unread + fetch.map_or(0, |fetch| fetch.tokens),
+    let prefill = Reads {
+        unread: uncached - fetch.map_or(0, |fetch| fetch.tokens),
+        held: prompt.tokens - uncached + fetch.map_or(0, |fetch| fetch.tokens),
         ahead: work.tokens,
         before: fetch.map_or(0.0, |fetch| fetch.duration_ms),
         ..Reads::default()
     };
-    let learned = core.relay.model.of(&call.service);
-    let tokens = learned.equivalent_tokens(reads.unread, reads.held);
-    let own = load::prefill_ms(learned, instance, tokens);
-    let base = learned.base_ms(stage);
-    let (base, after, share) = match stage {
+    let model = core.relay.model.of(&call.service);
+    let tokens = model.equivalent_tokens(prefill.unread, prefill.held);
+    let own = load::prefill_ms(model, instance, tokens);
+    let base = model.base_ms(stage);
+    let (base, after, weight) = match stage {
         Stage::Prefill => (base, handover, 1.0),
         Stage::Decode => (
             base + slot_wait_ms(instance) + batching_delay_ms(instance),
@@ -299,10 +307,10 @@
             policy.beside,
         ),
     };
-    let queue = load::prefill_ms(learned, instance, work.tokens);
-    let here = base + queue + reads.before + own;
+    let queue = load::prefill_ms(model, instance, work.tokens);
+    let stage_ms = base + queue + prefill.before + own;
     let crossing = crossing_cost_ms(core, call, instance, policy);
-    let vain = match stage {
+    let kv_loss = match stage {
         Stage::Prefill => instance.vain(own),
         Stage::Decode => 0.0,
     };
@@ -311,47 +319,47 @@
         stage,
         tokens,
         fetch,
-        prefill: reads,
+        prefill,
         queue_ms: queue,
-        stage_ms: here,
-        first_token_ms: here + after,
-        cost: here
+        stage_ms,
+        first_token_ms: stage_ms + after,
+        cost: stage_ms
             + after
-            + load::normalized_ms(instance, own) * policy.work * share
-            + eviction_cost_ms(learned, fetch.map_or(0, |fetch| fetch.tokens))
+            + load::normalized_ms(instance, own) * policy.work * weight
+            + eviction_cost_ms(model, fetch.map_or(0, |fetch| fetch.tokens))
             + crossing
             + instance.risk()
-            + vain
+            + kv_loss
             - instance.limit.preference(core.now),
     }
 }
 
-/// Returns the milliseconds of queue before which a request that cannot be in time is still taken.
+/// Returns the queue up to which a request that cannot meet its target is still admitted.
 ///
-/// Engines read prompts in the order in which they came: one that is late in any case makes all
-/// behind it late, too. It is worth a third of one in time, so that it may fill what is idle and
-/// must not delay the shortest.
+/// Engines prefill prompts in order of arrival, so that a late request makes all behind it late as
+/// well. A late answer is worth a third of one in time: it may use idle engines, but must not delay
+/// the requests with the shortest target.
 fn max_late_queue_ms(core: &Core, call: &Call) -> f64 {
     let catalog = core.relay.catalog.as_ref();
     let routes = catalog.into_iter().flat_map(|catalog| &catalog.routes);
-    let same = routes.filter(|route| {
+    let same_service = routes.filter(|route| {
         route.streaming
             && route
                 .split
                 .iter()
                 .any(|(service, _)| *service == call.service)
     });
-    let least = same.map(|route| route.target).min();
-    millis(least.unwrap_or(call.route.target)) * LATE_QUEUE_FRACTION
+    let shortest = same_service.map(|route| route.target).min();
+    millis(shortest.unwrap_or(call.route.target)) * LATE_QUEUE_FRACTION
 }
 
-/// Returns the milliseconds that another copy of so many tokens costs: it takes the place of other
-/// parts, which are then read again.
-fn eviction_cost_ms(learned: &ServiceModel, tokens: u64) -> f64 {
-    learned.average_prefill_ms(tokens) * EVICTION_COST_FRACTION
+/// Returns the cost of another copy of so many tokens: it evicts other blocks, which are then
+/// prefilled again.
+fn eviction_cost_ms(model: &ServiceModel, tokens: u64) -> f64 {
+    model.average_prefill_ms(tokens) * EVICTION_COST_FRACTION
 }
 
-/// Returns the delay that a request's bytes are worth on their way there.
+/// Returns the cost of sending a request's bytes to another failure domain.
 fn crossing_cost_ms(core: &Core, call: &Call, instance: &Instance, policy: Policy) -> f64 {
     if instance.domain == core.settings.host.domain {
         0.0
@@ -360,24 +368,24 @@
     }
 }
 
-/// Returns the milliseconds that a request waits for a slot.
+/// Returns the expected wait for a slot.
 fn slot_wait_ms(instance: &Instance) -> f64 {
     let over = (instance.work().calls + 1).saturating_sub(instance.slots);
     f64::from(over) / f64::from(instance.slots) * STREAM_DURATION_MS
 }
 
-/// Returns the milliseconds that a request is slowed by those that run, or slows them.
+/// Returns the delay that a request and those already running there cause each other.
 fn batching_delay_ms(instance: &Instance) -> f64 {
     f64::from(instance.work().calls) * load::DELAY_PER_STREAM_MS
 }
 
-/// Returns what the engines of a request's service can do.
+/// Returns the configured properties of the engines of a request's service.
 fn engine_spec<'a>(core: &'a Core, call: &Call) -> Option<&'a Engine> {
     let catalog = core.relay.catalog.as_ref()?;
     catalog.services.get(&call.service)?.engine.as_ref()
 }
 
-/// Returns the milliseconds that the transfer of a prompt's KV cache takes.
+/// Returns the time to transfer a prompt's KV cache.
 fn transfer_ms(core: &Core, call: &Call, prompt: &Prompt) -> f64 {
     engine_spec(core, call).map_or(0.0, |engine| {
         prefix_cache::transfer_ms(engine, prompt.tokens)
--- a/src/core/relay/choose/plain.rs
+++ b/src/core/relay/choose/plain.rs
@@ -1,4 +1,4 @@
-//! Which server of a plain service a request goes to.
+//! Selection of a server for requests to plain services, without a model.
 
 use rand::RngExt;
 
@@ -12,26 +12,26 @@
 use crate::core::key::{BackendKey, CallKey};
 use crate::error::Kind;
 
-/// Requests that wait at a plain server for each it runs, from which on it sheds.
+/// Requests that may be queued at a plain server for each of its slots.
 const MAX_QUEUED_PER_SLOT: u32 = 3;
 
-/// Chooses for a plain service: the one expected to answer first.
+/// Chooses the server that is expected to answer first.
 pub(super) fn choose(core: &mut Core, key: CallKey) -> Result<Choice, Refusal> {
     let call = &core.relay.calls[key];
-    let takers = eligible_servers(core, call, None);
+    let eligible = eligible_servers(core, call, None);
     let domain = core.settings.host.domain.clone();
     let mut best: Option<(f64, f64, BackendKey)> = None;
-    for backend in takers {
+    for backend in eligible {
         let instance = &core.relay.instances.arena[backend];
         let calls = instance.work().calls;
         if calls >= instance.slots * (1 + MAX_QUEUED_PER_SLOT) {
             continue;
         }
-        let ahead = f64::from(calls) / f64::from(instance.slots);
-        let expected = load::latency_ms(instance) * (1.0 + (ahead - 0.5).max(0.0));
+        let utilization = f64::from(calls) / f64::from(instance.slots);
+        let expected = load::latency_ms(instance) * (1.0 + (utilization - 0.5).max(0.0));
         let crossing = if instance.domain == domain { 0.0 } else { 2.0 };
         let noise: f64 = core.rng.random_range(0.9..1.1);
-        let cost = expected * (1.0 + ahead * 0.3) * noise + crossing + instance.risk()
+        let cost = expected * (1.0 + utilization * 0.3) * noise + crossing + instance.risk()
             - instance.limit.preference(core.now);
         if best.is_none_or(|(least, ..)| cost < least) {
             best = Some((cost, expected, backend));
@@ -42,7 +42,7 @@
     };
     let call = &core.relay.calls[key];
     if expected > millis(call.end.since(core.now)) * MAX_WAIT_FRACTION {
-        let detail = format!("an answer would take {expected:.0} ms");
+        let detail = format!("the answer would take {expected:.0} ms");
         let retry = retry_after(core, expected / 2.0);
         return Err(Refusal::new(Kind::Overloaded, detail).retry(retry));
     }
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -1,4 +1,4 @@
-//! What work takes: expectations, and what is learned from each answer.
+//! What work takes: expectations, and what is model from each answer.
 //!
 //! Engines report their load late, and a report costs a call. Every host knows what it sent
 //! itself, and the others tell what they sent; what an engine still has to do follows from both.
@@ -22,9 +22,9 @@
 
 /// Returns the milliseconds that reading `tokens` takes there, with nothing ahead.
 #[must_use]
-pub fn prefill_ms(learned: &ServiceModel, instance: &Instance, tokens: u64) -> f64 {
+pub fn prefill_ms(model: &ServiceModel, instance: &Instance, tokens: u64) -> f64 {
     let stage = instance.stage.unwrap_or(Stage::Decode);
-    learned.prefill_ms(stage, instance.pace, tokens)
+    model.prefill_ms(stage, instance.pace, tokens)
 }
 
 /// Returns the milliseconds that work takes at an average engine which takes so many there.
@@ -94,8 +94,8 @@
             cached: reads.held,
             queued: reads.ahead,
         };
-        let learned = core.relay.model.of_mut(&instance.service);
-        learned.record_prefill(stage, &sample, &mut instance.pace);
+        let model = core.relay.model.of_mut(&instance.service);
+        model.record_prefill(stage, &sample, &mut instance.pace);
     } else if matches!(task, Task::Decode { .. }) {
         record_handover(core, key, took);
     }
@@ -123,8 +123,8 @@
         && let Some(instance) = arena.get(target)
     {
         let own = took - reads.before;
-        let learned = core.relay.model.of_mut(&instance.service);
-        learned.record_handover(own, instance.pace);
+        let model = core.relay.model.of_mut(&instance.service);
+        model.record_handover(own, instance.pace);
     }
     let explains = |key: &BackendKey| {
         arena
--- a/src/core/relay/model/mod.rs
+++ b/src/core/relay/model/mod.rs
@@ -1,7 +1,7 @@
-//! What work takes at the engines of a service, learned from their answers.
+//! Cost model of a service's engines, estimated from measured response times.
 //!
-//! Engines are not described: neither how fast they read, nor how much one differs from another.
-//! Nothing here knows of requests or hosts; the caller brings measurements and asks for times.
+//! The configuration does not describe engines: neither how fast they prefill, nor how much they
+//! differ. This module does not depend on requests or hosts; callers record samples and query times.
 
 mod attention;
 mod link;
@@ -14,42 +14,42 @@
 use attention::AttentionCost;
 pub use link::Link;
 
-/// Milliseconds a token takes at an engine that prefills, and at one that generates, before any
-/// was measured: 40 tokens a millisecond, and less than half of it where others are generated for.
+/// Initial prefill time of a token at a prefill engine and at a decode engine: 40 tokens per
+/// millisecond, and less than half of that where streams are decoded at the same time.
 const INITIAL_TOKEN_MS: (f64, f64) = (0.025, 0.06);
-/// Milliseconds until an idle engine has read the shortest prompt, before any was measured.
+/// Initial time in which an idle engine prefills the shortest prompt.
 const INITIAL_BASE_MS: f64 = 50.0;
-/// Milliseconds from a hand-over to the first token, before any was measured.
+/// Initial time from a handover to the first token.
 const INITIAL_HANDOVER_MS: f64 = 20.0;
-/// Shortest time that a hand-over is taken for, in milliseconds: a step of a fast engine. What is
-/// taken off for the transfer may be more than it was.
+/// Minimum time of a handover: one step of a fast engine. The transfer time that is subtracted
+/// from a sample is an estimate and may exceed the real one.
 const MIN_HANDOVER_MS: f64 = 3.0;
-/// Weight of a measurement above and below what is known of the shortest time: queues make it
-/// longer now and then, nothing makes it shorter.
+/// Weight of a sample above and below the estimated base time: queueing can lengthen a sample,
+/// nothing shortens it.
 const BASE_WEIGHTS: (f64, f64) = (0.01, 0.2);
-/// Tokens from which on a measurement tells of speed, and below which it tells of the shortest
-/// time: ten times the tokens that an engine reads in the millisecond to which times are known.
+/// Tokens from which a sample updates the prefill speed; smaller ones update the base time. Ten
+/// times what an engine prefills in 1 ms, the resolution of measured times.
 const MIN_SPEED_TOKENS: u64 = 1000;
-/// Weight of the newest measurement in an engine's pace.
+/// Minimum weight of a prefill sample in an engine's slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.2;
-/// Bounds of the pace, far outside of the speeds seen.
+/// Bounds of the slowdown factor, far outside of measured speeds.
 const SLOWDOWN_BOUNDS: (f64, f64) = (0.15, 12.0);
-/// Least weight of a measurement in what all engines of a service have in common.
+/// Minimum weight of a sample in an estimate shared by all engines of a service.
 const MIN_SHARED_WEIGHT: f64 = 0.01;
-/// Least weight of one pause between events in an engine's pace: two hundred a second come from
-/// an engine with forty streams, and single ones are drawn out by what it reads meanwhile.
+/// Minimum weight of one gap between stream events in an engine's slowdown: an engine with 40
+/// streams yields 200 gaps per second, and prefills in between lengthen single ones.
 const MIN_GAP_WEIGHT: f64 = 0.01;
-/// Part of the time for the shortest prompt by which any time may differ for no reason.
+/// Fraction of the base time by which any measured time may vary without a cause.
 const BASE_VARIATION_FRACTION: f64 = 0.5;
-/// Part of a prompt's own work that may be ahead of it where it tells of the square.
+/// Queued work, as a fraction of a prompt's own, up to which its sample updates the attention cost.
 const MAX_QUEUED_FRACTION: f64 = 0.5;
 
-/// How fast an engine is against the others of its service.
+/// How slow an engine is relative to the others of its service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Slowdown {
-    /// Time that work takes there, against an average engine.
+    /// Time that work takes, relative to an average engine.
     pub factor: f64,
-    /// Measurements of it, as many as matter.
+    /// Samples so far.
     samples: u32,
 }
 
@@ -63,37 +63,38 @@
 }
 
 impl Slowdown {
-    /// Returns whether enough was measured to rank the engine by it.
+    /// Returns whether there are enough samples to rank the engine by the factor.
     #[must_use]
     pub fn is_known(&self) -> bool {
         self.samples >= MIN_SLOWDOWN_SAMPLES
     }
 
-    /// Takes in a measurement, with at least this weight, as far as it can be trusted.
-    fn learn(&mut self, slow: f64, least: f64, trust: f64) {
+    /// Adds a sample; its weight is at least this one, and is multiplied by its confidence.
+    fn learn(&mut self, factor: f64, min_weight: f64, confidence: f64) {
         self.samples = self.samples.saturating_add(1);
-        let step = least.max(1.0 / f64::from(self.samples.saturating_add(PRIOR_SAMPLES)));
-        self.factor +=
-            (slow.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1) - self.factor) * step * trust;
+        let weight = min_weight.max(1.0 / f64::from(self.samples.saturating_add(PRIOR_SAMPLES)));
+        self.factor += (factor.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1) - self.factor)
+            * weight
+            * confidence;
     }
 
-    /// Returns the pace by which a measurement is freed of the engine; while little is known of
-    /// it, what was measured counts as that of an average one.
+    /// Returns the factor by which the engine's samples are divided to compare them with others; 1
+    /// while there are too few samples, as for an average engine.
     fn factor_if_known(&self) -> f64 {
         if self.is_known() { self.factor } else { 1.0 }
     }
 }
 
-/// Slowdown of an engine of which nothing was measured: a little faster than the average, so that it
-/// is tried. Where only slow engines were measured, all others would pass for as slow.
+/// Slowdown of an engine without samples: a little faster than the average, so that it gets
+/// requests. If only slow engines were measured, all others would be rated as slow.
 const INITIAL_SLOWDOWN: f64 = 0.85;
 
-/// Measurements that make an engine's pace known.
+/// Samples after which an engine's slowdown counts as known.
 const MIN_SLOWDOWN_SAMPLES: u32 = 8;
-/// Measurements that the average engine counts for, before any of the engine itself.
+/// Samples for which the initial slowdown counts.
 const PRIOR_SAMPLES: u32 = 2;
 
-/// A time that all engines of a service have in common, but for their pace.
+/// A time that all engines of a service share, apart from their slowdown.
 #[derive(Debug, Clone, Copy)]
 struct SharedEstimate {
     millis: f64,
@@ -105,8 +106,8 @@
         Self { millis, samples: 0 }
     }
 
-    /// Takes in a measurement, freed of the engine's pace, as far as it can be trusted.
-    fn learn(&mut self, millis: f64, trust: f64) {
+    /// Adds a sample, divided by the engine's slowdown; its weight is multiplied by its confidence.
+    fn learn(&mut self, millis: f64, confidence: f64) {
         if self.samples == 0 {
             self.millis = millis.clamp(
                 self.millis * SLOWDOWN_BOUNDS.0,
@@ -115,52 +116,54 @@
         }
         let ratio = (millis / self.millis).clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
         self.samples = self.samples.saturating_add(1);
-        let step = MIN_SHARED_WEIGHT.max(1.0 / f64::from(self.samples));
-        self.millis *= 1.0 + (ratio - 1.0) * step * trust;
+        let weight = MIN_SHARED_WEIGHT.max(1.0 / f64::from(self.samples));
+        self.millis *= 1.0 + (ratio - 1.0) * weight * confidence;
     }
 }
 
-/// What reading takes at the engines of one stage.
+/// Prefill times at the engines of one stage.
 #[derive(Debug, Clone, Copy)]
 struct StageModel {
+    /// Time for each equivalent token.
     token: SharedEstimate,
+    /// Milliseconds that any prefill takes at least.
     base: Option<f64>,
 }
 
-/// What the time of one prompt was made of.
+/// The measured prefill of one prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Sample {
-    /// Milliseconds until it was read, without what was spent on copying parts of it.
+    /// Milliseconds until it was prefilled, without the time for copying prefix blocks.
     pub took: f64,
-    /// Tokens of it that were read.
+    /// Tokens that were prefilled.
     pub uncached: u64,
-    /// Tokens before those that the engine held.
+    /// Tokens before those that the engine had cached.
     pub cached: u64,
-    /// Work that was ahead of it, in tokens by [`ServiceModel::equivalent_tokens`].
+    /// Work queued ahead of it, by [`ServiceModel::equivalent_tokens`].
     pub queued: u64,
 }
 
-/// What is known of the engines of one service.
+/// Cost model of the engines of one service.
 #[derive(Debug, Clone)]
 pub struct ServiceModel {
     prefill: StageModel,
     decode: StageModel,
-    /// Milliseconds between two events of a stream.
+    /// Time between two events of a stream.
     event_gap: Option<SharedEstimate>,
-    /// Milliseconds from a hand-over to the first token, beside the transfer.
+    /// Time from a handover to the first token, without the transfer.
     handover: SharedEstimate,
     attention: AttentionCost,
 }
 
 impl Default for ServiceModel {
     fn default() -> Self {
-        let reading = |token| StageModel {
+        let stage = |token| StageModel {
             token: SharedEstimate::new(token),
             base: None,
         };
         Self {
-            prefill: reading(INITIAL_TOKEN_MS.0),
-            decode: reading(INITIAL_TOKEN_MS.1),
+            prefill: stage(INITIAL_TOKEN_MS.0),
+            decode: stage(INITIAL_TOKEN_MS.1),
             event_gap: None,
             handover: SharedEstimate::new(INITIAL_HANDOVER_MS),
             attention: AttentionCost::default(),
@@ -183,126 +186,126 @@
         }
     }
 
-    /// Returns the work of reading `unread` tokens behind `held` ones, in tokens of a short
-    /// prompt: each token is compared with all before it, so that long prompts take longer than
-    /// their length says.
+    /// Returns the work of prefilling `uncached` tokens after `cached` ones, in tokens of a short
+    /// prompt: each token attends to all before it, so that the time for long prompts grows faster
+    /// than their length.
     #[must_use]
-    pub fn equivalent_tokens(&self, unread: u64, held: u64) -> u64 {
+    pub fn equivalent_tokens(&self, uncached: u64, cached: u64) -> u64 {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "some ten thousand tokens, never below zero"
         )]
-        let more = (self.attention.factor() * attention::token_pairs(unread, held)) as u64;
-        unread.saturating_add(more)
+        let extra = (self.attention.factor() * attention::token_pairs(uncached, cached)) as u64;
+        uncached.saturating_add(extra)
     }
 
-    /// Returns the milliseconds that work of so many tokens takes at an engine of this pace.
+    /// Returns the prefill time of so many equivalent tokens at an engine with this slowdown.
     #[must_use]
-    pub fn prefill_ms(&self, stage: Stage, pace: Slowdown, tokens: u64) -> f64 {
-        tokens as f64 * self.of(stage).token.millis * pace.factor
+    pub fn prefill_ms(&self, stage: Stage, slowdown: Slowdown, tokens: u64) -> f64 {
+        tokens as f64 * self.of(stage).token.millis * slowdown.factor
     }
 
-    /// Returns the milliseconds that work of so many tokens takes at an average engine that
-    /// prefills.
+    /// Returns the prefill time of so many equivalent tokens at an average prefill engine.
     #[must_use]
     pub fn average_prefill_ms(&self, tokens: u64) -> f64 {
         tokens as f64 * self.prefill.token.millis
     }
 
-    /// Returns the milliseconds until an idle engine has read the shortest prompt.
+    /// Returns the time in which an idle engine prefills the shortest prompt.
     #[must_use]
     pub fn base_ms(&self, stage: Stage) -> f64 {
         self.of(stage).base.unwrap_or(INITIAL_BASE_MS)
     }
 
-    /// Returns the milliseconds between two events of a stream at an engine of this pace, if any
-    /// was measured.
+    /// Returns the time between two events of a stream at an engine with this slowdown, if any was
+    /// measured.
     #[must_use]
-    pub fn event_gap_ms(&self, pace: Slowdown) -> Option<f64> {
-        self.event_gap.map(|gap| gap.millis * pace.factor)
+    pub fn event_gap_ms(&self, slowdown: Slowdown) -> Option<f64> {
+        self.event_gap.map(|gap| gap.millis * slowdown.factor)
     }
 
-    /// Learns from the time in which an engine of this pace has read a prompt.
-    pub fn record_prefill(&mut self, stage: Stage, sample: &Sample, pace: &mut Slowdown) {
+    /// Records the prefill of a prompt at an engine with this slowdown.
+    pub fn record_prefill(&mut self, stage: Stage, sample: &Sample, slowdown: &mut Slowdown) {
         let own = self.equivalent_tokens(sample.uncached, sample.cached);
-        let all = own.saturating_add(sample.queued);
+        let total = own.saturating_add(sample.queued);
         let base = self.base_ms(stage);
-        if all < MIN_SPEED_TOKENS {
-            let took = sample.took - self.prefill_ms(stage, *pace, all);
-            let reading = self.of_mut(stage);
-            let base = reading.base.get_or_insert(took);
-            let step = if took > *base {
+        if total < MIN_SPEED_TOKENS {
+            let took = sample.took - self.prefill_ms(stage, *slowdown, total);
+            let model = self.of_mut(stage);
+            let base = model.base.get_or_insert(took);
+            let weight = if took > *base {
                 BASE_WEIGHTS.0
             } else {
                 BASE_WEIGHTS.1
             };
-            *base += (took - *base) * step;
+            *base += (took - *base) * weight;
             return;
         }
-        let reading = (sample.took - base).max(0.0);
+        let elapsed = (sample.took - base).max(0.0);
         if sample.uncached >= MIN_SPEED_TOKENS
             && sample.queued as f64 <= own as f64 * MAX_QUEUED_FRACTION
         {
-            let alone = reading - self.prefill_ms(stage, *pace, sample.queued);
-            let plain = self.prefill_ms(stage, *pace, sample.uncached);
+            let own_ms = elapsed - self.prefill_ms(stage, *slowdown, sample.queued);
+            let linear_ms = self.prefill_ms(stage, *slowdown, sample.uncached);
             self.attention
-                .learn(sample.uncached, sample.cached, alone / plain);
+                .learn(sample.uncached, sample.cached, own_ms / linear_ms);
         }
-        let token = reading / all as f64;
-        // What is fixed varies, too: of a short prompt little more than that is seen.
-        let expected = self.prefill_ms(stage, *pace, all);
-        let trust = expected / (expected + base.max(0.0) * BASE_VARIATION_FRACTION);
-        let common = &mut self.of_mut(stage).token;
-        common.learn(token / pace.factor_if_known(), trust);
-        let slow = token / common.millis;
-        pace.learn(slow, SLOWDOWN_WEIGHT, trust);
+        let token = elapsed / total as f64;
+        // The base time varies as well, and makes up most of the time of a short prompt.
+        let expected = self.prefill_ms(stage, *slowdown, total);
+        let confidence = expected / (expected + base.max(0.0) * BASE_VARIATION_FRACTION);
+        let shared = &mut self.of_mut(stage).token;
+        shared.learn(token / slowdown.factor_if_known(), confidence);
+        let factor = token / shared.millis;
+        slowdown.learn(factor, SLOWDOWN_WEIGHT, confidence);
     }
 
-    /// Returns the milliseconds from a hand-over to the first token at an engine of this pace,
-    /// beside the transfer.
+    /// Returns the time from a handover to the first token at an engine with this slowdown, without
+    /// the transfer.
     #[must_use]
-    pub fn handover_ms(&self, pace: Slowdown) -> f64 {
-        self.handover.millis * pace.factor
+    pub fn handover_ms(&self, slowdown: Slowdown) -> f64 {
+        self.handover.millis * slowdown.factor
     }
 
-    /// Learns from the time that a hand-over took beside the transfer and what was read before it.
-    pub fn record_handover(&mut self, millis: f64, pace: Slowdown) {
+    /// Records the time of a handover, without the transfer and the work queued ahead of it.
+    pub fn record_handover(&mut self, millis: f64, slowdown: Slowdown) {
         let millis = millis.max(MIN_HANDOVER_MS);
-        self.handover.learn(millis / pace.factor_if_known(), 1.0);
+        self.handover
+            .learn(millis / slowdown.factor_if_known(), 1.0);
     }
 
-    /// Learns from the time between two events of a stream at an engine of this pace.
-    pub fn record_event_gap(&mut self, millis: f64, pace: &mut Slowdown) {
-        let common = self
+    /// Records the time between two events of a stream at an engine with this slowdown.
+    pub fn record_event_gap(&mut self, millis: f64, slowdown: &mut Slowdown) {
+        let shared = self
             .event_gap
             .get_or_insert(SharedEstimate::new(millis.max(1.0)));
-        common.learn(millis / pace.factor_if_known(), 1.0);
-        pace.learn(millis / common.millis, MIN_GAP_WEIGHT, 1.0);
+        shared.learn(millis / slowdown.factor_if_known(), 1.0);
+        slowdown.learn(millis / shared.millis, MIN_GAP_WEIGHT, 1.0);
     }
 }
 
-/// What is known of the engines of all services.
+/// Cost models of all services.
 #[derive(Debug, Default)]
 pub struct CostModel {
     services: BTreeMap<Box<str>, ServiceModel>,
-    /// What stands for a service of which nothing was measured.
-    unknown: ServiceModel,
+    /// Initial model, for a service without samples.
+    initial: ServiceModel,
 }
 
 impl CostModel {
-    /// Returns what is known of the engines of a service.
+    /// Returns the model of a service.
     #[must_use]
     pub fn of(&self, service: &str) -> &ServiceModel {
-        self.services.get(service).unwrap_or(&self.unknown)
+        self.services.get(service).unwrap_or(&self.initial)
     }
 
-    /// Returns what is known of the engines of a service, to be added to.
+    /// Returns the model of a service for recording samples.
     pub fn of_mut(&mut self, service: &str) -> &mut ServiceModel {
         if !self.services.contains_key(service) {
             self.services
                 .insert(service.into(), ServiceModel::default());
         }
-        self.services.get_mut(service).unwrap_or(&mut self.unknown)
+        self.services.get_mut(service).unwrap_or(&mut self.initial)
     }
 }
--- a/src/core/relay/model/tests.rs
+++ b/src/core/relay/model/tests.rs
@@ -1,4 +1,4 @@
-//! The model before engines of known speed.
+//! The cost model, fed with samples of engines whose speed is known.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -6,143 +6,154 @@
 use super::super::event::Stage;
 use super::{Sample, ServiceModel, Slowdown};
 
-/// An engine as it is.
+/// The real speed of an engine.
 #[derive(Clone, Copy)]
-struct Truth {
-    slow: f64,
+struct EngineSpec {
+    slowdown: f64,
     base: f64,
     token: f64,
     factor: f64,
 }
 
-impl Truth {
-    fn took(self, unread: u64, held: u64, ahead: u64) -> f64 {
-        let pairs = super::attention::token_pairs(unread, held);
-        let work = unread as f64 + self.factor * pairs + ahead as f64;
-        self.base + work * self.token * self.slow
+impl EngineSpec {
+    fn prefill_ms(self, uncached: u64, cached: u64, queued: u64) -> f64 {
+        let pairs = super::attention::token_pairs(uncached, cached);
+        let work = uncached as f64 + self.factor * pairs + queued as f64;
+        self.base + work * self.token * self.slowdown
     }
 }
 
-/// Has engines of these speeds read prompts of 300 to 50,000 tokens; returns what was learned.
-fn learn(truth: Truth, speeds: &[f64], prompts: u32, noise: f64) -> (ServiceModel, Vec<Slowdown>) {
+/// Records prefills of 300 to 50,000 tokens at engines with these slowdowns.
+fn learn(
+    spec: EngineSpec,
+    speeds: &[f64],
+    prompts: u32,
+    noise: f64,
+) -> (ServiceModel, Vec<Slowdown>) {
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut learned = ServiceModel::default();
-    let mut paces = vec![Slowdown::default(); speeds.len()];
+    let mut model = ServiceModel::default();
+    let mut slowdowns = vec![Slowdown::default(); speeds.len()];
     for prompt in 0..prompts {
         let at = rng.random_range(0..speeds.len());
-        let engine = Truth {
-            slow: speeds[at],
-            ..truth
+        let engine = EngineSpec {
+            slowdown: speeds[at],
+            ..spec
         };
-        let unread = 300 * 2_u64.pow(prompt % 8) + rng.random_range(0..200);
-        let held = if prompt % 3 == 0 { 5000 } else { 0 };
-        let took = engine.took(unread, held, 0) * rng.random_range(1.0..=1.0 + noise);
+        let uncached = 300 * 2_u64.pow(prompt % 8) + rng.random_range(0..200);
+        let cached = if prompt % 3 == 0 { 5000 } else { 0 };
+        let took = engine.prefill_ms(uncached, cached, 0) * rng.random_range(1.0..=1.0 + noise);
         let sample = Sample {
             took,
-            uncached: unread,
-            cached: held,
+            uncached,
+            cached,
             queued: 0,
         };
-        learned.record_prefill(Stage::Prefill, &sample, &mut paces[at]);
+        model.record_prefill(Stage::Prefill, &sample, &mut slowdowns[at]);
     }
-    (learned, paces)
+    (model, slowdowns)
 }
 
-const TRUTH: Truth = Truth {
-    slow: 1.0,
+const SPEC: EngineSpec = EngineSpec {
+    slowdown: 1.0,
     base: 47.0,
     token: 0.009,
     factor: 1.7e-5,
 };
 
-/// Returns how far an expected time is from the true one.
-fn error(learned: &ServiceModel, pace: Slowdown, truth: Truth, unread: u64, held: u64) -> f64 {
-    let work = learned.equivalent_tokens(unread, held);
-    let expected = learned.base_ms(Stage::Prefill) + learned.prefill_ms(Stage::Prefill, pace, work);
-    expected / truth.took(unread, held, 0) - 1.0
+/// Returns the relative error of an expected time.
+fn error(
+    model: &ServiceModel,
+    slowdown: Slowdown,
+    spec: EngineSpec,
+    uncached: u64,
+    cached: u64,
+) -> f64 {
+    let work = model.equivalent_tokens(uncached, cached);
+    let expected = model.base_ms(Stage::Prefill) + model.prefill_ms(Stage::Prefill, slowdown, work);
+    expected / spec.prefill_ms(uncached, cached, 0) - 1.0
 }
 
 macro_rules! expects {
-    ($($name:ident: $truth:expr, $speeds:expr, $noise:expr => $most:expr;)*) => {$(
+    ($($name:ident: $spec:expr, $speeds:expr, $noise:expr => $max:expr;)*) => {$(
         #[test]
         fn $name() {
-            let truth: Truth = $truth;
+            let spec: EngineSpec = $spec;
             let speeds: &[f64] = &$speeds;
-            let (learned, paces) = learn(truth, speeds, 2000, $noise);
-            for (slow, pace) in speeds.iter().zip(paces) {
-                let truth = Truth { slow: *slow, ..truth };
-                for (unread, held) in [(600, 0), (2000, 0), (6000, 5000), (20_000, 0), (45_000, 9000)] {
-                    let error = error(&learned, pace, truth, unread, held);
-                    assert!(error.abs() < $most, "{slow} {unread} {held}: {error:.3}");
+            let (model, slowdowns) = learn(spec, speeds, 2000, $noise);
+            for (engine, slowdown) in speeds.iter().zip(slowdowns) {
+                let spec = EngineSpec { slowdown: *engine, ..spec };
+                for (uncached, cached) in [(600, 0), (2000, 0), (6000, 5000), (20_000, 0), (45_000, 9000)] {
+                    let error = error(&model, slowdown, spec, uncached, cached);
+                    assert!(error.abs() < $max, "slowdown {engine}, {uncached} {cached}: {error:.3}");
                 }
             }
         }
     )*};
 }
 
-// A prompt in time or late, taken or refused, is decided by these times: a tenth of half a second
-// is what the largest prompts have to spare.
+// These times decide whether a prompt is in time, and admitted: the largest prompts leave a margin
+// of a tenth of half a second.
 expects! {
-    engines_of_equal_speed: TRUTH, [1.0, 1.0], 0.0 => 0.1;
-    engines_of_three_speeds: TRUTH, [0.6, 1.4, 1.4], 0.0 => 0.1;
-    no_attention_cost: Truth { factor: 0.0, ..TRUTH }, [0.6, 1.4], 0.0 => 0.1;
-    high_attention_cost: Truth { factor: 5e-5, ..TRUTH }, [0.6, 1.4], 0.0 => 0.1;
-    slow_prefill: Truth { token: 0.05, ..TRUTH }, [1.0, 2.0], 0.0 => 0.1;
-    // A time that is a tenth too long on average cannot be told from an engine that is slower.
-    noisy_measurements: TRUTH, [0.6, 1.4], 0.2 => 0.25;
+    engines_of_equal_speed: SPEC, [1.0, 1.0], 0.0 => 0.1;
+    engines_of_different_speed: SPEC, [0.6, 1.4, 1.4], 0.0 => 0.1;
+    no_attention_cost: EngineSpec { factor: 0.0, ..SPEC }, [0.6, 1.4], 0.0 => 0.1;
+    high_attention_cost: EngineSpec { factor: 5e-5, ..SPEC }, [0.6, 1.4], 0.0 => 0.1;
+    slow_prefill: EngineSpec { token: 0.05, ..SPEC }, [1.0, 2.0], 0.0 => 0.1;
+    // Times that are a tenth too long on average look the same as a slower engine.
+    noisy_measurements: SPEC, [0.6, 1.4], 0.2 => 0.25;
 }
 
-/// One answer comes late for a reason that has nothing to do with its engine. What is expected of
-/// the engine changes by no more than a part of it, and is right again after some answers.
+/// One answer is late for a reason outside of its engine. Guards against an estimate that follows
+/// the outlier in full, and against one that does not recover after some normal answers.
 #[test]
 fn one_outlier_changes_little() {
-    let (mut learned, mut paces) = learn(TRUTH, &[1.0], 500, 0.0);
-    let pace = &mut paces[0];
-    let odd = Sample {
+    let (mut model, mut slowdowns) = learn(SPEC, &[1.0], 500, 0.0);
+    let slowdown = &mut slowdowns[0];
+    let outlier = Sample {
         took: 4000.0,
         uncached: 8000,
         ..Sample::default()
     };
-    learned.record_prefill(Stage::Prefill, &odd, pace);
-    assert!(pace.factor < 4.0, "{pace:?}");
+    model.record_prefill(Stage::Prefill, &outlier, slowdown);
+    assert!(slowdown.factor < 4.0, "{slowdown:?}");
     for _ in 0..30 {
-        let took = TRUTH.took(8000, 0, 0);
-        let sample = Sample { took, ..odd };
-        learned.record_prefill(Stage::Prefill, &sample, pace);
+        let took = SPEC.prefill_ms(8000, 0, 0);
+        let sample = Sample { took, ..outlier };
+        model.record_prefill(Stage::Prefill, &sample, slowdown);
     }
-    assert!(error(&learned, *pace, TRUTH, 8000, 0).abs() < 0.15);
+    assert!(error(&model, *slowdown, SPEC, 8000, 0).abs() < 0.15);
 }
 
-/// Nothing was measured yet. Times are finite and above zero, so that an engine is chosen at all.
+/// Before any sample, times must be finite and above zero, or no engine would be chosen.
 #[test]
 fn estimates_are_positive_before_any_measurement() {
-    let learned = ServiceModel::default();
-    let work = learned.equivalent_tokens(10_000, 0);
+    let model = ServiceModel::default();
+    let work = model.equivalent_tokens(10_000, 0);
     assert_eq!(work, 10_000, "no growth before any was seen");
-    assert!(learned.prefill_ms(Stage::Decode, Slowdown::default(), work) > 0.0);
-    assert!(learned.event_gap_ms(Slowdown::default()).is_none());
+    assert!(model.prefill_ms(Stage::Decode, Slowdown::default(), work) > 0.0);
+    assert!(model.event_gap_ms(Slowdown::default()).is_none());
 }
 
-/// Streams tell which engine is slow also where it reads nothing.
+/// Gaps between stream events reveal a slow engine also where it prefills nothing.
 #[test]
 fn event_gaps_reveal_a_slow_engine() {
-    let mut learned = ServiceModel::default();
+    let mut model = ServiceModel::default();
     let (mut fast, mut slow) = (Slowdown::default(), Slowdown::default());
     for _ in 0..600 {
-        learned.record_event_gap(30.0, &mut fast);
-        learned.record_event_gap(72.0, &mut slow);
+        model.record_event_gap(30.0, &mut fast);
+        model.record_event_gap(72.0, &mut slow);
     }
     let ratio = slow.factor / fast.factor;
     assert!((2.0..2.8).contains(&ratio), "{ratio}");
     assert!(fast.is_known() && slow.is_known());
 }
 
-/// Whatever comes in, expectations stay finite and never below zero.
+/// Whatever is measured, estimates stay finite and not negative.
 #[test]
 fn estimates_stay_finite_for_any_measurement() {
     let mut rng = SmallRng::seed_from_u64(9);
-    let mut learned = ServiceModel::default();
-    let mut pace = Slowdown::default();
+    let mut model = ServiceModel::default();
+    let mut slowdown = Slowdown::default();
     for _ in 0..5000 {
         let exponent = rng.random_range(0.0..20.0_f64);
         let sample = Sample {
@@ -156,13 +167,13 @@
         } else {
             Stage::Decode
         };
-        learned.record_prefill(stage, &sample, &mut pace);
-        learned.record_event_gap(rng.random_range(0.0..5000.0), &mut pace);
-        let work = learned.equivalent_tokens(50_000, 10_000);
-        let reading = learned.prefill_ms(stage, pace, work);
+        model.record_prefill(stage, &sample, &mut slowdown);
+        model.record_event_gap(rng.random_range(0.0..5000.0), &mut slowdown);
+        let work = model.equivalent_tokens(50_000, 10_000);
+        let prefill = model.prefill_ms(stage, slowdown, work);
         assert!(
-            reading.is_finite() && reading >= 0.0 && work < 100_000_000,
-            "{learned:?}"
+            prefill.is_finite() && prefill >= 0.0 && work < 100_000_000,
+            "{model:?}"
         );
     }
 }
