--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -1,20 +1,18 @@
-//! What attempts bring: prefilled prompts, events, whole answers, failures.
+//! Outcomes of attempts: prefilled prompts, stream events, complete answers, failures.
 
 use super::super::effect::{Effect, Meter, Refusal};
 use super::super::event::Break;
 use super::super::key::{AttemptKey, BackendKey, CallKey};
 use super::super::{Core, Effects};
-use super::call::{
-    close_attempt, dispatch, end, give_up, refuse, release_prefill_work as count_prefilled,
-};
+use super::call::{close_attempt, dispatch, end, give_up, refuse, release_prefill_work};
 use super::event::{RelayEffect, Task};
 use super::{Cache, Repeat, load, millis, note};
 use crate::error::{Kind, Ran};
 
-/// HTTP statuses from here on are failures of the backend server.
+/// Lowest HTTP status that counts as a failure of the backend server.
 const MIN_FAILURE_STATUS: u16 = 500;
 
-/// Takes in that an engine holds the KV cache of a prompt: another one goes on from it.
+/// Handles a finished prefill: the request goes on to a decode engine with the KV cache.
 pub(super) fn prefilled(core: &mut Core, key: AttemptKey, handle: Box<str>, out: &mut Effects) {
     let now = core.now;
     let Some(attempt) = core.relay.attempts.get(key) else {
@@ -36,7 +34,7 @@
     dispatch(core, call, out);
 }
 
-/// Passes a whole answer on, or tries again where it is a failure and the request may repeat.
+/// Forwards a complete answer, or retries if it is a failure and the request may run again.
 pub(super) fn answered(core: &mut Core, key: AttemptKey, status: u16, out: &mut Effects) {
     let Some(attempt) = core.relay.attempts.get(key) else {
         return;
@@ -58,12 +56,12 @@
         }
     }
     if core.relay.calls[call].delivered {
-        // A resumed stream cannot go on with an answer of another kind.
+        // A stream that has begun cannot continue with an answer that is no stream.
         give_up(
             core,
             call,
             Kind::EngineFailed,
-            "the stream could not go on",
+            "the stream could not be resumed",
             out,
         );
         return;
@@ -74,31 +72,31 @@
     end(core, call, outcome, Ran::Yes, out);
 }
 
-/// Passes an event on if the caller does not have it yet.
+/// Forwards a stream event, unless the caller already has it.
 ///
-/// After a stream was taken up again the new run may begin with events that the caller has; one
-/// that leaves out some would tear a hole into the answer.
+/// After a stream was resumed, the new run may start with events that the caller has. These are
+/// dropped by their number. A run that started after the last one would leave a gap in the answer.
 pub(super) fn stream_event(core: &mut Core, key: AttemptKey, number: u64, out: &mut Effects) {
     let now = core.now;
     let Some(attempt) = core.relay.attempts.get_mut(key) else {
         return;
     };
-    let (call_key, backend, first) = (attempt.call, attempt.backend, !attempt.began);
+    let (call_key, backend, is_first) = (attempt.call, attempt.backend, !attempt.began);
     let took = millis(now.since(attempt.sent));
     attempt.began = true;
-    let pause = millis(now.since(attempt.last));
+    let gap = millis(now.since(attempt.last));
     attempt.last = now;
-    if !first && let Some(instance) = core.relay.instances.arena.get_mut(backend) {
-        let learned = core.relay.model.of_mut(&instance.service);
-        learned.record_event_gap(pause, &mut instance.pace);
+    if !is_first && let Some(instance) = core.relay.instances.arena.get_mut(backend) {
+        let model = core.relay.model.of_mut(&instance.service);
+        model.record_event_gap(gap, &mut instance.pace);
     }
-    if first {
+    if is_first {
         load::record_first_answer(core, key, took, out);
-        count_prefilled(core, key);
+        release_prefill_work(core, key);
         if let Some(instance) = core.relay.instances.arena.get_mut(backend) {
             instance.works();
         }
-        // The engine has taken the KV cache over.
+        // The engine has fetched the KV cache.
         core.relay.calls[call_key].cache = None;
     }
     let call = &mut core.relay.calls[call_key];
@@ -125,7 +123,7 @@
     out.push(Effect::Relay(RelayEffect::Deliver(call_key)));
 }
 
-/// The stream ended as it should.
+/// Handles the regular end of a stream.
 pub(super) fn stream_completed(core: &mut Core, key: AttemptKey, out: &mut Effects) {
     let Some(attempt) = close_attempt(core, key) else {
         return;
@@ -136,7 +134,7 @@
     end(core, call, "answered", Ran::Yes, out);
 }
 
-/// Takes in the end of an attempt without a whole answer.
+/// Handles the end of an attempt without a complete answer.
 pub(super) fn attempt_failed(
     core: &mut Core,
     key: AttemptKey,
@@ -187,7 +185,7 @@
     entry.tried.push(backend);
     match attempt.task {
         Task::Prefill => {
-            // What only prefills has not run; but a call that arrived counts as an arrival.
+            // A prefill alone is no run, but it counts as an arrival if it reached the server.
             if how != Break::Unreachable {
                 entry.arrivals += 1;
             }
@@ -199,7 +197,7 @@
                 if how == Break::Unreachable {
                     entry.arrivals = entry.arrivals.saturating_sub(1);
                 } else {
-                    // Whatever it refused for, the KV cache cannot be counted on any more.
+                    // Whatever the reason of the refusal, the KV cache may be lost.
                     entry.cache = None;
                 }
                 retry_or_refuse(core, call, detail, out);
@@ -219,11 +217,11 @@
     }
 }
 
-/// Tells whether a refusal is held against the engine that read the KV cache, in place of the one
-/// that was to take it.
+/// Returns whether a refusal counts against the engine that prefilled the KV cache, instead of the
+/// one that should fetch it.
 ///
-/// An engine may drop what it has read at once, or its link may hold up transfers for seconds: each
-/// engine that is sent there refuses, and would be avoided for it, one after the other.
+/// An engine may lose KV caches right after the prefill, or its link may delay transfers for seconds:
+/// every engine that should fetch from it refuses, and would be avoided in turn.
 fn blames_source(core: &mut Core, source: Option<BackendKey>, how: Break) -> bool {
     let source = source.and_then(|key| core.relay.instances.arena.get_mut(key));
     match source {
@@ -235,10 +233,10 @@
     }
 }
 
-/// Part of an engine's KV caches that cannot be taken from which on it is at fault itself.
+/// Fraction of failed handovers of an engine's KV caches above which the engine itself is at fault.
 const MAX_FAILED_HANDOVER_FRACTION: f64 = 0.25;
 
-/// Holds a failure against the backend server.
+/// Records a failure of a backend server.
 fn record_failure(core: &mut Core, backend: BackendKey, how: Break, out: &mut Effects) {
     let now = core.now;
     let Some(instance) = core.relay.instances.arena.get_mut(backend) else {
@@ -264,18 +262,18 @@
     }
 }
 
-/// Tells whether a request that may have run may be sent once more.
+/// Returns whether a request that may have run may be sent again.
 fn may_retry(core: &Core, key: CallKey) -> bool {
     let call = &core.relay.calls[key];
     call.route.repeat == Repeat::Idempotent && call.runs < call.route.attempts
 }
 
-/// Tells whether there is time for another attempt.
+/// Returns whether there is time for another attempt.
 fn has_time_left(core: &Core, key: CallKey) -> bool {
     core.now < core.relay.calls[key].end
 }
 
-/// Tries again, if there is time.
+/// Retries a request, or refuses it if its deadline has passed.
 fn retry_or_refuse(core: &mut Core, key: CallKey, detail: &str, out: &mut Effects) {
     if has_time_left(core, key) {
         dispatch(core, key, out);
@@ -302,33 +300,33 @@
     );
 }
 
-/// An attempt has brought nothing for as long as is taken.
+/// Ends an attempt that has been silent for too long, if the request may be sent to another server.
 ///
-/// A backend server can hang while its health check is good, and a connection can fall silent for
-/// good: the caller would wait until its deadline. What may repeat goes elsewhere in time.
+/// A backend server can hang although its health check succeeds, and a connection can stop for good:
+/// without this the caller would wait until its deadline.
 pub(super) fn check_silence(core: &mut Core, key: AttemptKey, out: &mut Effects) {
     let Some(attempt) = core.relay.attempts.get(key) else {
         return;
     };
     let call = &core.relay.calls[attempt.call];
     let instance = core.relay.instances.arena.get(attempt.backend);
-    let heard = instance.and_then(|instance| instance.heard);
-    let bound = load::silence_timeout(call, attempt, heard, core.now);
+    let last_answer = instance.and_then(|instance| instance.heard);
+    let timeout = load::silence_timeout(call, attempt, last_answer, core.now);
     let waited = core.now.since(attempt.last);
-    if waited < bound {
+    if waited < timeout {
         super::wake(
             core,
-            bound.saturating_sub(waited),
+            timeout.saturating_sub(waited),
             super::RelayTimer::Silence(key),
             out,
         );
         return;
     }
-    let may = matches!(attempt.task, Task::Prefill) || may_retry(core, attempt.call);
-    if !may || !super::choose::has_alternative(core, attempt.call, attempt.backend) {
-        super::wake(core, bound, super::RelayTimer::Silence(key), out);
+    let may_move = matches!(attempt.task, Task::Prefill) || may_retry(core, attempt.call);
+    if !may_move || !super::choose::has_alternative(core, attempt.call, attempt.backend) {
+        super::wake(core, timeout, super::RelayTimer::Silence(key), out);
         return;
     }
-    let detail = format!("nothing came for {:.0} ms", millis(waited));
+    let detail = format!("no data for {:.0} ms", millis(waited));
     attempt_failed(core, key, Ran::Unknown, Break::Silent, &detail, out);
 }
--- a/src/core/relay/budget.rs
+++ b/src/core/relay/budget.rs
@@ -1,32 +1,32 @@
-//! The budget of repeats, one for all hosts together.
+//! The retry budget of a service, shared by all hosts.
 //!
-//! Repeats during trouble add load where there is least room. All hosts together may add a part of
-//! the requests of a service, and a few more. Each host takes its own part: the ratio of the
-//! requests it took in itself, and its share of the few by the number of hosts. Parts of the ratio
-//! add up by themselves; the share of the few is cut by a margin, so that a host that counts too
-//! few others, or that starts anew with an empty window, does not break the sum.
+//! During failures, retries add load where capacity is lowest. All hosts together may retry a ratio of
+//! a service's requests, plus a fixed number (the slack). Each host uses the ratio of the requests
+//! that it received itself, and the slack divided by the number of hosts. The ratios add up to the
+//! total by themselves. A safety margin keeps the total within the budget although a host may count
+//! too few others, or restart with an empty window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::core::time::Time;
 
-/// Part of the budget that is used: the rest covers hosts that were replaced within a window and
-/// arrivals that a server counts a moment later than they were sent.
+/// Fraction of the budget that is used: the rest covers hosts that were replaced within a window,
+/// and requests that a server counts a moment after they were sent.
 const USABLE_FRACTION: f64 = 0.7;
 
-/// Rules of the budget.
+/// Rules of the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetRules {
-    /// Repeats for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Span over which both are counted.
+    /// Window over which both are counted.
     pub window: Duration,
-    /// Repeats beyond the ratio, for all hosts together.
+    /// Retries beyond the ratio, for all hosts together.
     pub slack: f64,
 }
 
-/// One host's part of a service's budget.
+/// One host's share of a service's retry budget.
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
     requests: VecDeque<Time>,
@@ -34,21 +34,21 @@
 }
 
 impl RetryBudget {
-    /// Counts a request of a caller.
+    /// Records a request of a caller.
     pub fn record_request(&mut self, now: Time) {
         self.requests.push_back(now);
     }
 
-    /// Returns how many requests came within a span.
+    /// Returns how many requests arrived within a span.
     #[must_use]
     pub fn requests_within(&self, now: Time, span: Duration) -> usize {
         let recent = self.requests.iter().rev();
         recent.take_while(|at| now.since(**at) <= span).count()
     }
 
-    /// Tells whether one more repeat may be sent, and counts it if so.
+    /// Counts one more retry if the budget allows it; returns whether it does.
     pub fn try_spend(&mut self, now: Time, rules: &BudgetRules, hosts: usize) -> bool {
-        let old = |times: &mut VecDeque<Time>| {
+        let drop_expired = |times: &mut VecDeque<Time>| {
             while times
                 .front()
                 .is_some_and(|at| now.since(*at) > rules.window)
@@ -56,14 +56,14 @@
                 times.pop_front();
             }
         };
-        old(&mut self.requests);
-        old(&mut self.retries);
+        drop_expired(&mut self.requests);
+        drop_expired(&mut self.retries);
         let share = rules.slack / hosts.max(1) as f64;
-        let most = (rules.ratio * self.requests.len() as f64 + share) * USABLE_FRACTION;
-        let may = ((self.retries.len() + 1) as f64) <= most;
-        if may {
+        let max = (rules.ratio * self.requests.len() as f64 + share) * USABLE_FRACTION;
+        let allowed = ((self.retries.len() + 1) as f64) <= max;
+        if allowed {
             self.retries.push_back(now);
         }
-        may
+        allowed
     }
 }
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request: taken in, sent, and ended at its time.
+//! Handling of a caller's request: arrival, dispatch, deadline and end.
 
 use std::time::Duration;
 
@@ -15,21 +15,23 @@
 use super::{Attempt, Call, RelayTimer, gossip, millis, note, prefix_cache, span};
 use crate::error::{Kind, Ran};
 
-/// Calls a host holds at once: a hundred times what one serves in its links' worst second.
+/// Maximum number of open requests: a hundred times what a host serves in the worst second of its
+/// links.
 const MAX_CALLS: usize = 4096;
-/// When to come back where nothing better is known: half of a burst of three seconds.
+/// Default time to retry after: half of a burst of three seconds.
 ///
-/// Sooner, callers meet the same queue and are refused again.
+/// Callers that retry sooner meet the same queue and are refused again.
 const RETRY_AFTER: Duration = Duration::from_millis(1300);
-/// When to come back to another host: the balancer sends a new connection to one at once.
+/// Time after which to retry at another host: the load balancer routes new connections to others
+/// without delay.
 const OTHER_HOST_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// Connections of a backend server that one host keeps idle, at least.
+/// Minimum number of idle connections to a backend server that a host may keep.
 const MIN_IDLE_CONNECTIONS: usize = 2;
 
 pub(super) fn arrived(core: &mut Core, arrival: Arrival, out: &mut Effects) {
-    let found = resolve(core, &arrival);
-    let (route, service) = match found {
-        Ok(found) => found,
+    let resolved = resolve(core, &arrival);
+    let (route, service) = match resolved {
+        Ok(resolved) => resolved,
         Err(refusal) => {
             refuse_unrouted(core, arrival, refusal, out);
             return;
@@ -40,7 +42,7 @@
     let budget = core.relay.budgets.entry(service).or_default();
     budget.record_request(core.now);
     if core.relay.calls.len() > MAX_CALLS {
-        let detail = format!("this host holds {MAX_CALLS} requests");
+        let detail = format!("this host already has {MAX_CALLS} open requests");
         refuse(core, key, Refusal::new(Kind::Overloaded, detail), out);
         return;
     }
@@ -54,9 +56,9 @@
     dispatch(core, key, out);
 }
 
-fn fingerprint(fingerprint: &super::super::event::Print) -> u64 {
+fn fingerprint(full: &super::super::event::Print) -> u64 {
     let mut first = [0; 8];
-    first.copy_from_slice(&fingerprint.0[..8]);
+    first.copy_from_slice(&full.0[..8]);
     u64::from_le_bytes(first)
 }
 
@@ -68,7 +70,7 @@
     };
     let Some(route) = catalog.route(&arrival.host, &arrival.path) else {
         if !core.relay.view.is_fresh(core.now) {
-            let detail = "no known route, and the configuration may have changed";
+            let detail = "no route for this path, but the configuration may be out of date";
             return Err(Refusal::new(Kind::CutOff, detail).retry(RETRY_AFTER));
         }
         return Err(Refusal::new(Kind::NotFound, "no route for this path"));
@@ -80,11 +82,11 @@
             let service = service.into();
             Ok((route, service))
         }
-        None => Err(Refusal::new(Kind::NoEngine, "the route leads nowhere")),
+        None => Err(Refusal::new(Kind::NoEngine, "the route has no service")),
     }
 }
 
-/// Refuses a request that has no route here.
+/// Refuses a request without a route.
 fn refuse_unrouted(core: &mut Core, arrival: Arrival, refusal: Refusal, out: &mut Effects) {
     let key = open(
         core,
@@ -97,7 +99,7 @@
     refuse(core, key, refusal, out);
 }
 
-/// Takes a request into the books; it must have its final answer after `wait`.
+/// Registers a request, which must have its final answer within `wait`.
 fn open(
     core: &mut Core,
     arrival: Arrival,
@@ -130,11 +132,11 @@
     key
 }
 
-/// Sends a request to a backend server, or refuses it where none can serve it.
+/// Sends a request to a backend server, or refuses it if none can serve it.
 pub(super) fn dispatch(core: &mut Core, key: CallKey, out: &mut Effects) {
-    let print = core.relay.calls[key].print;
-    if core.relay.killers.is_blocked(print, core.now) {
-        let detail = "backend servers died while running this request";
+    let fingerprint = core.relay.calls[key].print;
+    if core.relay.killers.is_blocked(fingerprint, core.now) {
+        let detail = "two or more backend servers crashed while running this request";
         let refusal = Refusal::new(Kind::EngineKiller, detail);
         refuse(core, key, refusal, out);
         return;
@@ -145,14 +147,14 @@
     }
 }
 
-/// Counts a repeat, where the send is one; `false` where the budget is spent.
+/// Charges the retry budget if this send is a retry; `false` if the budget is exhausted.
 fn charge_budget(core: &mut Core, key: CallKey, task: &Task) -> bool {
     let call = &core.relay.calls[key];
-    let free = match task {
+    let first = match task {
         Task::Prefill => call.prefills == 0 && call.arrivals == 0,
         Task::Whole | Task::Decode { .. } => call.arrivals == 0,
     };
-    if free {
+    if first {
         return true;
     }
     let hosts = core.relay.peers.hosts();
@@ -166,14 +168,14 @@
 
 fn send(core: &mut Core, key: CallKey, choice: &Choice, out: &mut Effects) {
     if !charge_budget(core, key, &choice.task) {
-        let detail = "repeats use up their budget";
+        let detail = "the retry budget is exhausted";
         let refusal = Refusal::new(Kind::Overloaded, detail).retry(RETRY_AFTER);
         refuse(core, key, refusal, out);
         return;
     }
     let now = core.now;
     let idle = max_idle_connections(core, choice.backend);
-    let told = gossip::age(core).map_or_else(
+    let peer_age = gossip::age(core).map_or_else(
         || "never".into(),
         |age| format!("{}", age.as_millis()).into(),
     );
@@ -206,8 +208,8 @@
     });
     call.attempt = Some(attempt);
     if choice.work.tokens > 0 || matches!(choice.task, Task::Prefill) {
-        let parts = call.prompt.as_ref().map(|prompt| &prompt.parts);
-        core.relay.peers.sent(parts, instance.short);
+        let blocks = call.prompt.as_ref().map(|prompt| &prompt.parts);
+        core.relay.peers.sent(blocks, instance.short);
     }
     note(
         out,
@@ -221,7 +223,7 @@
             ("calls", instance.work().calls.to_string().into()),
             ("tokens", instance.work().tokens.to_string().into()),
             ("own_tokens", instance.own.tokens.to_string().into()),
-            ("peer_age_ms", told),
+            ("peer_age_ms", peer_age),
             ("unlisted_ms", unlisted),
             ("reads", choice.work.tokens.to_string().into()),
             (
@@ -253,16 +255,16 @@
     }
 }
 
-/// Returns for how long a backend server's entry has been missing from the store, for the log.
+/// Returns how long a backend server's entry has been missing from the store, for the log.
 fn unlisted_ms(core: &Core, key: BackendKey) -> Box<str> {
-    let missed = core.relay.instances.arena[key].missed;
-    missed.map_or_else(
+    let missing_since = core.relay.instances.arena[key].missed;
+    missing_since.map_or_else(
         || "listed".into(),
         |at| core.now.since(at).as_millis().to_string().into(),
     )
 }
 
-/// Returns the word for a task in logs.
+/// Returns the name of a task in logs.
 pub(super) fn task_name(task: &Task) -> &'static str {
     match task {
         Task::Whole => "whole",
@@ -271,19 +273,19 @@
     }
 }
 
-/// Returns how many idle connections to a backend server this host may keep: its part of what the
-/// backend server accepts, less room for those in use.
+/// Returns how many idle connections to a backend server this host may keep: a third of its share of
+/// those the server accepts, which leaves room for those in use.
 fn max_idle_connections(core: &Core, key: BackendKey) -> usize {
     let service = &core.relay.instances.arena[key].service;
-    let known = core.relay.catalog.as_ref();
-    let most = known
+    let catalog = core.relay.catalog.as_ref();
+    let limit = catalog
         .and_then(|catalog| catalog.services.get(service))
         .map_or(0, |service: &Service| service.connections);
     let hosts = core.relay.peers.hosts();
-    (most as usize / hosts.max(1) / 3).max(MIN_IDLE_CONNECTIONS)
+    (limit as usize / hosts.max(1) / 3).max(MIN_IDLE_CONNECTIONS)
 }
 
-/// Forgets an attempt and the work it counted for.
+/// Removes an attempt and its work.
 pub(super) fn close_attempt(core: &mut Core, key: AttemptKey) -> Option<Attempt> {
     let attempt = core.relay.attempts.remove(key)?;
     if let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) {
@@ -297,7 +299,7 @@
     Some(attempt)
 }
 
-/// Counts an attempt's prompt as prefilled.
+/// Removes an attempt's prefill work from its backend server, once the prompt is prefilled.
 pub(super) fn release_prefill_work(core: &mut Core, key: AttemptKey) {
     let Some(attempt) = core.relay.attempts.get_mut(key) else {
         return;
@@ -312,14 +314,14 @@
     }
 }
 
-/// The caller closed its connection: nothing more is done for it.
+/// Ends a request whose caller closed its connection.
 pub(super) fn caller_left(core: &mut Core, key: CallKey, out: &mut Effects) {
     if core.relay.calls.contains_key(key) {
         end(core, key, "caller-left", Ran::Unknown, out);
     }
 }
 
-/// A request has reached its end: it gets its final answer at once.
+/// Answers a request whose deadline has passed.
 pub(super) fn deadline(core: &mut Core, key: CallKey, out: &mut Effects) {
     let Some(call) = core.relay.calls.get(key) else {
         return;
@@ -332,14 +334,20 @@
         return;
     }
     if call.runs > 0 {
-        give_up(core, key, Kind::Silent, "no whole answer in time", out);
+        give_up(
+            core,
+            key,
+            Kind::Silent,
+            "no complete answer before the deadline",
+            out,
+        );
     } else {
-        let detail = "no backend server took the request in time";
+        let detail = "no backend server accepted the request before its deadline";
         refuse(core, key, Refusal::new(Kind::Overloaded, detail), out);
     }
 }
 
-/// Ends a request whose host can wait no longer: as not run where that is true.
+/// Ends a request because this host is stopping: as not run if that is certain.
 pub(super) fn abandon(core: &mut Core, key: CallKey, why: &str, out: &mut Effects) {
     refuse(
         core,
@@ -349,7 +357,7 @@
     );
 }
 
-/// Ends a request that may have run: a failure, or an answer that must look cut.
+/// Ends a request that may have run: with an error, or by aborting an answer that has begun.
 pub(super) fn give_up(core: &mut Core, key: CallKey, kind: Kind, detail: &str, out: &mut Effects) {
     if core.relay.calls[key].delivered {
         note(
@@ -370,7 +378,7 @@
     }
 }
 
-/// Refuses a request: as not run where that is true, as failed otherwise.
+/// Refuses a request: as not run if that is certain, as failed otherwise.
 pub(super) fn refuse(core: &mut Core, key: CallKey, refusal: Refusal, out: &mut Effects) {
     let call = &core.relay.calls[key];
     if call.runs > 0 || call.delivered {
@@ -382,7 +390,7 @@
 }
 
 fn send_refusal(core: &mut Core, key: CallKey, refusal: Refusal, out: &mut Effects) {
-    let (word, ran) = (refusal.kind.answer().code, refusal.ran);
+    let (code, ran) = (refusal.kind.answer().code, refusal.ran);
     note(
         out,
         log::Level::Info,
@@ -391,7 +399,7 @@
             ("id", core.relay.calls[key].id.clone()),
             ("config", config_version(core)),
             ("heard_ms", store_age_ms(core)),
-            ("code", word.into()),
+            ("code", code.into()),
             ("ran", ran.word().into()),
             (
                 "retry_ms",
@@ -401,10 +409,10 @@
         ],
     );
     out.push(Effect::Relay(RelayEffect::Refuse { call: key, refusal }));
-    end(core, key, word, ran, out);
+    end(core, key, code, ran, out);
 }
 
-/// Returns the version of the configuration in force, for the log.
+/// Returns the version of the current configuration, for the log.
 fn config_version(core: &Core) -> Box<str> {
     let catalog = core.relay.catalog.as_ref();
     catalog
@@ -413,16 +421,16 @@
         .into()
 }
 
-/// Returns how long ago all that the store held was known here, for the log.
+/// Returns the time since this host's view of the store was last complete, for the log.
 fn store_age_ms(core: &Core) -> Box<str> {
-    let heard = core.relay.view.current();
-    heard.map_or_else(
+    let current = core.relay.view.current();
+    current.map_or_else(
         || "never".into(),
-        |heard| core.now.since(heard).as_millis().to_string().into(),
+        |at| core.now.since(at).as_millis().to_string().into(),
     )
 }
 
-/// Forgets a request, closes its attempt and gives back what was made for it.
+/// Removes a request, closes its attempt and frees its KV cache.
 pub(super) fn end(
     core: &mut Core,
     key: CallKey,
@@ -467,8 +475,8 @@
     super::super::stop::look(core, out);
 }
 
-/// Returns when a refused caller should come back: once the work that is ahead is done.
+/// Returns the time after which a refused caller should retry: when the queued work is done.
 pub(super) fn retry_after(core: &mut Core, backlog: f64) -> Duration {
-    let spread = core.rng.random_range(0.8..1.6);
-    span((backlog * spread).max(millis(RETRY_AFTER) * spread))
+    let jitter = core.rng.random_range(0.8..1.6);
+    span((backlog * jitter).max(millis(RETRY_AFTER) * jitter))
 }
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -1,7 +1,7 @@
-//! What work takes: expectations, and what is model from each answer.
+//! Expected times of work at backend servers, and the samples recorded from each answer.
 //!
-//! Engines report their load late, and a report costs a call. Every host knows what it sent
-//! itself, and the others tell what they sent; what an engine still has to do follows from both.
+//! Engines report their load late, and a report costs a call. Instead, every host tracks the work it
+//! sent itself and receives that of the others; together they give the work queued at an engine.
 
 use std::time::Duration;
 
@@ -13,32 +13,31 @@
 use super::model::{Sample, ServiceModel};
 use super::{Attempt, Call, millis, note, span};
 
-/// Milliseconds by which each request that runs there delays the next token.
+/// Delay of the next token caused by each request running at an engine.
 pub const DELAY_PER_STREAM_MS: f64 = 0.6;
-/// Milliseconds a plain request takes before any was measured.
+/// Initial latency of requests to a plain server.
 const INITIAL_LATENCY_MS: f64 = 30.0;
-/// Weight of the newest measurement in a plain server's latency.
+/// Weight of the newest sample in a plain server's latency.
 const LATENCY_WEIGHT: f64 = 0.15;
 
-/// Returns the milliseconds that reading `tokens` takes there, with nothing ahead.
+/// Returns the prefill time of `tokens` at an engine, without a queue.
 #[must_use]
 pub fn prefill_ms(model: &ServiceModel, instance: &Instance, tokens: u64) -> f64 {
     let stage = instance.stage.unwrap_or(Stage::Decode);
     model.prefill_ms(stage, instance.pace, tokens)
 }
 
-/// Returns the milliseconds that work takes at an average engine which takes so many there.
+/// Returns the time at an average engine of work that takes `millis` at this one.
 ///
-/// What a request costs others is counted by this: the same work takes the same part of what all
-/// engines can do, and a slow engine that is idle is to be used. Counted by the engine's own time,
-/// short prompts waited at fast engines, and long ones, which only those can serve in time, behind
-/// them: a mean worth of 0.732 over fifteen days, and 0.736 counted alike.
+/// Used for the cost of a request to others: the same work takes the same share of the capacity of
+/// all engines, and idle slow engines should be used. By the engine's own time, short prompts would
+/// queue at fast engines, and long ones, which only these can serve in time, behind them.
 #[must_use]
 pub fn normalized_ms(instance: &Instance, millis: f64) -> f64 {
     millis / instance.pace.factor
 }
 
-/// Returns the milliseconds a plain request takes there.
+/// Returns the expected latency of a request to a plain server.
 #[must_use]
 pub fn latency_ms(instance: &Instance) -> f64 {
     if instance.latency > 0.0 {
@@ -48,12 +47,12 @@
     }
 }
 
-/// Learns from the time an attempt took to bring the first of its answer.
+/// Records the time until the first part of an attempt's answer.
 pub fn record_first_answer(core: &mut Core, key: AttemptKey, took: f64, out: &mut Effects) {
     let Some(attempt) = core.relay.attempts.get(key) else {
         return;
     };
-    let (expected, reads) = (attempt.expected, attempt.reads);
+    let (expected, prefill) = (attempt.expected, attempt.reads);
     let task = attempt.task.clone();
     let id = core
         .relay
@@ -76,23 +75,23 @@
             ("took_ms", format!("{took:.0}").into()),
             ("expected_ms", format!("{expected:.0}").into()),
             ("pace", format!("{:.2}", instance.pace.factor).into()),
-            ("reads", reads.unread.to_string().into()),
-            ("held", reads.held.to_string().into()),
-            ("ahead", reads.ahead.to_string().into()),
-            ("before_ms", format!("{:.0}", reads.before).into()),
+            ("reads", prefill.unread.to_string().into()),
+            ("held", prefill.held.to_string().into()),
+            ("ahead", prefill.ahead.to_string().into()),
+            ("before_ms", format!("{:.0}", prefill.before).into()),
         ],
     );
     if instance.stage.is_none() {
-        let old = latency_ms(instance);
-        instance.latency = old + (took - old) * LATENCY_WEIGHT;
+        let previous = latency_ms(instance);
+        instance.latency = previous + (took - previous) * LATENCY_WEIGHT;
     } else if let Some(stage) = instance.stage
         && matches!(task, Task::Prefill | Task::Whole)
     {
         let sample = Sample {
-            took: took - reads.before,
-            uncached: reads.unread,
-            cached: reads.held,
-            queued: reads.ahead,
+            took: took - prefill.before,
+            uncached: prefill.unread,
+            cached: prefill.held,
+            queued: prefill.ahead,
         };
         let model = core.relay.model.of_mut(&instance.service);
         model.record_prefill(stage, &sample, &mut instance.pace);
@@ -101,28 +100,28 @@
     }
 }
 
-/// Times as long as expected that a hand-over may take before it waited for a link: engines that
-/// read a long prompt meanwhile, or start a step for many streams, take twice as long now and then.
+/// Multiple of the expected time above which a handover counts as delayed by a link: up to twice the
+/// time can be due to an engine's prefill of a long prompt or its step for many streams.
 const LINK_DELAY_FACTOR: f64 = 3.0;
 
-/// Learns from the time that a hand-over took: what engines need for it, or which link is slow.
+/// Records the time of a handover: as that of the engine, or as the delay of a slow link.
 fn record_handover(core: &mut Core, key: AttemptKey, took: f64) {
     let attempt = &core.relay.attempts[key];
-    let (target, reads) = (attempt.backend, attempt.reads);
+    let (target, prefill) = (attempt.backend, attempt.reads);
     let source = core.relay.calls.get(attempt.call);
     let source = source.and_then(|call| call.cache.as_ref().map(|cache| cache.engine));
     let now = core.now;
     let arena = &mut core.relay.instances.arena;
-    let usual = reads.rest + reads.moving;
-    let waited = if took > usual * LINK_DELAY_FACTOR {
-        took - usual
+    let expected = prefill.rest + prefill.moving;
+    let waited = if took > expected * LINK_DELAY_FACTOR {
+        took - expected
     } else {
         0.0
     };
     if waited == 0.0
         && let Some(instance) = arena.get(target)
     {
-        let own = took - reads.before;
+        let own = took - prefill.before;
         let model = core.relay.model.of_mut(&instance.service);
         model.record_handover(own, instance.pace);
     }
@@ -132,10 +131,10 @@
             .is_some_and(|instance| instance.link.explains(waited, now))
     };
     let both: Vec<BackendKey> = source.into_iter().chain([target]).collect();
-    // Where one is known to be slow, the other is not blamed for it.
-    let blamed: Vec<BackendKey> = both.iter().copied().filter(explains).collect();
-    let measured = if waited > 0.0 && !blamed.is_empty() {
-        blamed
+    // If one link is known to be slow, the delay does not count for the other.
+    let slow: Vec<BackendKey> = both.iter().copied().filter(explains).collect();
+    let measured = if waited > 0.0 && !slow.is_empty() {
+        slow
     } else {
         both
     };
@@ -149,13 +148,18 @@
     }
 }
 
-/// Returns how long an attempt may bring nothing before it is taken for silent.
+/// Returns the time without an answer after which an attempt counts as silent.
 #[must_use]
-pub fn silence_timeout(call: &Call, attempt: &Attempt, heard: Option<Time>, now: Time) -> Duration {
+pub fn silence_timeout(
+    call: &Call,
+    attempt: &Attempt,
+    last_answer: Option<Time>,
+    now: Time,
+) -> Duration {
     if attempt.began {
         return (call.route.gap * 4).max(MIN_STREAM_GAP);
     }
-    let alive = heard.is_some_and(|at| now.since(at) < ALIVE_WINDOW);
+    let alive = last_answer.is_some_and(|at| now.since(at) < ALIVE_WINDOW);
     let expected = span(attempt.expected * SILENCE_FACTOR);
     if alive && call.prompt.is_some() {
         return expected + BUSY_ALLOWANCE;
@@ -166,14 +170,14 @@
     expected + span(millis(call.route.target).mul_add(0.5, SILENCE_MARGIN_MS))
 }
 
-/// Time since an engine last brought anything within which it is alive.
+/// Time since an engine's last answer within which it counts as alive.
 const ALIVE_WINDOW: Duration = Duration::from_millis(400);
-/// Time beyond the expected that a live engine may take: what it does is not given up for a queue
-/// that is longer than was known, or the same prompt would be read twice.
+/// Time in addition to the expected that a live engine may take: its queue may be longer than known,
+/// and a retry would prefill the same prompt twice.
 const BUSY_ALLOWANCE: Duration = Duration::from_millis(1500);
-/// Times the expected time after which an attempt is taken for silent.
+/// Multiple of the expected time after which an attempt counts as silent.
 const SILENCE_FACTOR: f64 = 3.0;
-/// Milliseconds that an engine's attempt may be silent in any case.
+/// Time in addition to that for an attempt at an engine.
 const SILENCE_MARGIN_MS: f64 = 300.0;
-/// Shortest pause after which a stream is taken for silent: callers give up after two seconds.
+/// Minimum gap after which a stream counts as silent: callers give up after two seconds.
 const MIN_STREAM_GAP: Duration = Duration::from_millis(900);
--- a/src/core/relay/planner.rs
+++ b/src/core/relay/planner.rs
@@ -1,8 +1,8 @@
-//! Which engines prefill for others: planned by one host at a time.
+//! Assignment of stages to engines, planned by one host at a time.
 //!
-//! The host that holds the authority is the one whose key stands in the store; the key's revision
-//! is the fencing number of its orders. It counts its lease from before it asked for it, on a
-//! clock that runs on while the process is suspended, so that it stops before another can begin.
+//! The host whose key is in the store holds the authority to order engines; the revision of the key
+//! is the fencing number of its orders. The holder counts its lease from before it requested it, on
+//! a clock that advances while the process is suspended, so that it stops before another can start.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -20,47 +20,47 @@
 use super::{RelayJob, RelayTimer, job, note, wake};
 use crate::store::{Compare, Op, Txn};
 
-/// Key of the holder.
+/// Store key of the holder.
 const KEY: &str = "planner";
-/// Time between two looks at the engines.
+/// Time between two plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
-/// Part of the lease's life after which it is renewed.
+/// Renewals within the lifetime of a lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Part of the lease's life that is used: the store may count a little faster.
+/// Fraction of the lease's lifetime that is used: the store's clock may run a little faster.
 const USABLE_LEASE_FRACTION: f64 = 0.9;
-/// One engine in so many may change at once: a change takes an engine away for seconds, and each that
-/// is told apart ends the watch of every host.
+/// One engine in so many may change its stage at the same time: a change makes an engine unavailable
+/// for seconds, and each one reported separately ends the watch of every host.
 const ENGINES_PER_CHANGE: usize = 4;
-/// Hosts that try to take the authority in one round, on average.
+/// Hosts that try to acquire the authority in one round, on average.
 const EXPECTED_CANDIDATES: usize = 3;
-/// Time for which an engine that was ordered gets no other order: it may be carried out late.
+/// Time after an order in which the engine gets no other one: the first may be carried out late.
 const ORDER_COOLDOWN: Duration = Duration::from_secs(4);
 
-/// Time without a change of their number after which the engines are planned for.
+/// Time without a change of the number of engines after which they are planned for.
 const STABLE_PERIOD: Duration = Duration::from_millis(1500);
 
-/// The authority to give orders and what was done with it.
+/// State of the authority to order engines, and the orders given.
 #[derive(Debug, Default)]
 pub struct Planner {
     /// Revision of the holder's key; 0 while nobody holds it.
     holder: i64,
-    /// Whether the holder is known.
+    /// Whether the store's entry for the holder was read.
     holder_known: bool,
     /// This host's lease; 0 for none.
     lease: i64,
-    /// Fencing number, while this host holds the authority.
+    /// Fencing number while this host holds the authority; 0 otherwise.
     fence: u64,
-    /// The authority ends here, unless renewed.
+    /// When the authority ends, unless it is renewed.
     lease_end: Time,
-    /// A renewal or a take-over is on its way.
+    /// Whether this host is trying to acquire the authority.
     pending: bool,
-    /// Engines that were asked to change, to which stage, and when.
+    /// Engines that should change, their new stage, and since when.
     changes: BTreeMap<Box<str>, (Stage, Time)>,
-    /// Number of engines, and since when.
+    /// Number of engines, and when it last changed.
     engine_count: (usize, Time),
 }
 
-/// Begins to look for the authority.
+/// Starts to plan.
 pub fn start(core: &mut Core, out: &mut Effects) {
     wake(core, PLAN_INTERVAL, RelayTimer::Plan, out);
 }
@@ -72,11 +72,11 @@
     })
 }
 
-/// Gives the authority up: its lease went with an era of the store.
+/// Drops the authority: its lease belongs to an era of the store that has ended.
 pub fn drop_authority(core: &mut Core, out: &mut Effects) {
-    let split = &mut core.relay.split;
-    if split.fence != 0 {
-        let fence = split.fence.to_string().into();
+    let planner = &mut core.relay.split;
+    if planner.fence != 0 {
+        let fence = planner.fence.to_string().into();
         note(
             out,
             log::Level::Warn,
@@ -84,45 +84,45 @@
             vec![("fence", fence)],
         );
     }
-    split.holder = 0;
-    split.holder_known = false;
-    split.lease = 0;
-    split.fence = 0;
-    split.pending = false;
+    planner.holder = 0;
+    planner.holder_known = false;
+    planner.lease = 0;
+    planner.fence = 0;
+    planner.pending = false;
 }
 
-/// Takes in who holds the authority.
+/// Handles changes of the holder's key in the store.
 pub fn changed(core: &mut Core, changes: &Changes, out: &mut Effects) {
     let era_now = core.relay.view.era();
-    let split = &mut core.relay.split;
+    let planner = &mut core.relay.split;
     if changes.whole {
-        split.holder_known = true;
-        split.holder = 0;
+        planner.holder_known = true;
+        planner.holder = 0;
     }
     for change in changes.keys.iter().filter(|change| &*change.key == KEY) {
-        split.holder = if change.value.is_some() {
+        planner.holder = if change.value.is_some() {
             change.revision
         } else {
             0
         };
     }
-    let revision = era::fence(era_now, split.holder);
-    if split.fence != 0 && split.holder != 0 && revision > split.fence {
+    let revision = era::fence(era_now, planner.holder);
+    if planner.fence != 0 && planner.holder != 0 && revision > planner.fence {
         note(
             out,
             log::Level::Warn,
             "planner.lost",
             vec![
-                ("fence", split.fence.to_string().into()),
+                ("fence", planner.fence.to_string().into()),
                 ("holder", revision.to_string().into()),
             ],
         );
-        split.fence = 0;
-        split.lease = 0;
+        planner.fence = 0;
+        planner.lease = 0;
     }
 }
 
-/// Looks whether this host should take the authority, or what to do with it.
+/// Plans with the authority, or tries to acquire it if nobody holds it.
 pub fn plan(core: &mut Core, out: &mut Effects) {
     let noise = core.rng.random_range(0.8..1.2);
     wake(core, PLAN_INTERVAL.mul_f64(noise), RelayTimer::Plan, out);
@@ -136,26 +136,26 @@
         return;
     }
     let hosts = core.relay.peers.hosts();
-    let split = &mut core.relay.split;
-    if split.fence != 0 && core.now < split.lease_end {
+    let planner = &mut core.relay.split;
+    if planner.fence != 0 && core.now < planner.lease_end {
         request_reports(core, out);
         return;
     }
-    if split.fence != 0 {
+    if planner.fence != 0 {
         note(
             out,
             log::Level::Warn,
             "planner.lapsed",
-            vec![("fence", split.fence.to_string().into())],
+            vec![("fence", planner.fence.to_string().into())],
         );
-        split.fence = 0;
-        split.lease = 0;
-        split.pending = false;
+        planner.fence = 0;
+        planner.lease = 0;
+        planner.pending = false;
     }
-    // All hosts see at once that nobody holds it: a few of them try in each round.
-    let tries = core.rng.random_range(0..hosts) < EXPECTED_CANDIDATES;
-    if split.holder_known && split.holder == 0 && !split.pending && tries {
-        split.pending = true;
+    // All hosts learn at the same time that nobody holds it: a few of them try in each round.
+    let is_candidate = core.rng.random_range(0..hosts) < EXPECTED_CANDIDATES;
+    if planner.holder_known && planner.holder == 0 && !planner.pending && is_candidate {
+        planner.pending = true;
         let job = job(core, RelayJob::AuthorityLease(core.now));
         out.push(Effect::Grant {
             job,
@@ -166,14 +166,14 @@
 
 /// Renews the lease.
 pub fn renew(core: &mut Core, out: &mut Effects) {
-    let split = &core.relay.split;
-    if split.lease == 0 || core.stop.begun() {
+    let planner = &core.relay.split;
+    if planner.lease == 0 || core.stop.begun() {
         return;
     }
     let job = job(core, RelayJob::AuthorityLease(core.now));
     out.push(Effect::Renew {
         job,
-        lease: split.lease,
+        lease: planner.lease,
     });
     wake(
         core,
@@ -183,47 +183,47 @@
     );
 }
 
-/// Goes on with a take-over or a renewal.
+/// Handles the store's reply to an acquisition or a renewal.
 pub fn reply(core: &mut Core, job: RelayJob, reply: &StoreReply, out: &mut Effects) {
     let life = lease_ttl(core);
     let era_now = core.relay.view.era();
-    let split = &mut core.relay.split;
+    let planner = &mut core.relay.split;
     match (job, &reply.result) {
         (RelayJob::AuthorityLease(asked), StoreResult::Lease(lease)) if *lease != 0 => {
             let until = asked.after(life.mul_f64(USABLE_LEASE_FRACTION));
-            if split.lease == *lease {
-                split.lease_end = until;
+            if planner.lease == *lease {
+                planner.lease_end = until;
                 return;
             }
-            split.lease = *lease;
-            split.lease_end = until;
+            planner.lease = *lease;
+            planner.lease_end = until;
             out.push(claim(core, *lease));
         }
         (RelayJob::AuthorityLease(_), StoreResult::Lease(_)) => {
-            split.lease = 0;
-            split.fence = 0;
-            split.pending = false;
+            planner.lease = 0;
+            planner.fence = 0;
+            planner.pending = false;
         }
         (RelayJob::Authority, StoreResult::Txn(done)) if done.succeeded => {
-            split.fence = era::fence(era_now, done.revision);
-            split.holder = done.revision;
-            split.pending = false;
+            planner.fence = era::fence(era_now, done.revision);
+            planner.holder = done.revision;
+            planner.pending = false;
             note(
                 out,
                 log::Level::Info,
                 "planner.taken",
-                vec![("fence", split.fence.to_string().into())],
+                vec![("fence", planner.fence.to_string().into())],
             );
             wake(core, life / RENEWALS_PER_LEASE, RelayTimer::Authority, out);
         }
         (RelayJob::Authority, _) => {
-            // Another was first, or whether it took effect is unknown: the key then goes with the
-            // lease, which is given up.
-            let lease = std::mem::take(&mut split.lease);
-            split.pending = false;
+            // Another host was first, or it is unknown whether the write took effect. In that case
+            // the key is removed with the lease, which is revoked.
+            let lease = std::mem::take(&mut planner.lease);
+            planner.pending = false;
             out.push(Effect::Revoke(lease));
         }
-        _ => split.pending = false,
+        _ => planner.pending = false,
     }
 }
 
@@ -243,7 +243,7 @@
     }
 }
 
-/// Asks an engine that should change for its state, where the stages are not as wanted.
+/// Requests the state of engines that should change, where the stages differ from the plan.
 fn request_reports(core: &mut Core, out: &mut Effects) {
     let Some(catalog) = &core.relay.catalog else {
         return;
@@ -255,26 +255,29 @@
         .map(|(name, _)| name.clone())
         .collect();
     for service in services {
-        let live = remaining_engines(core, &service);
-        if !is_stable(core, live.len()) {
+        let engines = remaining_engines(core, &service);
+        if !is_stable(core, engines.len()) {
             continue;
         }
-        let prefills =
+        let is_prefill =
             |key: &&BackendKey| core.relay.instances.arena[**key].stage == Some(Stage::Prefill);
-        let have = live.iter().filter(prefills).count();
-        let want = wanted_prefill(core, live.len());
+        let have = engines.iter().filter(is_prefill).count();
+        let want = wanted_prefill(core, engines.len());
         let stage = match have.cmp(&want) {
             Ordering::Less => Stage::Prefill,
             Ordering::Equal => continue,
             Ordering::Greater => Stage::Decode,
         };
-        let changing = live
+        let changing = engines
             .iter()
             .filter(|key| recently_ordered(core, **key))
             .count();
-        let most = live.len().div_ceil(ENGINES_PER_CHANGE);
-        let count = have.abs_diff(want).min(most).saturating_sub(changing);
-        let chosen = least_busy(core, &live, stage, count);
+        let max_changes = engines.len().div_ceil(ENGINES_PER_CHANGE);
+        let count = have
+            .abs_diff(want)
+            .min(max_changes)
+            .saturating_sub(changing);
+        let chosen = least_busy(core, &engines, stage, count);
         for key in chosen {
             let instance = &core.relay.instances.arena[key];
             let (id, addr) = (instance.id.clone(), instance.addr);
@@ -287,7 +290,7 @@
                     ("stage", format!("{stage:?}").into()),
                     ("have", have.to_string().into()),
                     ("want", want.to_string().into()),
-                    ("engines", live.len().to_string().into()),
+                    ("engines", engines.len().to_string().into()),
                 ],
             );
             let change = (stage, core.now);
@@ -297,13 +300,13 @@
     }
 }
 
-/// Returns up to `count` engines that can change to a stage: those with the least to do lose least.
-fn least_busy(core: &Core, live: &[BackendKey], stage: Stage, count: usize) -> Vec<BackendKey> {
-    let other = |key: &BackendKey| {
+/// Returns up to `count` engines that can change to a stage, those with the fewest requests first.
+fn least_busy(core: &Core, engines: &[BackendKey], stage: Stage, count: usize) -> Vec<BackendKey> {
+    let can_change = |key: &BackendKey| {
         let instance = &core.relay.instances.arena[*key];
         instance.stage.is_some() && instance.stage != Some(stage) && !recently_ordered(core, *key)
     };
-    let mut keys: Vec<BackendKey> = live.iter().copied().filter(other).collect();
+    let mut keys: Vec<BackendKey> = engines.iter().copied().filter(can_change).collect();
     keys.sort_by_key(|key| {
         let instance = &core.relay.instances.arena[*key];
         (instance.work().calls, instance.id.clone())
@@ -312,7 +315,7 @@
     keys
 }
 
-/// Returns the engines of a service that stay.
+/// Returns the engines of a service that are registered and not leaving.
 fn remaining_engines(core: &Core, service: &str) -> Vec<BackendKey> {
     let keys = core.relay.instances.of(service).iter().copied();
     keys.filter(|key| {
@@ -322,22 +325,22 @@
     .collect()
 }
 
-/// Tells whether the number of engines has not changed for a while.
+/// Returns whether the number of engines has been stable for a while.
 ///
-/// They register one after the other: a plan for the first few would order some that the plan for
-/// all of them orders back.
+/// Engines register one after the other: a plan for the first few would order changes that the plan
+/// for all of them reverts.
 fn is_stable(core: &mut Core, count: usize) -> bool {
     let now = core.now;
-    let split = &mut core.relay.split;
-    if split.engine_count.0 != count {
-        split.engine_count = (count, now);
+    let planner = &mut core.relay.split;
+    if planner.engine_count.0 != count {
+        planner.engine_count = (count, now);
     }
-    now.since(split.engine_count.1) >= STABLE_PERIOD
+    now.since(planner.engine_count.1) >= STABLE_PERIOD
 }
 
-/// Returns how many engines should prefill.
+/// Returns how many engines should be prefill engines.
 fn wanted_prefill(core: &Core, engines: usize) -> usize {
-    let part = core
+    let fraction = core
         .settings
         .relay
         .as_ref()
@@ -345,28 +348,28 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a part of a few engines"
+        reason = "a fraction of a few engines"
     )]
-    let count = (engines as f64 * part).round() as usize;
+    let count = (engines as f64 * fraction).round() as usize;
     count.clamp(usize::from(engines > 1), engines.saturating_sub(1))
 }
 
-/// Tells whether an engine was asked to change a moment ago.
+/// Returns whether an engine was selected for a change less than [`ORDER_COOLDOWN`] ago.
 fn recently_ordered(core: &Core, key: BackendKey) -> bool {
     let id = &core.relay.instances.arena[key].id;
     let change = core.relay.split.changes.get(id);
     change.is_some_and(|(_, at)| core.now.since(*at) < ORDER_COOLDOWN)
 }
 
-/// Orders an engine to change, now that its state is known.
+/// Orders an engine to change, once it has reported its state.
 pub fn reported(core: &mut Core, id: &str, report: Option<EngineReport>, out: &mut Effects) {
-    let split = &mut core.relay.split;
-    let Some((stage, _)) = split.changes.get(id).copied() else {
+    let planner = &mut core.relay.split;
+    let Some((stage, _)) = planner.changes.get(id).copied() else {
         return;
     };
-    let authority = split.fence != 0 && core.now < split.lease_end;
+    let holds_authority = planner.fence != 0 && core.now < planner.lease_end;
     let key = core.relay.instances.find(id);
-    let (Some(report), Some(key), true) = (report, key, authority) else {
+    let (Some(report), Some(key), true) = (report, key, holds_authority) else {
         return;
     };
     if report.busy || report.stage == stage {
@@ -378,9 +381,9 @@
         addr: instance.addr,
         stage,
         holder: core.settings.host.name.clone(),
-        fence: split.fence,
+        fence: planner.fence,
         expected: report.orders,
-        until: split.lease_end,
+        until: planner.lease_end,
         era: core.relay.view.era(),
     };
     note(
@@ -397,7 +400,7 @@
     out.push(Effect::Relay(RelayEffect::Order(order)));
 }
 
-/// Takes in what came of an order.
+/// Handles the outcome of an order.
 pub fn ordered(core: &mut Core, id: &str, fence: u64, result: OrderResult, out: &mut Effects) {
     note(
         out,
@@ -409,15 +412,15 @@
             ("result", format!("{result:?}").into()),
         ],
     );
-    let split = &mut core.relay.split;
+    let planner = &mut core.relay.split;
     match result {
-        OrderResult::Fenced if split.fence == fence => {
-            // Another holds the authority: this number is never used again.
-            split.fence = 0;
-            split.lease = 0;
+        OrderResult::Fenced if planner.fence == fence => {
+            // Another host holds the authority: this fencing number is never used again.
+            planner.fence = 0;
+            planner.lease = 0;
         }
         OrderResult::Unsent => {
-            split.changes.remove(id);
+            planner.changes.remove(id);
         }
         _ => {}
     }
--- a/src/core/relay/poison.rs
+++ b/src/core/relay/poison.rs
@@ -1,9 +1,9 @@
-//! Requests that backend servers die of.
+//! Poison requests: requests that crash the backend servers that run them.
 //!
-//! Now and then a single request crashes every backend server that begins to run it, and its
-//! caller sends it again, to any host. One notices by connections that break while it runs. After
-//! two different backend servers broke off the same request, and none ever answered it, it
-//! is refused at every host.
+//! A single request can crash every backend server that starts to run it, while its caller sends it
+//! again, to any host. It shows by connections that break while it runs. After two different backend
+//! servers broke the connection on the same request, and none has answered it since, every host
+//! refuses it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use super::event::CrashReport;
 use super::note;
 
-/// Backend servers that may die of a request before it is refused.
+/// Crashed backend servers after which a request is refused.
 const CRASHES_TO_BLOCK: usize = 2;
-/// Time a suspicion lasts after the last death.
+/// Time for which a request is refused after its last crash.
 const BLOCK_DURATION: Duration = Duration::from_mins(1);
-/// Fingerprints kept; the oldest are forgotten first.
+/// Maximum number of fingerprints; the one with the oldest crash is dropped first.
 const MAX_FINGERPRINTS: usize = 1024;
-/// Times a death is told to the other hosts: datagrams are lost now and then.
+/// Messages in which a crash is reported to the other hosts: datagrams can be lost.
 const CRASH_REPORT_COPIES: u8 = 3;
 
 #[derive(Debug)]
@@ -30,70 +30,70 @@
     last_crash: Time,
 }
 
-/// Fingerprints under suspicion.
+/// Fingerprints of requests that are suspected to crash backend servers.
 #[derive(Debug, Default)]
 pub struct PoisonRequests {
-    cases: BTreeMap<u64, CrashRecord>,
-    /// Deaths to tell, and how often yet.
+    records: BTreeMap<u64, CrashRecord>,
+    /// Crashes to report, and in how many more messages.
     unpublished: Vec<(CrashReport, u8)>,
 }
 
 impl PoisonRequests {
-    /// Tells whether a request is refused for what died of it.
+    /// Returns whether a request is refused because of its crashes.
     #[must_use]
-    pub fn is_blocked(&self, print: u64, now: Time) -> bool {
-        let case = self.cases.get(&print);
-        case.is_some_and(|case| {
-            case.instances.len() >= CRASHES_TO_BLOCK && now.since(case.last_crash) < BLOCK_DURATION
+    pub fn is_blocked(&self, fingerprint: u64, now: Time) -> bool {
+        let record = self.records.get(&fingerprint);
+        record.is_some_and(|record| {
+            record.instances.len() >= CRASHES_TO_BLOCK
+                && now.since(record.last_crash) < BLOCK_DURATION
         })
     }
 
-    /// Notes that a request was answered in full: whatever broke before, it was not this.
-    pub fn clear(&mut self, print: u64) {
-        self.cases.remove(&print);
+    /// Clears a request that was answered in full: it did not cause the earlier failures.
+    pub fn clear(&mut self, fingerprint: u64) {
+        self.records.remove(&fingerprint);
     }
 
-    /// Takes in a death, own or another host's.
-    pub fn record_crash(&mut self, death: CrashReport, now: Time) {
-        let case = self
-            .cases
-            .entry(death.print)
+    /// Records a crash seen by this host or reported by another one.
+    pub fn record_crash(&mut self, crash: CrashReport, now: Time) {
+        let record = self
+            .records
+            .entry(crash.print)
             .or_insert_with(|| CrashRecord {
                 instances: BTreeSet::new(),
                 last_crash: now,
             });
-        case.instances.insert(death.instance);
-        case.last_crash = now;
-        if self.cases.len() > MAX_FINGERPRINTS {
-            let oldest = self.cases.iter().min_by_key(|(_, case)| case.last_crash);
-            if let Some(print) = oldest.map(|(print, _)| *print) {
-                self.cases.remove(&print);
+        record.instances.insert(crash.instance);
+        record.last_crash = now;
+        if self.records.len() > MAX_FINGERPRINTS {
+            let oldest = self
+                .records
+                .iter()
+                .min_by_key(|(_, record)| record.last_crash);
+            if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+                self.records.remove(&fingerprint);
             }
         }
     }
 
-    /// Returns the deaths that other hosts are to be told of now.
+    /// Returns the crashes to report in the next message to the other hosts.
     pub fn take_unpublished(&mut self) -> Vec<CrashReport> {
-        let words = self
-            .unpublished
-            .iter()
-            .map(|(message, _)| *message)
-            .collect();
+        let reports = self.unpublished.iter().map(|(report, _)| *report).collect();
         for (_, left) in &mut self.unpublished {
             *left -= 1;
         }
         self.unpublished.retain(|(_, left)| *left > 0);
-        words
+        reports
     }
 }
 
-/// Notes that a connection broke while a backend server ran a request.
+/// Reports that a connection broke while a backend server ran a request.
 pub fn report_crash(core: &mut Core, call: CallKey, backend: BackendKey, out: &mut Effects) {
     let Some(instance) = core.relay.instances.arena.get(backend) else {
         return;
     };
     let call = &core.relay.calls[call];
-    let message = CrashReport {
+    let report = CrashReport {
         print: call.print,
         instance: instance.short,
     };
@@ -106,6 +106,6 @@
     core.relay
         .killers
         .unpublished
-        .push((message, CRASH_REPORT_COPIES));
-    core.relay.killers.record_crash(message, core.now);
+        .push((report, CRASH_REPORT_COPIES));
+    core.relay.killers.record_crash(report, core.now);
 }
--- a/src/core/relay/prefix_cache.rs
+++ b/src/core/relay/prefix_cache.rs
@@ -1,8 +1,8 @@
-//! Prompt parts that engines hold, and which engine a part is fetched from.
+//! Prefix blocks cached at engines, and from which engine they are fetched.
 //!
-//! Requests share the first parts of their prompts. An engine that lacks a part can copy it from
-//! one that holds it: 13,000 tokens take some 10 ms over the engines' links and 250 ms or more to
-//! be read again.
+//! Requests share the first blocks of their prompts. An engine without a block can copy it from one
+//! that has it cached: 13,000 tokens take about 10 ms over the engines' links, and 250 ms or more to
+//! prefill again.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,35 +16,35 @@
 use super::event::{Prompt, PromptPart};
 use super::instance::Instance;
 
-/// Parts with fewer tokens are not tracked: to read them again costs less than to tell of them.
+/// Blocks with fewer tokens are not tracked: prefilling them again costs less than reporting them.
 ///
-/// Down from 256 it saved a ninth of what is read again where two of three shared parts have 80 to
-/// 350 tokens.
+/// A larger minimum leaves many blocks untracked where most shared ones are short (80 to 350 tokens),
+/// and these are prefilled again.
 pub const MIN_BLOCK_TOKENS: u64 = 64;
-/// Part of an engine's memory that is taken to hold shared parts; running requests take the rest.
-/// With 0.6, 0.9 and 3 of it 9.4, 10.3 and 18.9 million tokens were read again in a day: what is
-/// taken for held and is not is read by an engine that was expected to copy it.
+/// Fraction of an engine's memory that is assumed to hold shared blocks; running requests take the
+/// rest. A larger fraction assumes blocks to be cached that were evicted, and engines prefill again
+/// what they were expected to have.
 const SHARED_MEMORY_FRACTION: f64 = 0.7;
-/// Tokens that must be saved for a part to be fetched: the call to the other engine takes as long
-/// as some 200 tokens take to be read, and competes with hand-overs for its link.
+/// Tokens that a fetch must save: the call to the other engine takes as long as the prefill of about
+/// 200 tokens, and competes with handovers for its link.
 const MIN_FETCH_TOKENS: u64 = 150;
-/// Milliseconds that a fetch takes beside the transfer itself.
+/// Time that a fetch takes in addition to the transfer.
 const FETCH_OVERHEAD_MS: f64 = 5.0;
-/// Times as long a transfer takes between failure domains.
+/// Factor by which a transfer takes longer between failure domains.
 const CROSS_DOMAIN_FACTOR: f64 = 2.0;
 
-/// A prompt part that an engine holds, or is about to.
+/// A prefix block that an engine has cached, or will have once it is prefilled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CachedBlock {
     /// When it was last used.
     pub last_used: Time,
-    /// When the engine has read it, as far as can be told.
+    /// Estimated time from which it is cached.
     pub ready: Time,
     /// Its tokens.
     pub tokens: u64,
 }
 
-/// An engine that holds more of a prompt than others of its failure domain.
+/// The engine of a failure domain that has most of a prompt cached.
 #[derive(Debug, Clone)]
 pub struct Holder {
     backend: BackendKey,
@@ -53,66 +53,68 @@
     tokens: u64,
 }
 
-/// A copy of prompt parts from one engine to another.
+/// A copy of prefix blocks from one engine to another.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fetch {
-    /// Where the engine listens that holds them.
+    /// Address of the engine that has them cached.
     pub from: SocketAddr,
-    /// Tokens that need not be read.
+    /// Tokens that need no prefill.
     pub tokens: u64,
-    /// Milliseconds that it takes.
+    /// Time that it takes.
     pub duration_ms: f64,
 }
 
-/// Returns the parts of a prompt that other requests may share: all but the last.
-pub fn shared_blocks(parts: &[PromptPart]) -> &[PromptPart] {
-    parts.split_last().map_or(&[][..], |(_, shared)| shared)
+/// Returns the blocks of a prompt that other requests may share: all but the last.
+pub fn shared_blocks(blocks: &[PromptPart]) -> &[PromptPart] {
+    blocks.split_last().map_or(&[][..], |(_, shared)| shared)
 }
 
-/// Returns the first tokens of a prompt that an engine holds by a time.
+/// Returns the tokens of a prompt's prefix that an engine has cached by a time.
 ///
-/// A part that it has read counts only if it has all parts before it, too.
+/// A cached block counts only if all blocks before it are cached as well.
 fn cached_tokens(instance: &Instance, prompt: &Prompt, by: Option<Time>) -> u64 {
-    let holds = |part: &PromptPart| {
-        let known = instance.parts.get(&part.id);
-        part.tokens < MIN_BLOCK_TOKENS
+    let is_cached = |block: &PromptPart| {
+        let known = instance.parts.get(&block.id);
+        block.tokens < MIN_BLOCK_TOKENS
             || known.is_some_and(|known| by.is_none_or(|by| known.ready <= by))
     };
-    let held = shared_blocks(&prompt.parts)
+    let cached = shared_blocks(&prompt.parts)
         .iter()
-        .take_while(|part| holds(part));
-    held.map(|part| part.tokens).sum()
+        .take_while(|block| is_cached(block));
+    cached.map(|block| block.tokens).sum()
 }
 
-/// Returns the tokens of a prompt that an engine has yet to read, if it fetches nothing.
+/// Returns the tokens of a prompt that an engine has to prefill, unless it fetches some.
 #[must_use]
 pub fn uncached_tokens(instance: &Instance, prompt: &Prompt) -> u64 {
-    // What waits to be read there is read before this prompt.
+    // Blocks still queued there are prefilled before this prompt.
     prompt
         .tokens
         .saturating_sub(cached_tokens(instance, prompt, None))
 }
 
-/// Returns the shared tokens of a prompt that an engine does not hold.
+/// Returns the shared tokens of a prompt that an engine does not have cached.
 #[must_use]
 pub fn missing_tokens(instance: &Instance, prompt: &Prompt) -> u64 {
     let all: u64 = shared_blocks(&prompt.parts)
         .iter()
-        .map(|part| part.tokens)
+        .map(|block| block.tokens)
         .sum();
     all.saturating_sub(cached_tokens(instance, prompt, None))
 }
 
-/// Returns the engine of each failure domain that holds most of a prompt now.
+/// Returns the engine of each failure domain that has most of a prompt cached now.
 pub fn holders(core: &Core, call: &Call, prompt: &Prompt) -> Vec<Holder> {
-    let mut most: BTreeMap<&str, Holder> = BTreeMap::new();
+    let mut best_by_domain: BTreeMap<&str, Holder> = BTreeMap::new();
     for key in core.relay.instances.of(&call.service) {
         let instance = &core.relay.instances.arena[*key];
         if !instance.takes(core.now) || call.tried.contains(key) {
             continue;
         }
         let tokens = cached_tokens(instance, prompt, Some(core.now));
-        let best = most.get(&*instance.domain).map_or(0, |best| best.tokens);
+        let best = best_by_domain
+            .get(&*instance.domain)
+            .map_or(0, |best| best.tokens);
         if tokens >= MIN_FETCH_TOKENS && tokens > best {
             let holder = Holder {
                 backend: *key,
@@ -120,41 +122,46 @@
                 addr: instance.addr,
                 tokens,
             };
-            most.insert(&instance.domain, holder);
+            best_by_domain.insert(&instance.domain, holder);
         }
     }
-    most.into_values().collect()
+    best_by_domain.into_values().collect()
 }
 
-/// Returns what an engine should fetch of a prompt before it reads the rest: most tokens first,
-/// from its own failure domain if that holds as many.
+/// Returns what an engine should fetch of a prompt before it prefills the rest: from the engine with
+/// most tokens, of its own failure domain if that has as many.
 #[must_use]
 pub fn best_fetch(
     instance: &Instance,
     key: BackendKey,
-    unread: u64,
+    uncached: u64,
     prompt: &Prompt,
     holders: &[Holder],
     engine: &Engine,
 ) -> Option<Fetch> {
     let others = holders.iter().filter(|holder| holder.backend != key);
     let best = others.max_by_key(|holder| (holder.tokens, holder.domain == instance.domain))?;
-    let known = prompt.tokens.saturating_sub(unread);
-    // A caller may name parts that are longer than its whole prompt.
-    let tokens = best.tokens.saturating_sub(known).min(unread);
+    let cached = prompt.tokens.saturating_sub(uncached);
+    // A caller may declare blocks that are longer than its whole prompt.
+    let tokens = best.tokens.saturating_sub(cached).min(uncached);
     if tokens < MIN_FETCH_TOKENS || engine.link <= 0.0 {
         return None;
     }
-    let far = best.domain != instance.domain;
-    let takes = transfer_ms(engine, tokens) * if far { CROSS_DOMAIN_FACTOR } else { 1.0 };
+    let cross_domain = best.domain != instance.domain;
+    let transfer = transfer_ms(engine, tokens)
+        * if cross_domain {
+            CROSS_DOMAIN_FACTOR
+        } else {
+            1.0
+        };
     Some(Fetch {
         from: best.addr,
         tokens,
-        duration_ms: takes + FETCH_OVERHEAD_MS,
+        duration_ms: transfer + FETCH_OVERHEAD_MS,
     })
 }
 
-/// Returns the milliseconds that the transfer of tokens' KV cache takes within a failure domain.
+/// Returns the time to transfer the KV cache of so many tokens within a failure domain.
 #[must_use]
 pub fn transfer_ms(engine: &Engine, tokens: u64) -> f64 {
     if engine.link <= 0.0 {
@@ -163,59 +170,62 @@
     (tokens * engine.token * 8) as f64 / (engine.link * 1000.0)
 }
 
-/// Notes that an engine holds the shared parts of a prompt after a while.
+/// Records that an engine has the shared blocks of a prompt cached after some time.
 pub fn record_shared_blocks(instance: &mut Instance, prompt: &Prompt, now: Time, after: Duration) {
-    // What was fetched with a KV cache is kept like what was read.
-    for part in shared_blocks(&prompt.parts) {
-        record_block(instance, part.id, part.tokens, now, now.after(after));
+    // Blocks that came with a transferred KV cache are kept like prefilled ones.
+    for block in shared_blocks(&prompt.parts) {
+        record_block(instance, block.id, block.tokens, now, now.after(after));
     }
 }
 
-/// Notes that an engine holds a part from some time on.
+/// Records that an engine has a block cached from a time on.
 pub fn record_block(instance: &mut Instance, id: u64, tokens: u64, now: Time, ready: Time) {
     if tokens < MIN_BLOCK_TOKENS {
         return;
     }
-    let part = CachedBlock {
+    let block = CachedBlock {
         last_used: now,
         ready,
         tokens,
     };
-    let known = instance.parts.entry(id).or_insert(part);
+    let known = instance.parts.entry(id).or_insert(block);
     known.last_used = now;
     known.ready = known.ready.min(ready);
 }
 
-/// Notes what a prompt adds to an engine's memory, and which of its shared parts it then holds.
+/// Records what a prompt adds to an engine's memory, and the shared blocks that are then cached.
 pub fn record_prompt(instance: &mut Instance, prompt: &Prompt, now: Time, after: Duration) {
     let output = prompt.hint.unwrap_or(0).min(prompt.output);
     instance.fill(uncached_tokens(instance, prompt) + output, now);
     record_shared_blocks(instance, prompt, now, after);
 }
 
-/// Forgets the parts that an engine has likely dropped: those that were not used since about as
-/// many tokens were put into its memory as it holds.
+/// Drops the blocks that an engine has probably evicted: those not used while about as many tokens
+/// were added to its memory as it holds.
 ///
-/// All that passes through an engine takes memory, mostly prompts that no other request shares, and
-/// what was used least recently is dropped for it. A part that is taken for held and is not makes
-/// its engine read what was expected to be there, and everyone behind it wait; one that is held and
-/// taken for dropped costs a copy of nothing.
+/// Every prompt takes memory, mostly for tokens that no other request shares, and evicts the least
+/// recently used blocks. If an evicted block is assumed to be cached, its engine prefills it
+/// unexpectedly and all requests behind wait. A cached block that was dropped here costs a needless
+/// fetch.
 pub fn drop_evicted(instance: &mut Instance, memory: u64, now: Time) {
     let fill = instance.work().fill as f64;
     if fill > 0.0 {
-        let life = memory as f64 / fill;
+        let lifetime = memory as f64 / fill;
         instance
             .parts
-            .retain(|_, part| now.since(part.last_used).as_secs_f64() < life);
+            .retain(|_, block| now.since(block.last_used).as_secs_f64() < lifetime);
     }
-    let most = memory as f64 * SHARED_MEMORY_FRACTION;
+    let capacity = memory as f64 * SHARED_MEMORY_FRACTION;
     loop {
-        let sum: u64 = instance.parts.values().map(|part| part.tokens).sum();
-        if sum as f64 <= most {
+        let sum: u64 = instance.parts.values().map(|block| block.tokens).sum();
+        if sum as f64 <= capacity {
             return;
         }
-        let oldest = instance.parts.iter().min_by_key(|(_, part)| part.last_used);
-        let Some(oldest) = oldest.map(|(part, _)| *part) else {
+        let oldest = instance
+            .parts
+            .iter()
+            .min_by_key(|(_, block)| block.last_used);
+        let Some(oldest) = oldest.map(|(id, _)| *id) else {
             return;
         };
         instance.parts.remove(&oldest);
