--- a/src/core/relay/tests/budget.rs
+++ b/src/core/relay/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats over many hosts.
+//! The retry budget across many hosts.
 
 use std::time::Duration;
 
@@ -14,36 +14,36 @@
 };
 
 proptest! {
-    /// Backend servers fail, and every host repeats what it can. Together they must not send more
-    /// than the budget in any window, however requests are spread over them.
+    /// Backend servers fail, and every host retries as much as it may. Together the hosts must not
+    /// exceed the budget in any window, however requests are distributed over them.
     #[test]
     fn hosts_together_keep_the_budget(
         hosts in 1_usize..12,
         events in proptest::collection::vec((0_usize..12, 0_u64..60, any::<bool>()), 1..800),
     ) {
         let mut budgets = vec![RetryBudget::default(); hosts];
-        let (mut now, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
-        for (host, gap, repeat) in events {
+        let (mut now, mut requests, mut retries) = (0, Vec::new(), Vec::new());
+        for (host, gap, is_retry) in events {
             now += gap;
             let at = Time::from_millis(now);
             let budget = &mut budgets[host % hosts];
-            if repeat {
+            if is_retry {
                 if budget.try_spend(at, &RULES, hosts) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             } else {
                 budget.record_request(at);
                 requests.push(now);
             }
             let window = |times: &[u64]| times.iter().filter(|time| now - **time <= 10_000).count();
-            let most = RULES.ratio * window(&requests) as f64 + RULES.slack;
-            prop_assert!(window(&repeats) as f64 <= most);
+            let max = RULES.ratio * window(&requests) as f64 + RULES.slack;
+            prop_assert!(window(&retries) as f64 <= max);
         }
     }
 }
 
-/// Half of the hosts start anew with empty windows just after they spent their part. The margin
-/// covers one such restart of a third of them.
+/// Hosts restart with empty windows just after they used up their share. The margin covers one such
+/// restart of a third of the hosts.
 #[test]
 fn restarting_a_third_of_the_hosts_keeps_the_slack() {
     let now = Time::from_millis(1000);
--- a/src/core/relay/tests/handover.rs
+++ b/src/core/relay/tests/handover.rs
@@ -1,22 +1,22 @@
-//! Hand-overs of prompts from the engines that read them to those that generate.
+//! Handovers of prompts from prefill to decode engines.
 //!
-//! The pattern is that of sites whose engines differ in speed, and whose links are slow now and
-//! then: what a hand-over takes decides whether a prompt of half a second's reading is in time.
+//! Modelled on sites whose engines differ in speed and whose links are slow at times: the handover
+//! time decides whether a prompt with half a second of prefill meets its target.
 
 use super::*;
 use crate::core::relay::event::Task;
 
-/// Has one prompt read and handed over; returns the milliseconds expected of the hand-over.
+/// Has one prompt prefilled and handed over; returns the expected time of the handover.
 fn hand_over(site: &mut Site, own: u64, took: u64) -> f64 {
     site.arrive(prompt("/long/x", (own, 1000), own));
-    let sent = site.sent().expect("it is taken");
+    let sent = site.sent().expect("the request is admitted");
     assert_eq!(sent.task, Task::Prefill);
     site.now += 100;
     site.event(RelayEvent::Prefilled {
         attempt: sent.attempt,
         handle: "k".into(),
     });
-    let next = site.sent().expect("it is handed over");
+    let next = site.sent().expect("the prompt is handed over");
     let expected = site.core.relay.attempts[next.attempt].expected;
     site.now += took;
     site.event(RelayEvent::Piece {
@@ -27,8 +27,8 @@
     expected
 }
 
-/// Engines take hand-overs faster than those that the first figures come from. A prompt that would
-/// just be in time is given up for late as long as the old figure is expected.
+/// Engines take handovers faster than initially estimated. With the initial estimate, a prompt that
+/// would just meet its target counts as late.
 #[test]
 fn the_handover_time_is_learned() {
     let mut site = Site::new();
@@ -47,21 +47,21 @@
     );
 }
 
-/// The link of one engine that prefills carries KV caches at a crawl: each that it read waits for
-/// close to a second to be taken over, however short, while the engine reads as fast as ever. Callers
-/// whose prompts go on being read there wait for it, one behind the other.
+/// The link of one prefill engine is slow: the transfer of each KV cache takes close to a second,
+/// although the engine prefills at normal speed. Guards against sending it further prompts, whose
+/// transfers would queue there.
 #[test]
 fn an_engine_behind_a_slow_link_gets_few_prompts() {
     let mut site = Site::of_models();
-    let mut at_slow = (0, 0);
+    let mut slow_counts = (0, 0);
     for number in 0..60_u64 {
         site.arrive(prompt("/long/x", (number, 1000), 3000 + number));
-        let sent = site.sent().expect("it is taken");
+        let sent = site.sent().expect("the request is admitted");
         let slow = &*sent.instance == "p";
         let count = if number < 30 {
-            &mut at_slow.0
+            &mut slow_counts.0
         } else {
-            &mut at_slow.1
+            &mut slow_counts.1
         };
         *count += u32::from(slow);
         site.now += 100;
@@ -69,7 +69,7 @@
             attempt: sent.attempt,
             handle: "k".into(),
         });
-        let next = site.sent().expect("it is handed over");
+        let next = site.sent().expect("the prompt is handed over");
         site.now += if slow { 900 } else { 15 };
         site.event(RelayEvent::Piece {
             attempt: next.attempt,
@@ -77,17 +77,18 @@
         });
         site.event(RelayEvent::Whole(next.attempt));
     }
-    // Known after a few, it is tried again every few seconds.
-    assert!((1..=10).contains(&at_slow.0), "{at_slow:?}");
-    assert!(at_slow.1 <= 4, "{at_slow:?}");
+    // The delay is known after a few handovers; the engine is tried again every few seconds.
+    assert!((1..=10).contains(&slow_counts.0), "{slow_counts:?}");
+    assert!(slow_counts.1 <= 4, "{slow_counts:?}");
 }
 
-/// An engine that prefills drops its KV caches at once. Every engine that is to take one over
-/// refuses; blamed for it, they are avoided one after the other, and nothing is generated any more.
+/// A prefill engine loses its KV caches immediately, and every decode engine that should fetch one
+/// refuses. If the refusals counted against the decode engines, all of them would be avoided and
+/// nothing would be decoded any more.
 #[test]
 fn failed_handovers_count_against_the_source_engine() {
     let mut site = Site::of_models();
-    let mut read_there = 0;
+    let mut wasted = 0;
     for number in 0..60_u64 {
         site.arrive(prompt("/long/x", (number, 1000), 3000 + number));
         let mut sent = site.sent();
@@ -95,7 +96,7 @@
             site.now += 50;
             match out.task {
                 Task::Prefill => {
-                    read_there += u32::from(number >= 40 && &*out.instance == "p");
+                    wasted += u32::from(number >= 40 && &*out.instance == "p");
                     let handle = out.instance.clone();
                     site.event(RelayEvent::Prefilled {
                         attempt: out.attempt,
@@ -114,9 +115,9 @@
         }
         site.now += 50;
     }
-    assert!(read_there <= 6, "{read_there} of 20 prompts read in vain");
+    assert!(wasted <= 6, "{wasted} of 20 prompts prefilled without use");
     for id in ["d", "e"] {
-        let key = site.core.relay.instances.find(id).expect("known");
+        let key = site.core.relay.instances.find(id).expect("registered");
         let instance = &site.core.relay.instances.arena[key];
         assert!(instance.errors < 0.5, "{id}: {}", instance.errors);
     }
--- a/src/core/relay/tests/load.rs
+++ b/src/core/relay/tests/load.rs
@@ -1,8 +1,8 @@
-//! Where work goes and who is refused, on days with more than can be served in time.
+//! Placement and admission under more load than can be served in time.
 //!
-//! The pattern is that of sites whose long prompts share first parts of some 13,000 tokens, beside
-//! many short prompts, with bursts of a few seconds that swing the mix. Engines read some 40 tokens
-//! a millisecond, and read admitted prompts in the order in which they came.
+//! Modelled on sites whose long prompts share prefixes of about 13,000 tokens, mixed with many short
+//! prompts in bursts of a few seconds. Engines prefill about 40 tokens per millisecond, and prefill
+//! admitted prompts in order of arrival.
 
 use super::*;
 use crate::core::relay::event::{Gossip, LoadReport, PrefixReport, Task};
@@ -20,7 +20,7 @@
     site
 }
 
-fn word(host: &str, number: u64) -> Gossip {
+fn gossip(host: &str, number: u64) -> Gossip {
     Gossip {
         host: host.into(),
         incarnation: 1,
@@ -37,8 +37,8 @@
     );
 }
 
-/// Requests with one first part go to the engine that has read it, until waiting there costs more
-/// than reading it again elsewhere.
+/// Requests with the same prefix go to the engine that has it cached, until waiting there costs more
+/// than prefilling it again elsewhere.
 #[test]
 fn a_shared_prefix_is_prefilled_at_one_engine_until_it_is_full() {
     let mut site = site();
@@ -56,7 +56,7 @@
     assert!(engines.iter().any(|id| *id != engines[0]), "{engines:?}");
 }
 
-/// Another host has sent a part to an engine; this one sends its own requests there, too.
+/// Another host has sent a prefix to an engine; this host sends requests with that prefix there too.
 #[test]
 fn prefixes_cached_for_other_hosts_are_used() {
     for engine in ["p", "q", "r"] {
@@ -68,14 +68,15 @@
                 tokens: 13_000,
                 instance: short(engine),
             }],
-            ..word("host-2", 1)
+            ..gossip("host-2", 1)
         })));
         site.arrive(prompt("/long/x", (1, 13_000), 1000));
         assert_eq!(site.sent().map(|sent| sent.instance), Some(engine.into()));
     }
 }
 
-/// Every host sees a ninth of the requests. An engine that looks idle here is full of others' work.
+/// Every host sees only its part of the requests: an engine that is idle by this host's own work may
+/// be full of others'.
 #[test]
 fn work_of_other_hosts_counts() {
     let mut site = site();
@@ -88,23 +89,23 @@
     };
     site.event(RelayEvent::Gossiped(Box::new(Gossip {
         loads: vec![busy("p"), busy("q")],
-        ..word("host-2", 2)
+        ..gossip("host-2", 2)
     })));
     site.arrive(prompt("/long/x", (1, 13_000), 1000));
     assert_eq!(site.sent().map(|sent| sent.instance), Some("r".into()));
-    // Datagrams overtake each other: an older message changes nothing.
-    site.event(RelayEvent::Gossiped(Box::new(word("host-2", 1))));
+    // Datagrams may arrive out of order: an older message changes nothing.
+    site.event(RelayEvent::Gossiped(Box::new(gossip("host-2", 1))));
     site.arrive(prompt("/long/y", (2, 13_000), 1000));
     let sent = site.sent().map(|sent| sent.instance);
     assert!(sent != Some("p".into()) && sent != Some("q".into()));
-    // A host that fell silent counts for nothing after a while.
+    // The work of a host without recent messages is dropped after a while.
     site.pass(3000);
-    let key = site.core.relay.instances.find("p").expect("known");
+    let key = site.core.relay.instances.find("p").expect("registered");
     assert_eq!(site.core.relay.instances.arena[key].theirs.tokens, 0);
 }
 
-/// A burst of long prompts is more than the engines can read in time. What would come late anyway
-/// is refused with a time to come back, at once, and short prompts go on being in time.
+/// A burst of long prompts exceeds what the engines can prefill in time. Those that would be late are
+/// refused immediately with a time to retry after, and short prompts still meet their target.
 #[test]
 fn a_burst_of_long_prompts_leaves_short_ones_in_time() {
     let mut site = site();
@@ -124,7 +125,7 @@
     }
 }
 
-/// Long prompts read at an engine that decodes hold up every stream and every hand-over there.
+/// Long prompts prefilled at a decode engine would delay every stream and handover there.
 #[test]
 fn long_prompts_are_not_prefilled_at_decoding_engines() {
     let mut site = site();
@@ -136,8 +137,8 @@
     }
 }
 
-/// Short prompts fill both kinds of engine: handed over where those that prefill are free, read
-/// whole where they are not.
+/// Short prompts use both kinds of engine: prefill engines and a handover while these have capacity,
+/// decode engines alone otherwise.
 #[test]
 fn short_prompts_use_engines_of_both_stages() {
     let mut site = site();
@@ -149,7 +150,7 @@
     assert!((20..180).contains(&whole), "{whole} of 200");
 }
 
-/// An engine twice as slow as the others gets less, once that is known.
+/// An engine slower than the others gets fewer prompts once its slowdown is known.
 #[test]
 fn a_slow_engine_gets_fewer_prompts() {
     let mut site = site();
@@ -176,8 +177,8 @@
     assert!(slow.1 < slow.0.max(1) && slow.1 <= 5, "{slow:?}");
 }
 
-/// An engine refuses nearly all it gets while it is well by its own account. It looks idle, draws
-/// every request, and each refusal uses up one of the few repeats: callers are then refused for it.
+/// An engine refuses nearly all requests although it reports itself healthy. It looks idle and would
+/// get every request, and each refusal costs a retry until the retry budget is exhausted.
 #[test]
 fn a_refusing_engine_gets_few_requests() {
     let mut site = site();
--- a/src/core/relay/tests/planner.rs
+++ b/src/core/relay/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: only with the authority, only while it lasts.
+//! Orders to engines: only with the authority, and only until its lease ends.
 
 use super::*;
 use crate::core::event::Job;
@@ -6,7 +6,7 @@
 use crate::core::relay::{RelayJob, RelayTimer};
 use crate::store::TxnReply;
 
-/// Returns a host before four engines that all decode.
+/// Returns a host with four decode engines.
 fn site() -> Site {
     let mut site = Site::new();
     site.changed(Changes {
@@ -25,8 +25,8 @@
     site.apply(Event::Timer(Timer::Relay(RelayTimer::Plan)));
 }
 
-/// Has the host take the authority with this fencing number.
-fn take(site: &mut Site, fence: i64) {
+/// Has the host acquire the authority with this fencing number.
+fn acquire(site: &mut Site, fence: i64) {
     let mut job = None;
     for _ in 0..50 {
         plan(site);
@@ -38,7 +38,7 @@
             break;
         }
     }
-    site.reply(job.expect("it asks for a lease"), StoreResult::Lease(9));
+    site.reply(job.expect("a lease is requested"), StoreResult::Lease(9));
     assert!(
         site.out
             .iter()
@@ -54,8 +54,8 @@
     );
 }
 
-/// Renews the lease for as long as the plan needs to see that the engines stay.
-fn settle(site: &mut Site) {
+/// Renews the lease until the number of engines counts as stable.
+fn stabilize(site: &mut Site) {
     plan(site);
     for _ in 0..4 {
         site.now += 500;
@@ -64,12 +64,12 @@
     }
 }
 
-fn asked(site: &Site) -> Vec<Box<str>> {
-    let asked = site.out.iter().filter_map(|effect| match effect {
+fn requested(site: &Site) -> Vec<Box<str>> {
+    let requested = site.out.iter().filter_map(|effect| match effect {
         Effect::Relay(RelayEffect::Report { instance, .. }) => Some(instance.clone()),
         _ => None,
     });
-    asked.collect()
+    requested.collect()
 }
 
 fn report(site: &mut Site, id: &str, orders: u64) -> Option<StageOrder> {
@@ -90,65 +90,66 @@
 #[test]
 fn an_order_carries_the_fencing_number_and_the_expected_state() {
     let mut site = site();
-    take(&mut site, 41);
-    settle(&mut site);
+    acquire(&mut site, 41);
+    stabilize(&mut site);
     plan(&mut site);
-    let asked = asked(&site);
-    assert_eq!(asked.len(), 1, "one at a time of so few");
-    let order = report(&mut site, &asked[0], 3).expect("ordered");
+    let requested = requested(&site);
+    assert_eq!(requested.len(), 1, "of four engines one changes at a time");
+    let order = report(&mut site, &requested[0], 3).expect("an order is sent");
     assert_eq!((order.fence, order.expected), (41, 3));
     assert_eq!(order.stage, Stage::Prefill);
 }
 
-/// The holder's process is frozen after its engine told its state, past the life of its lease. When
-/// it wakes another may hold the authority: two orders would meet at one engine.
+/// The holder is suspended after its engine has reported its state, until its lease has expired.
+/// Another host may hold the authority when it resumes, and two orders would reach one engine.
 #[test]
 fn a_holder_resumed_after_its_lease_gives_no_order() {
     let mut site = site();
-    take(&mut site, 41);
-    settle(&mut site);
+    acquire(&mut site, 41);
+    stabilize(&mut site);
     plan(&mut site);
-    let asked = asked(&site);
+    let requested = requested(&site);
     site.now += 4000;
-    assert_eq!(report(&mut site, &asked[0], 3), None);
+    assert_eq!(report(&mut site, &requested[0], 3), None);
     plan(&mut site);
-    assert!(self::asked(&site).is_empty());
+    assert!(self::requested(&site).is_empty());
 }
 
-/// A lease is counted from before it was asked for: an answer that took long leaves little of it.
+/// A lease counts from before it was requested: a late reply leaves little of it.
 #[test]
 fn a_renewed_lease_counts_from_its_request() {
     let mut site = site();
-    take(&mut site, 41);
-    settle(&mut site);
-    let asked_at = Time::from_millis(site.now);
+    acquire(&mut site, 41);
+    stabilize(&mut site);
+    let requested_at = Time::from_millis(site.now);
     site.now += 2600;
-    let job = Job::Relay(RelayJob::AuthorityLease(asked_at), 0);
+    let job = Job::Relay(RelayJob::AuthorityLease(requested_at), 0);
     site.reply(job, StoreResult::Lease(9));
     site.now += 200;
     plan(&mut site);
-    assert!(asked(&site).is_empty());
+    assert!(requested(&site).is_empty());
 }
 
-/// Another host took the authority. Its number is higher; this one is never used again.
+/// Another host has acquired the authority with a higher fencing number. The lower one must not be
+/// used again.
 #[test]
 fn a_holder_that_was_replaced_gives_no_order() {
     let mut site = site();
-    take(&mut site, 41);
-    settle(&mut site);
+    acquire(&mut site, 41);
+    stabilize(&mut site);
     site.key("planner", Some("host-2"), 50);
     plan(&mut site);
-    assert!(asked(&site).is_empty());
+    assert!(requested(&site).is_empty());
 }
 
 #[test]
 fn a_fenced_number_is_not_used_again() {
     let mut site = site();
-    take(&mut site, 41);
-    settle(&mut site);
+    acquire(&mut site, 41);
+    stabilize(&mut site);
     plan(&mut site);
-    let asked = asked(&site);
-    let order = report(&mut site, &asked[0], 3).expect("ordered");
+    let requested = requested(&site);
+    let order = report(&mut site, &requested[0], 3).expect("an order is sent");
     site.event(RelayEvent::Ordered {
         instance: order.instance,
         fence: 41,
@@ -156,25 +157,25 @@
     });
     site.now += 5000;
     plan(&mut site);
-    assert!(self::asked(&site).is_empty());
+    assert!(self::requested(&site).is_empty());
 }
 
-/// An order got no answer and may be carried out seconds later. The engine gets no other until
+/// An order without an answer may be carried out seconds later. The engine gets no other one until
 /// then.
 #[test]
 fn an_unanswered_order_is_not_followed_by_another() {
     let mut site = site();
-    take(&mut site, 41);
-    settle(&mut site);
+    acquire(&mut site, 41);
+    stabilize(&mut site);
     plan(&mut site);
-    let first = asked(&site);
-    report(&mut site, &first[0], 3).expect("ordered");
+    let first = requested(&site);
+    report(&mut site, &first[0], 3).expect("an order is sent");
     site.event(RelayEvent::Ordered {
         instance: first[0].clone(),
         fence: 41,
         result: OrderResult::Unknown,
     });
-    settle(&mut site);
+    stabilize(&mut site);
     plan(&mut site);
-    assert!(!asked(&site).contains(&first[0]));
+    assert!(!requested(&site).contains(&first[0]));
 }
--- a/src/core/relay/tests/prefix_cache.rs
+++ b/src/core/relay/tests/prefix_cache.rs
@@ -1,8 +1,8 @@
-//! Parts that many prompts share, where one engine cannot serve all that share one.
+//! Prefixes shared by more prompts than one engine can serve.
 //!
-//! The pattern is that of sites whose long prompts have some 13,000 tokens in common with others
-//! and 3,700 of their own. Engines read some 40 tokens a millisecond; their links carry 370 Gbit/s,
-//! so that a part of 240 MB is copied in about 10 ms.
+//! Modelled on sites whose long prompts share about 13,000 tokens with others and have 3,700 of their
+//! own. Engines prefill about 40 tokens per millisecond; their links carry 370 Gbit/s, so that a
+//! prefix of 240 MB is copied in about 10 ms.
 
 use super::*;
 use crate::core::relay::event::{Gossip, LoadReport, PrefixReport, Task};
@@ -11,7 +11,7 @@
 const SHARED: u64 = 13_000;
 const OWN: u64 = 3700;
 
-/// Returns a host before engines in one failure domain, and one that stands in another.
+/// Returns a host with engines in one failure domain, and one in another.
 fn site() -> Site {
     let mut site = Site::new();
     let far = Entry {
@@ -33,15 +33,15 @@
     site
 }
 
-/// Has another host tell of its work, and of a shared part that engines hold.
-fn told(site: &mut Site, number: u64, busy: &[&str], holding: &[&str]) {
+/// Receives gossip about work at busy engines, and about engines that have a shared block cached.
+fn receive(site: &mut Site, number: u64, busy: &[&str], caching: &[&str]) {
     let loads = busy.iter().map(|id| LoadReport {
         instance: short(id),
         calls: 3,
         fill: 0,
         tokens: 12_000,
     });
-    let parts = holding.iter().map(|id| PrefixReport {
+    let parts = caching.iter().map(|id| PrefixReport {
         part: 1,
         tokens: 13_000,
         instance: short(id),
@@ -57,20 +57,20 @@
 }
 
 fn addr(site: &Site, id: &str) -> SocketAddr {
-    let key = site.core.relay.instances.find(id).expect("known");
+    let key = site.core.relay.instances.find(id).expect("registered");
     site.core.relay.instances.arena[key].addr
 }
 
-/// The engine that holds a prompt's first part is busy. Reading the part again elsewhere takes
-/// hundreds of milliseconds; the caller gets its first token far sooner if it is copied.
+/// The engine that has a prompt's prefix cached is busy. Prefilling the prefix again elsewhere takes
+/// hundreds of milliseconds; copying it gives the first token far sooner.
 #[test]
 fn a_prefix_cached_at_a_busy_engine_is_copied() {
     let mut site = site();
-    told(&mut site, 1, &[], &["p"]);
+    receive(&mut site, 1, &[], &["p"]);
     site.pass(200);
-    told(&mut site, 2, &["p"], &[]);
+    receive(&mut site, 2, &["p"], &[]);
     site.arrive(prompt("/long/x", (1, SHARED), OWN));
-    let sent = site.sent().expect("it is taken");
+    let sent = site.sent().expect("the request is admitted");
     assert!(&*sent.instance != "p", "{sent:?}");
     assert_eq!(sent.fetch, Some(addr(&site, "p")));
     let key = site
@@ -78,52 +78,52 @@
         .relay
         .instances
         .find(&sent.instance)
-        .expect("known");
+        .expect("registered");
     let own = site.core.relay.instances.arena[key].own;
-    assert_eq!(own.tokens, OWN, "what is copied is not read");
+    assert_eq!(own.tokens, OWN, "copied tokens are not prefilled");
 }
 
-/// A transfer between failure domains takes twice as long, so the nearer holder gives its copy.
+/// A transfer between failure domains takes twice as long as one within a domain.
 #[test]
 fn a_prefix_is_copied_within_the_failure_domain() {
     let mut site = site();
-    told(&mut site, 1, &[], &["p", "r"]);
+    receive(&mut site, 1, &[], &["p", "r"]);
     site.pass(200);
-    told(&mut site, 2, &["p", "r"], &[]);
+    receive(&mut site, 2, &["p", "r"], &[]);
     site.arrive(prompt("/long/x", (1, SHARED), OWN));
-    let sent = site.sent().expect("it is taken");
+    let sent = site.sent().expect("the request is admitted");
     assert_eq!(sent.fetch, Some(addr(&site, "p")), "{sent:?}");
 }
 
-/// An engine that is still reading a part has nothing to give. One that is told to copy it finds
-/// nothing there and reads all of it, behind callers that counted on a short wait.
+/// An engine that is still prefilling a block has nothing to copy. Guards against a fetch that finds
+/// nothing, after which the engine prefills all tokens and delays the requests behind.
 #[test]
 fn a_prefix_not_yet_prefilled_is_not_copied() {
     let mut site = site();
     site.arrive(prompt("/long/x", (1, SHARED), OWN));
-    let first = site.sent().expect("it is taken");
+    let first = site.sent().expect("the request is admitted");
     for _ in 0..4 {
         site.arrive(prompt("/long/x", (1, SHARED), OWN));
         assert!(site.sent().is_none_or(|sent| sent.fetch.is_none()));
     }
-    // The engine that has read it gives it, whichever else were sent it meanwhile.
+    // Once prefilled, the block is copied from that engine, whichever others were sent it meanwhile.
     let mut site = self::site();
     site.arrive(prompt("/long/x", (1, SHARED), OWN));
-    let read = site.sent().expect("it is taken");
-    assert_eq!(read.instance, first.instance);
+    let prefill = site.sent().expect("the request is admitted");
+    assert_eq!(prefill.instance, first.instance);
     site.pass(1000);
-    told(&mut site, 1, &[&read.instance], &[]);
+    receive(&mut site, 1, &[&prefill.instance], &[]);
     site.arrive(prompt("/long/x", (1, SHARED), OWN));
-    let sent = site.sent().expect("it is taken");
-    assert_eq!(sent.fetch, Some(addr(&site, &read.instance)), "{sent:?}");
+    let sent = site.sent().expect("the request is admitted");
+    assert_eq!(sent.fetch, Some(addr(&site, &prefill.instance)), "{sent:?}");
 }
 
-/// An engine that is leaving, or that failed this very request, gives no copy: the request would
-/// wait for a transfer that does not come.
+/// Blocks are not copied from an engine that is leaving: the request would wait for a transfer that
+/// never completes.
 #[test]
 fn no_prefix_is_copied_from_a_leaving_engine() {
     let mut site = site();
-    told(&mut site, 1, &[], &["p"]);
+    receive(&mut site, 1, &[], &["p"]);
     site.pass(200);
     site.register(vec![Entry {
         leaving: true,
@@ -133,13 +133,13 @@
     assert_eq!(site.sent().and_then(|sent| sent.fetch), None);
 }
 
-/// Prompts that nobody else shares pass through an engine until as many tokens as its memory holds
-/// came after a shared part. The part is dropped there. Taken for held, it is read where nobody
-/// expects it, and all callers behind it wait for longer than they were told.
+/// Unshared prompts fill an engine's memory after a shared block was used last, and the engine evicts
+/// the block. If the host assumed it to be cached, the engine would prefill it unexpectedly, and all
+/// requests behind would wait longer than estimated.
 #[test]
 fn a_cached_block_is_dropped_once_other_prompts_filled_the_memory() {
     let mut site = site();
-    told(&mut site, 1, &[], &["p"]);
+    receive(&mut site, 1, &[], &["p"]);
     let fill = LoadReport {
         instance: short("p"),
         fill: 300_000,
@@ -155,23 +155,23 @@
             loads: vec![fill],
             ..Gossip::default()
         })));
-        let key = site.core.relay.instances.find("p").expect("known");
-        let held = site.core.relay.instances.arena[key].parts.len();
+        let key = site.core.relay.instances.find("p").expect("registered");
+        let cached = site.core.relay.instances.arena[key].parts.len();
         let millis = (number - 1) * 150;
         if !(1500..=2100).contains(&millis) {
-            assert_eq!(held, usize::from(millis < 1500), "after {millis} ms");
+            assert_eq!(cached, usize::from(millis < 1500), "after {millis} ms");
         }
     }
     site.arrive(prompt("/long/x", (1, SHARED), OWN));
-    let sent = site.sent().expect("it is taken");
+    let sent = site.sent().expect("the request is admitted");
     assert_eq!(sent.fetch, None);
     let tokens = site.core.relay.attempts[sent.attempt].work.tokens;
-    assert_eq!(tokens, SHARED + OWN, "all of it is read");
+    assert_eq!(tokens, SHARED + OWN, "the whole prompt is prefilled");
 }
 
-/// Long prompts come over twelve shared parts, ten over one of them at a time: the engine that holds
-/// it is behind at once. Each part was read before. Where engines read again what a busy one holds,
-/// they took 66 of these 120 and read 13 parts again; the others were refused.
+/// Long prompts arrive for 12 cached prefixes, ten in a row for each, so that the engine which has
+/// the prefix cached is soon overloaded. If other engines prefilled it again instead of copying it,
+/// about half of the 120 prompts would be refused.
 #[test]
 fn a_burst_over_cached_prefixes_prefills_few_of_them_again() {
     let mut site = site();
@@ -181,56 +181,56 @@
         start(&mut site, &mut running);
         run(&mut site, &mut running, 1000);
     }
-    let (mut taken, mut read) = (0, 0);
+    let (mut admitted, mut prefilled) = (0, 0);
     for number in 0..120_u64 {
         site.arrive(prompt("/long/x", (number / 10 % 12, SHARED), OWN));
         if let Some(tokens) = start(&mut site, &mut running) {
-            taken += 1;
-            read += tokens;
+            admitted += 1;
+            prefilled += tokens;
         }
         run(&mut site, &mut running, 30);
     }
-    let again = read - taken * OWN;
-    assert!(taken >= 110, "{taken} of 120 taken");
+    let repeated = prefilled - admitted * OWN;
+    assert!(admitted >= 110, "{admitted} of 120 admitted");
     assert!(
-        again <= 2 * SHARED,
-        "{again} tokens of shared parts read again"
+        repeated <= 2 * SHARED,
+        "{repeated} tokens of shared prefixes prefilled again"
     );
 }
 
-/// A caller names a shared part that is longer than its whole prompt. Counted as saved in full, it
-/// would leave fewer than no tokens to read, and the host would take that engine for full for ever.
+/// A caller declares a shared block that is longer than its whole prompt. Counted in full, it would
+/// leave a negative number of tokens to prefill, and the host would rate that engine as full forever.
 #[test]
 fn a_block_longer_than_its_prompt_saves_no_more_than_the_prompt() {
     let mut site = site();
-    told(&mut site, 1, &[], &["p"]);
+    receive(&mut site, 1, &[], &["p"]);
     site.pass(200);
-    told(&mut site, 2, &["p"], &[]);
+    receive(&mut site, 2, &["p"], &[]);
     let mut arrival = prompt("/long/x", (1, SHARED), OWN);
     if let Some(prompt) = &mut arrival.prompt {
         prompt.tokens = 1000;
     }
     site.arrive(arrival);
-    let sent = site.sent().expect("it is taken");
+    let sent = site.sent().expect("the request is admitted");
     let tokens = site.core.relay.attempts[sent.attempt].work.tokens;
     assert!(tokens <= 1000, "{tokens}");
 }
 
-/// Every hand-over leaves a copy of the shared part at the engine that generates. Where each request
-/// leaves one at another engine, parts fill the memory of all of them and push each other out.
+/// Every handover leaves a copy of the shared prefix at the decode engine. If each request left one at
+/// another engine, copies would fill the memory of all engines and evict other blocks.
 #[test]
 fn handovers_go_to_the_engine_that_caches_the_prefix() {
     let mut site = site();
     let mut engines = Vec::new();
     for _ in 0..6 {
         site.arrive(prompt("/long/x", (1, SHARED), OWN));
-        let sent = site.sent().expect("it is taken");
+        let sent = site.sent().expect("the request is admitted");
         site.pass(600);
         site.event(RelayEvent::Prefilled {
             attempt: sent.attempt,
             handle: "k".into(),
         });
-        let next = site.sent().expect("it is handed over");
+        let next = site.sent().expect("the prompt is handed over");
         engines.push(next.instance);
     }
     assert!(engines.iter().all(|id| *id == engines[0]), "{engines:?}");
@@ -239,17 +239,17 @@
 /// Requests at engines, and when each engine is done with them.
 type Running = Vec<(u64, Outgoing)>;
 
-/// Takes up what was just sent; returns the tokens to be read for it.
+/// Adds the request just sent; returns its tokens to prefill.
 fn start(site: &mut Site, running: &mut Running) -> Option<u64> {
     let sent = site.sent()?;
     let key = site.core.relay.instances.find(&sent.instance)?;
-    let waits = site.core.relay.instances.arena[key].own.tokens / 40;
+    let wait = site.core.relay.instances.arena[key].own.tokens / 40;
     let tokens = site.core.relay.attempts[sent.attempt].work.tokens;
-    running.push((site.now + waits + 60, sent));
+    running.push((site.now + wait + 60, sent));
     Some(tokens)
 }
 
-/// Lets time pass, and engines get on with their requests.
+/// Advances the time, and the engines' work on their requests.
 fn run(site: &mut Site, running: &mut Running, millis: u64) {
     for _ in 0..millis / 10 {
         site.pass(10);
--- a/src/core/relay/tests/request.rs
+++ b/src/core/relay/tests/request.rs
@@ -1,30 +1,31 @@
-//! Plain requests: what is refused, repeated and given up.
+//! Plain requests: refusals, retries, time-outs and crashes.
 
 use super::*;
 
-/// A backend server resets a connection on which a request is under way. Whether it ran is not
-/// known: told "not run", the caller would send a booking twice.
+/// A backend server resets a connection with a request in progress. It is unknown whether the request
+/// ran: if the answer said "not run", the caller would send a booking twice.
 #[test]
 fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b")]);
     site.arrive(call("/once/x"));
-    let sent = site.sent().expect("sent");
+    let sent = site.sent().expect("a request is sent");
     site.broke(sent.attempt, Ran::Unknown, Break::Cut);
     assert!(site.sent().is_none());
-    let (_, ran, _) = site.refused().expect("an answer");
+    let (_, ran, _) = site.refused().expect("the request is refused");
     assert_eq!(ran, Ran::Unknown);
 }
 
-/// A backend server says that it is full. The request did not run, and another one takes it.
+/// A backend server refuses a request because it is full. The request did not run, and goes to another
+/// server.
 #[test]
 fn a_refused_request_goes_to_another_server() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b")]);
     site.arrive(call("/once/x"));
-    let first = site.sent().expect("sent");
+    let first = site.sent().expect("a request is sent");
     site.broke(first.attempt, Ran::No, Break::Refused);
-    let second = site.sent().expect("sent again");
+    let second = site.sent().expect("a retry is sent");
     assert_ne!(second.instance, first.instance);
     site.event(RelayEvent::Answered {
         attempt: second.attempt,
@@ -33,14 +34,14 @@
     assert!(site.did(|effect| matches!(effect, RelayEffect::Pass(_))));
 }
 
-/// Nothing listens at the only address. The caller is told at once that the request did not run,
-/// and when to come back.
+/// Nothing listens at the only address. The caller immediately gets a refusal as not run, with a time
+/// to retry after.
 #[test]
 fn an_undeliverable_request_is_refused_as_not_run() {
     let mut site = Site::new();
     site.register(vec![plain("a")]);
     site.arrive(call("/once/x"));
-    let mut sent = site.sent().expect("sent");
+    let mut sent = site.sent().expect("a request is sent");
     for _ in 0..3 {
         site.broke(sent.attempt, Ran::No, Break::Unreachable);
         match site.sent() {
@@ -48,42 +49,42 @@
             None => break,
         }
     }
-    let (status, ran, retry) = site.refused().expect("an answer");
+    let (status, ran, retry) = site.refused().expect("the request is refused");
     assert_eq!((status, ran), (503, Ran::No));
     assert!(retry.is_some());
 }
 
-/// A backend server answers 500 to a request that may run again; another one may answer it in
-/// time, and the caller notices nothing.
+/// A backend server answers 500 to an idempotent request. It is retried at another server, which may
+/// still answer in time.
 #[test]
 fn a_failed_idempotent_request_is_retried_once() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b")]);
     site.arrive(call("/again/x"));
-    let first = site.sent().expect("sent");
+    let first = site.sent().expect("a request is sent");
     site.event(RelayEvent::Answered {
         attempt: first.attempt,
         status: 500,
     });
-    let second = site.sent().expect("sent again");
+    let second = site.sent().expect("a retry is sent");
     assert_ne!(second.instance, first.instance);
     site.event(RelayEvent::Answered {
         attempt: second.attempt,
         status: 500,
     });
-    // The route allows two runs: the second failure is the answer.
+    // The route allows two runs: the second failure is forwarded.
     assert!(site.sent().is_none());
     assert!(site.did(|effect| matches!(effect, RelayEffect::Pass(_))));
 }
 
-/// The caller waits longer than the operator wants it kept waiting. It gets its final answer at
-/// the route's time, and the work is called off.
+/// The caller's deadline is longer than the route's time-out. The caller gets its final answer at the
+/// time-out, and the attempt is cancelled.
 #[test]
 fn the_route_timeout_ends_a_request() {
     let mut site = Site::new();
     site.register(vec![plain("a")]);
     site.arrive(call("/once/x"));
-    let sent = site.sent().expect("sent");
+    let sent = site.sent().expect("a request is sent");
     assert_eq!(sent.left, Duration::from_secs(4));
     let before = site.pass(3900);
     assert!(!did(&before, |effect| matches!(
@@ -101,15 +102,15 @@
     )));
 }
 
-/// A backend server hangs while others answer. What may run again goes elsewhere before its
-/// wanted time is long over; what may not waits.
+/// A backend server hangs while others answer. An idempotent request moves to another server soon
+/// after its target; other requests wait.
 #[test]
 fn only_idempotent_requests_leave_a_silent_server() {
     for (path, again) in [("/again/x", true), ("/once/x", false)] {
         let mut site = Site::new();
         site.register(vec![plain("a"), plain("b")]);
         site.arrive(call(path));
-        let first = site.sent().expect("sent");
+        let first = site.sent().expect("a request is sent");
         let out = site.pass(1000);
         let moved = sent(&out)
             .iter()
@@ -118,7 +119,7 @@
     }
 }
 
-/// The caller closes its connection; a backend server that worked on would work for nobody.
+/// The caller closes its connection: the attempt is cancelled, as nobody would receive the answer.
 #[test]
 fn a_disconnected_caller_ends_its_attempt() {
     let mut site = Site::new();
@@ -129,20 +130,20 @@
     assert!(site.core.relay.calls.is_empty());
 }
 
-/// One request crashes every backend server that begins to run it, and its caller sends it again.
-/// After two it is refused; the others go on.
+/// One request crashes every backend server that starts to run it, and its caller sends it again.
+/// After two crashes it is refused; other requests are not.
 #[test]
 fn a_request_that_crashes_two_servers_is_refused() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b"), plain("c")]);
     for _ in 0..2 {
         site.arrive(call("/once/x"));
-        let sent = site.sent().expect("sent");
+        let sent = site.sent().expect("a request is sent");
         site.broke(sent.attempt, Ran::Unknown, Break::Cut);
     }
     site.arrive(call("/once/x"));
     assert!(site.sent().is_none());
-    let (_, ran, _) = site.refused().expect("an answer");
+    let (_, ran, _) = site.refused().expect("the request is refused");
     assert_eq!(ran, Ran::No);
     let other = Arrival {
         print: Print([2; 16]),
@@ -152,14 +153,14 @@
     assert!(site.sent().is_some());
 }
 
-/// Answers are lost now and then without a death. A request that was answered since is no suspect.
+/// Answers can be lost without a crash. A request that was answered since is no longer suspected.
 #[test]
 fn a_request_that_is_answered_is_no_longer_suspected() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b"), plain("c")]);
     for lost in [true, false, true, false, true] {
         site.arrive(call("/once/x"));
-        let sent = site.sent().expect("sent");
+        let sent = site.sent().expect("a request is sent");
         if lost {
             site.broke(sent.attempt, Ran::Unknown, Break::Cut);
         } else {
--- a/src/core/relay/tests/sampling.rs
+++ b/src/core/relay/tests/sampling.rs
@@ -1,15 +1,15 @@
-//! Where requests go that many hosts take in at the same moment.
+//! Requests that arrive at many hosts at the same time.
 //!
-//! The pattern is that of sites with hundreds of hosts, where as many requests arrive between two messages
-//! of the hosts as there are engines.
+//! Modelled on sites with hundreds of hosts, where as many requests arrive between two gossip messages
+//! as there are engines.
 
 use super::*;
 
 /// Engines of each stage.
 const ENGINES: u8 = 40;
 
-/// Returns a host that knows so many others and takes in a request every 100 ms.
-fn beside(host: usize, hosts: usize) -> Site {
+/// Returns one of so many hosts, at which a request arrives every 100 ms.
+fn host(host: usize, hosts: usize) -> Site {
     let mut site = Site::named(&format!("host-{host}"), host as u64);
     site.configure(catalog(1));
     let engines = (0..ENGINES).flat_map(|at| {
@@ -31,36 +31,36 @@
     site
 }
 
-/// Returns the most requests that one engine gets where each of so many hosts sends one.
-fn most(hosts: usize, shared: impl Fn(usize) -> u64) -> usize {
+/// Returns the most requests at one engine if each of so many hosts sends one.
+fn max_per_engine(hosts: usize, shared: impl Fn(usize) -> u64) -> usize {
     let mut counts: BTreeMap<Box<str>, usize> = BTreeMap::new();
-    for host in 0..hosts {
-        let mut site = beside(host, hosts);
-        site.arrive(prompt("/long/x", (shared(host), 13_000), 3000));
-        let sent = site.sent().expect("taken");
+    for at in 0..hosts {
+        let mut site = host(at, hosts);
+        site.arrive(prompt("/long/x", (shared(at), 13_000), 3000));
+        let sent = site.sent().expect("the request is admitted");
         *counts.entry(sent.instance).or_default() += 1;
     }
     counts.into_values().max().unwrap_or(0)
 }
 
-/// All hosts hold the same engine for the best until the next message, and send all they get to it.
+/// Without sampling, all hosts would choose the same best engine until the next gossip message.
 #[test]
 fn hosts_without_recent_reports_choose_different_engines() {
-    let most = most(120, |host| host as u64);
-    assert!(most <= 12, "{most} of 120 at one engine");
+    let max = max_per_engine(120, |host| host as u64);
+    assert!(max <= 12, "{max} of 120 requests at one engine");
 }
 
-/// Two hosts hear of each other before the next request arrives: each takes the best of all engines.
+/// Two hosts exchange reports before the next request arrives: each chooses the best of all engines.
 #[test]
 fn a_host_with_recent_reports_chooses_among_all_engines() {
-    let mut site = beside(0, 2);
-    let busy: Vec<Box<str>> = (0..2 * usize::from(ENGINES) - 1)
+    let mut site = host(0, 2);
+    let chosen: Vec<Box<str>> = (0..2 * usize::from(ENGINES) - 1)
         .filter_map(|own| {
             site.arrive(prompt("/long/x", (own as u64, 13_000), 3000));
             site.sent().map(|sent| sent.instance)
         })
         .collect();
     let prefill: std::collections::BTreeSet<&Box<str>> =
-        busy.iter().filter(|id| id.starts_with('p')).collect();
+        chosen.iter().filter(|id| id.starts_with('p')).collect();
     assert_eq!(prefill.len(), usize::from(ENGINES));
 }
--- a/src/core/relay/tests/stream.rs
+++ b/src/core/relay/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Streams: prefill apart, hand-over, resumption.
+//! Streams: separate prefill, handover, resumption.
 
 use super::*;
 use crate::core::relay::event::Task;
@@ -8,7 +8,7 @@
         attempt,
         handle: "k".into(),
     });
-    site.sent().expect("handed over")
+    site.sent().expect("the prompt is handed over")
 }
 
 fn piece(site: &mut Site, attempt: AttemptKey, number: u64) -> bool {
@@ -20,7 +20,7 @@
 fn a_long_prompt_is_prefilled_apart_and_handed_over() {
     let mut site = Site::of_models();
     site.arrive(prompt("/long/x", (1, 13_000), 4000));
-    let first = site.sent().expect("sent");
+    let first = site.sent().expect("a request is sent");
     assert_eq!(first.task, Task::Prefill);
     assert!(!first.streaming);
     let second = prefilled(&mut site, first.attempt);
@@ -38,45 +38,45 @@
     assert!(!site.did(|effect| matches!(effect, RelayEffect::Free { .. })));
 }
 
-/// The caller leaves between the prefill and the hand-over. A KV cache that nobody takes fills the
-/// engine's memory until it lapses.
+/// The caller leaves between the prefill and the handover. A KV cache that is not freed occupies the
+/// engine's memory until it expires.
 #[test]
 fn an_unused_kv_cache_is_freed() {
     let mut site = Site::of_models();
     let key = site.arrive(prompt("/long/x", (1, 13_000), 4000));
-    let first = site.sent().expect("sent");
+    let first = site.sent().expect("a request is sent");
     prefilled(&mut site, first.attempt);
     site.event(RelayEvent::Left(key));
     assert!(site.did(|effect| matches!(effect, RelayEffect::Free { .. })));
 }
 
-/// KV caches can lapse at once. The engine that was to go on refuses, nothing has run, and the
-/// prompt is read again where its parts still lie.
+/// A KV cache may expire immediately. The decode engine refuses, nothing has run, and the prompt is
+/// prefilled again.
 #[test]
 fn an_expired_kv_cache_is_prefilled_again() {
     let mut site = Site::of_models();
     site.arrive(prompt("/long/x", (1, 13_000), 4000));
-    let first = site.sent().expect("sent");
+    let first = site.sent().expect("a request is sent");
     let second = prefilled(&mut site, first.attempt);
     site.broke(second.attempt, Ran::No, Break::Refused);
-    let third = site.sent().expect("sent again");
+    let third = site.sent().expect("a retry is sent");
     assert!(matches!(third.task, Task::Prefill | Task::Whole));
 }
 
-/// An engine dies in the middle of a stream that may be resumed. Another goes on after the last
-/// event that the caller has, and an event that comes again is dropped.
+/// An engine crashes during a resumable stream. Another engine continues after the last event that
+/// the caller has, and repeated events are dropped.
 #[test]
 fn a_broken_stream_resumes_elsewhere_without_duplicate_events() {
     let mut site = Site::of_models();
     site.arrive(prompt("/short/x", (1, 60), 290));
-    let mut first = site.sent().expect("sent");
+    let mut first = site.sent().expect("a request is sent");
     if first.task == Task::Prefill {
         first = prefilled(&mut site, first.attempt);
     }
     assert!(piece(&mut site, first.attempt, 1));
     assert!(piece(&mut site, first.attempt, 2));
     site.broke(first.attempt, Ran::Yes, Break::Cut);
-    let mut second = site.sent().expect("sent again");
+    let mut second = site.sent().expect("a retry is sent");
     if second.task == Task::Prefill {
         second = prefilled(&mut site, second.attempt);
     }
@@ -84,17 +84,17 @@
     assert_ne!(second.instance, first.instance);
     assert!(!piece(&mut site, second.attempt, 2));
     assert!(piece(&mut site, second.attempt, 3));
-    // What the first still sends is for nobody.
+    // Later events of the first attempt are dropped.
     assert!(!piece(&mut site, first.attempt, 4));
 }
 
-/// An engine dies in the middle of a stream that may not be resumed. It must look cut: taken for
-/// whole, the caller would act on half an answer.
+/// An engine crashes during a stream that is not resumable. The answer must be aborted: if it looked
+/// complete, the caller would act on half of it.
 #[test]
 fn a_broken_stream_that_is_not_resumable_is_cut() {
     let mut site = Site::of_models();
     site.arrive(prompt("/long/x", (1, 13_000), 4000));
-    let first = site.sent().expect("sent");
+    let first = site.sent().expect("a request is sent");
     let second = prefilled(&mut site, first.attempt);
     assert!(piece(&mut site, second.attempt, 1));
     site.broke(second.attempt, Ran::Yes, Break::Cut);
@@ -102,20 +102,20 @@
     assert!(site.did(|effect| matches!(effect, RelayEffect::Cut(_))));
 }
 
-/// An engine breaks off before the first event of a stream that runs once. It may have run, and is
-/// neither sent again nor called not run.
+/// An engine closes the connection before the first event of a stream that may run only once. The
+/// request may have run: it is neither retried nor reported as not run.
 #[test]
 fn a_stream_that_may_have_begun_is_not_sent_again() {
     let mut site = Site::of_models();
     site.arrive(prompt("/long/x", (1, 13_000), 4000));
-    let first = site.sent().expect("sent");
+    let first = site.sent().expect("a request is sent");
     let second = prefilled(&mut site, first.attempt);
     site.broke(second.attempt, Ran::Unknown, Break::Cut);
     assert!(site.sent().is_none());
     assert_eq!(site.refused().map(|(_, ran, _)| ran), Some(Ran::Unknown));
 }
 
-/// A caller comes back with the number of the last event it has. It gets nothing of before.
+/// A caller resumes with the number of the last event it has, and gets no earlier events.
 #[test]
 fn a_callers_resumption_reaches_the_engine() {
     let mut site = Site::of_models();
@@ -123,7 +123,7 @@
         resume: Some(5),
         ..prompt("/short/x", (1, 60), 290)
     });
-    let mut sent = site.sent().expect("sent");
+    let mut sent = site.sent().expect("a request is sent");
     if sent.task == Task::Prefill {
         sent = prefilled(&mut site, sent.attempt);
     }
