--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -220,8 +220,8 @@
 /// Returns whether a refusal counts against the engine that prefilled the KV cache, instead of the
 /// one that should fetch it.
 ///
-/// An engine may lose KV caches right after the prefill, or its link may delay transfers for seconds:
-/// every engine that should fetch from it refuses, and would be avoided in turn.
+/// An engine may lose KV caches right after the prefill, or its link may delay transfers for
+/// seconds: every engine that should fetch from it refuses, and would be avoided in turn.
 fn blames_source(core: &mut Core, source: Option<BackendKey>, how: Break) -> bool {
     let source = source.and_then(|key| core.relay.instances.arena.get_mut(key));
     match source {
@@ -302,8 +302,8 @@
 
 /// Ends an attempt that has been silent for too long, if the request may be sent to another server.
 ///
-/// A backend server can hang although its health check succeeds, and a connection can stop for good:
-/// without this the caller would wait until its deadline.
+/// A backend server can hang although its health check succeeds, and a connection can stop for
+/// good: without this the caller would wait until its deadline.
 pub(super) fn check_silence(core: &mut Core, key: AttemptKey, out: &mut Effects) {
     let Some(attempt) = core.relay.attempts.get(key) else {
         return;
--- a/src/core/relay/budget.rs
+++ b/src/core/relay/budget.rs
@@ -1,10 +1,10 @@
 //! The retry budget of a service, shared by all hosts.
 //!
-//! During failures, retries add load where capacity is lowest. All hosts together may retry a ratio of
-//! a service's requests, plus a fixed number (the slack). Each host uses the ratio of the requests
-//! that it received itself, and the slack divided by the number of hosts. The ratios add up to the
-//! total by themselves. A safety margin keeps the total within the budget although a host may count
-//! too few others, or restart with an empty window.
+//! During failures, retries add load where capacity is lowest. All hosts together may retry a ratio
+//! of a service's requests, plus a fixed number (the slack). Each host uses the ratio of the
+//! requests that it received itself, and the slack divided by the number of hosts. The ratios add
+//! up to the total by themselves. A safety margin keeps the total within the budget although a host
+//! may count too few others, or restart with an empty window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -273,8 +273,8 @@
     }
 }
 
-/// Returns how many idle connections to a backend server this host may keep: a third of its share of
-/// those the server accepts, which leaves room for those in use.
+/// Returns how many idle connections to a backend server this host may keep: a third of its share
+/// of those the server accepts, which leaves room for those in use.
 fn max_idle_connections(core: &Core, key: BackendKey) -> usize {
     let service = &core.relay.instances.arena[key].service;
     let catalog = core.relay.catalog.as_ref();
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -120,8 +120,8 @@
 }
 
 /// Returns the time after which to check an attempt for silence, by its expected milliseconds.
-fn silence_timeout(expected: f64) -> Duration {
-    span(expected * SILENCE_FACTOR) + SILENCE_MARGIN
+fn silence_timeout(expected_ms: f64) -> Duration {
+    span(expected_ms * SILENCE_FACTOR) + SILENCE_MARGIN
 }
 
 fn policy(core: &Core) -> Policy {
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -1,7 +1,7 @@
 //! Expected times of work at backend servers, and the samples recorded from each answer.
 //!
-//! Engines report their load late, and a report costs a call. Instead, every host tracks the work it
-//! sent itself and receives that of the others; together they give the work queued at an engine.
+//! Engines report their load late, and a report costs a call. Instead, every host tracks the work
+//! it sent itself and receives that of the others; together they give the work queued at an engine.
 
 use std::time::Duration;
 
@@ -100,8 +100,8 @@
     }
 }
 
-/// Multiple of the expected time above which a handover counts as delayed by a link: up to twice the
-/// time can be due to an engine's prefill of a long prompt or its step for many streams.
+/// Multiple of the expected time above which a handover counts as delayed by a link: up to twice
+/// the time can be due to an engine's prefill of a long prompt or its step for many streams.
 const LINK_DELAY_FACTOR: f64 = 3.0;
 
 /// Records the time of a handover: as that of the engine, or as the delay of a slow link.
@@ -172,12 +172,12 @@
 
 /// Time since an engine's last answer within which it counts as alive.
 const ALIVE_WINDOW: Duration = Duration::from_millis(400);
-/// Time in addition to the expected that a live engine may take: its queue may be longer than known,
-/// and a retry would prefill the same prompt twice.
+/// Time in addition to the expected that a live engine may take: its queue may be longer than
+/// known, and a retry would prefill the same prompt twice.
 const BUSY_ALLOWANCE: Duration = Duration::from_millis(1500);
 /// Multiple of the expected time after which an attempt counts as silent.
 const SILENCE_FACTOR: f64 = 3.0;
-/// Time in addition to that for an attempt at an engine.
+/// Time in addition to that and to half of the target, at an engine without a recent answer.
 const SILENCE_MARGIN_MS: f64 = 300.0;
 /// Minimum gap after which a stream counts as silent: callers give up after two seconds.
 const MIN_STREAM_GAP: Duration = Duration::from_millis(900);
--- a/src/core/relay/model/attention.rs
+++ b/src/core/relay/model/attention.rs
@@ -18,7 +18,8 @@
 /// Maximum growth of a token's time for each token before it: three times as long after 20,000.
 const MAX_FACTOR: f64 = 1e-4;
 
-/// Returns the token pairs that attention compares to prefill `uncached` tokens after `cached` ones.
+/// Returns the token pairs that attention compares to prefill `uncached` tokens after `cached`
+/// ones.
 #[must_use]
 pub fn token_pairs(uncached: u64, cached: u64) -> f64 {
     let uncached = uncached as f64;
--- a/src/core/relay/model/mod.rs
+++ b/src/core/relay/model/mod.rs
@@ -1,7 +1,8 @@
 //! Cost model of a service's engines, estimated from measured response times.
 //!
 //! The configuration does not describe engines: neither how fast they prefill, nor how much they
-//! differ. This module does not depend on requests or hosts; callers record samples and query times.
+//! differ. This module does not depend on requests or hosts; callers record samples and query
+//! times.
 
 mod attention;
 mod link;
--- a/src/core/relay/planner.rs
+++ b/src/core/relay/planner.rs
@@ -28,8 +28,8 @@
 const RENEWALS_PER_LEASE: u32 = 3;
 /// Fraction of the lease's lifetime that is used: the store's clock may run a little faster.
 const USABLE_LEASE_FRACTION: f64 = 0.9;
-/// One engine in so many may change its stage at the same time: a change makes an engine unavailable
-/// for seconds, and each one reported separately ends the watch of every host.
+/// One engine in so many may change its stage at the same time: a change makes an engine
+/// unavailable for seconds, and each one reported separately ends the watch of every host.
 const ENGINES_PER_CHANGE: usize = 4;
 /// Hosts that try to acquire the authority in one round, on average.
 const EXPECTED_CANDIDATES: usize = 3;
@@ -44,7 +44,7 @@
 pub struct Planner {
     /// Revision of the holder's key; 0 while nobody holds it.
     holder: i64,
-    /// Whether the store's entry for the holder was read.
+    /// Whether all keys were read, so that the holder is known.
     holder_known: bool,
     /// This host's lease; 0 for none.
     lease: i64,
--- a/src/core/relay/poison.rs
+++ b/src/core/relay/poison.rs
@@ -1,9 +1,9 @@
 //! Poison requests: requests that crash the backend servers that run them.
 //!
 //! A single request can crash every backend server that starts to run it, while its caller sends it
-//! again, to any host. It shows by connections that break while it runs. After two different backend
-//! servers broke the connection on the same request, and none has answered it since, every host
-//! refuses it.
+//! again, to any host. It shows by connections that break while it runs. After two different
+//! backend servers broke the connection on the same request, and none has answered it since, every
+//! host refuses it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/src/core/relay/prefix_cache.rs
+++ b/src/core/relay/prefix_cache.rs
@@ -1,8 +1,8 @@
 //! Prefix blocks cached at engines, and from which engine they are fetched.
 //!
 //! Requests share the first blocks of their prompts. An engine without a block can copy it from one
-//! that has it cached: 13,000 tokens take about 10 ms over the engines' links, and 250 ms or more to
-//! prefill again.
+//! that has it cached: 13,000 tokens take about 10 ms over the engines' links, and 250 ms or more
+//! to prefill again.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,15 +18,15 @@
 
 /// Blocks with fewer tokens are not tracked: prefilling them again costs less than reporting them.
 ///
-/// A larger minimum leaves many blocks untracked where most shared ones are short (80 to 350 tokens),
-/// and these are prefilled again.
+/// A larger minimum leaves many blocks untracked where most shared ones are short (80 to 350
+/// tokens), and these are prefilled again.
 pub const MIN_BLOCK_TOKENS: u64 = 64;
 /// Fraction of an engine's memory that is assumed to hold shared blocks; running requests take the
 /// rest. A larger fraction assumes blocks to be cached that were evicted, and engines prefill again
 /// what they were expected to have.
 const SHARED_MEMORY_FRACTION: f64 = 0.7;
-/// Tokens that a fetch must save: the call to the other engine takes as long as the prefill of about
-/// 200 tokens, and competes with handovers for its link.
+/// Tokens that a fetch must save: the call to the other engine takes as long as the prefill of
+/// about 200 tokens, and competes with handovers for its link.
 const MIN_FETCH_TOKENS: u64 = 150;
 /// Time that a fetch takes in addition to the transfer.
 const FETCH_OVERHEAD_MS: f64 = 5.0;
@@ -128,8 +128,8 @@
     best_by_domain.into_values().collect()
 }
 
-/// Returns what an engine should fetch of a prompt before it prefills the rest: from the engine with
-/// most tokens, of its own failure domain if that has as many.
+/// Returns what an engine should fetch of a prompt before it prefills the rest: from the engine
+/// with most tokens, of its own failure domain if that has as many.
 #[must_use]
 pub fn best_fetch(
     instance: &Instance,
--- a/src/core/relay/tests/load.rs
+++ b/src/core/relay/tests/load.rs
@@ -1,8 +1,8 @@
 //! Placement and admission under more load than can be served in time.
 //!
-//! Modelled on sites whose long prompts share prefixes of about 13,000 tokens, mixed with many short
-//! prompts in bursts of a few seconds. Engines prefill about 40 tokens per millisecond, and prefill
-//! admitted prompts in order of arrival.
+//! Modelled on sites whose long prompts share prefixes of about 13,000 tokens, mixed with many
+//! short prompts in bursts of a few seconds. Engines prefill about 40 tokens per millisecond, and
+//! prefill admitted prompts in order of arrival.
 
 use super::*;
 use crate::core::relay::event::{Gossip, LoadReport, PrefixReport, Task};
@@ -37,8 +37,8 @@
     );
 }
 
-/// Requests with the same prefix go to the engine that has it cached, until waiting there costs more
-/// than prefilling it again elsewhere.
+/// Requests with the same prefix go to the engine that has it cached, until waiting there costs
+/// more than prefilling it again elsewhere.
 #[test]
 fn a_shared_prefix_is_prefilled_at_one_engine_until_it_is_full() {
     let mut site = site();
@@ -56,7 +56,8 @@
     assert!(engines.iter().any(|id| *id != engines[0]), "{engines:?}");
 }
 
-/// Another host has sent a prefix to an engine; this host sends requests with that prefix there too.
+/// Another host has sent a prefix to an engine; this host sends requests with that prefix there
+/// too.
 #[test]
 fn prefixes_cached_for_other_hosts_are_used() {
     for engine in ["p", "q", "r"] {
@@ -75,8 +76,8 @@
     }
 }
 
-/// Every host sees only its part of the requests: an engine that is idle by this host's own work may
-/// be full of others'.
+/// Every host sees only its part of the requests: an engine that is idle by this host's own work
+/// may be full of others'.
 #[test]
 fn work_of_other_hosts_counts() {
     let mut site = site();
@@ -104,14 +105,14 @@
     assert_eq!(site.core.relay.instances.arena[key].theirs.tokens, 0);
 }
 
-/// A burst of long prompts exceeds what the engines can prefill in time. Those that would be late are
-/// refused immediately with a time to retry after, and short prompts still meet their target.
+/// A burst of long prompts exceeds what the engines can prefill in time. Those that would be late
+/// are refused immediately with a time to retry after, and short prompts still meet their target.
 #[test]
 fn a_burst_of_long_prompts_leaves_short_ones_in_time() {
     let mut site = site();
     let mut refused = 0;
-    for part in 0..60 {
-        site.arrive(prompt("/long/x", (part, 13_000), 4000));
+    for block in 0..60 {
+        site.arrive(prompt("/long/x", (block, 13_000), 4000));
         if let Some((status, ran, retry)) = site.refused() {
             assert_eq!((status, ran), (503, Ran::No));
             assert!(retry.is_some_and(|retry| retry >= Duration::from_millis(500)));
@@ -129,16 +130,16 @@
 #[test]
 fn long_prompts_are_not_prefilled_at_decoding_engines() {
     let mut site = site();
-    for part in 0..20 {
-        site.arrive(prompt("/long/x", (part, 13_000), 4000));
+    for block in 0..20 {
+        site.arrive(prompt("/long/x", (block, 13_000), 4000));
         if let Some(sent) = site.sent() {
             assert_eq!(sent.task, Task::Prefill);
         }
     }
 }
 
-/// Short prompts use both kinds of engine: prefill engines and a handover while these have capacity,
-/// decode engines alone otherwise.
+/// Short prompts use both kinds of engine: prefill engines and a handover while these have
+/// capacity, decode engines alone otherwise.
 #[test]
 fn short_prompts_use_engines_of_both_stages() {
     let mut site = site();
@@ -177,8 +178,8 @@
     assert!(slow.1 < slow.0.max(1) && slow.1 <= 5, "{slow:?}");
 }
 
-/// An engine refuses nearly all requests although it reports itself healthy. It looks idle and would
-/// get every request, and each refusal costs a retry until the retry budget is exhausted.
+/// An engine refuses nearly all requests although it reports itself healthy. It looks idle and
+/// would get every request, and each refusal costs a retry until the retry budget is exhausted.
 #[test]
 fn a_refusing_engine_gets_few_requests() {
     let mut site = site();
--- a/src/core/relay/tests/prefix_cache.rs
+++ b/src/core/relay/tests/prefix_cache.rs
@@ -1,8 +1,8 @@
 //! Prefixes shared by more prompts than one engine can serve.
 //!
-//! Modelled on sites whose long prompts share about 13,000 tokens with others and have 3,700 of their
-//! own. Engines prefill about 40 tokens per millisecond; their links carry 370 Gbit/s, so that a
-//! prefix of 240 MB is copied in about 10 ms.
+//! Modelled on sites whose long prompts share about 13,000 tokens with others and have 3,700 of
+//! their own. Engines prefill about 40 tokens per millisecond; their links carry 370 Gbit/s, so
+//! that a prefix of 240 MB is copied in about 10 ms.
 
 use super::*;
 use crate::core::relay::event::{Gossip, LoadReport, PrefixReport, Task};
@@ -61,8 +61,8 @@
     site.core.relay.instances.arena[key].addr
 }
 
-/// The engine that has a prompt's prefix cached is busy. Prefilling the prefix again elsewhere takes
-/// hundreds of milliseconds; copying it gives the first token far sooner.
+/// The engine that has a prompt's prefix cached is busy. Prefilling the prefix again elsewhere
+/// takes hundreds of milliseconds; copying it gives the first token far sooner.
 #[test]
 fn a_prefix_cached_at_a_busy_engine_is_copied() {
     let mut site = site();
@@ -95,8 +95,8 @@
     assert_eq!(sent.fetch, Some(addr(&site, "p")), "{sent:?}");
 }
 
-/// An engine that is still prefilling a block has nothing to copy. Guards against a fetch that finds
-/// nothing, after which the engine prefills all tokens and delays the requests behind.
+/// An engine that is still prefilling a block has nothing to copy. Guards against a fetch that
+/// finds nothing, after which the engine prefills all tokens and delays the requests behind.
 #[test]
 fn a_prefix_not_yet_prefilled_is_not_copied() {
     let mut site = site();
@@ -106,7 +106,8 @@
         site.arrive(prompt("/long/x", (1, SHARED), OWN));
         assert!(site.sent().is_none_or(|sent| sent.fetch.is_none()));
     }
-    // Once prefilled, the block is copied from that engine, whichever others were sent it meanwhile.
+    // Once prefilled, the block is copied from that engine, whichever others were sent it
+    // meanwhile.
     let mut site = self::site();
     site.arrive(prompt("/long/x", (1, SHARED), OWN));
     let prefill = site.sent().expect("the request is admitted");
@@ -133,9 +134,9 @@
     assert_eq!(site.sent().and_then(|sent| sent.fetch), None);
 }
 
-/// Unshared prompts fill an engine's memory after a shared block was used last, and the engine evicts
-/// the block. If the host assumed it to be cached, the engine would prefill it unexpectedly, and all
-/// requests behind would wait longer than estimated.
+/// Unshared prompts fill an engine's memory after a shared block was used last, and the engine
+/// evicts the block. If the host assumed it to be cached, the engine would prefill it unexpectedly,
+/// and all requests behind would wait longer than estimated.
 #[test]
 fn a_cached_block_is_dropped_once_other_prompts_filled_the_memory() {
     let mut site = site();
@@ -176,8 +177,8 @@
 fn a_burst_over_cached_prefixes_prefills_few_of_them_again() {
     let mut site = site();
     let mut running = Vec::new();
-    for part in 0..12 {
-        site.arrive(prompt("/long/x", (part, SHARED), OWN));
+    for block in 0..12 {
+        site.arrive(prompt("/long/x", (block, SHARED), OWN));
         start(&mut site, &mut running);
         run(&mut site, &mut running, 1000);
     }
@@ -199,7 +200,8 @@
 }
 
 /// A caller declares a shared block that is longer than its whole prompt. Counted in full, it would
-/// leave a negative number of tokens to prefill, and the host would rate that engine as full forever.
+/// leave a negative number of tokens to prefill, and the host would rate that engine as full
+/// forever.
 #[test]
 fn a_block_longer_than_its_prompt_saves_no_more_than_the_prompt() {
     let mut site = site();
@@ -216,8 +218,8 @@
     assert!(tokens <= 1000, "{tokens}");
 }
 
-/// Every handover leaves a copy of the shared prefix at the decode engine. If each request left one at
-/// another engine, copies would fill the memory of all engines and evict other blocks.
+/// Every handover leaves a copy of the shared prefix at the decode engine. If each request left one
+/// at another engine, copies would fill the memory of all engines and evict other blocks.
 #[test]
 fn handovers_go_to_the_engine_that_caches_the_prefix() {
     let mut site = site();
--- a/src/core/relay/tests/request.rs
+++ b/src/core/relay/tests/request.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// A backend server resets a connection with a request in progress. It is unknown whether the request
-/// ran: if the answer said "not run", the caller would send a booking twice.
+/// A backend server resets a connection with a request in progress. It is unknown whether the
+/// request ran: if the answer said "not run", the caller would send a booking twice.
 #[test]
 fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut site = Site::new();
@@ -16,8 +16,8 @@
     assert_eq!(ran, Ran::Unknown);
 }
 
-/// A backend server refuses a request because it is full. The request did not run, and goes to another
-/// server.
+/// A backend server refuses a request because it is full. The request did not run, and goes to
+/// another server.
 #[test]
 fn a_refused_request_goes_to_another_server() {
     let mut site = Site::new();
@@ -34,8 +34,8 @@
     assert!(site.did(|effect| matches!(effect, RelayEffect::Pass(_))));
 }
 
-/// Nothing listens at the only address. The caller immediately gets a refusal as not run, with a time
-/// to retry after.
+/// Nothing listens at the only address. The caller immediately gets a refusal as not run, with a
+/// time to retry after.
 #[test]
 fn an_undeliverable_request_is_refused_as_not_run() {
     let mut site = Site::new();
@@ -54,8 +54,8 @@
     assert!(retry.is_some());
 }
 
-/// A backend server answers 500 to an idempotent request. It is retried at another server, which may
-/// still answer in time.
+/// A backend server answers 500 to an idempotent request. It is retried at another server, which
+/// may still answer in time.
 #[test]
 fn a_failed_idempotent_request_is_retried_once() {
     let mut site = Site::new();
@@ -77,8 +77,8 @@
     assert!(site.did(|effect| matches!(effect, RelayEffect::Pass(_))));
 }
 
-/// The caller's deadline is longer than the route's time-out. The caller gets its final answer at the
-/// time-out, and the attempt is cancelled.
+/// The caller's deadline is longer than the route's time-out. The caller gets its final answer at
+/// the time-out, and the attempt is cancelled.
 #[test]
 fn the_route_timeout_ends_a_request() {
     let mut site = Site::new();
--- a/src/core/relay/tests/sampling.rs
+++ b/src/core/relay/tests/sampling.rs
@@ -1,7 +1,7 @@
 //! Requests that arrive at many hosts at the same time.
 //!
-//! Modelled on sites with hundreds of hosts, where as many requests arrive between two gossip messages
-//! as there are engines.
+//! Modelled on sites with hundreds of hosts, where as many requests arrive between two gossip
+//! messages as there are engines.
 
 use super::*;
 
@@ -50,7 +50,8 @@
     assert!(max <= 12, "{max} of 120 requests at one engine");
 }
 
-/// Two hosts exchange reports before the next request arrives: each chooses the best of all engines.
+/// Two hosts exchange reports before the next request arrives: each chooses the best of all
+/// engines.
 #[test]
 fn a_host_with_recent_reports_chooses_among_all_engines() {
     let mut site = host(0, 2);
--- a/src/core/relay/tests/stream.rs
+++ b/src/core/relay/tests/stream.rs
@@ -38,8 +38,8 @@
     assert!(!site.did(|effect| matches!(effect, RelayEffect::Free { .. })));
 }
 
-/// The caller leaves between the prefill and the handover. A KV cache that is not freed occupies the
-/// engine's memory until it expires.
+/// The caller leaves between the prefill and the handover. A KV cache that is not freed occupies
+/// the engine's memory until it expires.
 #[test]
 fn an_unused_kv_cache_is_freed() {
     let mut site = Site::of_models();
@@ -88,8 +88,8 @@
     assert!(!piece(&mut site, first.attempt, 4));
 }
 
-/// An engine crashes during a stream that is not resumable. The answer must be aborted: if it looked
-/// complete, the caller would act on half of it.
+/// An engine crashes during a stream that is not resumable. The answer must be aborted: if it
+/// looked complete, the caller would act on half of it.
 #[test]
 fn a_broken_stream_that_is_not_resumable_is_cut() {
     let mut site = Site::of_models();
