--- a/src/core/relay/catalog.rs
+++ b/src/core/relay/catalog.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration in force: routes, services and bounds of input.
+//! The operator's configuration: routes, services and input limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 /// One version of the operator's configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Catalog {
-    /// Version; versions only grow.
+    /// Version; later configurations have higher versions.
     pub version: u64,
-    /// Routes, in the order given.
+    /// Routes, in the order of the configuration.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<Box<str>, Service>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: InputLimits,
 }
 
-/// What may be done with a request whose outcome is unknown.
+/// Whether a request whose outcome is unknown may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RetryPolicy {
     /// It may run again.
@@ -26,61 +26,61 @@
     Once,
 }
 
-/// Requests of one host name and path prefix.
+/// Route for requests of one host name and path prefix.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Route {
     /// Name, for logs.
     pub name: Box<str>,
-    /// Host name that callers ask for, in lower case.
+    /// Host name of the requests, in lower case.
     pub host: Box<str>,
     /// Path prefix; begins and ends with a slash.
     pub prefix: Box<str>,
     /// Whether the answer is a stream of events.
     pub streaming: bool,
-    /// Whether the request may run again; a stream that may be resumed counts as idempotent.
+    /// Whether the request may be retried; a resumable stream counts as idempotent.
     pub retry: RetryPolicy,
-    /// Whether a broken stream may go on at another backend server.
+    /// Whether a broken stream may be resumed at another backend server.
     pub resumable: bool,
-    /// Longest time until the final answer.
+    /// Time-out for the final answer.
     pub timeout: Duration,
-    /// Time within which the answer, or its first event, is wanted.
+    /// Latency target of the answer, or of its first event.
     pub target: Duration,
-    /// Longest wanted pause between two events.
+    /// Target for the longest pause between two events.
     pub gap_target: Duration,
-    /// Rank among routes; 0 is the most urgent.
+    /// Priority rank among routes; 0 is the most urgent.
     pub rank: u8,
-    /// Services and the weights by which requests are split between them.
+    /// Services, with the weights by which requests are split between them.
     pub split: Vec<(Box<str>, u32)>,
-    /// Most backend servers that may run one request.
+    /// Largest number of backend servers that may run one request.
     pub max_attempts: u32,
 }
 
 /// A service that routes lead to.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Service {
-    /// Connections that one backend server accepts from all callers together; 0 where unknown.
+    /// Connections that one backend server accepts from all callers together; 0 if unknown.
     pub max_connections: u32,
-    /// What its engines can do, where it is a service of model engines.
+    /// Properties of its engines, if it is a service of model engines.
     pub engine: Option<Engine>,
 }
 
-/// Model engines of a service.
+/// Properties of the model engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// Tokens that one engine's KV cache holds.
     pub kv_capacity: u64,
-    /// Bytes of KV cache a token.
+    /// Bytes of KV cache per token.
     pub token_bytes: u64,
-    /// Speed of an engine's link, in megabits a second.
+    /// Speed of an engine's link, in megabits per second.
     pub link_mbps: f64,
-    /// Time a change of stage takes.
+    /// Duration of a change of stage.
     pub switch_time: Duration,
 }
 
-/// Bounds of what callers may send.
+/// Limits on what callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InputLimits {
-    /// Most bytes of a body.
+    /// Largest number of bytes in a body.
     pub max_body: usize,
 }
 
@@ -93,7 +93,7 @@
 }
 
 impl Catalog {
-    /// Returns the route for a host name and path: the longest prefix wins.
+    /// Returns the route with the longest prefix that matches a host name, with or without a port, and a path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, port)| {
@@ -110,14 +110,14 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// Returns the service that a draw from 0 (included) to 1 (excluded) falls on.
+    /// Returns the service selected by weight for a random draw from 0 (included) to 1 (excluded).
     #[must_use]
     pub fn pick_service(route: &Route, draw: f64) -> Option<&str> {
         let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = draw * f64::from(total);
         for (service, weight) in &route.split {
-            left -= f64::from(*weight);
-            if left < 0.0 {
+            remaining -= f64::from(*weight);
+            if remaining < 0.0 {
                 return Some(service);
             }
         }
--- a/src/core/relay/event/gossip.rs
+++ b/src/core/relay/event/gossip.rs
@@ -1,68 +1,68 @@
-//! What hosts tell each other, as data.
+//! Gossip messages between hosts, as data.
 
 use std::time::Duration;
 
 use super::Changes;
 
-/// What a host tells the others of its work.
+/// One gossip message.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Gossip {
-    /// Name of the host.
+    /// Name of the sender.
     pub host: Box<str>,
     /// Wall clock at the start of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Number of the message; later messages have higher numbers.
+    /// Sequence number of the message; later messages have higher numbers.
     pub sequence: u64,
-    /// Its unfinished work, by backend server.
+    /// Unfinished work, by backend server.
     pub loads: Vec<LoadReport>,
-    /// Prompt parts that it sent to engines since the last message.
+    /// Prefix blocks sent to engines since the last message.
     pub blocks: Vec<BlockReport>,
-    /// Fingerprints of requests that backend servers died of.
+    /// Crashes of backend servers, with the fingerprints of the requests that they ran.
     pub crashes: Vec<CrashReport>,
-    /// Whose work it tells of, and what is expected of the listener.
+    /// Whose load the message reports, and what the receiver does with it.
     pub kind: GossipKind,
-    /// Era of the store to which what follows belongs; 0 where the sender knows none.
+    /// Era of the store that the following fields refer to; 0 if the sender has no era yet.
     pub era: u64,
-    /// What the store last answered to a probe of that host.
+    /// Latest probe of the store.
     pub probe: Option<ProbeReport>,
-    /// Changes of the store, from a host that follows it for others.
+    /// Changes of the store, from a host that replicates them to others.
     pub replicated: Option<ReplicatedChanges>,
-    /// Limits that backend servers name, or ended to name lately.
+    /// Rate limits that backend servers name, or stopped naming lately.
     pub limits: Vec<LimitReport>,
-    /// For how long the store has answered, as far as the sender knows.
+    /// Time for which the store has answered without a break, as far as the sender has observed.
     pub uptime: Option<UptimeReport>,
 }
 
-/// Whose work a message tells of, and what is expected of the listener.
+/// Whose load a message reports, and what the receiver does with it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum GossipKind {
-    /// The sender's own work, told to each host of its failure domain.
+    /// The sender's own load, sent to each host of its failure domain.
     #[default]
     Own,
-    /// No work: asks the listener for totals.
+    /// No load: queries the receiver for totals.
     Hello,
-    /// The work of the sender and of those that report to it; it is answered with totals.
+    /// The load of the sender and of the hosts that report to it; the receiver answers with totals.
     Report,
-    /// No work: the sender no longer reports to the listener.
+    /// No load: the sender no longer reports to the receiver.
     Farewell,
-    /// All the work that the sender knows of, told to those that report to it.
+    /// All load that the sender has reports of, sent to the hosts that report to it.
     Totals(Vec<IncludedReport>),
-    /// Sum over this failure domain, told to another one.
+    /// Sum over the named failure domain, sent to another one.
     Domain(Box<str>),
-    /// The same, passed on within the listener's failure domain.
+    /// The same, forwarded within the receiver's failure domain.
     Forwarded(Box<str>),
 }
 
-/// A report that is part of totals: its sender takes its own work out of them.
+/// A report that totals include; its sender subtracts its own load from them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct IncludedReport {
     /// Short hash of the reporting process.
     pub process: u32,
-    /// Number of the report.
+    /// Sequence number of the report.
     pub sequence: u64,
 }
 
-/// The store's newest revision, as a probe showed it.
+/// The store's newest revision, as a probe returned it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProbeReport {
     /// The revision.
@@ -71,18 +71,18 @@
     pub age: Duration,
 }
 
-/// What a host knows of a backend server's limit.
+/// A backend server's rate limit, as a host last received it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitReport {
     /// Short hash of the backend server's id.
     pub instance: u32,
-    /// Requests a second from all hosts together; `None` where the limit ended.
+    /// Requests per second from all hosts together; `None` if the limit ended.
     pub rate: Option<f64>,
-    /// Time since that was known to hold.
+    /// Time since this was last known to hold.
     pub age: Duration,
 }
 
-/// A span of time in which the store answered without a break.
+/// A time span in which the store answered without a break.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UptimeReport {
     /// Its length.
@@ -98,16 +98,16 @@
     pub instance: u32,
     /// Requests.
     pub calls: u32,
-    /// Tokens that the host lately had put into its memory, a second.
+    /// Tokens per second that the host lately added to its KV cache.
     pub fill: u32,
     /// Prompt tokens to be prefilled.
     pub tokens: u32,
 }
 
-/// A prompt part that an engine reads or has read.
+/// A prefix block that an engine is prefilling or holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BlockReport {
-    /// The part.
+    /// Id of the block.
     pub block: u64,
     /// Its tokens.
     pub tokens: u32,
@@ -115,7 +115,7 @@
     pub instance: u32,
 }
 
-/// A backend server that died while it ran a request.
+/// A crash of a backend server while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashReport {
     /// First half of the request's fingerprint.
@@ -124,25 +124,25 @@
     pub instance: u32,
 }
 
-/// One change of the store, as hosts pass it on to each other.
+/// One change of the store, as hosts replicate it to each other.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct StoreChange {
-    /// Revision that it made.
+    /// Revision that the change created.
     pub revision: i64,
-    /// Whole key; only the adapter reads it.
+    /// Full key; only the adapter reads it.
     pub key: Box<str>,
-    /// Value as the store holds it; `None` for a removal.
+    /// Value as stored; `None` for a removal.
     pub value: Option<Box<[u8]>>,
-    /// What it means.
+    /// The decoded change.
     pub changes: Changes,
 }
 
-/// Changes of the store without a gap, as hosts pass them on to each other.
+/// Consecutive changes of the store, as hosts replicate them to each other.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ReplicatedChanges {
     /// Revision before the first of them.
     pub after: i64,
-    /// Revision up to which these are all changes.
+    /// Last revision covered: these are all changes after `after` up to it.
     pub revision: i64,
     /// The changes, in order.
     pub events: Vec<StoreChange>,
--- a/src/core/relay/event/mod.rs
+++ b/src/core/relay/event/mod.rs
@@ -1,4 +1,4 @@
-//! What happens to relayed requests and what is done about them, as data.
+//! Events and effects of relayed requests, as data.
 
 mod gossip;
 
@@ -20,7 +20,7 @@
 /// One event about relayed requests.
 #[derive(Debug, Clone)]
 pub enum RelayEvent {
-    /// A caller sent a whole request.
+    /// A caller sent a complete request.
     Arrived(Box<Arrival>),
     /// The caller closed its connection.
     CallerLeft(CallKey),
@@ -28,17 +28,17 @@
     Prefilled {
         /// The attempt.
         attempt: AttemptKey,
-        /// Name by which the KV cache is taken.
+        /// Handle by which another engine fetches the KV cache.
         handle: Box<str>,
     },
-    /// The head of a backend server's own answer arrived.
+    /// The head of an answer from the backend server itself arrived.
     Limited {
         /// The attempt.
         attempt: AttemptKey,
-        /// Limit that it names.
+        /// Rate limit that it names.
         limit: NamedLimit,
     },
-    /// A whole answer, or one longer than is held back, arrived.
+    /// An answer arrived: complete, or already longer than the adapter buffers.
     Answered {
         /// The attempt.
         attempt: AttemptKey,
@@ -49,36 +49,36 @@
     StreamEvent {
         /// The attempt.
         attempt: AttemptKey,
-        /// Number of the event in the answer; 0 where it has none.
+        /// Number of the event in the answer; 0 if it has none.
         number: u64,
     },
-    /// The streamed answer ended as it should.
+    /// The streamed answer ended completely.
     StreamCompleted(AttemptKey),
-    /// The attempt ended without a whole answer.
+    /// The attempt ended without a complete answer.
     AttemptFailed {
         /// The attempt.
         attempt: AttemptKey,
         /// Whether the backend server ran the request.
         ran: Ran,
-        /// How it ended.
+        /// How the attempt ended.
         end: Break,
-        /// What the adapter saw.
+        /// Description of the failure from the adapter.
         detail: Box<str>,
     },
     /// An answer of the store named its era.
     StoreEra(u64),
-    /// The store answered a call, or will not.
+    /// A call of the store was answered or failed.
     StoreAnswered {
         /// Number of the call.
         number: u64,
-        /// What it answered.
+        /// The answer.
         answer: StoreAnswer,
     },
-    /// An engine told of its state.
+    /// An engine was asked for its state.
     EngineReported {
         /// The engine's id.
         instance: Box<str>,
-        /// Its state; `None` where it did not answer.
+        /// Its state; `None` if it did not answer.
         report: Option<EngineReport>,
     },
     /// An engine answered an order.
@@ -87,67 +87,68 @@
         instance: Box<str>,
         /// Fencing number of the order.
         fence: u64,
-        /// What came of it.
+        /// Result of the order.
         result: OrderResult,
     },
-    /// The settings were read again.
+    /// The settings file was reloaded.
     Reloaded(Box<Settings>),
-    /// Another host sent its state.
+    /// A gossip message from another host arrived.
     Gossiped(Box<Gossip>),
 }
 
-/// Limit that an answer names: requests a second that its backend server takes from all hosts together.
+/// Rate limit that an answer names: requests per second that its backend server accepts from all hosts
+/// together.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum NamedLimit {
-    /// It names none.
+    /// The answer names no limit.
     #[default]
     None,
-    /// Requests a second; finite and not negative.
+    /// Requests per second; finite and not negative.
     Rate(f64),
-    /// It names one that is no such number.
+    /// The named value is not such a number.
     Unreadable,
 }
 
-/// What came of a call by which this host follows the store.
+/// Result of a call by which this host follows the store.
 #[derive(Debug, Clone)]
 pub enum StoreAnswer {
-    /// A page of the keys.
+    /// A page of all keys.
     Page {
         /// Revision of the store as of this page.
         revision: i64,
         /// The keys.
         changes: Changes,
-        /// Last key, where more follow.
+        /// Last key of the page, if more follow.
         after: Option<Box<str>>,
     },
-    /// What changed.
+    /// Answer to a watch.
     Changes {
-        /// Revision from which to go on.
+        /// Revision up to which all changes are known.
         revision: i64,
-        /// The changes; none where the wait ended without any.
+        /// The changes; empty if the wait ended without any.
         changes: Changes,
-        /// The same one by one, to be passed on.
+        /// The same changes one by one, for replication to other hosts.
         events: Vec<StoreChange>,
     },
-    /// Newest revision of the store.
+    /// Newest revision of the store, the answer to a probe.
     Newest(i64),
-    /// The changes asked for are no longer known.
+    /// The store no longer has the changes asked for.
     Compacted,
-    /// There is no answer.
+    /// The call failed.
     Failed {
-        /// Whether the store turned the call away, or was not reached.
+        /// Whether the store refused the call or was not reached.
         refused: bool,
     },
 }
 
-/// What the store told.
+/// Changes of the store, decoded.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Changes {
-    /// Whether all keys were read: what is not named here is not there.
+    /// Whether these are all keys of the store: a key that is missing here does not exist.
     pub is_snapshot: bool,
-    /// Configuration, where it changed.
+    /// New configuration, if it changed.
     pub catalog: Option<Catalog>,
-    /// Backend servers that were written.
+    /// Entries of backend servers that were written.
     pub instances: Vec<BackendEntry>,
     /// Ids of backend servers whose entries were removed.
     pub removed: Vec<Box<str>>,
@@ -156,7 +157,7 @@
 }
 
 impl Changes {
-    /// Adds what came later.
+    /// Adds later changes.
     pub fn merge(&mut self, later: Self) {
         self.catalog = later.catalog.or(self.catalog.take());
         self.instances.extend(later.instances);
@@ -170,39 +171,39 @@
 pub struct KeyChange {
     /// Key, without the deployment's prefix.
     pub key: Box<str>,
-    /// Value; `None` when the key is gone.
+    /// Value; `None` if the key was removed.
     pub value: Option<Box<[u8]>>,
     /// Revision of the last write.
     pub revision: i64,
 }
 
-/// A backend server as it registered itself.
+/// The entry by which a backend server registered itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackendEntry {
-    /// Id of this start of it.
+    /// Id of this process of the server.
     pub id: Box<str>,
     /// Service it belongs to.
     pub service: Box<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     /// Failure domain.
     pub domain: Box<str>,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to end.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Part of a request that it does; `None` for a plain service.
+    /// Stage that an engine serves; `None` for a server of a plain service.
     pub stage: Option<Stage>,
-    /// Wall clock at its start, in milliseconds since the Unix epoch; 0 where it did not say.
+    /// Wall clock at its start, in milliseconds since the Unix epoch; 0 if its entry names none.
     pub started_ms: u64,
 }
 
-/// Part of a model request that an engine does.
+/// Stage of model requests that an engine serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It prefills prompts for others.
+    /// Prefills prompts for other engines.
     Prefill,
-    /// It generates, and prefills where nobody did.
+    /// Generates, and prefills prompts that no other engine has prefilled.
     Decode,
 }
 
@@ -211,15 +212,15 @@
 pub struct Arrival {
     /// Id of the attempt, as the caller sent it.
     pub id: Box<str>,
-    /// Host name that it asked for.
+    /// Host name of the request.
     pub host: Box<str>,
     /// Path, without the query.
     pub path: Box<str>,
-    /// Time that the caller will wait.
+    /// Time until the caller gives up.
     pub deadline: Option<Duration>,
-    /// Prompt and output, where it is for a model.
+    /// Prompt and output, if the request is for a model.
     pub prompt: Option<Prompt>,
-    /// Number of the last event that the caller has of an earlier attempt.
+    /// Number of the last event that the caller received in an earlier attempt.
     pub resume: Option<u64>,
     /// Bytes of the body.
     pub bytes: usize,
@@ -232,81 +233,82 @@
 pub struct Prompt {
     /// Prompt tokens.
     pub tokens: u64,
-    /// Most tokens to generate.
+    /// Largest number of tokens to generate.
     pub max_output: u64,
     /// The caller's own estimate of the tokens to generate.
     pub output_hint: Option<u64>,
-    /// Parts of the prompt in order; all but the last may be shared with other requests.
+    /// Prefix blocks of the prompt in order; all but the last may be shared with other requests.
     pub blocks: Vec<PrefixBlock>,
 }
 
-/// A part of a prompt.
+/// A block of a prompt, which with the blocks before it forms a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefixBlock {
-    /// What identifies it: equal parts have equal numbers.
+    /// Id of the block: equal blocks have equal ids.
     pub id: u64,
-    /// Tokens.
+    /// Tokens of the block.
     pub tokens: u64,
 }
 
 /// One effect for relayed requests.
 #[derive(Debug, Clone)]
 pub enum RelayEffect {
-    /// The request just arrived has this key.
+    /// The request that just arrived has this key.
     Opened(CallKey),
     /// Send the request to a backend server.
     Send(Box<Outgoing>),
-    /// Close the attempt's connection and forget it.
+    /// Close the attempt's connection and drop the attempt.
     Cancel(AttemptKey),
-    /// Pass the event in hand on to the caller.
+    /// Forward the current stream event to the caller.
     ForwardEvent(CallKey),
-    /// Pass the answer in hand on to the caller.
+    /// Forward the current answer to the caller.
     ForwardAnswer(CallKey),
-    /// The caller has the whole answer.
+    /// The caller has the complete answer.
     Finish(CallKey),
-    /// The caller's answer has begun and cannot be completed: it must look cut.
+    /// The caller's answer has begun and cannot be completed: end it so that the caller sees a truncated
+    /// answer.
     AbortAnswer(CallKey),
-    /// Answer that there will be no whole answer.
+    /// Answer the caller with a refusal.
     Refuse {
         /// The request.
         call: CallKey,
-        /// Why.
+        /// The refusal.
         refusal: Refusal,
     },
-    /// Give back a KV cache that will not be used.
+    /// Release a KV cache that will not be used.
     FreeCache {
         /// Id of the engine that holds it.
         instance: Box<str>,
-        /// Where it listens.
+        /// Address that the engine listens on.
         addr: SocketAddr,
-        /// Name of the KV cache.
+        /// Handle of the KV cache.
         handle: Box<str>,
     },
     /// Ask an engine for its state.
     FetchReport {
-        /// Its id.
+        /// The engine's id.
         instance: Box<str>,
-        /// Where it listens.
+        /// Address that the engine listens on.
         addr: SocketAddr,
     },
-    /// Have an engine change its stage.
+    /// Order an engine to change its stage.
     Order(StageOrder),
-    /// The hosts share this secret: messages are proved and checked with it.
+    /// Secret shared by all hosts: messages between them are authenticated with it.
     Secret([u8; 32]),
     /// Call the store.
     CallStore {
         /// Number of the call.
         number: u64,
-        /// What is asked.
+        /// The call.
         ask: StoreCall,
     },
-    /// Give a call of the store up.
+    /// Cancel the call of the store with this number.
     CancelStoreCall(u64),
-    /// Send this to other hosts.
+    /// Send a gossip message to other hosts.
     Publish {
-        /// Where they listen.
+        /// Addresses of the receivers.
         to: Vec<SocketAddr>,
-        /// What is sent.
+        /// The message.
         message: Box<Gossip>,
     },
 }
@@ -316,12 +318,12 @@
 pub enum StoreCall {
     /// Read a page of all keys.
     Page {
-        /// Last key of the page before.
+        /// Last key of the previous page.
         after: Option<Box<str>>,
     },
     /// Wait for changes.
     Watch {
-        /// Revision up to which they are known.
+        /// Revision after which changes are wanted.
         after: i64,
         /// Time to wait.
         wait: Duration,
@@ -333,15 +335,15 @@
 /// What a backend server is asked to do with a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Task {
-    /// Run it whole.
+    /// Run all of it.
     Whole,
     /// Prefill its prompt and keep the KV cache.
     Prefill,
-    /// Generate from the KV cache of this name at this engine.
+    /// Generate from a KV cache at another engine.
     Decode {
-        /// Where the engine that prefilled listens.
+        /// Address of the engine that prefilled.
         from: SocketAddr,
-        /// Name of the KV cache.
+        /// Handle of the KV cache.
         handle: Box<str>,
     },
 }
@@ -353,23 +355,23 @@
     pub call: CallKey,
     /// The attempt.
     pub attempt: AttemptKey,
-    /// Id of the backend server; another one at its address must not take the request.
+    /// Id of the backend server; a different server at this address must refuse the request.
     pub instance: Box<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     /// What to do.
     pub task: Task,
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// Urgency at the engine, 0 to 9; lower goes first.
+    /// Urgency at the engine, from 0 to 9; lower values are served first.
     pub urgency: Option<u8>,
-    /// Number of the last event that the caller has.
+    /// Number of the last event that the caller received.
     pub resume: Option<u64>,
     /// Whether the answer is a stream of events.
     pub streaming: bool,
-    /// Idle connections to one backend server that may be kept.
+    /// Largest number of idle connections to keep to one backend server.
     pub max_idle: usize,
-    /// Where the engine listens from which it first copies what that one holds of the prompt.
+    /// Address of an engine from which it first copies the prefix blocks that are cached there.
     pub fetch_from: Option<SocketAddr>,
 }
 
@@ -378,44 +380,44 @@
 pub struct StageOrder {
     /// The engine's id.
     pub instance: Box<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Stage that it is to have.
+    /// Stage that it is to change to.
     pub stage: Stage,
-    /// This host's name.
+    /// Name of this host, the holder of the authority.
     pub holder: Box<str>,
     /// Fencing number.
     pub fence: u64,
-    /// Orders that the engine had accepted when this was decided.
+    /// Number of orders that the engine had accepted when this one was decided.
     pub expected: u64,
-    /// The right to order ends here; checked again just before the write.
+    /// End of the authority; checked again just before the order is written to the connection.
     pub until: Time,
-    /// Era of the store to which the right belongs; checked likewise.
+    /// Era of the store that the authority belongs to; checked likewise.
     pub era: u64,
 }
 
-/// An engine's state by its own report, some hundred milliseconds old.
+/// State that an engine reports, some hundred milliseconds old.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Stage that it has.
+    /// Current stage.
     pub stage: Stage,
-    /// Whether it carries out an order.
+    /// Whether it is executing an order.
     pub busy: bool,
-    /// Orders that it has accepted since its start.
+    /// Number of orders that it has accepted since its start.
     pub orders: u64,
 }
 
-/// What came of an order.
+/// Result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The engine carries it out, or has that stage.
+    /// The engine is executing it, or already has that stage.
     Done,
-    /// The engine is busy, or its state is another than expected.
+    /// The engine is busy, or its state differs from the expected one.
     Conflict,
-    /// The engine knows a higher fencing number.
+    /// The engine has seen a higher fencing number.
     Fenced,
-    /// The engine surely did not take it.
+    /// The engine certainly did not accept it.
     Unsent,
-    /// The engine may have taken it, or may take it later.
+    /// The engine may have accepted it, or may still accept it.
     Unknown,
 }
--- a/src/core/relay/gossip/aggregator.rs
+++ b/src/core/relay/gossip/aggregator.rs
@@ -1,48 +1,48 @@
-//! Which host sums up for this one in a large failure domain.
+//! Which host aggregates load reports for this one in a large failure domain.
 //!
-//! Hosts are ordered by name, and form a tree of few children each, as a heap does. Each reports to its
-//! parent there, or where that does not answer to another host before it. One that does not answer is
-//! suspected for a while and then asked again, so that hosts which cannot reach each other still learn of
-//! each other's work through a third. Who reports to whom always leads to an earlier name: no circle
-//! can come about.
+//! Hosts are ordered by name and form a tree with few children per node, laid out like a heap. Each
+//! reports to its parent in that tree or, where the parent does not answer, to another host with an
+//! earlier name. A host that does not answer is suspected for a while and then queried again, so that
+//! hosts which cannot reach each other still receive each other's load through a third. A host reports
+//! only to hosts with earlier names, so reports cannot form a cycle.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::core::time::Time;
 
-/// Time within which an aggregator answers: several times its gossip interval.
+/// Time within which an aggregator must answer: several times its gossip interval.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between two questions to a host that is preferred to the one that answers.
+/// Interval between two queries to hosts that are preferred to the current aggregator.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// First time for which a host that did not answer is not asked; doubled each time.
+/// Time for which a host that did not answer once is not queried; doubled with each further failure.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Doublings of that time, at most: to 16 s.
+/// Largest number of doublings of [`SUSPICION_TIMEOUT`]: to 16 s.
 const MAX_SUSPICION_DOUBLINGS: u32 = 3;
-/// Time after which an old suspicion no longer counts.
+/// Time without a further failure after which a suspicion and its count are dropped.
 const BACKOFF_RESET: Duration = Duration::from_secs(30);
 
-/// Hosts that report to one while all answer.
+/// Children of a host in the tree: hosts that report to it while all hosts answer.
 const MAX_CHILDREN: usize = 8;
 
-/// Returns the hosts before one by name in the order in which it should report to them: its parent and
-/// the parents of that, then the others.
+/// Returns the possible aggregators of a host in order of preference: its parent and further ancestors
+/// in the tree, then the others.
 ///
-/// `before` holds all of them in the order of their names.
+/// `before` holds the names of all hosts that sort before it, in order.
 #[must_use]
 pub fn preferred_order(before: &[Box<str>]) -> Vec<Box<str>> {
-    let mut line = Vec::new();
-    let mut at = before.len();
-    while at > 0 {
-        at = (at - 1) / MAX_CHILDREN;
-        line.push(at);
+    let mut ancestors = Vec::new();
+    let mut index = before.len();
+    while index > 0 {
+        index = (index - 1) / MAX_CHILDREN;
+        ancestors.push(index);
     }
-    let others = (0..before.len()).filter(|at| !line.contains(at));
-    let order = line.iter().copied().chain(others);
-    order.map(|at| before[at].clone()).collect()
+    let others = (0..before.len()).filter(|index| !ancestors.contains(index));
+    let order = ancestors.iter().copied().chain(others);
+    order.map(|index| before[index].clone()).collect()
 }
 
-/// A host that did not answer.
+/// Failures of a host to answer.
 #[derive(Debug, Clone, Copy)]
 struct Suspicion {
     since: Time,
@@ -51,88 +51,88 @@
 
 impl Suspicion {
     fn is_active(&self, now: Time) -> bool {
-        let time =
+        let timeout =
             SUSPICION_TIMEOUT.saturating_mul(1 << (self.failures - 1).min(MAX_SUSPICION_DOUBLINGS));
-        now.since(self.since) < time
+        now.since(self.since) < timeout
     }
 }
 
-/// What changed about the aggregator.
+/// A change of the aggregator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AggregatorChange {
-    /// The one before, if any.
+    /// The previous one, if any.
     pub previous: Option<Box<str>>,
-    /// The one now; none where this host sums up itself.
+    /// The current one; `None` if this host has none.
     pub current: Option<Box<str>>,
 }
 
-/// The host that sums up for this one, and those that were asked to.
+/// The host that aggregates for this one, and those queried to do so.
 #[derive(Debug, Default)]
 pub struct Aggregator {
     current: Option<Box<str>>,
-    /// Hosts that may sum up for this one, the preferred first.
+    /// Hosts that may aggregate for this one, most preferred first.
     candidates: Vec<Box<str>>,
-    /// Since when the current one has not answered a report.
+    /// When the oldest report that the current one has not answered was sent.
     awaiting_since: Option<Time>,
-    /// Hosts that were asked and did not answer yet.
+    /// Hosts that were queried and have not answered yet, with the time of the query.
     pending: BTreeMap<Box<str>, Time>,
     suspected: BTreeMap<Box<str>, Suspicion>,
-    /// Hosts asked at once while none answers; doubled each time.
+    /// Hosts queried at the same time while none answers; doubled each time.
     fanout: usize,
-    /// When a host that is preferred to the current one was last asked.
+    /// When a host that is preferred to the current one was last queried.
     last_retry: Time,
-    /// When this was last looked at.
+    /// When [`Aggregator::poll`] last ran.
     last_poll: Time,
 }
 
 impl Aggregator {
-    /// Returns the host that sums up for this one.
+    /// Returns the host that aggregates for this one.
     #[must_use]
     pub fn current(&self) -> Option<&str> {
         self.current.as_deref()
     }
 
-    /// Tells whether no host before this one answers, as far as is known.
+    /// Whether this host has no aggregator and no query for one is open.
     #[must_use]
     pub fn is_root(&self) -> bool {
         self.current.is_none() && self.pending.is_empty()
     }
 
-    /// Looks at the hosts that may sum up, the preferred first: returns which to ask now, and whether
-    /// the aggregator was lost.
+    /// Updates the candidates, given most preferred first, and checks for time-outs. Returns the hosts to
+    /// query now, and the change if the aggregator was lost.
     pub fn poll(
         &mut self,
-        order: Vec<Box<str>>,
+        candidates: Vec<Box<str>>,
         now: Time,
     ) -> (Vec<Box<str>>, Option<AggregatorChange>) {
         if now.since(self.last_poll) > REPLY_TIMEOUT {
-            // This host stood still: it is not the others that did not answer.
+            // This host was paused and may have missed answers: restart all time-outs.
             self.awaiting_since = self.awaiting_since.map(|_| now);
             self.pending.values_mut().for_each(|at| *at = now);
         }
         self.last_poll = now;
-        self.candidates = order;
-        let order = &self.candidates;
-        self.pending.retain(|name, _| order.contains(name));
+        self.candidates = candidates;
+        let candidates = &self.candidates;
+        self.pending.retain(|name, _| candidates.contains(name));
         self.suspected.retain(|name, suspicion| {
-            order.contains(name) && now.since(suspicion.since) < BACKOFF_RESET
+            candidates.contains(name) && now.since(suspicion.since) < BACKOFF_RESET
         });
         self.suspect_unresponsive(now);
         let lost = self.drop_lost(now);
-        let asked = self.hosts_to_query(now);
+        let queried = self.hosts_to_query(now);
         self.pending
-            .extend(asked.iter().map(|name| (name.clone(), now)));
-        (asked, lost)
+            .extend(queried.iter().map(|name| (name.clone(), now)));
+        (queried, lost)
     }
 
     fn suspect_unresponsive(&mut self, now: Time) {
-        let late: Vec<Box<str>> = self
+        let timed_out: Vec<Box<str>> = self
             .pending
             .iter()
             .filter(|(_, at)| now.since(**at) > REPLY_TIMEOUT)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in late {
+        for name in timed_out {
             self.pending.remove(&name);
             self.suspect(name, now);
         }
@@ -147,54 +147,56 @@
         suspicion.failures += 1;
     }
 
-    /// Gives the aggregator up if it is gone or does not answer.
+    /// Drops the aggregator if it is no longer a candidate or does not answer.
     fn drop_lost(&mut self, now: Time) -> Option<AggregatorChange> {
         let current = self.current.as_ref()?;
-        let silent = self
+        let timed_out = self
             .awaiting_since
             .is_some_and(|at| now.since(at) > REPLY_TIMEOUT);
-        if self.candidates.contains(current) && !silent {
+        if self.candidates.contains(current) && !timed_out {
             return None;
         }
-        let before = self.current.take()?;
+        let previous = self.current.take()?;
         self.awaiting_since = None;
         self.fanout = 1;
-        if silent {
-            self.suspect(before.clone(), now);
+        if timed_out {
+            self.suspect(previous.clone(), now);
         }
         Some(AggregatorChange {
-            previous: Some(before),
+            previous: Some(previous),
             current: None,
         })
     }
 
-    /// Returns the hosts to ask: the first that is not suspected, and more each time none answered.
+    /// Returns the hosts to query. With an aggregator: the most preferred unsuspected host before it, once
+    /// per [`RETRY_INTERVAL`]. Without one: the first unsuspected hosts, twice as many each time.
     fn hosts_to_query(&mut self, now: Time) -> Vec<Box<str>> {
         let is_suspected = |name: &str| {
             self.suspected
                 .get(name)
                 .is_some_and(|suspicion| suspicion.is_active(now))
         };
-        let better = self.candidates.iter().take(self.rank());
-        let free = better.filter(|name| !is_suspected(name) && !self.pending.contains_key(*name));
+        let preferred = self.candidates.iter().take(self.rank());
+        let eligible =
+            preferred.filter(|name| !is_suspected(name) && !self.pending.contains_key(*name));
         if self.current.is_some() {
             if now.since(self.last_retry) < RETRY_INTERVAL {
                 return Vec::new();
             }
-            let first: Vec<Box<str>> = free.take(1).cloned().collect();
+            let first: Vec<Box<str>> = eligible.take(1).cloned().collect();
             self.last_retry = now;
             return first;
         }
         if !self.pending.is_empty() {
             return Vec::new();
         }
-        let width = self.fanout.max(1);
-        let hosts = free.take(width).cloned().collect();
-        self.fanout = width.saturating_mul(2);
+        let fanout = self.fanout.max(1);
+        let hosts = eligible.take(fanout).cloned().collect();
+        self.fanout = fanout.saturating_mul(2);
         hosts
     }
 
-    /// Returns how many hosts are preferred to the one that sums up now.
+    /// Returns how many candidates are preferred to the current aggregator; all if there is none.
     fn rank(&self) -> usize {
         let current = self.current.as_ref();
         let rank =
@@ -202,20 +204,21 @@
         rank.unwrap_or(self.candidates.len())
     }
 
-    /// Notes that a report was sent to the aggregator, which it answers.
+    /// Records that a report was sent to the aggregator, which must answer it.
     pub fn report_sent(&mut self, now: Time) {
         self.awaiting_since.get_or_insert(now);
     }
 
-    /// Takes in that a host answered; returns what changed if it sums up for this one from now on.
+    /// Records the answer of a host. Returns the change if that host becomes the aggregator: it was
+    /// queried, and none before it in the order of preference is the aggregator.
     pub fn answer_received(&mut self, name: &str) -> Option<AggregatorChange> {
-        let asked = self.pending.remove(name).is_some();
+        let queried = self.pending.remove(name).is_some();
         if self.current() == Some(name) {
             self.awaiting_since = None;
             return None;
         }
         let rank = self.candidates.iter().position(|host| **host == *name);
-        if !asked || rank.is_none_or(|rank| rank > self.rank()) {
+        if !queried || rank.is_none_or(|rank| rank > self.rank()) {
             return None;
         }
         self.awaiting_since = None;
@@ -226,7 +229,7 @@
         })
     }
 
-    /// Forgets everything, for a host whose failure domain needs no aggregator.
+    /// Clears all state, for a host whose failure domain needs no aggregator.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
--- a/src/core/relay/gossip/domains.rs
+++ b/src/core/relay/gossip/domains.rs
@@ -1,6 +1,7 @@
-//! What failure domains tell each other: one host of each tells one host of every other.
+//! Gossip between failure domains: one host of each domain sends to one host of every other.
 //!
-//! Bytes between domains grow with the domains, not with the square of the hosts.
+//! Traffic between domains thus depends on the number of domains, not on the square of the number of
+//! hosts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,7 +12,7 @@
 use super::super::peers::new_peer;
 use super::{is_live, neighbour_addrs, new_message, publish_to, summed_loads};
 
-/// Tells each other failure domain what was heard in this one.
+/// Sends the sums over this failure domain to one host of each other domain.
 pub(super) fn publish_aggregate(core: &mut Core, out: &mut Effects) {
     let own = core.settings.host.domain.clone();
     let peers = &core.relay.peers;
@@ -22,7 +23,8 @@
             to.entry(peer.domain.clone()).or_default().push(peer.addr);
         }
     }
-    // One host there passes it on. It may be down: another is told each time nothing is heard.
+    // The receiver forwards the message within its domain. While no message arrives from there, the
+    // receiver may be down, so each message goes to another host.
     let to: Vec<SocketAddr> = to
         .iter()
         .filter_map(|(domain, addrs)| {
@@ -34,27 +36,27 @@
         return;
     }
     let loads = summed_loads(core);
-    let (parts, deaths) = core.relay.peers.cross_domain.take();
-    let message = new_message(core, GossipKind::Domain(own), loads, parts, deaths);
+    let (blocks, crashes) = core.relay.peers.cross_domain.take();
+    let message = new_message(core, GossipKind::Domain(own), loads, blocks, crashes);
     out.extend(publish_to(to, message));
 }
 
-/// Returns one of the addresses, another with each number.
-fn rotate(addrs: &[SocketAddr], number: u64) -> Option<SocketAddr> {
-    let at = number % u64::try_from(addrs.len()).ok()?.max(1);
-    addrs.get(usize::try_from(at).ok()?).copied()
+/// Returns the address whose turn it is at a sequence number.
+fn rotate(addrs: &[SocketAddr], sequence: u64) -> Option<SocketAddr> {
+    let index = sequence % u64::try_from(addrs.len()).ok()?.max(1);
+    addrs.get(usize::try_from(index).ok()?).copied()
 }
 
-/// Returns where the host listens that represents another failure domain, if one is live.
+/// Returns the address of the host that represents another failure domain, if one is live.
 fn representative(core: &Core, domain: &str) -> Option<SocketAddr> {
     let peers = &core.relay.peers;
-    let whole = &peers.arena[*peers.domains.get(domain)?];
-    let host = peers.names.get(&whole.name)?;
-    is_live(core, whole).then(|| peers.arena[*host].addr)
+    let aggregate = &peers.arena[*peers.domains.get(domain)?];
+    let host = peers.names.get(&aggregate.name)?;
+    is_live(core, aggregate).then(|| peers.arena[*host].addr)
 }
 
-/// Passes on what was heard from another failure domain: to all where each host tells all, or to the
-/// aggregator, whose totals then hold it.
+/// Forwards a message from another failure domain: to the aggregator, whose totals then include it, or
+/// to all hosts of this domain where each sends to all others.
 pub(super) fn forward(core: &mut Core, message: Gossip, out: &mut Effects) {
     let GossipKind::Domain(domain) = &message.kind else {
         return;
@@ -70,7 +72,7 @@
     }
 }
 
-/// Returns what stands for a whole failure domain, now that this host represents it.
+/// Returns the entry that stands for a whole failure domain, and makes a host its representative.
 pub(super) fn aggregate_peer(
     core: &mut Core,
     representative: HostKey,
@@ -81,18 +83,18 @@
         peers.arena[representative].name.clone(),
         peers.arena[representative].addr,
     );
-    let known = peers.domains.get(&domain).copied();
-    let key = known.unwrap_or_else(|| {
+    let existing = peers.domains.get(&domain).copied();
+    let key = existing.unwrap_or_else(|| {
         let key = peers.arena.insert(new_peer(&name, domain.clone(), addr));
         peers.domains.insert(domain, key);
         key
     });
-    let whole = &mut peers.arena[key];
-    if whole.name != name {
-        // Another host represents_domain for it: its numbers are its own.
-        whole.name = name;
-        whole.incarnation = 0;
-        whole.sequence = 0;
+    let aggregate = &mut peers.arena[key];
+    if aggregate.name != name {
+        // The representative changed, and has sequence numbers of its own.
+        aggregate.name = name;
+        aggregate.incarnation = 0;
+        aggregate.sequence = 0;
     }
     key
 }
--- a/src/core/relay/gossip/gather.rs
+++ b/src/core/relay/gossip/gather.rs
@@ -1,8 +1,8 @@
 //! Reports to an aggregator, and the totals that it answers with.
 //!
-//! A report tells of the sender's own work and of that of the hosts that report to the sender. Totals
-//! tell of all the work that the aggregator knows of, and which reports they include, so that a host
-//! can take its own work out of them: what it has sent and finished since, it knows better itself.
+//! A report contains the load of the sender and of the hosts that report to the sender. Totals contain
+//! all load that the aggregator has reports of, and name the reports that they include. A host subtracts
+//! its own report from them, since it has exact and newer figures for its own load.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,11 +18,10 @@
     summed_loads, take_unpublished,
 };
 
-/// Reports that are remembered until totals include them: those of two seconds.
+/// Sent reports that are kept until totals include them: at least two seconds' worth.
 const MAX_SENT_REPORTS: usize = 64;
 
-/// Asks hosts to sum up for this one, reports to the one that does, and answers those that report
-/// here.
+/// Queries hosts to find or improve the aggregator of this one, and sends it a report.
 pub(super) fn update_aggregator(core: &mut Core, out: &mut Effects) {
     let own = &core.settings.host.name;
     let mut before: Vec<Box<str>> = neighbours(core)
@@ -31,7 +30,7 @@
         .collect();
     before.sort();
     let now = core.now;
-    let (ask, lost) = core
+    let (to_query, lost) = core
         .relay
         .peers
         .aggregator
@@ -39,8 +38,8 @@
     if let Some(change) = lost {
         aggregator_changed(core, &change, out);
     }
-    if !ask.is_empty() {
-        let to = ask
+    if !to_query.is_empty() {
+        let to = to_query
             .iter()
             .filter_map(|name| peer_addr(core, name))
             .collect();
@@ -48,22 +47,23 @@
         out.extend(publish_to(to, message));
     }
     if core.relay.peers.aggregator.is_root() {
-        // The hosts that the last totals told of report here from now on.
+        // The hosts included in the last totals report to this host from now on.
         forget_totals(core);
         core.relay.peers.upstream.take();
     }
     send_report(core, out);
 }
 
+/// Drops the loads of the last totals.
 fn forget_totals(core: &mut Core) {
     let peers = &mut core.relay.peers;
-    let all = peers.domains.get(&core.settings.host.domain).copied();
-    if let Some(all) = all.filter(|all| peers.arena[*all].last_seen.take().is_some()) {
-        core.relay.instances.told(all, &[]);
+    let totals = peers.domains.get(&core.settings.host.domain).copied();
+    if let Some(totals) = totals.filter(|key| peers.arena[*key].last_seen.take().is_some()) {
+        core.relay.instances.told(totals, &[]);
     }
 }
 
-/// Returns where the aggregator listens.
+/// Returns the address of the aggregator.
 pub(super) fn aggregator_addr(core: &Core) -> Option<SocketAddr> {
     peer_addr(core, core.relay.peers.aggregator.current()?)
 }
@@ -74,26 +74,26 @@
     Some(peers.arena[*key].addr)
 }
 
-/// Reports to the aggregator, if there is one and anything is new.
+/// Sends a report to the aggregator, if there is one and a report is due.
 fn send_report(core: &mut Core, out: &mut Effects) {
     let loads = summed_loads(core);
-    let (parts, deaths) = take_unpublished(core);
+    let (blocks, crashes) = take_unpublished(core);
     let peers = &mut core.relay.peers;
-    if !parts.is_empty() || !deaths.is_empty() {
-        peers.upstream.add(&parts, &deaths);
+    if !blocks.is_empty() || !crashes.is_empty() {
+        peers.upstream.add(&blocks, &crashes);
     }
-    let news = peers.upstream.is_dirty();
-    if !should_publish(core, &loads, news) {
+    let changed = peers.upstream.is_dirty();
+    if !should_publish(core, &loads, changed) {
         return;
     }
     let peers = &mut core.relay.peers;
-    peers.downstream.add(&parts, &deaths);
-    peers.cross_domain.add(&parts, &deaths);
+    peers.downstream.add(&blocks, &crashes);
+    peers.cross_domain.add(&blocks, &crashes);
     let Some(to) = aggregator_addr(core) else {
         return;
     };
-    let (parts, deaths) = core.relay.peers.upstream.take();
-    let message = new_message(core, GossipKind::Report, loads, parts, deaths);
+    let (blocks, crashes) = core.relay.peers.upstream.take();
+    let message = new_message(core, GossipKind::Report, loads, blocks, crashes);
     let peers = &mut core.relay.peers;
     peers.aggregator.report_sent(core.now);
     peers
@@ -105,10 +105,11 @@
     out.extend(publish_to(vec![to], message));
 }
 
-/// Answers the hosts that report here, if anything is new.
+/// Sends totals to the hosts that report to this one, if anything changed or the last totals are older
+/// than [`KEEPALIVE_INTERVAL`].
 pub(super) fn send_totals(core: &mut Core, out: &mut Effects) {
     let peers = &core.relay.peers;
-    let reporting: Vec<(SocketAddr, IncludedReport)> = peers
+    let reporters: Vec<(SocketAddr, IncludedReport)> = peers
         .arena
         .values()
         .filter(|peer| peer.is_reporter)
@@ -121,11 +122,12 @@
         })
         .collect();
     let view = &core.relay.view;
-    let quiet = !view.probes.has_news() && !view.history.has_news() && !peers.downstream.is_dirty();
-    let waits = peers
+    let unchanged =
+        !view.probes.has_news() && !view.history.has_news() && !peers.downstream.is_dirty();
+    let recent = peers
         .totals_sent
         .is_some_and(|at| core.now.since(at) < KEEPALIVE_INTERVAL);
-    if reporting.is_empty() || (quiet && waits) {
+    if reporters.is_empty() || (unchanged && recent) {
         return;
     }
     let loads = core.relay.instances.arena.values();
@@ -135,25 +137,25 @@
         .collect();
     let peers = &mut core.relay.peers;
     peers.totals_sent = Some(core.now);
-    let (parts, deaths) = peers.downstream.take();
-    let (to, included) = reporting.into_iter().unzip();
-    let message = new_message(core, GossipKind::Totals(included), loads, parts, deaths);
+    let (blocks, crashes) = peers.downstream.take();
+    let (to, included) = reporters.into_iter().unzip();
+    let message = new_message(core, GossipKind::Totals(included), loads, blocks, crashes);
     out.extend(publish_to(to, message));
 }
 
-/// Returns the short hash of one process of a host.
+/// Returns the short hash that identifies one process of a host.
 fn process_hash(host: &str, incarnation: u64) -> u32 {
     short(&format!("{host}/{incarnation}"))
 }
 
-/// Takes in a report, a question for totals, or a farewell.
+/// Handles a report, a query for totals, or the farewell of a reporter.
 pub(super) fn receive_report(core: &mut Core, key: HostKey, message: &Gossip) {
     let peer = &mut core.relay.peers.arena[key];
     peer.is_reporter = message.kind != GossipKind::Farewell;
     core.relay.instances.told(key, &message.loads);
 }
 
-/// Takes in totals, if their sender sums up for this host.
+/// Handles totals, if their sender is this host's aggregator or becomes it.
 pub(super) fn receive_totals(
     core: &mut Core,
     sender: HostKey,
@@ -170,11 +172,11 @@
     }
     let own = process_hash(&core.settings.host.name, core.members.incarnation());
     let report = included.iter().find(|report| report.process == own);
-    let reported = report.and_then(|report| {
+    let sent = report.and_then(|report| {
         let mut reports = core.relay.peers.sent_reports.iter();
-        reports.find(|(number, _)| *number == report.sequence)
+        reports.find(|(sequence, _)| *sequence == report.sequence)
     });
-    let reported: BTreeMap<u32, Work> = reported
+    let own_work: BTreeMap<u32, Work> = sent
         .iter()
         .flat_map(|(_, loads)| loads)
         .map(|load| (load.instance, Work::from(*load)))
@@ -182,21 +184,22 @@
     let others: Vec<LoadReport> = loads
         .iter()
         .map(|load| {
-            let part = reported.get(&load.instance).copied().unwrap_or_default();
-            load_report(load.instance, Work::from(*load).less(part))
+            let own = own_work.get(&load.instance).copied().unwrap_or_default();
+            load_report(load.instance, Work::from(*load).less(own))
         })
         .collect();
     let domain = core.settings.host.domain.clone();
-    let all = domains::aggregate_peer(core, sender, domain);
+    let totals = domains::aggregate_peer(core, sender, domain);
     let now = core.now;
     let peers = &mut core.relay.peers;
-    peers.arena[all].last_seen = Some(now);
+    peers.arena[totals].last_seen = Some(now);
     peers.reporter_count = included.len();
     peers.downstream.add(&[], &[]);
-    core.relay.instances.told(all, &others);
+    core.relay.instances.told(totals, &others);
 }
 
-/// Says that another host sums up for this one, and takes leave of the one before.
+/// Logs a change of the aggregator, resets what depended on the previous one, and sends that one a
+/// farewell if another took over.
 fn aggregator_changed(core: &mut Core, change: &AggregatorChange, out: &mut Effects) {
     let name = |host: &Option<Box<str>>| host.clone().unwrap_or_else(|| "none".into());
     note(
@@ -210,19 +213,19 @@
     );
     core.relay.peers.sent_reports.clear();
     if change.current.is_some() {
-        // Totals hold what was heard from other failure domains.
+        // Totals include the loads of the other failure domains.
         let domains: Vec<HostKey> = core.relay.peers.domains.values().copied().collect();
         for domain in domains {
             core.relay.instances.told(domain, &[]);
         }
     }
-    // The new one is told all at once.
+    // Send the next report immediately.
     core.relay.peers.last_publish = None;
-    let left = change
+    let replaced = change
         .previous
         .as_deref()
         .filter(|_| change.current.is_some());
-    if let Some(to) = left.and_then(|name| peer_addr(core, name)) {
+    if let Some(to) = replaced.and_then(|name| peer_addr(core, name)) {
         let message = new_message(
             core,
             GossipKind::Farewell,
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -1,12 +1,12 @@
-//! Gossip between hosts: unfinished work, cached prefixes, crashes, limits, changes of the store.
+//! Gossip between hosts: unfinished work, cached prefix blocks, crashes, rate limits, store changes.
 //!
-//! Each host sees only its part of the requests. Without the others' reports every host takes the
-//! same engine for idle, and prefills the same prefix at another engine.
+//! Each host sees only its share of the requests. Without reports from the others, all hosts would
+//! pick the same seemingly idle engine, and prefill the same prefix at different engines.
 //!
 //! In a small failure domain each host sends to all others. In a large one that would cost each host as
-//! many datagrams as there are hosts, so that each reports to an aggregator and receives totals: see
-//! [`gather`]. One host of each failure domain sends the others what is known in its own: see
-//! [`domains`].
+//! many datagrams as there are hosts, so each host reports to an aggregator and receives totals: see
+//! [`gather`]. One representative of each failure domain sends its domain's sums to the other domains:
+//! see [`domains`].
 
 mod aggregator;
 mod domains;
@@ -27,31 +27,32 @@
 use super::peers::Peer;
 use super::{RelayTimer, from_millis, limit, load, parts, peers, view, wake};
 
-/// Time between two messages to the other hosts.
+/// Shortest interval between two messages to the other hosts.
 ///
-/// Stale load reports send every host to the same engine; fresher ones cost processor time and bytes
-/// between failure domains.
+/// Stale load reports make all hosts choose the same engine; shorter intervals cost processor time and
+/// traffic between failure domains.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(18);
-/// The same for each other host of a failure domain without aggregators: a host receives from all of
-/// them.
+/// Gossip interval per other host of a failure domain without aggregators, where each host receives
+/// messages from all others.
 const INTERVAL_PER_HOST: Duration = Duration::from_micros(1500);
-/// The same where they report to one of them, which answers with some kilobytes to each that reports to
-/// it, over a link that may be the thinnest of all hosts.
+/// Gossip interval where hosts report to an aggregator. It answers each reporter with some kilobytes,
+/// possibly over the slowest link of all hosts.
 const REPORT_INTERVAL: Duration = Duration::from_millis(45);
-/// Other hosts of a failure domain up to which each sends to all.
+/// Largest number of other hosts in a failure domain where each host sends to all others.
 const MAX_FLAT_PEERS: usize = 12;
-/// Time between two looks at the prompt parts that engines hold: all of some ten thousand are
-/// looked at, and those that are dropped were last used seconds ago.
+/// Interval between two sweeps of the prefix blocks that engines hold. A sweep visits all of some ten
+/// thousand, and the blocks it drops were last used seconds ago.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest time between two messages while nothing changes; less than half of
+/// Longest interval between two messages while nothing changes; less than half of
 /// [`REPRESENTATIVE_TIMEOUT`].
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without a message after which a host's reports are dropped.
+/// Time without a message after which a host's load reports are dropped.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time without a message after which another host represents a failure domain: two keep-alives.
+/// Time without a message after which another host represents a failure domain: two keep-alive
+/// intervals and a margin.
 const REPRESENTATIVE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Sends this host's state to the others.
+/// Expires old state, then sends this host's state to the others.
 pub fn publish(core: &mut Core, out: &mut Effects) {
     wake(core, gossip_interval(core), RelayTimer::Publish, out);
     expire_peers(core);
@@ -74,27 +75,27 @@
     }
 }
 
-/// Returns the age of what is known of the work of other hosts of this failure domain: of the last
-/// totals, or of the oldest message where each host sends to all.
+/// Returns the age of the load reports from the other hosts of this failure domain: that of the last
+/// totals, or of the least recent message where each host sends to all.
 pub(super) fn load_age(core: &Core) -> Option<Duration> {
     let peers = &core.relay.peers;
     let totals = peers.domains.get(&core.settings.host.domain);
-    let heard = match totals {
+    let last_seen = match totals {
         Some(totals) => peers.arena[*totals].last_seen,
         None => neighbours(core).filter_map(|peer| peer.last_seen).min(),
     };
-    heard.map(|at| core.now.since(at))
+    last_seen.map(|at| core.now.since(at))
 }
 
-/// Returns the time after which work that is sent now is known to the other hosts: that between two
-/// messages, longer where none came.
+/// Returns the time until the other hosts have received work that is sent now: the gossip interval, or
+/// longer where no message arrived lately.
 pub(super) fn propagation_delay(core: &Core) -> Duration {
-    // Reports pass a host on their way up, and totals one on their way down.
+    // Reports and totals each take one hop through an aggregator.
     let hops = if uses_aggregators(core) { 2 } else { 1 };
     (gossip_interval(core) * hops).max(load_age(core).unwrap_or_default())
 }
 
-/// Returns the time between two messages.
+/// Returns the interval between two gossip messages.
 fn gossip_interval(core: &Core) -> Duration {
     if uses_aggregators(core) {
         return REPORT_INTERVAL;
@@ -108,20 +109,20 @@
     neighbours(core).count() > MAX_FLAT_PEERS
 }
 
-/// Sends this host's own work to each host of its failure domain.
+/// Sends this host's own load to each host of its failure domain.
 fn publish_own(core: &mut Core, out: &mut Effects) {
     let loads = own_loads(core);
-    let (parts, deaths) = take_unpublished(core);
-    if !should_publish(core, &loads, !parts.is_empty() || !deaths.is_empty()) {
+    let (blocks, crashes) = take_unpublished(core);
+    if !should_publish(core, &loads, !blocks.is_empty() || !crashes.is_empty()) {
         return;
     }
-    core.relay.peers.cross_domain.add(&parts, &deaths);
-    let near = neighbour_addrs(core);
-    let message = new_message(core, GossipKind::Own, loads, parts, deaths);
-    out.extend(publish_to(near, message));
+    core.relay.peers.cross_domain.add(&blocks, &crashes);
+    let addrs = neighbour_addrs(core);
+    let message = new_message(core, GossipKind::Own, loads, blocks, crashes);
+    out.extend(publish_to(addrs, message));
 }
 
-/// Returns this host's own unfinished work.
+/// Returns this host's own unfinished work, by backend server.
 fn own_loads(core: &Core) -> Vec<LoadReport> {
     let loads = core.relay.instances.arena.values();
     loads
@@ -130,23 +131,24 @@
         .collect()
 }
 
-/// Takes the prefixes and crashes of this host that were not sent yet.
+/// Takes this host's prefix blocks and crash reports that are still to be sent.
 fn take_unpublished(core: &mut Core) -> (Vec<BlockReport>, Vec<CrashReport>) {
-    let parts = std::mem::take(&mut core.relay.peers.pending_blocks);
-    (parts, core.relay.killers.take_unpublished())
+    let blocks = std::mem::take(&mut core.relay.peers.pending_blocks);
+    (blocks, core.relay.killers.take_unpublished())
 }
 
-/// Whether to send this work now: something is new, or the last message is a while ago.
-fn should_publish(core: &mut Core, loads: &[LoadReport], news: bool) -> bool {
+/// Whether a message with these loads is due: something changed, or the last message is older than
+/// [`KEEPALIVE_INTERVAL`]. If so, records it as sent now.
+fn should_publish(core: &mut Core, loads: &[LoadReport], changed: bool) -> bool {
     let view = &core.relay.view;
     let limits = core.relay.peers.last_publish;
-    let limits = limits.is_some_and(|told| limit::changed_since(core, told));
-    let news = news || limits;
-    let news =
-        news || view.probes.has_news() || (view.history.has_news() && replicates_changes(core));
+    let limits = limits.is_some_and(|last| limit::changed_since(core, last));
+    let changed = changed || limits;
+    let changed =
+        changed || view.probes.has_news() || (view.history.has_news() && replicates_changes(core));
     let peers = &mut core.relay.peers;
-    let same = !news && loads == peers.last_loads;
-    if same
+    let unchanged = !changed && loads == peers.last_loads;
+    if unchanged
         && peers
             .last_publish
             .is_some_and(|at| core.now.since(at) < KEEPALIVE_INTERVAL)
@@ -158,7 +160,7 @@
     true
 }
 
-/// Forgets the prompt parts that engines no longer hold, every now and then.
+/// Drops prefix blocks that engines are expected to have evicted, once per [`SWEEP_INTERVAL`].
 fn sweep_blocks(core: &mut Core) {
     let peers = &mut core.relay.peers;
     if peers
@@ -168,7 +170,7 @@
         return;
     }
     peers.last_sweep = Some(core.now);
-    let memory = core.relay.catalog.as_ref().and_then(|catalog| {
+    let capacity = core.relay.catalog.as_ref().and_then(|catalog| {
         let engines = catalog
             .services
             .values()
@@ -176,7 +178,7 @@
         engines.map(|engine| engine.kv_capacity).max()
     });
     for instance in core.relay.instances.arena.values_mut() {
-        parts::forget(instance, memory.unwrap_or(0), core.now);
+        parts::forget(instance, capacity.unwrap_or(0), core.now);
     }
 }
 
@@ -189,19 +191,19 @@
     core: &mut Core,
     kind: GossipKind,
     loads: Vec<LoadReport>,
-    parts: Vec<BlockReport>,
-    deaths: Vec<CrashReport>,
+    blocks: Vec<BlockReport>,
+    crashes: Vec<CrashReport>,
 ) -> Gossip {
     core.relay.peers.sequence += 1;
-    let passes = match kind {
+    let replicates = match kind {
         GossipKind::Totals(_) => true,
         GossipKind::Own => replicates_changes(core),
         _ => false,
     };
-    let passage = passes.then(|| core.relay.view.passage());
+    let replicated = replicates.then(|| core.relay.view.passage());
     let probes = &mut core.relay.view.probes;
-    let newest = match kind {
-        // Each failure domain probes the store for itself.
+    let probe = match kind {
+        // Each failure domain probes the store itself.
         GossipKind::Domain(_) | GossipKind::Forwarded(_) => None,
         GossipKind::Totals(_) => probes.latest(core.now),
         _ => probes.newest(core.now),
@@ -211,12 +213,12 @@
         incarnation: core.members.incarnation(),
         sequence: core.relay.peers.sequence,
         loads,
-        blocks: parts,
-        crashes: deaths,
+        blocks,
+        crashes,
         kind,
         era: core.relay.view.era(),
-        probe: newest,
-        replicated: passage,
+        probe,
+        replicated,
         limits: limit::reports(core),
         uptime: core.relay.view.uptime.report(core.now),
     }
@@ -229,29 +231,31 @@
     all.filter(|peer| peer.domain == core.settings.host.domain)
 }
 
-/// Whether a host was seen lately enough to be counted on.
+/// Whether a message of a host arrived within [`REPRESENTATIVE_TIMEOUT`].
 fn is_live(core: &Core, peer: &Peer) -> bool {
     peer.last_seen
         .is_some_and(|at| core.now.since(at) < REPRESENTATIVE_TIMEOUT)
 }
 
-/// Returns where the other hosts of this failure domain listen.
+/// Returns the gossip addresses of the other hosts of this failure domain.
 fn neighbour_addrs(core: &Core) -> Vec<SocketAddr> {
     neighbours(core).map(|peer| peer.addr).collect()
 }
 
-/// Returns how many other hosts of this failure domain are live, seen directly or by an aggregator.
+/// Returns how many other hosts of this failure domain are live, seen by this host or by its
+/// aggregator.
 pub(super) fn live_neighbours(core: &Core) -> u32 {
     let direct = neighbours(core).filter(|peer| is_live(core, peer)).count();
     let peers = &core.relay.peers;
-    let reporting = match peers.aggregator.current() {
+    let reporters = match peers.aggregator.current() {
         Some(_) => peers.reporter_count,
         None => 0,
     };
-    u32::try_from(direct.max(reporting)).unwrap_or(u32::MAX)
+    u32::try_from(direct.max(reporters)).unwrap_or(u32::MAX)
 }
 
-/// Whether this host represents its failure domain: no host before it by name is live.
+/// Whether this host represents its failure domain: it has no aggregator, and no host whose name sorts
+/// before its own is live.
 pub(super) fn represents_domain(core: &Core) -> bool {
     if core.relay.peers.aggregator.current().is_some() {
         return false;
@@ -260,30 +264,31 @@
     !neighbours(core).any(|peer| peer.name < *own && is_live(core, peer))
 }
 
-/// Whether this host sends changes of the store to others: it represents its failure domain, or watches the store itself, as
-/// where the representative is cut off from it.
+/// Whether this host replicates store changes to others: it represents its failure domain, or watches
+/// the store itself, for instance while the representative cannot reach the store.
 fn replicates_changes(core: &Core) -> bool {
     represents_domain(core) || core.relay.view.watches(core.now)
 }
 
-/// Whether a host of this failure domain stands before this one by name, live or not.
+/// Whether the name of another host of this failure domain, live or not, sorts before this host's.
 pub(super) fn has_predecessor(core: &Core) -> bool {
     let own = &core.settings.host.name;
     neighbours(core).any(|peer| peer.name < *own)
 }
 
-/// Returns the unfinished work of this host and of those of its failure domain that reported it.
+/// Returns the summed unfinished work of this host and of the hosts of its failure domain that
+/// reported theirs.
 fn summed_loads(core: &Core) -> Vec<LoadReport> {
     let peers = &core.relay.peers;
     let own = &core.settings.host.domain;
     let totals = peers.domains.get(own);
-    let near = |key: &HostKey| {
+    let in_domain = |key: &HostKey| {
         let peer = peers.arena.get(*key);
         Some(key) != totals && peer.is_some_and(|peer| peer.domain == *own)
     };
     let instances = core.relay.instances.arena.values();
     let loads = instances.filter_map(|instance| {
-        let others = instance.others.iter().filter(|(key, _)| near(key));
+        let others = instance.others.iter().filter(|(key, _)| in_domain(key));
         let sum = others.fold(instance.own, |sum, (_, work)| sum.plus(*work));
         (sum != Work::default()).then(|| load_report(instance.short, sum))
     });
@@ -299,7 +304,7 @@
     }
 }
 
-/// Forgets the work of hosts that are unresponsive.
+/// Drops the load reports of hosts that sent nothing for [`PEER_TIMEOUT`].
 fn expire_peers(core: &mut Core) {
     let silent: Vec<HostKey> = core
         .relay
@@ -320,13 +325,13 @@
     }
 }
 
-/// Takes in another host's message, or what one sums up for its failure domain.
+/// Handles a message from another host.
 pub fn receive(core: &mut Core, mut message: Gossip, out: &mut Effects) {
     let Some(sender) = core.relay.peers.names.get(&message.host).copied() else {
         return;
     };
     let key = match &message.kind {
-        // What this domain sums up itself is known here already.
+        // This host already has the loads that a sum over its own domain contains.
         GossipKind::Domain(domain) | GossipKind::Forwarded(domain)
             if *domain == core.settings.host.domain =>
         {
@@ -339,7 +344,7 @@
     };
     let now = core.now;
     let peer = &mut core.relay.peers.arena[key];
-    // Datagrams overtake each other, and a process that ended may still be heard.
+    // Datagrams arrive out of order, and those of an ended process may arrive after its successor's.
     if (message.incarnation, message.sequence) <= (peer.incarnation, peer.sequence) {
         return;
     }
@@ -349,7 +354,7 @@
     limit::reported(core, &message.host, &message.limits, out);
     view::era::seen(core, message.era, &message.host, out);
     if message.era < core.relay.view.era() {
-        // The sender has not heard of this era: its revisions mean nothing here.
+        // The sender is still in an earlier era of the store: its revisions do not compare with those here.
         message.uptime = None;
         message.replicated = None;
         message.probe = None;
@@ -357,11 +362,11 @@
     if let Some(uptime) = message.uptime {
         view::up(core, uptime, out);
     }
-    if let Some(passage) = message.replicated.take() {
-        view::passed(core, &message.host, passage, out);
+    if let Some(replicated) = message.replicated.take() {
+        view::passed(core, &message.host, replicated, out);
     }
-    if let Some(newest) = message.probe {
-        view::probe::told(core, newest, out);
+    if let Some(probe) = message.probe {
+        view::probe::told(core, probe, out);
     }
     let peers = &mut core.relay.peers;
     peers.downstream.add(&message.blocks, &message.crashes);
@@ -371,8 +376,8 @@
     if message.kind == GossipKind::Report {
         peers.upstream.add(&message.blocks, &message.crashes);
     }
-    // An aggregator's totals hold all other work.
-    let summed_up = peers.aggregator.current().is_some();
+    // The aggregator's totals include the loads of all other messages.
+    let has_aggregator = peers.aggregator.current().is_some();
     match &message.kind {
         GossipKind::Hello | GossipKind::Report | GossipKind::Farewell => {
             gather::receive_report(core, key, &message);
@@ -380,7 +385,7 @@
         GossipKind::Totals(included) => {
             gather::receive_totals(core, key, &message.loads, included, out)
         }
-        _ if summed_up => {}
+        _ if has_aggregator => {}
         _ => core.relay.instances.told(key, &message.loads),
     }
     record_blocks(core, &message.blocks);
@@ -389,17 +394,23 @@
     }
 }
 
-/// Takes in which prompt parts engines were sent.
-fn record_blocks(core: &mut Core, parts: &[BlockReport]) {
-    for part in parts {
-        let Some(engine) = core.relay.instances.by_short(part.instance) else {
+/// Records the prefix blocks that other hosts sent to engines.
+fn record_blocks(core: &mut Core, blocks: &[BlockReport]) {
+    for report in blocks {
+        let Some(engine) = core.relay.instances.by_short(report.instance) else {
             continue;
         };
         let instance = &mut core.relay.instances.arena[engine];
-        // It was sent there to be read, behind what waits there already.
+        // The engine prefills the block after the work already queued there.
         let learned = core.relay.model.of(&instance.service);
         let wait = from_millis(load::reading(learned, instance, instance.work().tokens));
         let ready = core.now.after(wait);
-        parts::note(instance, part.block, part.tokens.into(), core.now, ready);
+        parts::note(
+            instance,
+            report.block,
+            report.tokens.into(),
+            core.now,
+            ready,
+        );
     }
 }
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -1,8 +1,8 @@
 //! Requests relayed along an operator's routes to backend servers that register themselves.
 //!
-//! A caller's request names a host and a path; the operator's configuration says which service
-//! that is, how long it may take, and whether it may run again. Model requests are split where it
-//! pays: one engine prefills the prompt, another takes the KV cache over and generates.
+//! A caller's request names a host and a path; the operator's configuration determines the service,
+//! the time-out, and whether the request may be retried. Model requests are split where that pays
+//! off: one engine prefills the prompt, another fetches the KV cache and generates.
 
 mod answer;
 pub mod budget;
@@ -40,43 +40,43 @@
 use event::{Changes, Prompt, RelayEvent, Task};
 use instance::Instances;
 
-/// Times that the parts of the relay ask for.
+/// Timers of the relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RelayTimer {
-    /// A request has reached its end.
+    /// The deadline of a request has passed.
     Deadline(CallKey),
-    /// An attempt has brought nothing for as long as is taken.
+    /// An attempt may have received nothing for too long.
     Silence(AttemptKey),
-    /// Send gossip to other hosts, and forget what is old.
+    /// Send gossip to other hosts, and expire old state.
     Publish,
     /// Renew the registration of this host.
     Register,
     /// Register this host in a new era of the store.
     RegisterAgain,
-    /// Go on following the store after the pause behind this call.
+    /// Call the store again after the pause that followed the call with this number.
     ResumeWatch(u64),
-    /// Ask for the store's newest revision.
+    /// Probe the store for its newest revision.
     Probe,
-    /// Give up what the store owes.
+    /// Give up calls of the store that a later probe has overtaken.
     StoreTimeout,
-    /// Look whether engines should change their stage.
+    /// Check whether engines should change their stage.
     Plan,
     /// Renew the authority to give orders.
     Authority,
 }
 
-/// Jobs at the store.
+/// Calls of the store that the relay makes, as keys for their answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RelayJob {
     /// Get or renew the lease of this host's registration.
     Lease,
     /// Write this host's registration.
     Register,
-    /// Get or renew the lease of the authority to give orders; asked for at this time.
+    /// Get or renew the lease of the authority to give orders; requested at this time.
     AuthorityLease(Time),
-    /// Take the authority to give orders.
+    /// Acquire the authority to give orders.
     Authority,
-    /// Make the secret that all hosts share.
+    /// Write the secret that all hosts share.
     Secret,
 }
 
@@ -87,7 +87,7 @@
     pub id: Box<str>,
     /// Its route.
     pub route: Route,
-    /// Service it goes to.
+    /// Service that it is routed to.
     pub service: Box<str>,
     /// Prompt and output.
     pub prompt: Option<Prompt>,
@@ -97,27 +97,27 @@
     pub fingerprint: u64,
     /// When it arrived.
     pub arrived: Time,
-    /// When it must have its final answer.
+    /// Time by which it must have its final answer.
     pub deadline: Time,
-    /// The attempt in hand.
+    /// The current attempt.
     pub attempt: Option<AttemptKey>,
-    /// Backend servers that may have run it.
+    /// Number of backend servers that may have run it.
     pub runs: u32,
-    /// Requests that reached backend servers beside the first accepted prefill.
+    /// Requests that reached backend servers, apart from the first accepted prefill.
     pub arrivals: u32,
-    /// Prefills that were asked for.
+    /// Prefills that were requested.
     pub prefills: u32,
-    /// Backend servers that failed it.
+    /// Backend servers at which an attempt failed.
     pub tried: Vec<BackendKey>,
-    /// Number of the last event that the caller has.
+    /// Number of the last event that the caller received.
     pub last_event: Option<u64>,
-    /// Whether any of the answer was passed on.
+    /// Whether any part of the answer was forwarded.
     pub delivered: bool,
-    /// KV cache that was made for it and not taken yet.
+    /// KV cache that was prefilled for it and not fetched yet.
     pub cache: Option<KvCache>,
-    /// Whether it can no longer be in time and gives way to those that can.
+    /// Whether it can no longer meet its latency target and yields to requests that can.
     pub is_late: bool,
-    /// When the last event was passed on.
+    /// When the last event was forwarded.
     pub last_forwarded: Option<Time>,
 }
 
@@ -128,9 +128,9 @@
     pub engine: BackendKey,
     /// The engine's id.
     pub instance: Box<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: std::net::SocketAddr,
-    /// Name of the KV cache.
+    /// Handle of the KV cache.
     pub handle: Box<str>,
 }
 
@@ -145,42 +145,42 @@
     pub task: Task,
     /// When it was sent.
     pub sent_at: Time,
-    /// Work that it counts for at the backend server.
+    /// Work that it adds at the backend server.
     pub work: instance::Work,
-    /// Milliseconds after which the first of the answer was expected.
+    /// Expected milliseconds until the answer begins.
     pub expected_ms: f64,
-    /// What was to be read there before its first token.
+    /// Prefill work expected there before its first token.
     pub prefill: PrefillEstimate,
-    /// Whether anything of the answer arrived.
+    /// Whether any part of the answer arrived.
     pub started: bool,
-    /// When anything last arrived.
+    /// When a part of the answer last arrived; the time of sending before the first.
     pub last_received: Time,
 }
 
-/// What an engine has to read before a request's first token.
+/// Expected prefill work at an engine before a request's first token.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PrefillEstimate {
-    /// Tokens of its prompt that the engine reads.
+    /// Tokens of the prompt that the engine prefills.
     pub uncached: u64,
-    /// Tokens before those that the engine holds or copies from another.
+    /// Tokens before those that the engine has cached or copies from another engine.
     pub cached: u64,
-    /// Work that is ahead of it, in tokens of a short prompt.
+    /// Work queued ahead of it, in tokens of a short prompt.
     pub queued: u64,
-    /// Milliseconds that pass before the engine can begin: copies from another engine, and what a
-    /// hand-over waits for.
+    /// Milliseconds before the engine can begin: copies from another engine, and the waits of a
+    /// handover.
     pub delay_ms: f64,
-    /// Milliseconds of these that a hand-over's transfer takes over links at their speed.
+    /// The part of these that the transfer of a handover takes over links at nominal speed.
     pub transfer_ms: f64,
-    /// Milliseconds that the hand-over takes beside the transfer.
+    /// Milliseconds of a handover apart from the transfer.
     pub overhead_ms: f64,
 }
 
-/// All that a relaying host knows.
+/// State of a relaying host.
 #[derive(Debug, Default)]
 pub struct Relay {
     /// The operator's configuration.
     pub catalog: Option<Catalog>,
-    /// How this host follows the store.
+    /// This host's view of the store.
     pub view: view::View,
     /// Backend servers.
     pub instances: Instances,
@@ -188,24 +188,24 @@
     pub calls: SlotMap<CallKey, Call>,
     /// Attempts.
     pub attempts: SlotMap<AttemptKey, Attempt>,
-    /// Budgets of repeats by service.
+    /// Retry budgets by service.
     pub budgets: BTreeMap<Box<str>, Budget>,
     /// Other hosts.
     pub peers: peers::Peers,
-    /// Requests that backend servers died of.
+    /// Requests suspected of crashing backend servers.
     pub killers: killer::Killers,
     /// Stages of engines.
     pub split: split::Split,
-    /// What work takes at engines.
+    /// Measured durations of work at engines.
     pub model: model::Model,
 }
 
 impl Relay {
-    /// Tells whether new callers may be sent here, and why not.
+    /// Checks whether this host can serve new callers.
     ///
     /// # Errors
     ///
-    /// Returns why not.
+    /// Returns the reason if it cannot.
     pub fn ready(&self) -> Result<(), &'static str> {
         if self.catalog.is_none() {
             Err("no configuration yet")
@@ -217,7 +217,7 @@
     }
 }
 
-/// Starts the relay, where the settings ask for one.
+/// Starts the relay, on a host whose settings have one.
 pub fn start(core: &mut Core, out: &mut Effects) {
     view::start(core, out);
     peers::start(core, out);
@@ -230,7 +230,7 @@
     );
 }
 
-/// Takes in one event.
+/// Handles one event.
 pub fn step(core: &mut Core, event: RelayEvent, out: &mut Effects) {
     match event {
         RelayEvent::Arrived(arrival) => call::arrived(core, *arrival, out),
@@ -261,7 +261,7 @@
     }
 }
 
-/// Takes in a time that was asked for.
+/// Handles a timer that is due.
 pub fn timer(core: &mut Core, timer: RelayTimer, out: &mut Effects) {
     match timer {
         RelayTimer::Deadline(key) => call::deadline(core, key, out),
@@ -277,7 +277,7 @@
     }
 }
 
-/// Ends every request, for a host that can wait for none of them any longer.
+/// Abandons all requests, for a host that cannot wait for them any longer.
 pub fn abandon_all(core: &mut Core, why: &str, out: &mut Effects) {
     let keys: Vec<CallKey> = core.relay.calls.keys().collect();
     for key in keys {
@@ -285,10 +285,16 @@
     }
 }
 
-/// Takes in an answer of the store to a call that was made when so many eras had ended; one of an ended era
-/// means nothing.
-pub fn reply(core: &mut Core, job: RelayJob, ended: u32, reply: &StoreReply, out: &mut Effects) {
-    if ended != core.relay.view.ended_eras() {
+/// Handles an answer of the store to a call made when `ended_eras` eras had ended; the answer is ignored if
+/// another era has ended since.
+pub fn reply(
+    core: &mut Core,
+    job: RelayJob,
+    ended_eras: u32,
+    reply: &StoreReply,
+    out: &mut Effects,
+) {
+    if ended_eras != core.relay.view.ended_eras() {
         return;
     }
     match job {
@@ -298,36 +304,37 @@
     }
 }
 
-/// Takes in what the store told.
+/// Applies changes of the store.
 fn apply_changes(core: &mut Core, mut changes: Changes, out: &mut Effects) {
     if let Some(catalog) = changes.catalog.take() {
         apply_catalog(core, catalog, out);
     }
     let era = core.relay.view.era();
-    let beliefs = core.relay.instances.changed(&mut changes, era, core.now);
-    log_listings(beliefs, out);
+    let listings = core.relay.instances.changed(&mut changes, era, core.now);
+    log_listings(listings, out);
     peers::apply_changes(core, &changes, out);
     split::changed(core, &changes, out);
 }
 
-fn log_listings(beliefs: Vec<instance::Belief>, out: &mut Effects) {
-    for belief in beliefs {
+/// Logs changes in the listing of backend servers.
+fn log_listings(listings: Vec<instance::Belief>, out: &mut Effects) {
+    for listing in listings {
         note(
             out,
             log::Level::Info,
             "backend.listed",
-            vec![("backend", belief.id), ("state", belief.what.into())],
+            vec![("backend", listing.id), ("state", listing.what.into())],
         );
     }
 }
 
-/// Puts a configuration in force, unless a newer one is.
+/// Applies a configuration, unless the current one is as new or newer.
 ///
-/// A read that was answered late, or a host that was behind, may bring an old version again: in
-/// force it would send requests where the operator no longer wants them.
+/// A late answer to a read, or a host that lags behind, may deliver an old version again: applying it
+/// would route requests where the operator no longer wants them.
 fn apply_catalog(core: &mut Core, catalog: Catalog, out: &mut Effects) {
-    let old = core.relay.catalog.as_ref().map(|catalog| catalog.version);
-    if old.is_some_and(|old| old >= catalog.version) {
+    let current = core.relay.catalog.as_ref().map(|catalog| catalog.version);
+    if current.is_some_and(|current| current >= catalog.version) {
         return;
     }
     note(
@@ -336,26 +343,26 @@
         "config.in_force",
         vec![
             ("version", catalog.version.to_string().into()),
-            ("before", old.unwrap_or(0).to_string().into()),
+            ("before", current.unwrap_or(0).to_string().into()),
             ("routes", catalog.routes.len().to_string().into()),
         ],
     );
     core.relay.catalog = Some(catalog);
 }
 
-/// Puts settings in force that were read again; listeners and the name stay as they are.
+/// Applies reloaded settings; the name and the listeners keep their old values.
 fn reload(core: &mut Core, settings: Settings, out: &mut Effects) {
     core.settings.relay = settings.relay;
     core.settings.limits = settings.limits;
     note(out, log::Level::Info, "host.reloaded", Vec::new());
 }
 
-/// Returns a job of the relay, asked for in the present era of the store.
+/// Returns a job of the relay, tagged with the number of store eras that have ended.
 fn job(core: &Core, job: RelayJob) -> Job {
     Job::Relay(job, core.relay.view.ended_eras())
 }
 
-/// Asks for a timer of the relay.
+/// Schedules a timer of the relay.
 fn wake(core: &Core, after: Duration, timer: RelayTimer, out: &mut Effects) {
     out.push(Effect::Wake {
         at: core.now.after(after),
@@ -377,12 +384,12 @@
     }));
 }
 
-/// Returns milliseconds with fractions.
-fn millis(span: Duration) -> f64 {
-    span.as_secs_f64() * 1000.0
+/// Converts a duration to milliseconds with fractions.
+fn millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1000.0
 }
 
-/// Returns the time of that many milliseconds; none for what is no time.
+/// Converts milliseconds to a duration; zero for values that are not a valid duration.
 fn from_millis(millis: f64) -> Duration {
     Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).unwrap_or_default()
 }
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -19,15 +19,15 @@
 use super::{RelayJob, RelayTimer, gossip, job, limit, note, parts, wake};
 use crate::store::{Compare, Op, Txn};
 
-/// Life of the lease of a registration.
+/// Time to live of a registration's lease.
 const LEASE_TTL: Duration = Duration::from_secs(12);
-/// Time between two renewals, and between tries.
+/// Interval between two renewals of the lease, and between attempts to get one.
 const LEASE_RENEW_INTERVAL: Duration = Duration::from_secs(4);
-/// Time within which a call for the registration is expected to be answered.
+/// Time for which a call for the lease counts as in flight.
 const LEASE_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Key of the secret that all hosts share.
+/// Key in the store of the secret that all hosts share.
 const SECRET_STORE_KEY: &str = "secret";
-/// Start of the keys that name hosts.
+/// Prefix of the keys of host entries.
 const HOSTS_PREFIX: &str = "hosts/";
 
 /// Another host.
@@ -37,61 +37,69 @@
     pub name: Box<str>,
     /// Short hash of its name.
     pub name_hash: u32,
-    /// Failure domain it stands in.
+    /// Failure domain that it belongs to.
     pub domain: Box<str>,
-    /// Where it listens for other hosts.
+    /// Address that it listens on for gossip.
     pub addr: SocketAddr,
-    /// When it was last heard.
+    /// When its last message arrived; `None` before the first and after a time-out.
     pub last_seen: Option<Time>,
+    /// Incarnation of its last message.
     pub(super) incarnation: u64,
+    /// Sequence number of its last message.
     pub(super) sequence: u64,
-    /// Whether it reports to this host, which answers with totals.
+    /// Whether it sends reports to this host, which answers with totals.
     pub(super) is_reporter: bool,
 }
 
 /// All other hosts.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// Hosts, and for each other failure domain one that stands for all of it.
+    /// Hosts, and one aggregate entry per failure domain that sums were received for.
     pub arena: SlotMap<HostKey, Peer>,
+    /// Hosts by name.
     pub(super) names: BTreeMap<Box<str>, HostKey>,
-    /// Those that stand for a failure domain.
+    /// Aggregate entries by failure domain; that of this host's own domain holds its aggregator's totals.
     pub(super) domains: BTreeMap<Box<str>, HostKey>,
-    /// The host that sums up for this one, in a large failure domain.
+    /// The host that aggregates for this one, in a large failure domain.
     pub(super) aggregator: Aggregator,
-    /// Reports to it that totals may include, by number.
+    /// Reports sent to it that totals may include, by sequence number.
     pub(super) sent_reports: VecDeque<(u64, Vec<LoadReport>)>,
-    /// Hosts that report to it.
+    /// Number of hosts that report to it.
     pub(super) reporter_count: usize,
-    /// When the hosts that report here were last answered.
+    /// When totals were last sent to the hosts that report to this one.
     pub(super) totals_sent: Option<Time>,
-    /// What was heard here and from hosts that report here, for the aggregator.
+    /// Updates from this host and the hosts that report to it, for the aggregator.
     pub(super) upstream: PendingUpdates,
-    /// What was heard from anywhere, for the hosts that report here.
+    /// Updates from all hosts, for the hosts that report to this one.
     pub(super) downstream: PendingUpdates,
-    /// What was heard in this failure domain, for the others.
+    /// Updates from this failure domain, for the other domains.
     pub(super) cross_domain: PendingUpdates,
-    /// Hosts that were not found when every key was last read.
+    /// Hosts without an entry in the last full read of the store.
     unlisted: BTreeSet<Box<str>>,
-    /// Hosts whose entries are gone and that are still heard.
+    /// Hosts whose entries were removed, but whose messages still arrive.
     lapsed: BTreeSet<Box<str>>,
     /// The hosts' secret, once it is known.
     pub(super) secret: Option<[u8; 32]>,
+    /// Lease of the registration; 0 while there is none.
     pub(super) lease: i64,
+    /// Whether the entry was written with this lease.
     pub(super) registered: bool,
-    /// When a lease of the registration was asked for, while there is no answer.
+    /// When the lease was last requested, while there is no answer.
     pub(super) lease_requested: Option<Time>,
+    /// Sequence number of the last message sent.
     pub(super) sequence: u64,
+    /// Prefix blocks sent to engines and not reported yet.
     pub(super) pending_blocks: Vec<BlockReport>,
+    /// Loads last sent.
     pub(super) last_loads: Vec<LoadReport>,
-    /// When the prompt parts of engines were last looked at.
+    /// When the prefix blocks of engines were last swept.
     pub(super) last_sweep: Option<Time>,
-    /// When the hosts of this failure domain were last told.
+    /// When this host last sent its load.
     pub(super) last_publish: Option<Time>,
 }
 
 impl Peers {
-    /// Returns how many hosts there may be, this one included.
+    /// Returns the number of known hosts, this one included.
     #[must_use]
     pub fn host_count(&self) -> usize {
         self.names.len() + 1
@@ -102,26 +110,26 @@
         self.names.values().map(|key| self.arena[*key].name_hash)
     }
 
-    /// Notes which prompt parts went to an engine.
-    pub fn record_sent_blocks(&mut self, parts: Option<&Vec<PrefixBlock>>, instance: u32) {
-        let shared = parts.map_or(&[][..], |parts| parts::shared(parts));
-        for part in shared.iter().filter(|part| part.tokens >= parts::LEAST) {
+    /// Records the prefix blocks of a request that was sent to an engine, to report them to other hosts.
+    pub fn record_sent_blocks(&mut self, blocks: Option<&Vec<PrefixBlock>>, instance: u32) {
+        let shared = blocks.map_or(&[][..], |blocks| parts::shared(blocks));
+        for block in shared.iter().filter(|block| block.tokens >= parts::LEAST) {
             self.pending_blocks.push(BlockReport {
-                block: part.id,
-                tokens: u32::try_from(part.tokens).unwrap_or(u32::MAX),
+                block: block.id,
+                tokens: u32::try_from(block.tokens).unwrap_or(u32::MAX),
                 instance,
             });
         }
     }
 }
 
-/// Registers this host and begins to tell others of its work.
+/// Registers this host and starts gossip.
 pub fn start(core: &mut Core, out: &mut Effects) {
     register(core, out);
     wake(core, gossip::GOSSIP_INTERVAL, RelayTimer::Publish, out);
 }
 
-/// Gets the registration's lease or renews it, and does so again in time.
+/// Requests or renews the lease of the registration, and schedules the next renewal.
 pub fn register(core: &mut Core, out: &mut Effects) {
     request_lease(core, out);
     if !core.stop.begun() {
@@ -129,7 +137,7 @@
     }
 }
 
-/// Forgets the registration's lease, which went with an era of the store.
+/// Drops the lease of the registration, which belonged to an era of the store that ended.
 pub fn forget_lease(core: &mut Core) {
     let peers = &mut core.relay.peers;
     peers.lease = 0;
@@ -137,7 +145,7 @@
     peers.lease_requested = None;
 }
 
-/// Registers this host in a new era of the store, unless it is registered by now.
+/// Registers this host in a new era of the store, unless it is registered or a request is open.
 pub fn register_again(core: &mut Core, out: &mut Effects) {
     let peers = &core.relay.peers;
     if !peers.registered && peers.lease_requested.is_none() {
@@ -145,7 +153,7 @@
     }
 }
 
-/// Gets the registration's lease or renews it, unless this host is about to end.
+/// Requests or renews the lease of the registration, unless this host is stopping.
 fn request_lease(core: &mut Core, out: &mut Effects) {
     if core.stop.begun() {
         return;
@@ -162,22 +170,22 @@
     });
 }
 
-/// Registers again where the store holds no entry of this host: it lapsed, or the call for it was lost.
+/// Registers again when the store has no entry of this host: it expired, or the call for it was lost.
 ///
-/// The others take a host without an entry for gone and tell it nothing, so that it sends requests to
-/// engines that are full. A renewal in its turn would notice only seconds later.
+/// Other hosts stop sending to a host without an entry, which then sends requests to engines that are
+/// full. The next regular renewal would restore the entry only seconds later.
 fn restore_registration(core: &mut Core, out: &mut Effects) {
     let peers = &mut core.relay.peers;
     peers.registered = false;
-    let under_way = peers
+    let in_flight = peers
         .lease_requested
         .is_some_and(|at| core.now.since(at) < LEASE_REPLY_TIMEOUT);
-    if !under_way {
+    if !in_flight {
         request_lease(core, out);
     }
 }
 
-/// Goes on with the registration.
+/// Handles an answer to a call for the registration.
 pub fn reply(core: &mut Core, job: RelayJob, reply: &StoreReply, out: &mut Effects) {
     if job == RelayJob::Lease {
         core.relay.peers.lease_requested = None;
@@ -190,18 +198,19 @@
             }
             peers.lease = lease;
             if lease == 0 {
-                // It ran out.
+                // The lease expired.
                 request_lease(core, out);
             } else if !peers.registered {
                 write_entry(core, lease, out);
             }
         }
         StoreResult::Txn(_) if job == RelayJob::Register => core.relay.peers.registered = true,
-        // Tried again with the next renewal.
+        // Retried with the next renewal.
         _ => {}
     }
 }
 
+/// Writes the entry of this host.
 fn write_entry(core: &mut Core, lease: i64, out: &mut Effects) {
     let host = &core.settings.host;
     let value = json!({
@@ -222,7 +231,7 @@
     });
 }
 
-/// Takes in which hosts there are, and the secret that they share.
+/// Applies changes of host entries and of the shared secret.
 pub fn apply_changes(core: &mut Core, changes: &Changes, out: &mut Effects) {
     let secret = changes
         .keys
@@ -248,40 +257,42 @@
             None => entry_removed(core, name, out),
         }
     }
-    let told = |name: &str| {
+    // Whether the changes write (`true`) or remove (`false`) a host's entry, if they name it.
+    let listed = |name: &str| {
         let mut keys = changes.keys.iter();
         keys.rfind(|change| change.key.strip_prefix(HOSTS_PREFIX) == Some(name))
             .map(|change| change.value.is_some())
     };
-    let own = told(&own);
-    if own == Some(false) || (changes.is_snapshot && own.is_none()) {
+    let own_listed = listed(&own);
+    if own_listed == Some(false) || (changes.is_snapshot && own_listed.is_none()) {
         restore_registration(core, out);
     }
     if changes.is_snapshot {
-        let listed = |name: &str| told(name) == Some(true);
+        let has_entry = |name: &str| listed(name) == Some(true);
         let names = core.relay.peers.names.keys();
-        let unlisted = names.filter(|name| !listed(name)).cloned();
+        let unlisted = names.filter(|name| !has_entry(name)).cloned();
         core.relay.peers.unlisted = unlisted.collect();
     }
 }
 
-/// Takes hosts without an entry for gone; called once the store has been up for as long as hosts take to register.
+/// Handles the hosts without an entry in the last full read as if their entries were removed. Called once the store
+/// has been up for as long as hosts take to register.
 pub fn drop_unlisted(core: &mut Core, out: &mut Effects) {
     for name in std::mem::take(&mut core.relay.peers.unlisted) {
         entry_removed(core, &name, out);
     }
 }
 
-/// Makes the secret that all hosts share, unless there is one.
+/// Writes the secret that all hosts share, unless the store has one.
 ///
-/// Whoever reaches a host's port could otherwise tell it of work that does not exist, and have it
-/// refuse its callers. The store is the one place that only hosts of the system can write to.
+/// Without it, anyone who reaches a host's port could report load that does not exist, so that the host
+/// refuses its callers. The store is the one place that only hosts of the system can write to.
 fn ensure_secret(core: &mut Core, out: &mut Effects) {
     let known = core.relay.peers.secret;
     if known.is_some() && !gossip::represents_domain(core) {
         return;
     }
-    // Hosts that share one already keep it: a store that came back from an older copy may have lost it.
+    // Hosts that already share a secret keep it: a store restored from an older copy may have lost it.
     let secret: [u8; 32] = known.unwrap_or_else(|| core.rng.random());
     out.push(Effect::Txn {
         job: job(core, RelayJob::Secret),
@@ -299,7 +310,7 @@
     });
 }
 
-/// Reads where a host listens, and its failure domain.
+/// Parses a host's entry: its address and failure domain.
 fn parse_entry(value: &[u8]) -> Option<(SocketAddr, Box<str>)> {
     let value: Value = serde_json::from_slice(value).ok()?;
     let addr = value["addr"].as_str()?.parse().ok()?;
@@ -319,6 +330,7 @@
     }
 }
 
+/// Adds a host, or updates its address and failure domain.
 fn add_host(core: &mut Core, name: &str, addr: SocketAddr, domain: Box<str>, out: &mut Effects) {
     let peers = &mut core.relay.peers;
     peers.unlisted.remove(name);
@@ -339,8 +351,8 @@
     );
 }
 
-/// Takes a host without an entry for gone, unless it is heard: its registration may have run out while it is cut off
-/// from the store, and it learns of changes by the others alone.
+/// Handles the removal of a host's entry. A host whose messages still arrive is kept: its registration may have
+/// expired while it cannot reach the store, and then it receives changes only through gossip.
 fn entry_removed(core: &mut Core, name: &str, out: &mut Effects) {
     let peers = &mut core.relay.peers;
     let key = peers.names.get(name);
@@ -351,7 +363,7 @@
     }
 }
 
-/// Takes hosts for gone that have no entry and are no longer heard.
+/// Removes hosts without an entry whose messages no longer arrive.
 pub(super) fn drop_silent(core: &mut Core, out: &mut Effects) {
     let peers = &core.relay.peers;
     let silent = |name: &str| {
