--- a/src/core/relay/tests/departed.rs
+++ b/src/core/relay/tests/departed.rs
@@ -1,33 +1,34 @@
-//! Servers whose entries are removed while a host does not see it.
+//! Servers and hosts whose entries are removed while a host is partitioned or the store is down.
 
 use super::domain::TestDomain;
 use super::*;
 use crate::core::relay::event::{Gossip, GossipKind, UptimeReport};
 use crate::core::relay::view::Uptime;
 
-/// Time after its return within which a host sends nothing more to a server that left meanwhile.
+/// Milliseconds after its return within which a host must stop sending to a server that has left.
 const DROP_DEADLINE_MS: u64 = 1000;
-/// Requests by which a host shows which servers it uses.
+/// Number of requests sent to find out which servers a host uses.
 const PROBE_REQUESTS: usize = 30;
 
-/// Returns whether a host sends any of some requests to a server.
+/// Whether a host sends at least one of [`PROBE_REQUESTS`] requests to a server.
 fn sends_to(domain: &mut TestDomain, host: usize, server: &str) -> bool {
     let sent = (0..PROBE_REQUESTS).filter_map(|_| domain.arrive(host));
     sent.filter(|to| **to == *server).count() > 0
 }
 
-/// Returns whether a host would send a request to a server.
+/// Whether a host considers a server as available for new requests.
 fn would_send_to(domain: &TestDomain, host: usize, server: &str) -> bool {
-    let site = domain.hosts[host].as_ref().expect("a host that runs");
-    let instances = &site.core.relay.instances;
+    let node = domain.hosts[host].as_ref().expect("a running host");
+    let instances = &node.core.relay.instances;
     let key = instances.find(server);
-    key.is_some_and(|key| instances.arena[key].takes(site.core.now))
+    key.is_some_and(|key| instances.arena[key].takes(node.core.now))
 }
 
-/// A host is cut off while a server's entry is removed, and reads every key once it is back.
-/// Guards against taking that for an entry that lapsed in an outage of the store, which comes back.
+/// A host is partitioned while a server's entry is removed, and reads all keys once it is back.
+/// Guards against handling the missing entry as one that expired in an outage of the store and will
+/// be written again.
 #[test]
-fn a_host_that_was_cut_off_uses_no_server_that_left() {
+fn a_reconnected_host_sends_nothing_to_a_removed_server() {
     for length in [500, 2500, 8000] {
         let mut domain = TestDomain::with_hosts(3);
         domain.pass(3000);
@@ -38,11 +39,14 @@
         domain.pass(length / 2);
         domain.reconnect();
         domain.pass(DROP_DEADLINE_MS);
-        assert!(!sends_to(&mut domain, 1, "r"), "after {length} ms");
+        assert!(
+            !sends_to(&mut domain, 1, "r"),
+            "host 1 sends to r after a partition of {length} ms"
+        );
     }
 }
 
-/// Returns hosts at the end of an outage of the store in which an entry was removed.
+/// Returns hosts at the end of an outage of the store in which the entry of server `r` was removed.
 fn after_outage() -> TestDomain {
     let mut domain = TestDomain::with_hosts(3);
     domain.pass(3000);
@@ -54,10 +58,10 @@
     domain
 }
 
-/// Entries lapse in an outage of the store though their servers are well, and come back two seconds after it.
-/// Guards against dropping them meanwhile: hosts would have no server left.
+/// Entries expire in an outage of the store though their servers run, and are written again two seconds after
+/// it. Guards against dropping the servers meanwhile: hosts would have no server left.
 #[test]
-fn an_entry_that_lapsed_in_an_outage_is_used_until_it_is_back() {
+fn an_entry_that_expired_in_a_store_outage_stays_in_use() {
     let mut domain = after_outage();
     domain.pass(DROP_DEADLINE_MS);
     for host in 0..3 {
@@ -71,9 +75,9 @@
     }
 }
 
-/// An entry that lapsed in an outage and does not come back is that of a server that is gone.
+/// An entry that expired in an outage and is not written again belongs to a server that has left.
 #[test]
-fn an_entry_that_does_not_come_back_after_an_outage_is_dropped() {
+fn an_entry_not_rewritten_after_a_store_outage_is_dropped() {
     let mut domain = after_outage();
     domain.pass(DROP_DEADLINE_MS + 2200);
     for host in 0..3 {
@@ -81,13 +85,13 @@
     }
 }
 
-/// The only host of a failure domain is cut off from the store. Guards against its knowing from nobody that
-/// the store was up: hosts of other failure domains report it.
+/// The only host of a failure domain is partitioned from the store. Guards against a host that never learns
+/// that the store was up, and uses removed servers: hosts of other failure domains report the uptime.
 #[test]
-fn a_host_alone_in_its_domain_learns_that_the_store_was_up() {
+fn a_host_alone_in_its_domain_gets_uptime_from_other_domains() {
     let mut domain = TestDomain::with_hosts(2);
     domain.pass(6000);
-    let other = domain.hosts[0].as_ref().expect("a host that runs");
+    let other = domain.hosts[0].as_ref().expect("a running host");
     let uptime = other.core.relay.view.uptime.report(other.core.now);
     assert!(uptime.is_some_and(|uptime| uptime.length >= Duration::from_secs(4)));
 
@@ -110,14 +114,14 @@
         }],
         ..Changes::default()
     });
-    let served = |site: &mut TestHost| {
+    let sent_to_r = |host: &mut TestHost| {
         let sent = (0..30).filter_map(|_| {
-            site.arrive(plain_request("/once/x"));
-            site.sent()
+            host.arrive(plain_request("/once/x"));
+            host.sent()
         });
         sent.filter(|sent| *sent.instance == *"r").count()
     };
-    assert!(served(&mut alone) > 0);
+    assert!(sent_to_r(&mut alone) > 0);
     alone.event(RelayEvent::Gossiped(Box::new(Gossip {
         host: "host-00".into(),
         incarnation: 1,
@@ -126,36 +130,37 @@
         uptime,
         ..Gossip::default()
     })));
-    assert_eq!(served(&mut alone), 0);
+    assert_eq!(sent_to_r(&mut alone), 0);
 }
 
-/// A host's registration runs out while it is cut off from the store alone. Guards against telling it nothing any
-/// more: it would act on what it knew until it reaches the store again.
+/// A host's registration expires while it cannot reach the store but still reaches the other hosts. Guards against
+/// sending it nothing any more: it would act on old state until it reaches the store again.
 #[test]
-fn a_host_that_is_heard_is_told_after_its_registration_ran_out() {
-    let mut site = TestHost::new();
+fn a_responsive_host_with_an_expired_registration_gets_gossip() {
+    let mut host = TestHost::new();
     let key = "hosts/host-2";
-    site.write_key(key, Some(r#"{"addr":"127.0.0.1:9","domain":"z"}"#), 3);
-    let tells = |out: &Effects| did(out, |effect| matches!(effect, RelayEffect::Publish { .. }));
-    let hear = |site: &mut TestHost, number| {
-        site.event(RelayEvent::Gossiped(Box::new(Gossip {
+    host.write_key(key, Some(r#"{"addr":"127.0.0.1:9","domain":"z"}"#), 3);
+    let publishes =
+        |out: &Effects| has_effect(out, |effect| matches!(effect, RelayEffect::Publish { .. }));
+    let receive = |host: &mut TestHost, number| {
+        host.event(RelayEvent::Gossiped(Box::new(Gossip {
             host: "host-2".into(),
             incarnation: 1,
             sequence: number,
             ..Gossip::default()
         })));
     };
-    hear(&mut site, 1);
-    site.write_key(key, None, 4);
+    receive(&mut host, 1);
+    host.write_key(key, None, 4);
     for number in 2..8 {
-        let out = site.advance(500);
-        assert!(tells(&out), "word {number}");
-        hear(&mut site, number);
+        let out = host.advance(500);
+        assert!(publishes(&out), "nothing was sent after message {number}");
+        receive(&mut host, number);
     }
-    // Once it is silent it is gone.
-    site.advance(2500);
-    assert!(!tells(&site.advance(1000)));
-    assert_eq!(site.core.relay.peers.host_count(), 1);
+    // The host is removed once it stops sending.
+    host.advance(2500);
+    assert!(!publishes(&host.advance(1000)));
+    assert_eq!(host.core.relay.peers.host_count(), 1);
 }
 
 macro_rules! uptimes {
@@ -175,9 +180,9 @@
 }
 
 uptimes! {
-    one_answer_proves_no_span: [(50_000, 50_000)] => 0;
-    answers_without_a_gap_are_one_span: [(50_000, 50_000), (51_000, 51_000), (52_400, 52_400)] => 2400;
-    an_outage_begins_a_span_anew: [(50_000, 55_000), (57_000, 57_000), (58_000, 58_000)] => 1000;
-    a_span_before_an_outage_is_not_taken_back: [(57_000, 58_000), (50_000, 55_000)] => 1000;
-    a_longer_span_that_overlaps_counts: [(57_000, 58_000), (40_000, 57_500)] => 18_000;
+    a_single_answer_gives_no_uptime: [(50_000, 50_000)] => 0;
+    answers_without_a_gap_form_one_span: [(50_000, 50_000), (51_000, 51_000), (52_400, 52_400)] => 2400;
+    an_outage_restarts_the_span: [(50_000, 55_000), (57_000, 57_000), (58_000, 58_000)] => 1000;
+    an_older_span_does_not_replace_a_newer_one: [(57_000, 58_000), (50_000, 55_000)] => 1000;
+    a_longer_overlapping_span_extends_uptime: [(57_000, 58_000), (40_000, 57_500)] => 18_000;
 }
--- a/src/core/relay/tests/domain.rs
+++ b/src/core/relay/tests/domain.rs
@@ -1,4 +1,5 @@
-//! Hosts of one failure domain in virtual time, the datagrams between them, and their store.
+//! Simulation of the hosts of one failure domain, the datagrams between them and their store, in
+//! virtual time.
 
 use std::collections::BTreeSet;
 
@@ -6,24 +7,28 @@
 use crate::core::relay::event::{Gossip, StoreAnswer, StoreCall, StoreChange};
 use crate::core::relay::instance::Work;
 
-/// Milliseconds that a datagram takes.
+/// Milliseconds that a datagram is in transit.
 const TRANSIT_MS: u64 = 1;
 /// Milliseconds that the store takes to answer.
 const STORE_REPLY_MS: u64 = 4;
 
 /// Hosts of one failure domain and the datagrams between them.
 pub struct TestDomain {
+    /// Hosts; `None` for one that does not run.
     pub hosts: Vec<Option<TestHost>>,
+    /// Milliseconds of virtual time.
     pub now: u64,
+    /// Datagrams in transit: time of arrival, sender, receiver and message.
     pub transit: Vec<(u64, usize, usize, Gossip)>,
-    /// Pairs of hosts, sender first, between which nothing arrives.
+    /// Pairs of hosts, sender first, between which all datagrams are lost.
     pub cuts: Vec<(usize, usize)>,
     /// Datagrams sent by each host.
     pub sent: Vec<u32>,
     /// Datagrams received by each host.
     pub received: Vec<u32>,
-    /// One in so many datagrams is lost; 0 for none.
+    /// Every so many datagrams one is lost; 0 for none.
     pub loss_interval: usize,
+    /// Datagrams that arrived or were lost.
     deliveries: usize,
     pub store: Store,
 }
@@ -32,19 +37,19 @@
 #[derive(Debug)]
 pub struct Store {
     pub revision: i64,
-    /// Times that it came back from an older copy, and one.
+    /// Number of restores from an older copy, plus one.
     pub era: u64,
-    /// Whether it takes calls and never answers.
+    /// Whether it accepts calls and never answers.
     pub silent: bool,
-    /// Hosts whose calls it does not answer.
+    /// Hosts that cannot reach it: their calls get no answer.
     pub unreachable: BTreeSet<usize>,
     /// Servers whose entries were removed.
     pub removed: BTreeSet<Box<str>>,
-    /// Calls in hand, and when they may be answered.
+    /// Calls in flight: earliest time of the answer, host, number and call.
     calls: Vec<(u64, usize, u64, StoreCall)>,
-    /// Pages and watches asked for by each host.
+    /// Number of pages and watches requested by each host.
     pub read_counts: Vec<u32>,
-    /// Calls for registrations, all hosts together.
+    /// Number of calls for registrations by all hosts.
     pub registration_calls: u32,
 }
 
@@ -64,7 +69,7 @@
     }
 }
 
-/// Returns all keys: the configuration, three plain servers and so many hosts.
+/// Returns all keys: the configuration, three plain servers and the hosts.
 fn snapshot(hosts: usize, revision: i64) -> Changes {
     let entry = |host| format!(r#"{{"addr":"{}","domain":"z"}}"#, addr(host));
     let hosts = (0..hosts).map(|host| KeyChange {
@@ -84,14 +89,14 @@
 }
 
 impl TestDomain {
-    /// Returns so many hosts that know each other and three servers.
+    /// Returns a domain of so many hosts that have just started.
     pub fn with_hosts(hosts: usize) -> Self {
-        let sites = (0..hosts).map(|host| {
-            let site = TestHost::named(&name(host), host as u64);
-            Some(site)
+        let nodes = (0..hosts).map(|host| {
+            let node = TestHost::named(&name(host), host as u64);
+            Some(node)
         });
         let mut domain = Self {
-            hosts: sites.collect(),
+            hosts: nodes.collect(),
             now: 1000,
             transit: Vec::new(),
             cuts: Vec::new(),
@@ -116,12 +121,12 @@
         domain
     }
 
-    /// Has the store take the calls of a host's last step.
+    /// Passes the calls of a host's last event to the store.
     fn accept_calls(&mut self, host: usize) {
-        let Some(site) = self.hosts[host].as_ref() else {
+        let Some(node) = self.hosts[host].as_ref() else {
             return;
         };
-        for effect in &site.out {
+        for effect in &node.out {
             match effect {
                 Effect::Relay(RelayEffect::CallStore { number, ask }) => {
                     if *ask != StoreCall::Probe {
@@ -142,7 +147,7 @@
         }
     }
 
-    /// Has the store answer what is due.
+    /// Has the store answer the calls that are due.
     fn reply_due(&mut self) {
         let (silent, unreachable) = (self.store.silent, self.store.unreachable.clone());
         self.store
@@ -151,19 +156,19 @@
         let calls = std::mem::take(&mut self.store.calls).into_iter();
         let revision = self.store.revision;
         let (ready, later): (Vec<_>, Vec<_>) = calls.partition(|(at, _, _, ask)| {
-            let waits = matches!(ask, StoreCall::Watch { after, .. } if *after >= revision);
-            *at <= self.now && !waits
+            let pending = matches!(ask, StoreCall::Watch { after, .. } if *after >= revision);
+            *at <= self.now && !pending
         });
         self.store.calls = later;
         for (_, host, number, ask) in ready {
             let answer = self.reply_to(&ask);
-            if let Some(site) = self.hosts[host].as_mut() {
-                site.now = self.now;
-                site.event(RelayEvent::StoreEra(self.store.era));
+            if let Some(node) = self.hosts[host].as_mut() {
+                node.now = self.now;
+                node.event(RelayEvent::StoreEra(self.store.era));
                 self.send_effects(host);
             }
-            if let Some(site) = self.hosts[host].as_mut() {
-                site.event(RelayEvent::StoreAnswered { number, answer });
+            if let Some(node) = self.hosts[host].as_mut() {
+                node.event(RelayEvent::StoreAnswered { number, answer });
                 self.send_effects(host);
             }
         }
@@ -212,21 +217,21 @@
             .collect()
     }
 
-    /// Returns the revision whose configuration a host has in force.
+    /// Returns the version of the configuration that a host applied; it equals the store's revision.
     pub fn version(&self, host: usize) -> u64 {
-        let site = self.hosts[host].as_ref().expect("a host that runs");
-        let catalog = site.core.relay.catalog.as_ref();
+        let node = self.hosts[host].as_ref().expect("a running host");
+        let catalog = node.core.relay.catalog.as_ref();
         catalog.map_or(0, |catalog| catalog.version)
     }
 
-    /// Has the store's configuration change; returns how many milliseconds pass until all hosts that
-    /// run have it in force, but for those left out.
-    pub fn change(&mut self, but: &[usize]) -> u64 {
+    /// Changes the configuration in the store; returns the milliseconds until all running hosts except
+    /// the excluded ones have applied it.
+    pub fn change(&mut self, excluded: &[usize]) -> u64 {
         self.store.revision += 1;
-        self.convergence_time(but)
+        self.convergence_time(excluded)
     }
 
-    /// Cuts a host off from the store and from the other hosts.
+    /// Partitions a host from the store and from all other hosts.
     pub fn cut_off(&mut self, host: usize) {
         self.store.unreachable.insert(host);
         for other in (0..self.hosts.len()).filter(|other| *other != host) {
@@ -234,13 +239,13 @@
         }
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions.
     pub fn reconnect(&mut self) {
         self.store.unreachable.clear();
         self.cuts.clear();
     }
 
-    /// Has the store come back from a copy of a revision, and the operator write again.
+    /// Restores the store from a copy of an older revision, as a new era.
     pub fn restore(&mut self, revision: i64) {
         self.store.era += 1;
         self.store.revision = revision;
@@ -253,24 +258,28 @@
         self.store.revision += 1;
     }
 
-    /// Returns how many milliseconds pass until all hosts have the newest configuration in force.
-    pub fn convergence_time(&mut self, but: &[usize]) -> u64 {
+    /// Returns the milliseconds until all running hosts except the excluded ones have applied the newest
+    /// configuration.
+    pub fn convergence_time(&mut self, excluded: &[usize]) -> u64 {
         let newest = u64::try_from(self.store.revision).expect("positive");
         let start = self.now;
         loop {
-            let hosts = (0..self.hosts.len()).filter(|host| !but.contains(host));
-            let late: Vec<usize> = hosts
+            let hosts = (0..self.hosts.len()).filter(|host| !excluded.contains(host));
+            let outdated: Vec<usize> = hosts
                 .filter(|host| self.hosts[*host].is_some() && self.version(*host) != newest)
                 .collect();
-            if late.is_empty() {
+            if outdated.is_empty() {
                 return self.now - start;
             }
-            assert!(self.now - start < 10_000, "{late:?} never know");
+            assert!(
+                self.now - start < 10_000,
+                "hosts {outdated:?} have no configuration of revision {newest} after 10 s"
+            );
             self.pass(1);
         }
     }
 
-    /// Lets time pass at all hosts that run.
+    /// Advances the time at all running hosts, in steps of one millisecond.
     pub fn pass(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now += 1;
@@ -286,45 +295,45 @@
                 let lost =
                     self.loss_interval > 0 && self.deliveries.is_multiple_of(self.loss_interval);
                 let cut = lost || self.cuts.contains(&(from, to));
-                if let Some(site) = self.hosts[to].as_mut().filter(|_| !cut) {
+                if let Some(node) = self.hosts[to].as_mut().filter(|_| !cut) {
                     self.received[to] += 1;
-                    site.now = self.now;
-                    site.event(RelayEvent::Gossiped(Box::new(message)));
+                    node.now = self.now;
+                    node.event(RelayEvent::Gossiped(Box::new(message)));
                     self.send_effects(to);
                 }
             }
         }
     }
 
-    /// Has a host do what is due.
+    /// Runs the due timers of a host.
     fn wake(&mut self, host: usize) {
-        let Some(site) = self.hosts[host].as_mut() else {
+        let Some(node) = self.hosts[host].as_mut() else {
             return;
         };
-        site.now = self.now;
-        let due = std::mem::take(&mut site.timers).into_iter();
+        node.now = self.now;
+        let due = std::mem::take(&mut node.timers).into_iter();
         let (ready, later): (Vec<_>, Vec<_>) = due.partition(|(at, _)| *at <= self.now);
-        site.timers = later;
+        node.timers = later;
         for (_, timer) in ready {
-            if let Some(site) = self.hosts[host].as_mut() {
-                site.apply(Event::Timer(timer));
+            if let Some(node) = self.hosts[host].as_mut() {
+                node.apply(Event::Timer(timer));
             }
             self.send_effects(host);
         }
     }
 
-    /// Sends what a host told others in its last step.
+    /// Carries out the effects of a host's last event towards the store and the other hosts.
     fn send_effects(&mut self, from: usize) {
         self.accept_calls(from);
-        let Some(site) = self.hosts[from].as_ref() else {
+        let Some(node) = self.hosts[from].as_ref() else {
             return;
         };
-        for effect in &site.out {
+        for effect in &node.out {
             let Effect::Relay(RelayEffect::Publish { to, message }) = effect else {
                 continue;
             };
-            for listener in to {
-                let to = (0..self.hosts.len()).find(|host| addr(*host) == *listener);
+            for receiver in to {
+                let to = (0..self.hosts.len()).find(|host| addr(*host) == *receiver);
                 let to = to.expect("a known address");
                 self.sent[from] += 1;
                 self.transit
@@ -333,48 +342,52 @@
         }
     }
 
-    /// Has a host send a request that lasts; returns the server that it went to, if any takes it.
+    /// Has a host send a request that stays unfinished; returns the server that it was sent to, if any.
     pub fn arrive(&mut self, host: usize) -> Option<Box<str>> {
-        let site = self.hosts[host].as_mut().expect("a host that runs");
-        site.now = self.now;
-        site.arrive(Arrival {
+        let node = self.hosts[host].as_mut().expect("a running host");
+        node.now = self.now;
+        node.arrive(Arrival {
             deadline: None,
             ..plain_request("/once/x")
         });
-        site.sent().map(|sent| sent.instance)
+        node.sent().map(|sent| sent.instance)
     }
 
-    /// Does so where one takes it.
+    /// Has a host send a request that stays unfinished; returns the server that it was sent to.
     pub fn request(&mut self, host: usize) -> Box<str> {
-        self.arrive(host).expect("taken")
+        self.arrive(host).expect("a server accepts the request")
     }
 
-    /// Returns what a host knows of others' work at a server.
+    /// Returns the work of other hosts at a server, as a host has it.
     pub fn known_work(&self, host: usize, server: &str) -> Work {
-        let site = self.hosts[host].as_ref().expect("a host that runs");
-        let instances = &site.core.relay.instances;
+        let node = self.hosts[host].as_ref().expect("a running host");
+        let instances = &node.core.relay.instances;
         let key = instances.find(server).expect("a known server");
         instances.arena[key].theirs
     }
 
-    /// Returns how many milliseconds pass until a host knows of so many requests of others there.
+    /// Returns the milliseconds until a host has reports of so many requests of other hosts at a server.
     pub fn time_until_known(&mut self, host: usize, server: &str, calls: u32) -> u64 {
         let start = self.now;
         while self.known_work(host, server).calls != calls {
-            assert!(self.now - start < 10_000, "host {host} never knows");
+            assert!(
+                self.now - start < 10_000,
+                "host {host} has no report of {calls} requests at {server} after 10 s"
+            );
             self.pass(1);
         }
         self.now - start
     }
 
-    /// Asserts that each running host knows all requests of the others at a server, each once.
-    pub fn assert_known(&self, server: &str, by: &[(usize, u32)]) {
-        let all: u32 = by.iter().map(|(_, calls)| calls).sum();
+    /// Asserts that each running host has reports of all requests of the others at a server, each
+    /// counted once.
+    pub fn assert_known(&self, server: &str, requests: &[(usize, u32)]) {
+        let all: u32 = requests.iter().map(|(_, calls)| calls).sum();
         for host in 0..self.hosts.len() {
             if self.hosts[host].is_none() {
                 continue;
             }
-            let own = by.iter().find(|(other, _)| *other == host);
+            let own = requests.iter().find(|(other, _)| *other == host);
             let others = all - own.map_or(0, |(_, calls)| *calls);
             assert_eq!(self.known_work(host, server).calls, others, "host {host}");
         }
--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -50,7 +50,7 @@
     let mut site = known();
     site.event(RelayEvent::StoreEra(2));
     assert_eq!(asks(&site.out), [StoreCall::Page { after: None }]);
-    assert!(site.did(|effect| matches!(effect, RelayEffect::CancelStoreCall(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::CancelStoreCall(_))));
     let out = site.advance(BOUND);
     assert_eq!(grants(&out), 1);
 }
--- a/src/core/relay/tests/gossip.rs
+++ b/src/core/relay/tests/gossip.rs
@@ -1,28 +1,30 @@
-//! What hosts of one failure domain know of each other's work, and what that costs them.
+//! Load reports between the hosts of one failure domain: how soon they arrive, and at what cost.
 //!
-//! The pattern is that of sites with dozens of hosts a failure domain and more servers than hosts
-//! there: told by each host to all others, work costs each of them hundreds of datagrams a second, and
-//! is old when it is heard.
+//! The setting is a site with dozens of hosts per failure domain and more servers than hosts. If each
+//! host sent its load to all others, each would handle hundreds of datagrams a second, and the reports
+//! would be old on arrival.
 
 use super::domain::{TestDomain, addr};
 use crate::core::relay::event::{Gossip, GossipKind, LoadReport};
 
-/// Every host sends to the server that looks idle, as nobody has told it of the others' requests.
+/// Guards against hosts that never receive each other's load: all of them choose the same seemingly
+/// idle server.
 #[test]
-fn work_is_known_to_all_hosts_of_a_large_domain() {
+fn load_reports_reach_all_hosts_of_a_large_domain() {
     let mut domain = TestDomain::with_hosts(30);
     domain.pass(1000);
     let server = domain.request(17);
-    let took = domain.time_until_known(29, &server, 1);
-    // Two messages up and two down, each at most 45 ms after the one before, and on its way for 1 ms.
-    assert!(took <= 184, "{took} ms");
+    let elapsed = domain.time_until_known(29, &server, 1);
+    // Two reports up and two totals down, each at most 45 ms after the one before and 1 ms in transit.
+    assert!(elapsed <= 184, "{elapsed} ms");
     domain.pass(184);
     domain.assert_known(&server, &[(17, 1)]);
 }
 
-/// A host takes its own requests in totals for others' and avoids the servers that it sent to.
+/// Guards against a host that counts its own requests in totals as those of others, and then avoids
+/// the servers that it sent to.
 #[test]
-fn own_work_is_taken_out_of_totals() {
+fn own_load_is_subtracted_from_totals() {
     let mut domain = TestDomain::with_hosts(30);
     domain.pass(1000);
     let server = domain.request(5);
@@ -32,12 +34,12 @@
     }
 }
 
-/// Words told by each host to all others are as many as there are hosts, for each of them.
+/// Guards against a number of datagrams per host that grows with the number of hosts.
 #[test]
-fn words_of_a_large_domain_are_few() {
+fn message_count_is_bounded_in_a_large_domain() {
     let mut domain = TestDomain::with_hosts(60);
     domain.pass(2000);
-    let (sent, heard) = (domain.sent.clone(), domain.received.clone());
+    let (sent, received) = (domain.sent.clone(), domain.received.clone());
     for round in 0..1000 {
         // Each host sends some five requests a second.
         for host in (0..60).filter(|host| (host * 7 + round) % 200 == 0) {
@@ -49,32 +51,36 @@
         let counts = now.iter().zip(before);
         counts.map(|(now, before)| now - before).collect()
     };
-    for counts in [since(&domain.sent, &sent), since(&domain.received, &heard)] {
-        // A fifth of what it was where each told all, and for the busiest half of it.
+    for counts in [
+        since(&domain.sent, &sent),
+        since(&domain.received, &received),
+    ] {
+        // A fifth of the datagrams that sending to all hosts takes; for the busiest host, half.
         let mean = counts.iter().sum::<u32>() / 60;
         assert!(mean <= 132, "{counts:?}");
         assert!(counts.iter().all(|count| *count <= 330), "{counts:?}");
     }
 }
 
-/// The aggregator is killed. The others pile requests on one server until another sums up for them.
+/// The aggregator crashes. Until another host takes over, the others have no reports and send too many
+/// requests to one server.
 #[test]
-fn another_host_sums_up_after_the_first_was_killed() {
+fn another_aggregator_takes_over_after_a_crash() {
     let mut domain = TestDomain::with_hosts(30);
     domain.pass(1000);
     domain.hosts[0] = None;
     domain.pass(50);
     let server = domain.request(17);
-    let took = domain.time_until_known(29, &server, 1);
-    assert!(took <= 800, "{took} ms");
+    let elapsed = domain.time_until_known(29, &server, 1);
+    assert!(elapsed <= 800, "{elapsed} ms");
     domain.pass(3000);
     domain.assert_known(&server, &[(17, 1)]);
 }
 
-/// Half of the hosts lose power at once, those first by name among them, and their entries stand for
-/// seconds more.
+/// Half of the hosts crash at the same time, among them all preferred aggregators, while their entries
+/// stay in the store for seconds.
 #[test]
-fn hosts_find_one_that_sums_up_behind_many_dead_ones() {
+fn an_aggregator_is_found_when_half_of_the_hosts_crashed() {
     let mut domain = TestDomain::with_hosts(40);
     domain.pass(1000);
     for host in 0..20 {
@@ -82,31 +88,31 @@
     }
     domain.pass(50);
     let server = domain.request(30);
-    let took = domain.time_until_known(39, &server, 1);
-    assert!(took <= 3000, "{took} ms");
+    let elapsed = domain.time_until_known(39, &server, 1);
+    assert!(elapsed <= 3000, "{elapsed} ms");
     domain.pass(3000);
     domain.assert_known(&server, &[(30, 1)]);
 }
 
-/// The aggregator stands still for two seconds and goes on as if it had not.
+/// The aggregator is paused for two seconds and then continues with its old state.
 #[test]
-fn a_frozen_aggregator_counts_no_work_twice() {
+fn a_paused_aggregator_counts_no_load_twice() {
     let mut domain = TestDomain::with_hosts(30);
     domain.pass(1000);
-    let frozen = domain.hosts[0].take();
+    let paused = domain.hosts[0].take();
     domain.pass(100);
     let server = domain.request(17);
     domain.pass(1900);
     domain.assert_known(&server, &[(17, 1)]);
-    domain.hosts[0] = frozen;
+    domain.hosts[0] = paused;
     domain.pass(6000);
     domain.assert_known(&server, &[(17, 1)]);
 }
 
-/// One host and the aggregator do not reach each other, in one direction or in both. They hear of
-/// each other's work through a third.
+/// One host and the aggregator cannot reach each other, in one direction or in both. They receive each
+/// other's load through a third host.
 #[test]
-fn a_host_that_is_cut_from_the_aggregator_hears_through_another() {
+fn a_partition_from_the_aggregator_is_bypassed() {
     for cuts in [vec![(0, 17)], vec![(17, 0)], vec![(0, 17), (17, 0)]] {
         let mut domain = TestDomain::with_hosts(30);
         domain.pass(1000);
@@ -121,22 +127,22 @@
     }
 }
 
-/// In a small failure domain a message by way of another host would only be later.
+/// In a small failure domain, reports through an aggregator would only arrive later.
 #[test]
-fn hosts_of_a_small_domain_tell_each_other() {
+fn hosts_of_a_small_domain_gossip_directly() {
     let mut domain = TestDomain::with_hosts(5);
     domain.pass(1000);
     let server = domain.request(3);
-    let took = domain.time_until_known(4, &server, 1);
-    assert!(took <= 20, "{took} ms");
+    let elapsed = domain.time_until_known(4, &server, 1);
+    assert!(elapsed <= 20, "{elapsed} ms");
     domain.pass(20);
     domain.assert_known(&server, &[(3, 1)]);
 }
 
-/// Work of another failure domain reaches every host, whichever host it was told to.
+/// The load of another failure domain reaches every host, whichever host receives the message.
 #[test]
-fn work_of_another_domain_reaches_all_hosts() {
-    for told in [0, 21] {
+fn load_of_another_domain_reaches_all_hosts() {
+    for receiver in [0, 21] {
         let mut domain = TestDomain::with_hosts(30);
         domain.pass(1000);
         for host in domain.hosts.iter_mut().flatten() {
@@ -155,7 +161,7 @@
             }],
             ..Gossip::default()
         };
-        domain.transit.push((domain.now, 29, told, message));
+        domain.transit.push((domain.now, 29, receiver, message));
         domain.time_until_known(28, "p", 3);
         domain.pass(100);
         for host in 0..30 {
--- a/src/core/relay/tests/mod.rs
+++ b/src/core/relay/tests/mod.rs
@@ -47,55 +47,57 @@
 addr = 127.0.0.1:5
 ";
 
-/// A host, the time, and what it did last.
+/// A host with its clock, its last effects and its timers.
 struct TestHost {
     core: Core,
     now: u64,
+    /// Effects of the last event.
     out: Effects,
-    /// Times that were asked for.
+    /// Scheduled timers, with the time at which they are due.
     timers: Vec<(u64, Timer)>,
 }
 
 impl TestHost {
-    /// Returns a host that knows the configuration and follows the store.
+    /// Returns a host with a configuration and a fresh view of the store.
     fn new() -> Self {
-        let mut site = Self::blank();
-        site.core.relay.view.confirm(Time::from_millis(site.now));
-        site.configure(catalog(1));
-        site
+        let mut host = Self::blank();
+        host.core.relay.view.confirm(Time::from_millis(host.now));
+        host.configure(catalog(1));
+        host
     }
 
-    /// Returns a host before two engines that prefill and two that generate.
+    /// Returns such a host with two prefill engines and two decode engines.
     fn with_engines() -> Self {
-        let mut site = Self::new();
-        site.register(vec![
+        let mut host = Self::new();
+        host.register(vec![
             engine_entry("p", Stage::Prefill),
             engine_entry("q", Stage::Prefill),
             engine_entry("d", Stage::Decode),
             engine_entry("e", Stage::Decode),
         ]);
-        site
+        host
     }
 
-    /// Returns a host that has heard nothing.
+    /// Returns a host that has started and received nothing.
     fn blank() -> Self {
         Self::named("host-1", 7)
     }
 
-    /// Returns a host of this name that has heard nothing.
+    /// Returns a host of this name that has started and received nothing.
     fn named(name: &str, seed: u64) -> Self {
         let settings = SETTINGS.replace("name = host-1", &format!("name = {name}"));
         let settings = Settings::parse_relay(&settings, "host.ini").expect("settings");
-        let mut site = Self {
+        let mut host = Self {
             core: Core::new(settings, Time::from_millis(1000), 1_000_000, seed),
             now: 1000,
             out: Effects::new(),
             timers: Vec::new(),
         };
-        site.apply(Event::Start);
-        site
+        host.apply(Event::Start);
+        host
     }
 
+    /// Reduces an event, and collects its effects and timers.
     fn apply(&mut self, event: Event) {
         self.out.clear();
         let now = Time::from_millis(self.now);
@@ -111,7 +113,7 @@
         self.apply(Event::Relay(event));
     }
 
-    /// Lets time pass with the timers that come due.
+    /// Advances the clock and runs the timers that become due; returns their effects.
     fn advance(&mut self, millis: u64) -> Effects {
         let mut all = Effects::new();
         let end = self.now + millis;
@@ -129,7 +131,7 @@
         all
     }
 
-    /// Has the store tell of changes.
+    /// Applies changes of the store.
     fn apply_changes(&mut self, changes: Changes) {
         self.out.clear();
         self.core.now = Time::from_millis(self.now);
@@ -150,11 +152,11 @@
         });
     }
 
-    fn write_key(&mut self, write_key: &str, value: Option<&str>, revision: i64) {
+    fn write_key(&mut self, key: &str, value: Option<&str>, revision: i64) {
         let value = value.map(|value| value.as_bytes().into());
         self.apply_changes(Changes {
             keys: vec![KeyChange {
-                key: write_key.into(),
+                key: key.into(),
                 value,
                 revision,
             }],
@@ -167,7 +169,7 @@
         self.apply(Event::Store(StoreEvent::Reply(reply)));
     }
 
-    /// Has a caller send a request; returns it if it was taken in.
+    /// Has a caller send a request; returns its key.
     fn arrive(&mut self, arrival: Arrival) -> CallKey {
         self.event(RelayEvent::Arrived(Box::new(arrival)));
         let opened = self.out.iter().find_map(|effect| match effect {
@@ -177,12 +179,12 @@
         opened.expect("every request gets a key")
     }
 
-    /// Returns what was sent to a backend server by the last event.
+    /// Returns the request that the last event sent to a backend server.
     fn sent(&self) -> Option<Outgoing> {
         sent(&self.out).into_iter().next()
     }
 
-    /// Returns the refusal of the last event.
+    /// Returns status, `ran` and retry time of the refusal by the last event.
     fn refused(&self) -> Option<(u16, Ran, Option<Duration>)> {
         self.out.iter().find_map(|effect| match effect {
             Effect::Relay(RelayEffect::Refuse { refusal, .. }) => {
@@ -202,12 +204,13 @@
         });
     }
 
-    fn did(&self, wanted: impl Fn(&RelayEffect) -> bool) -> bool {
-        did(&self.out, wanted)
+    /// Whether the last event had such an effect.
+    fn has_effect(&self, wanted: impl Fn(&RelayEffect) -> bool) -> bool {
+        has_effect(&self.out, wanted)
     }
 }
 
-/// Returns every request sent among effects.
+/// Returns all requests sent to backend servers among effects.
 fn sent(out: &Effects) -> Vec<Outgoing> {
     let sent = out.iter().filter_map(|effect| match effect {
         Effect::Relay(RelayEffect::Send(out)) => Some((**out).clone()),
@@ -216,7 +219,8 @@
     sent.collect()
 }
 
-fn did(out: &Effects, wanted: impl Fn(&RelayEffect) -> bool) -> bool {
+/// Whether any of the effects is such an effect of the relay.
+fn has_effect(out: &Effects, wanted: impl Fn(&RelayEffect) -> bool) -> bool {
     out.iter().any(|effect| match effect {
         Effect::Relay(effect) => wanted(effect),
         _ => false,
@@ -237,7 +241,8 @@
     }
 }
 
-/// A plain service with a route for each kind, and engines with one for each kind of stream.
+/// A configuration: a plain service with a route per retry policy, and a model service with a resumable
+/// and a non-resumable streaming route.
 fn catalog(version: u64) -> Catalog {
     let mut catalog = Catalog {
         version,
@@ -321,15 +326,15 @@
     }
 }
 
-/// A model request whose prompt is a shared part and one of its own.
+/// A model request whose prompt is a shared prefix block and a block of its own.
 fn model_request(path: &str, shared: (u64, u64), own: u64) -> Arrival {
-    let part = |(id, tokens)| PrefixBlock { id, tokens };
+    let block = |(id, tokens)| PrefixBlock { id, tokens };
     Arrival {
         prompt: Some(Prompt {
             tokens: shared.1 + own,
             max_output: 20,
             output_hint: None,
-            blocks: vec![part(shared), part((u64::MAX - own, own))],
+            blocks: vec![block(shared), block((u64::MAX - own, own))],
         }),
         ..plain_request(path)
     }
--- a/src/core/relay/tests/register.rs
+++ b/src/core/relay/tests/register.rs
@@ -1,11 +1,11 @@
-//! A host's own entry in the store, by which the others know it.
+//! A host's own entry in the store, by which the other hosts find it.
 
 use super::*;
 use crate::core::event::Job;
 use crate::core::relay::RelayJob;
 use crate::core::relay::event::StoreAnswer;
 
-/// What a host last asked of the store for its entry.
+/// A call that a host makes for its registration.
 #[derive(Debug, PartialEq, Eq)]
 enum StoreRequest {
     Lease,
@@ -14,7 +14,7 @@
 }
 
 fn store_requests(out: &Effects) -> Vec<StoreRequest> {
-    let asked = out.iter().filter_map(|effect| match effect {
+    let requests = out.iter().filter_map(|effect| match effect {
         Effect::Grant {
             job: Job::Relay(RelayJob::Lease, 0),
             ..
@@ -29,36 +29,41 @@
         } => Some(StoreRequest::Entry),
         _ => None,
     });
-    asked.collect()
+    requests.collect()
 }
 
-/// Returns a host that has a lease and an entry.
+/// Returns a host that has a lease and has written its entry.
 fn registered() -> TestHost {
-    let mut site = TestHost::blank();
-    site.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(5));
-    assert_eq!(store_requests(&site.out), [StoreRequest::Entry]);
+    let mut host = TestHost::blank();
+    host.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(5));
+    assert_eq!(store_requests(&host.out), [StoreRequest::Entry]);
     let done = crate::store::TxnReply {
         revision: 9,
         succeeded: true,
         replies: Vec::new(),
     };
-    site.store_reply(Job::Relay(RelayJob::Register, 0), StoreResult::Txn(done));
-    site
+    host.store_reply(Job::Relay(RelayJob::Register, 0), StoreResult::Txn(done));
+    host
 }
 
-/// Has the store show all its keys: this host's entry, where `own`, and nothing else.
-fn read_whole(site: &mut TestHost, own: bool) -> Effects {
+/// Answers the host's read of all keys: with its own entry if `own`, and nothing else.
+fn read_all(host: &mut TestHost, own: bool) -> Effects {
     let key = KeyChange {
         key: "hosts/host-1".into(),
         value: Some((*br#"{"addr":"127.0.0.1:3","domain":"z"}"#).into()),
         revision: 9,
     };
-    let number = site.core.relay.view.asked_number().expect("a page in hand");
+    let number = host
+        .core
+        .relay
+        .view
+        .asked_number()
+        .expect("a page in flight");
     let changes = Changes {
         keys: own.then_some(key).into_iter().collect(),
         ..Changes::default()
     };
-    site.event(RelayEvent::StoreAnswered {
+    host.event(RelayEvent::StoreAnswered {
         number,
         answer: StoreAnswer::Page {
             revision: 20,
@@ -66,36 +71,36 @@
             after: None,
         },
     });
-    site.out.clone()
+    host.out.clone()
 }
 
-/// The lease ran out while the store was away, and the entry with it. The other hosts take this one
-/// for gone and tell it nothing, so that it piles requests on engines that are full.
+/// The lease expired while the store was down, and the entry with it. The other hosts stop sending to
+/// this one, which then sends requests to engines that are full.
 #[test]
-fn an_entry_that_lapsed_is_written_again_at_once() {
-    let mut site = registered();
-    let out = read_whole(&mut site, false);
+fn an_expired_entry_is_rewritten_immediately() {
+    let mut host = registered();
+    let out = read_all(&mut host, false);
     assert_eq!(store_requests(&out), [StoreRequest::Renewal]);
-    site.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(0));
-    assert_eq!(store_requests(&site.out), [StoreRequest::Lease]);
-    site.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(6));
-    assert_eq!(store_requests(&site.out), [StoreRequest::Entry]);
+    host.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(0));
+    assert_eq!(store_requests(&host.out), [StoreRequest::Lease]);
+    host.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Lease(6));
+    assert_eq!(store_requests(&host.out), [StoreRequest::Entry]);
 }
 
-/// The host started while the store was silent, and its call for a lease was lost. Without another
-/// as soon as the store answers, it stays unknown to the others for four seconds more.
+/// The host started while the store did not answer, and its call for a lease was lost. If it did not call
+/// again as soon as the store answers, the other hosts would not find it for four seconds more.
 #[test]
-fn a_lost_call_for_a_lease_is_made_again_at_the_stores_return() {
-    let mut site = TestHost::blank();
-    site.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Unknown);
-    assert_eq!(store_requests(&site.advance(1000)), []);
-    let out = read_whole(&mut site, false);
+fn a_lost_lease_call_is_repeated_when_the_store_answers_again() {
+    let mut host = TestHost::blank();
+    host.store_reply(Job::Relay(RelayJob::Lease, 0), StoreResult::Unknown);
+    assert_eq!(store_requests(&host.advance(1000)), []);
+    let out = read_all(&mut host, false);
     assert_eq!(store_requests(&out), [StoreRequest::Lease]);
 }
 
 #[test]
-fn an_entry_that_is_there_is_left_alone() {
-    let mut site = registered();
-    let out = read_whole(&mut site, true);
+fn a_present_entry_is_not_rewritten() {
+    let mut host = registered();
+    let out = read_all(&mut host, true);
     assert_eq!(store_requests(&out), []);
 }
--- a/src/core/relay/tests/request.rs
+++ b/src/core/relay/tests/request.rs
@@ -30,7 +30,7 @@
         attempt: second.attempt,
         status: 200,
     });
-    assert!(site.did(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
 }
 
 /// Nothing listens at the only address. The caller is told at once that the request did not run,
@@ -73,7 +73,7 @@
     });
     // The route allows two runs: the second failure is the answer.
     assert!(site.sent().is_none());
-    assert!(site.did(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
 }
 
 /// The caller waits longer than the operator wants it kept waiting. It gets its final answer at
@@ -86,16 +86,16 @@
     let sent = site.sent().expect("sent");
     assert_eq!(sent.remaining, Duration::from_secs(4));
     let before = site.advance(3900);
-    assert!(!did(&before, |effect| matches!(
+    assert!(!has_effect(&before, |effect| matches!(
         effect,
         RelayEffect::Refuse { .. }
     )));
     let after = site.advance(200);
-    assert!(did(&after, |effect| matches!(
+    assert!(has_effect(&after, |effect| matches!(
         effect,
         RelayEffect::Refuse { .. }
     )));
-    assert!(did(&after, |effect| matches!(
+    assert!(has_effect(&after, |effect| matches!(
         effect,
         RelayEffect::Cancel(_)
     )));
@@ -125,7 +125,7 @@
     site.register(vec![plain_entry("a")]);
     let key = site.arrive(plain_request("/once/x"));
     site.event(RelayEvent::CallerLeft(key));
-    assert!(site.did(|effect| matches!(effect, RelayEffect::Cancel(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::Cancel(_))));
     assert!(site.core.relay.calls.is_empty());
 }
 
--- a/src/core/relay/tests/stream.rs
+++ b/src/core/relay/tests/stream.rs
@@ -13,7 +13,7 @@
 
 fn piece(site: &mut TestHost, attempt: AttemptKey, number: u64) -> bool {
     site.event(RelayEvent::StreamEvent { attempt, number });
-    site.did(|effect| matches!(effect, RelayEffect::ForwardEvent(_)))
+    site.has_effect(|effect| matches!(effect, RelayEffect::ForwardEvent(_)))
 }
 
 #[test]
@@ -34,8 +34,8 @@
     assert!(second.streaming);
     assert!(piece(&mut site, second.attempt, 1));
     site.event(RelayEvent::StreamCompleted(second.attempt));
-    assert!(site.did(|effect| matches!(effect, RelayEffect::Finish(_))));
-    assert!(!site.did(|effect| matches!(effect, RelayEffect::FreeCache { .. })));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::Finish(_))));
+    assert!(!site.has_effect(|effect| matches!(effect, RelayEffect::FreeCache { .. })));
 }
 
 /// The caller leaves between the prefill and the hand-over. A KV cache that nobody takes fills the
@@ -47,7 +47,7 @@
     let first = site.sent().expect("sent");
     prefilled(&mut site, first.attempt);
     site.event(RelayEvent::CallerLeft(key));
-    assert!(site.did(|effect| matches!(effect, RelayEffect::FreeCache { .. })));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::FreeCache { .. })));
 }
 
 /// KV caches can lapse at once. The engine that was to go on refuses, nothing has run, and the
@@ -99,7 +99,7 @@
     assert!(piece(&mut site, second.attempt, 1));
     site.fail_attempt(second.attempt, Ran::Yes, Break::Cut);
     assert!(site.sent().is_none());
-    assert!(site.did(|effect| matches!(effect, RelayEffect::AbortAnswer(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::AbortAnswer(_))));
 }
 
 /// An engine breaks off before the first event of a stream that runs once. It may have run, and is
