--- a/src/core/relay/event/mod.rs
+++ b/src/core/relay/event/mod.rs
@@ -300,7 +300,7 @@
         /// Number of the call.
         number: u64,
         /// The call.
-        ask: StoreCall,
+        call: StoreCall,
     },
     /// Cancel the call of the store with this number.
     CancelStoreCall(u64),
--- a/src/core/relay/gossip/domains.rs
+++ b/src/core/relay/gossip/domains.rs
@@ -10,7 +10,7 @@
 use super::super::super::{Core, Effects};
 use super::super::event::{Gossip, GossipKind};
 use super::super::peers::new_peer;
-use super::{is_live, neighbour_addrs, new_message, publish_to, summed_loads};
+use super::{is_live, neighbour_addrs, new_message, publish_effect, summed_loads};
 
 /// Sends the sums over this failure domain to one host of each other domain.
 pub(super) fn publish_aggregate(core: &mut Core, out: &mut Effects) {
@@ -38,7 +38,7 @@
     let loads = summed_loads(core);
     let (blocks, crashes) = core.relay.peers.cross_domain.take();
     let message = new_message(core, GossipKind::Domain(own), loads, blocks, crashes);
-    out.extend(publish_to(to, message));
+    out.extend(publish_effect(to, message));
 }
 
 /// Returns the address whose turn it is at a sequence number.
@@ -62,10 +62,10 @@
         return;
     };
     if let Some(aggregator) = super::gather::aggregator_addr(core) {
-        out.extend(publish_to(vec![aggregator], message));
+        out.extend(publish_effect(vec![aggregator], message));
     } else if !super::uses_aggregators(core) {
         let kind = GossipKind::Forwarded(domain.clone());
-        out.extend(publish_to(
+        out.extend(publish_effect(
             neighbour_addrs(core),
             Gossip { kind, ..message },
         ));
--- a/src/core/relay/gossip/gather.rs
+++ b/src/core/relay/gossip/gather.rs
@@ -14,8 +14,8 @@
 use super::super::note;
 use super::aggregator::{AggregatorChange, preferred_order};
 use super::{
-    KEEPALIVE_INTERVAL, domains, load_report, neighbours, new_message, publish_to, should_publish,
-    summed_loads, take_unpublished,
+    KEEPALIVE_INTERVAL, domains, load_report, neighbours, new_message, publish_effect,
+    should_publish, summed_loads, take_unpublished,
 };
 
 /// Sent reports that are kept until totals include them: at least two seconds' worth.
@@ -44,18 +44,18 @@
             .filter_map(|name| peer_addr(core, name))
             .collect();
         let message = new_message(core, GossipKind::Hello, Vec::new(), Vec::new(), Vec::new());
-        out.extend(publish_to(to, message));
+        out.extend(publish_effect(to, message));
     }
     if core.relay.peers.aggregator.is_root() {
         // The hosts included in the last totals report to this host from now on.
-        forget_totals(core);
+        drop_totals(core);
         core.relay.peers.upstream.take();
     }
     send_report(core, out);
 }
 
 /// Drops the loads of the last totals.
-fn forget_totals(core: &mut Core) {
+fn drop_totals(core: &mut Core) {
     let peers = &mut core.relay.peers;
     let totals = peers.domains.get(&core.settings.host.domain).copied();
     if let Some(totals) = totals.filter(|key| peers.arena[*key].last_seen.take().is_some()) {
@@ -102,7 +102,7 @@
     if peers.sent_reports.len() > MAX_SENT_REPORTS {
         peers.sent_reports.pop_front();
     }
-    out.extend(publish_to(vec![to], message));
+    out.extend(publish_effect(vec![to], message));
 }
 
 /// Sends totals to the hosts that report to this one, if anything changed or the last totals are older
@@ -140,7 +140,7 @@
     let (blocks, crashes) = peers.downstream.take();
     let (to, included) = reporters.into_iter().unzip();
     let message = new_message(core, GossipKind::Totals(included), loads, blocks, crashes);
-    out.extend(publish_to(to, message));
+    out.extend(publish_effect(to, message));
 }
 
 /// Returns the short hash that identifies one process of a host.
@@ -233,6 +233,6 @@
             Vec::new(),
             Vec::new(),
         );
-        out.extend(publish_to(vec![to], message));
+        out.extend(publish_effect(vec![to], message));
     }
 }
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -56,7 +56,7 @@
 pub fn publish(core: &mut Core, out: &mut Effects) {
     wake(core, gossip_interval(core), RelayTimer::Publish, out);
     expire_peers(core);
-    peers::drop_silent(core, out);
+    peers::drop_unresponsive(core, out);
     for instance in core.relay.instances.arena.values_mut() {
         instance.age(core.now);
     }
@@ -119,7 +119,7 @@
     core.relay.peers.cross_domain.add(&blocks, &crashes);
     let addrs = neighbour_addrs(core);
     let message = new_message(core, GossipKind::Own, loads, blocks, crashes);
-    out.extend(publish_to(addrs, message));
+    out.extend(publish_effect(addrs, message));
 }
 
 /// Returns this host's own unfinished work, by backend server.
@@ -182,7 +182,7 @@
     }
 }
 
-fn publish_to(to: Vec<SocketAddr>, message: Gossip) -> Option<Effect> {
+fn publish_effect(to: Vec<SocketAddr>, message: Gossip) -> Option<Effect> {
     let message = Box::new(message);
     (!to.is_empty()).then(|| Effect::Relay(RelayEffect::Publish { to, message }))
 }
@@ -306,7 +306,7 @@
 
 /// Drops the load reports of hosts that sent nothing for [`PEER_TIMEOUT`].
 fn expire_peers(core: &mut Core) {
-    let silent: Vec<HostKey> = core
+    let expired: Vec<HostKey> = core
         .relay
         .peers
         .arena
@@ -317,7 +317,7 @@
         })
         .map(|(key, _)| key)
         .collect();
-    for key in silent {
+    for key in expired {
         let peer = &mut core.relay.peers.arena[key];
         peer.last_seen = None;
         peer.is_reporter = false;
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -192,7 +192,7 @@
     pub budgets: BTreeMap<Box<str>, Budget>,
     /// Other hosts.
     pub peers: peers::Peers,
-    /// Requests suspected of crashing backend servers.
+    /// Poison requests: those suspected of crashing backend servers.
     pub killers: killer::Killers,
     /// Stages of engines.
     pub split: split::Split,
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -138,7 +138,7 @@
 }
 
 /// Drops the lease of the registration, which belonged to an era of the store that ended.
-pub fn forget_lease(core: &mut Core) {
+pub fn drop_lease(core: &mut Core) {
     let peers = &mut core.relay.peers;
     peers.lease = 0;
     peers.registered = false;
@@ -288,12 +288,12 @@
 /// Without it, anyone who reaches a host's port could report load that does not exist, so that the host
 /// refuses its callers. The store is the one place that only hosts of the system can write to.
 fn ensure_secret(core: &mut Core, out: &mut Effects) {
-    let known = core.relay.peers.secret;
-    if known.is_some() && !gossip::represents_domain(core) {
+    let existing = core.relay.peers.secret;
+    if existing.is_some() && !gossip::represents_domain(core) {
         return;
     }
     // Hosts that already share a secret keep it: a store restored from an older copy may have lost it.
-    let secret: [u8; 32] = known.unwrap_or_else(|| core.rng.random());
+    let secret: [u8; 32] = existing.unwrap_or_else(|| core.rng.random());
     out.push(Effect::Txn {
         job: job(core, RelayJob::Secret),
         txn: Txn {
@@ -364,19 +364,19 @@
 }
 
 /// Removes hosts without an entry whose messages no longer arrive.
-pub(super) fn drop_silent(core: &mut Core, out: &mut Effects) {
+pub(super) fn drop_unresponsive(core: &mut Core, out: &mut Effects) {
     let peers = &core.relay.peers;
-    let silent = |name: &str| {
+    let is_unresponsive = |name: &str| {
         let key = peers.names.get(name);
         key.is_none_or(|key| peers.arena[*key].last_seen.is_none())
     };
-    let silent: Vec<Box<str>> = peers
+    let unresponsive: Vec<Box<str>> = peers
         .lapsed
         .iter()
-        .filter(|name| silent(name))
+        .filter(|name| is_unresponsive(name))
         .cloned()
         .collect();
-    for name in silent {
+    for name in unresponsive {
         remove_host(core, &name, out);
     }
 }
--- a/src/core/relay/tests/departed.rs
+++ b/src/core/relay/tests/departed.rs
@@ -50,11 +50,11 @@
 fn after_outage() -> TestDomain {
     let mut domain = TestDomain::with_hosts(3);
     domain.pass(3000);
-    domain.store.silent = true;
+    domain.store.unresponsive = true;
     domain.pass(2500);
     domain.remove("r");
     domain.pass(2500);
-    domain.store.silent = false;
+    domain.store.unresponsive = false;
     domain
 }
 
--- a/src/core/relay/tests/domain.rs
+++ b/src/core/relay/tests/domain.rs
@@ -30,17 +30,17 @@
     pub loss_interval: usize,
     /// Datagrams that arrived or were lost.
     deliveries: usize,
-    pub store: Store,
+    pub store: TestStore,
 }
 
 /// A store whose only changes are new versions of the configuration, one for each revision.
 #[derive(Debug)]
-pub struct Store {
+pub struct TestStore {
     pub revision: i64,
     /// Number of restores from an older copy, plus one.
     pub era: u64,
     /// Whether it accepts calls and never answers.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// Hosts that cannot reach it: their calls get no answer.
     pub unreachable: BTreeSet<usize>,
     /// Servers whose entries were removed.
@@ -104,10 +104,10 @@
             received: vec![0; hosts],
             loss_interval: 0,
             deliveries: 0,
-            store: Store {
+            store: TestStore {
                 revision: 10,
                 era: 1,
-                silent: false,
+                unresponsive: false,
                 unreachable: BTreeSet::new(),
                 removed: BTreeSet::new(),
                 calls: Vec::new(),
@@ -128,12 +128,12 @@
         };
         for effect in &node.out {
             match effect {
-                Effect::Relay(RelayEffect::CallStore { number, ask }) => {
-                    if *ask != StoreCall::Probe {
+                Effect::Relay(RelayEffect::CallStore { number, call }) => {
+                    if *call != StoreCall::Probe {
                         self.store.read_counts[host] += 1;
                     }
-                    if !self.store.silent && !self.store.unreachable.contains(&host) {
-                        let call = (self.now + STORE_REPLY_MS, host, *number, ask.clone());
+                    if !self.store.unresponsive && !self.store.unreachable.contains(&host) {
+                        let call = (self.now + STORE_REPLY_MS, host, *number, call.clone());
                         self.store.calls.push(call);
                     }
                 }
@@ -149,19 +149,19 @@
 
     /// Has the store answer the calls that are due.
     fn reply_due(&mut self) {
-        let (silent, unreachable) = (self.store.silent, self.store.unreachable.clone());
+        let (unresponsive, unreachable) = (self.store.unresponsive, self.store.unreachable.clone());
         self.store
             .calls
-            .retain(|(_, host, ..)| !silent && !unreachable.contains(host));
+            .retain(|(_, host, ..)| !unresponsive && !unreachable.contains(host));
         let calls = std::mem::take(&mut self.store.calls).into_iter();
         let revision = self.store.revision;
-        let (ready, later): (Vec<_>, Vec<_>) = calls.partition(|(at, _, _, ask)| {
-            let pending = matches!(ask, StoreCall::Watch { after, .. } if *after >= revision);
+        let (ready, later): (Vec<_>, Vec<_>) = calls.partition(|(at, _, _, call)| {
+            let pending = matches!(call, StoreCall::Watch { after, .. } if *after >= revision);
             *at <= self.now && !pending
         });
         self.store.calls = later;
-        for (_, host, number, ask) in ready {
-            let answer = self.reply_to(&ask);
+        for (_, host, number, call) in ready {
+            let answer = self.reply_to(&call);
             if let Some(node) = self.hosts[host].as_mut() {
                 node.now = self.now;
                 node.event(RelayEvent::StoreEra(self.store.era));
@@ -174,9 +174,9 @@
         }
     }
 
-    fn reply_to(&self, ask: &StoreCall) -> StoreAnswer {
+    fn reply_to(&self, call: &StoreCall) -> StoreAnswer {
         let at = self.store.revision;
-        match ask {
+        match call {
             StoreCall::Probe => StoreAnswer::Newest(at),
             StoreCall::Watch { after, .. } if *after > at => StoreAnswer::Compacted,
             StoreCall::Page { .. } => {
--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -13,7 +13,7 @@
 
 fn asks(out: &Effects) -> Vec<StoreCall> {
     let asks = out.iter().filter_map(|effect| match effect {
-        Effect::Relay(RelayEffect::CallStore { ask, .. }) => Some(ask.clone()),
+        Effect::Relay(RelayEffect::CallStore { call: ask, .. }) => Some(ask.clone()),
         _ => None,
     });
     asks.collect()
@@ -253,9 +253,9 @@
         if restore {
             domain.restore(5);
         } else {
-            domain.store.silent = true;
+            domain.store.unresponsive = true;
             domain.pass(3000);
-            domain.store.silent = false;
+            domain.store.unresponsive = false;
         }
         domain.store.revision = 40;
         domain.pass(5000);
--- a/src/core/relay/tests/view/mod.rs
+++ b/src/core/relay/tests/view/mod.rs
@@ -190,7 +190,7 @@
     fn carry(&mut self, effects: &Effects) {
         for effect in effects {
             match effect {
-                Effect::Relay(RelayEffect::CallStore { number, ask }) => {
+                Effect::Relay(RelayEffect::CallStore { number, call: ask }) => {
                     self.store.take(*number, ask, self.site.now);
                 }
                 Effect::Relay(RelayEffect::CancelStoreCall(number)) => {
--- a/src/core/relay/tests/view/passed.rs
+++ b/src/core/relay/tests/view/passed.rs
@@ -153,11 +153,11 @@
     for hosts in SIZES {
         for silence in [300, 1000, 4000] {
             let mut domain = settled(hosts);
-            domain.store.silent = true;
+            domain.store.unresponsive = true;
             domain.pass(silence / 2);
             domain.store.revision += 1;
             domain.pass(silence / 2);
-            domain.store.silent = false;
+            domain.store.unresponsive = false;
             let took = domain.convergence_time(&[]);
             assert!(
                 took <= BOUND,
--- a/src/core/relay/view/era.rs
+++ b/src/core/relay/view/era.rs
@@ -52,7 +52,7 @@
     ];
     note(out, log::Level::Warn, "store.era", fields);
     split::forget(core, out);
-    peers::forget_lease(core);
+    peers::drop_lease(core);
     let asked = core.relay.view.restart();
     if let Some(number) = asked {
         out.push(Effect::Relay(RelayEffect::CancelStoreCall(number)));
--- a/src/core/relay/view/mod.rs
+++ b/src/core/relay/view/mod.rs
@@ -237,7 +237,7 @@
             wait: WAIT,
         },
     };
-    out.push(Effect::Relay(RelayEffect::CallStore { number, ask }));
+    out.push(Effect::Relay(RelayEffect::CallStore { number, call: ask }));
 }
 
 /// Goes on after the pause that followed call `last`, unless that was cut short.
--- a/src/core/relay/view/probe.rs
+++ b/src/core/relay/view/probe.rs
@@ -144,7 +144,7 @@
             let number = view.next();
             view.probes.send(number, core.now);
             let ask = StoreCall::Probe;
-            out.push(Effect::Relay(RelayEffect::CallStore { number, ask }));
+            out.push(Effect::Relay(RelayEffect::CallStore { number, call: ask }));
         }
         wake_after(core, Duration::ZERO, out);
     }
--- a/src/host/relay/mod.rs
+++ b/src/host/relay/mod.rs
@@ -229,7 +229,7 @@
             ntex::rt::spawn(backends::order(Rc::clone(node), order));
         }
         RelayEffect::Secret(secret) => ports.secret.set(Some(secret)),
-        RelayEffect::CallStore { number, ask } => {
+        RelayEffect::CallStore { number, call: ask } => {
             let (tx, rx) = oneshot::channel();
             ports.asks.borrow_mut().insert(number, tx);
             ntex::rt::spawn(keeper::follow(Rc::clone(node), number, ask, rx));
