--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -13,7 +13,7 @@
 
 fn asks(out: &Effects) -> Vec<StoreCall> {
     let asks = out.iter().filter_map(|effect| match effect {
-        Effect::Relay(RelayEffect::CallStore { ask, .. }) => Some(ask.clone()),
+        Effect::Relay(RelayEffect::CallStore { call: ask, .. }) => Some(ask.clone()),
         _ => None,
     });
     asks.collect()
@@ -50,7 +50,7 @@
     let mut site = known();
     site.event(RelayEvent::StoreEra(2));
     assert_eq!(asks(&site.out), [StoreCall::Page { after: None }]);
-    assert!(site.did(|effect| matches!(effect, RelayEffect::CancelStoreCall(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::CancelStoreCall(_))));
     let out = site.advance(MAX_CATCH_UP_MS);
     assert_eq!(grants(&out), 1);
 }
@@ -262,9 +262,9 @@
         if restore {
             domain.restore(5);
         } else {
-            domain.store.silent = true;
+            domain.store.unresponsive = true;
             domain.pass(3000);
-            domain.store.silent = false;
+            domain.store.unresponsive = false;
         }
         domain.store.revision = 40;
         domain.pass(5000);
--- a/src/core/relay/tests/request.rs
+++ b/src/core/relay/tests/request.rs
@@ -31,7 +31,7 @@
         attempt: second.attempt,
         status: 200,
     });
-    assert!(site.did(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
 }
 
 /// Nothing listens at the only address. The caller immediately gets a refusal as not run, with a
@@ -74,7 +74,7 @@
     });
     // The route allows two runs: the second failure is forwarded.
     assert!(site.sent().is_none());
-    assert!(site.did(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::ForwardAnswer(_))));
 }
 
 /// The caller's deadline is longer than the route's time-out. The caller gets its final answer at
@@ -87,16 +87,16 @@
     let sent = site.sent().expect("a request is sent");
     assert_eq!(sent.remaining, Duration::from_secs(4));
     let before = site.advance(3900);
-    assert!(!did(&before, |effect| matches!(
+    assert!(!has_effect(&before, |effect| matches!(
         effect,
         RelayEffect::Refuse { .. }
     )));
     let after = site.advance(200);
-    assert!(did(&after, |effect| matches!(
+    assert!(has_effect(&after, |effect| matches!(
         effect,
         RelayEffect::Refuse { .. }
     )));
-    assert!(did(&after, |effect| matches!(
+    assert!(has_effect(&after, |effect| matches!(
         effect,
         RelayEffect::Cancel(_)
     )));
@@ -126,7 +126,7 @@
     site.register(vec![plain_entry("a")]);
     let key = site.arrive(plain_request("/once/x"));
     site.event(RelayEvent::CallerLeft(key));
-    assert!(site.did(|effect| matches!(effect, RelayEffect::Cancel(_))));
+    assert!(site.has_effect(|effect| matches!(effect, RelayEffect::Cancel(_))));
     assert!(site.core.relay.calls.is_empty());
 }
 
--- a/src/core/relay/view/era.rs
+++ b/src/core/relay/view/era.rs
@@ -52,7 +52,7 @@
     ];
     note(out, log::Level::Warn, "store.era", fields);
     planner::drop_authority(core, out);
-    peers::forget_lease(core);
+    peers::drop_lease(core);
     let asked = core.relay.view.reset();
     if let Some(number) = asked {
         out.push(Effect::Relay(RelayEffect::CancelStoreCall(number)));
--- a/src/core/relay/view/mod.rs
+++ b/src/core/relay/view/mod.rs
@@ -238,7 +238,7 @@
             wait: WATCH_TIMEOUT,
         },
     };
-    out.push(Effect::Relay(RelayEffect::CallStore { number, ask }));
+    out.push(Effect::Relay(RelayEffect::CallStore { number, call: ask }));
 }
 
 /// Goes on after the pause that followed call `last`, unless that was cut short.
--- a/src/core/relay/view/probe.rs
+++ b/src/core/relay/view/probe.rs
@@ -148,7 +148,7 @@
             let number = view.next_number();
             view.probes.record_sent(number, core.now);
             let ask = StoreCall::Probe;
-            out.push(Effect::Relay(RelayEffect::CallStore { number, ask }));
+            out.push(Effect::Relay(RelayEffect::CallStore { number, call: ask }));
         }
         schedule_probe(core, Duration::ZERO, out);
     }
