--- a/src/core/order/authority.rs
+++ b/src/core/order/authority.rs
@@ -172,7 +172,9 @@
     let Some(vacant) = core.orders.pool(pool).authority.vacant_since else {
         return false;
     };
-    let preferred = members.remote_owner(&holder_key(&name(core, pool))).is_none();
+    let preferred = members
+        .remote_owner(&holder_key(&name(core, pool)))
+        .is_none();
     // The others wait differently long, so that they do not all try at the same moment.
     let hash = blake3::hash(&members.incarnation().to_le_bytes());
     let spread = TAKEOVER_DELAY.mul_f64(f64::from(hash.as_bytes()[0]) / 256.0);
--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -66,9 +66,7 @@
         );
         return;
     }
-    core.relay
-        .killers
-        .clear(core.relay.calls[call].fingerprint);
+    core.relay.killers.clear(core.relay.calls[call].fingerprint);
     out.push(Effect::Relay(RelayEffect::ForwardAnswer(call)));
     let outcome = if failed { "failed-there" } else { "answered" };
     end(core, call, outcome, Ran::Yes, out);
@@ -131,9 +129,7 @@
         return;
     };
     let call = attempt.call;
-    core.relay
-        .killers
-        .clear(core.relay.calls[call].fingerprint);
+    core.relay.killers.clear(core.relay.calls[call].fingerprint);
     out.push(Effect::Relay(RelayEffect::Finish(call)));
     end(core, call, "answered", Ran::Yes, out);
 }
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -209,7 +209,9 @@
     call.attempt = Some(attempt);
     if choice.work.tokens > 0 || matches!(choice.task, Task::Prefill) {
         let blocks = call.prompt.as_ref().map(|prompt| &prompt.blocks);
-        core.relay.peers.record_sent_blocks(blocks, instance.short_hash);
+        core.relay
+            .peers
+            .record_sent_blocks(blocks, instance.short_hash);
     }
     note(
         out,
--- a/src/core/relay/choose/handover.rs
+++ b/src/core/relay/choose/handover.rs
@@ -61,19 +61,18 @@
         let own = model.handover_ms(instance.pace);
         let prefill = PrefillEstimate {
             delay_ms: transfer + link_wait + queue,
-            transfer_ms: moving: transfer,
+            transfer_ms: transfer,
             overhead_ms: own + queue,
             ..PrefillEstimate::default()
         };
         let expected = own + prefill.delay_ms;
         let copied = prefix_cache::missing_tokens(instance, &prompt);
-        let cost =
-            expected
+        let cost = expected
             + batching_delay_ms(instance)
             + eviction_cost_ms(model, copied)
             + instance.failure_cost()
-                - instance.limit.recheck_bonus(core.now)
-                + crossing_cost_ms(core, call, instance, policy);
+            - instance.limit.recheck_bonus(core.now)
+            + crossing_cost_ms(core, call, instance, policy);
         if best.is_none_or(|(least, ..)| cost < least) {
             best = Some((cost, prefill, expected, backend));
         }
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -144,8 +144,9 @@
     let limits = core.relay.peers.last_publish;
     let limits = limits.is_some_and(|last| limit::changed_since(core, last));
     let changed = changed || limits;
-    let changed =
-        changed || view.probes.has_unsent() || (view.history.has_unsent() && replicates_changes(core));
+    let changed = changed
+        || view.probes.has_unsent()
+        || (view.history.has_unsent() && replicates_changes(core));
     let peers = &mut core.relay.peers;
     let unchanged = !changed && loads == peers.last_loads;
     if unchanged
--- a/src/core/relay/limit.rs
+++ b/src/core/relay/limit.rs
@@ -239,7 +239,9 @@
     let hosts = peers.host_count() as f64;
     let sharing = rate.ceil().clamp(1.0, hosts);
     let own = rank(short_hash(&core.settings.host.name), instance.short_hash);
-    let ranks = peers.name_hashes().map(|other| rank(other, instance.short_hash));
+    let ranks = peers
+        .name_hashes()
+        .map(|other| rank(other, instance.short_hash));
     let ahead = ranks.filter(|other| *other > own).count();
     if (ahead as f64) < sharing {
         rate.max(MIN_REQUESTS_PER_SECOND) / sharing
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -238,7 +238,9 @@
         RelayEvent::Limited { attempt, limit } => limit::observe(core, attempt, limit, out),
         RelayEvent::Prefilled { attempt, handle } => answer::prefilled(core, attempt, handle, out),
         RelayEvent::Answered { attempt, status } => answer::answered(core, attempt, status, out),
-        RelayEvent::StreamEvent { attempt, number } => answer::stream_event(core, attempt, number, out),
+        RelayEvent::StreamEvent { attempt, number } => {
+            answer::stream_event(core, attempt, number, out)
+        }
         RelayEvent::StreamCompleted(attempt) => answer::stream_completed(core, attempt, out),
         RelayEvent::AttemptFailed {
             attempt,
--- a/src/core/share/pledge.rs
+++ b/src/core/share/pledge.rs
@@ -306,7 +306,8 @@
             (
                 key,
                 member
-                    .last_seen.is_some_and(|at| now.since(at) < PLEDGE_LIFETIME),
+                    .last_seen
+                    .is_some_and(|at| now.since(at) < PLEDGE_LIFETIME),
             )
         })
         .collect();
