--- a/src/core/share/borrow.rs
+++ b/src/core/share/borrow.rs
@@ -1,4 +1,4 @@
-//! Loans between hosts: questions, answers, and what a home draws for itself.
+//! Loans between hosts: borrow requests, their answers, and what an owner draws for itself.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,49 +15,49 @@
 use crate::core::{Core, Effects, Time};
 use crate::lists::Quota;
 
-/// Time after which a question without an answer is put anew.
+/// Time after which an unanswered borrow request is replaced by a new one.
 const BORROW_TIMEOUT: Duration = Duration::from_millis(250);
-/// Most time without a question after an answer that there is nothing: what was too little for
-/// one request may do for the next.
+/// Longest pause after an answer without a loan: what did not suffice for one request may suffice
+/// for the next.
 const MAX_BORROW_BACKOFF: Duration = Duration::from_millis(200);
-/// Places asked for ahead of need, as a part of those in use.
+/// Permits in use for each permit that is borrowed ahead of need.
 const PERMIT_PREFETCH_DIVISOR: u32 = 8;
 
-/// Draws from this host's own ledger what a request costs; returns when to come back if there is
+/// Draws a request's cost from this host's own ledger; returns the wait before a retry if there is
 /// not enough.
-pub fn draw(core: &mut Core, plan: &str, allowance: &Quota, cost: Cost) -> Duration {
+pub fn draw(core: &mut Core, plan: &str, quota: &Quota, cost: Cost) -> Duration {
     let now = core.now;
     let name = core.members.name.clone();
-    let part = core.shares.local.entry(plan.into()).or_default();
-    let mut wish = wish(plan, part, Some(cost));
-    let (requests, tokens) = part.available();
+    let local = core.shares.local.entry(plan.into()).or_default();
+    let mut wish = wish(plan, local, Some(cost));
+    let (requests, tokens) = local.available();
     wish.requests = (cost.requests - requests).max(0.0);
-    wish.tokens = (cost.tokens + part.debt - tokens).max(0.0);
+    wish.tokens = (cost.tokens + local.debt - tokens).max(0.0);
     wish.least = wish.tokens;
-    wish.running = u32::from(cost.permit && part.running >= part.permits);
-    let loan = lend(core, plan, &name, &wish, allowance);
-    let part = core.shares.local.entry(plan.into()).or_default();
-    part.add_loan(now.after(LOAN_LIFETIME), loan.requests, loan.tokens);
-    add_permits(part, loan.running, now);
+    wish.running = u32::from(cost.permit && local.running >= local.permits);
+    let loan = lend(core, plan, &name, &wish, quota);
+    let local = core.shares.local.entry(plan.into()).or_default();
+    local.add_loan(now.after(LOAN_LIFETIME), loan.requests, loan.tokens);
+    add_permits(local, loan.running, now);
     Duration::from_millis(u64::from(loan.wait))
 }
 
-fn add_permits(part: &mut LocalShare, running: u32, now: Time) {
+fn add_permits(local: &mut LocalShare, running: u32, now: Time) {
     if running > 0 {
-        part.permits += running;
-        part.permits_until = now.after(LOAN_LIFETIME);
+        local.permits += running;
+        local.permits_until = now.after(LOAN_LIFETIME);
     }
 }
 
 /// Lends from the ledger that this host keeps of a plan.
-fn lend(core: &mut Core, plan: &str, host: &str, wish: &Wish, allowance: &Quota) -> Loan {
+fn lend(core: &mut Core, plan: &str, host: &str, wish: &Wish, quota: &Quota) -> Loan {
     let now = core.now;
-    let apart = core
+    let fallback = core
         .shares
         .local
         .get(plan)
-        .is_some_and(|part| part.source == Some(Source::OwnFraction));
-    let pledged = if apart {
+        .is_some_and(|local| local.source == Some(Source::OwnFraction));
+    let pledged = if fallback {
         Pledged {
             fraction: pledge::own_fraction(core),
             complete: false,
@@ -66,36 +66,36 @@
     } else {
         pledge::pledged(core, plan)
     };
-    let calm = pledge::stable(core) && !apart;
-    let ledgers = if apart {
+    let stable = pledge::stable(core) && !fallback;
+    let ledgers = if fallback {
         &mut core.shares.fallback
     } else {
         &mut core.shares.ledgers
     };
-    let fresh = !ledgers.contains_key(plan);
+    let is_new = !ledgers.contains_key(plan);
     let ledger = ledgers
         .entry(plan.into())
         .or_insert_with(|| Ledger::new(now));
     ledger.set_pledged(now, pledged);
-    if fresh && calm {
-        ledger.credit_stable_time(allowance, pledge::PLEDGE_STABLE_TIME);
+    if is_new && stable {
+        ledger.credit_stable_time(quota, pledge::PLEDGE_STABLE_TIME);
     }
-    ledger.refill(allowance);
-    ledger.lend(host, wish, allowance, now)
+    ledger.refill(quota);
+    ledger.lend(host, wish, quota, now)
 }
 
-/// Puts what waits for a home and what will be short there into one question.
+/// Asks an owner in one message for what waiting requests need and for what will run short.
 pub fn send_borrow(core: &mut Core, owner: HostKey, out: &mut Effects) {
     let now = core.now;
-    let waits = core.shares.pending.get(owner);
-    if waits.is_some_and(|open| now.since(open.sent) < BORROW_TIMEOUT) {
+    let pending = core.shares.pending.get(owner);
+    if pending.is_some_and(|pending| now.since(pending.sent) < BORROW_TIMEOUT) {
         return;
     }
     let plans: Vec<Box<str>> = core
         .shares
         .local
         .iter()
-        .filter(|(_, part)| part.source == Some(Source::Peer(owner)))
+        .filter(|(_, local)| local.source == Some(Source::Peer(owner)))
         .map(|(plan, _)| plan.clone())
         .collect();
     let wishes: Vec<Wish> = plans
@@ -116,58 +116,55 @@
     });
 }
 
-/// Returns what to ask for a plan, if anything.
+/// Returns what to ask of the owner for a plan, if anything.
 fn build_wish(core: &mut Core, plan: &str) -> Option<Wish> {
     let now = core.now;
-    let allowance = quota_of(core, plan).unwrap_or_default();
+    let quota = quota_of(core, plan).unwrap_or_default();
     let waiting = &core.shares.local.get(plan)?.waiting;
-    let costs: Vec<Cost> = waiting
-        .iter()
-        .map(|&key| cost(core, key, &allowance))
-        .collect();
-    let part = core.shares.local.get_mut(plan)?;
-    let back = part.take_expiring(now);
-    let mut wish = wish(plan, part, costs.first().copied());
+    let costs: Vec<Cost> = waiting.iter().map(|&key| cost(core, key, &quota)).collect();
+    let local = core.shares.local.get_mut(plan)?;
+    let back = local.take_expiring(now);
+    let mut wish = wish(plan, local, costs.first().copied());
     (wish.back_requests, wish.back_tokens) = back;
-    let (requests, tokens) = part.available();
-    let short = |need: f64, ahead: f64, have: f64| {
-        // Asking only when half is gone keeps the questions few.
-        if need > have || have < ahead / 2.0 {
-            (need + ahead - have).max(0.0)
+    let (requests, tokens) = local.available();
+    let short = |need: f64, prefetch: f64, have: f64| {
+        // Borrowing only when half of it is used keeps the requests to the owner few.
+        if need > have || have < prefetch / 2.0 {
+            (need + prefetch - have).max(0.0)
         } else {
             0.0
         }
     };
     let needs = |what: fn(&Cost) -> f64| costs.iter().map(what).sum::<f64>();
-    let part_ahead = (
-        part.use_rate.0 * PREFETCH_SECS,
-        part.use_rate.1 * PREFETCH_SECS,
+    let prefetch = (
+        local.use_rate.0 * PREFETCH_SECS,
+        local.use_rate.1 * PREFETCH_SECS,
     );
-    if allowance.requests.is_some() {
-        wish.requests = short(needs(|cost| cost.requests), part_ahead.0, requests);
+    if quota.requests.is_some() {
+        wish.requests = short(needs(|cost| cost.requests), prefetch.0, requests);
     }
-    if allowance.tokens.is_some() {
-        wish.tokens = short(needs(|cost| cost.tokens) + part.debt, part_ahead.1, tokens);
-        let owed = if costs.is_empty() { 0.0 } else { part.debt };
-        wish.least = (wish.least + owed - tokens).max(0.0);
+    if quota.tokens.is_some() {
+        wish.tokens = short(needs(|cost| cost.tokens) + local.debt, prefetch.1, tokens);
+        let debt = if costs.is_empty() { 0.0 } else { local.debt };
+        wish.least = (wish.least + debt - tokens).max(0.0);
     }
-    if allowance.running.is_some() {
+    if quota.running.is_some() {
         let waiting = u32::try_from(costs.len()).unwrap_or(u32::MAX);
-        let idle = part.permits.saturating_sub(part.running);
+        let idle = local.permits.saturating_sub(local.running);
         wish.running = waiting.saturating_sub(idle);
         if waiting > 0 {
-            wish.running += part.running / PERMIT_PREFETCH_DIVISOR;
+            wish.running += local.running / PERMIT_PREFETCH_DIVISOR;
         }
     }
     wish.waiting = u32::try_from(costs.len()).unwrap_or(u32::MAX);
     let wanted = wish.requests > 0.0 || wish.tokens > 0.0 || wish.running > 0;
-    let gives = back.0 > 0.0 || back.1 > 0.0 || part.reported_permits != Some(part.permits);
-    let tells =
-        gives && (back.0 + back.1 > 0.0 || part.permits > 0 || part.reported_permits.is_some());
-    ((wanted && part.retry_at <= now) || tells).then_some(wish)
+    let changed = back.0 > 0.0 || back.1 > 0.0 || local.reported_permits != Some(local.permits);
+    let reports =
+        changed && (back.0 + back.1 > 0.0 || local.permits > 0 || local.reported_permits.is_some());
+    ((wanted && local.retry_at <= now) || reports).then_some(wish)
 }
 
-/// Asks every home once, and brings this host's own ledgers up to date.
+/// Asks each owner once, and brings this host's own ledgers up to date.
 pub fn run_round(core: &mut Core, out: &mut Effects) {
     let now = core.now;
     let plans: Vec<Box<str>> = core.shares.local.keys().cloned().collect();
@@ -199,55 +196,55 @@
 
 fn drop_expiring(core: &mut Core, plan: &str) {
     let now = core.now;
-    if let Some(part) = core.shares.local.get_mut(plan) {
-        part.take_expiring(now);
+    if let Some(local) = core.shares.local.get_mut(plan) {
+        local.take_expiring(now);
     }
 }
 
 fn return_expiring(core: &mut Core, plan: &str, now: Time) {
-    let Some(allowance) = quota_of(core, plan) else {
+    let Some(quota) = quota_of(core, plan) else {
         return;
     };
-    let Some(part) = core.shares.local.get_mut(plan) else {
+    let Some(local) = core.shares.local.get_mut(plan) else {
         return;
     };
-    let back = part.take_expiring(now);
-    let mut wish = wish(plan, part, None);
+    let back = local.take_expiring(now);
+    let mut wish = wish(plan, local, None);
     (wish.back_requests, wish.back_tokens) = back;
-    let untold = part.reported_permits != Some(part.permits);
-    part.reported_permits = Some(part.permits);
-    if untold || back.0 + back.1 > 0.0 {
+    let unreported = local.reported_permits != Some(local.permits);
+    local.reported_permits = Some(local.permits);
+    if unreported || back.0 + back.1 > 0.0 {
         let name = core.members.name.clone();
-        lend(core, plan, &name, &wish, &allowance);
+        lend(core, plan, &name, &wish, &quota);
     }
 }
 
-/// Counts the time that passed at the part that is pledged.
+/// Credits the time that passed at the pledged fraction.
 fn refill(core: &mut Core, plan: &str) {
-    let Some(allowance) = quota_of(core, plan) else {
+    let Some(quota) = quota_of(core, plan) else {
         return;
     };
     let pledged = pledge::pledged(core, plan);
     if let Some(ledger) = core.shares.ledgers.get_mut(plan) {
         ledger.set_pledged(core.now, pledged);
-        ledger.refill(&allowance);
+        ledger.refill(&quota);
     }
 }
 
-/// Forgets ledgers that hold nothing.
+/// Removes ledgers whose state need not be kept.
 pub fn remove_idle_ledgers(core: &mut Core) {
     let now = core.now;
     let mut ledgers = std::mem::take(&mut core.shares.ledgers);
     ledgers.retain(|plan, ledger| {
         ledger.retain_permits(|host| pledge::may_hold_permits(core, host));
-        quota_of(core, plan).is_some_and(|allowance| !ledger.is_idle(&allowance, now))
+        quota_of(core, plan).is_some_and(|quota| !ledger.is_idle(&quota, now))
     });
     core.shares.ledgers = ledgers;
 }
 
-/// A peer asks for loans.
+/// Handles a peer's borrow request.
 pub fn borrow_received(core: &mut Core, from: HostKey, borrow: &Borrow, out: &mut Effects) {
-    // A question that comes twice or late would lend and take back twice.
+    // A duplicate or late request would lend and return the same amounts twice.
     if core
         .shares
         .last_answered
@@ -263,9 +260,9 @@
         if pledge::source(core, &wish.plan) != Source::Local {
             continue;
         }
-        // A peer may have newer lists than this host.
-        if let Some(allowance) = quota_of(core, &wish.plan) {
-            loans.push(lend(core, &wish.plan, &name, wish, &allowance));
+        // The peer's lists may be newer and name a plan that this host does not have.
+        if let Some(quota) = quota_of(core, &wish.plan) {
+            loans.push(lend(core, &wish.plan, &name, wish, &quota));
         }
     }
     out.push(Effect::Send {
@@ -279,45 +276,46 @@
     arm_timer(core, out);
 }
 
-/// A peer granted loans.
+/// Handles a peer's answer to a borrow request.
 pub fn lend_received(core: &mut Core, from: HostKey, lend: &Lend, out: &mut Effects) {
-    // The answer to a question that was put anew is void: the home was told so by the new one.
-    let Some(open) = core.shares.pending.get(from).copied() else {
+    // The answer to a replaced request is void: the owner knows so from the newer request, which
+    // states the permits held here.
+    let Some(pending) = core.shares.pending.get(from).copied() else {
         return;
     };
-    if open.round != lend.round {
+    if pending.round != lend.round {
         return;
     }
     core.shares.pending.remove(from);
     let now = core.now;
-    let until = open.sent.after(LOAN_LIFETIME);
+    let until = pending.sent.after(LOAN_LIFETIME);
     let mut short = false;
     for loan in &lend.loans {
-        let Some(part) = core.shares.local.get_mut(&loan.plan) else {
+        let Some(local) = core.shares.local.get_mut(&loan.plan) else {
             continue;
         };
-        if part.source != Some(Source::Peer(from)) {
+        if local.source != Some(Source::Peer(from)) {
             continue;
         }
-        part.reported_permits = Some(part.permits + loan.running);
+        local.reported_permits = Some(local.permits + loan.running);
         if until > now {
-            part.add_loan(until, loan.requests, loan.tokens);
-            add_permits(part, loan.running, now);
+            local.add_loan(until, loan.requests, loan.tokens);
+            add_permits(local, loan.running, now);
         }
         if loan.wait > 0 {
             let wait = Duration::from_millis(u64::from(loan.wait));
-            part.retry_at = now.after(wait.min(MAX_BORROW_BACKOFF));
+            local.retry_at = now.after(wait.min(MAX_BORROW_BACKOFF));
         }
         admit_waiting(core, &loan.plan, out);
         let wait = Duration::from_millis(u64::from(loan.wait));
-        let limits = quota_of(core, &loan.plan).unwrap_or_default();
-        let part = core.shares.local.get(&loan.plan);
-        if !part.is_some_and(|part| part.may_queue(&limits, wait)) {
+        let quota = quota_of(core, &loan.plan).unwrap_or_default();
+        let local = core.shares.local.get(&loan.plan);
+        if !local.is_some_and(|local| local.may_queue(&quota, wait)) {
             refuse_waiting(core, &loan.plan, wait, out);
         }
-        let some = loan.requests + loan.tokens + f64::from(loan.running) > 0.0;
-        let part = core.shares.local.get(&loan.plan);
-        short |= some && part.is_some_and(|part| !part.waiting.is_empty());
+        let lent = loan.requests + loan.tokens + f64::from(loan.running) > 0.0;
+        let local = core.shares.local.get(&loan.plan);
+        short |= lent && local.is_some_and(|local| !local.waiting.is_empty());
     }
     if short {
         send_borrow(core, from, out);
--- a/src/core/share/ledger.rs
+++ b/src/core/share/ledger.rs
@@ -1,4 +1,5 @@
-//! What a home may still lend of one plan's share: an exact bucket over the part pledged to it.
+//! What an owner may still lend of one plan's share: an exact token bucket over the fraction of the
+//! share that is pledged to it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,36 +9,37 @@
 use crate::core::message::{Loan, Wish};
 use crate::lists::Quota;
 
-/// Seconds of its rate that a plan may save up at its home.
+/// Seconds of a plan's rate that accrue at the owner while unused.
 ///
-/// Together with what is lent and not yet spent, a plan may use twice this at once.
+/// Together with loans that are not yet spent, a plan may use twice this in one burst.
 pub const BURST_SECS: f64 = 0.75;
-/// Time after which a share that is saved up and not asked for is forgotten.
+/// Time without a borrow request after which a full ledger is removed.
 const IDLE_TTL: Duration = Duration::from_secs(10);
-/// Most time filled up at once. A pledge that was withdrawn rests for longer than this, so that
-/// its rest is always seen.
+/// Longest time credited in one refill. A withdrawn pledge stays uncounted for longer than this, so
+/// that a refill always sees the gap.
 const MAX_REFILL_SECS: f64 = 1.0;
-/// Time after which a refused request for a place may come back.
+/// Wait before a request refused for want of a permit may be retried.
 const PERMIT_WAIT_SECS: f64 = 1.0;
-/// Least time before it is worth asking again.
+/// Shortest wait after which it is worth asking again.
 const MIN_WAIT_SECS: f64 = 0.02;
-/// Most time a caller is sent away for.
+/// Longest wait that a caller is given.
 const MAX_WAIT_SECS: f64 = 60.0;
 
-/// One plan's share at its home.
+/// One plan's share at its owner.
 #[derive(Debug, Default)]
 pub struct Ledger {
     requests: f64,
     tokens: f64,
-    /// Part pledged at the last look, and the time since it has counted.
+    /// Fraction pledged at the last update, and the seconds at the full rate that the next refill
+    /// credits.
     fraction: f64,
     elapsed_secs: f64,
     updated: Time,
     last_used: Time,
-    /// Whether what every host holds is known.
+    /// Whether the permits that each host holds are known.
     permits_known: bool,
     complete: bool,
-    /// Places that each host has.
+    /// Permits held, by host.
     permits: BTreeMap<Box<str>, u32>,
 }
 
@@ -52,102 +54,103 @@
         }
     }
 
-    /// Counts as saved up what came in over a time that is known to have been quiet.
-    pub fn credit_stable_time(&mut self, allowance: &Quota, quiet: Duration) {
-        let seconds = quiet.as_secs_f64() * self.fraction;
-        self.requests = allowance.requests.unwrap_or(0.0) * seconds;
-        self.tokens = allowance.tokens.unwrap_or(0.0) * seconds;
-        self.clamp(allowance);
+    /// Credits what accrued over a time that is known to be without use.
+    pub fn credit_stable_time(&mut self, quota: &Quota, unused: Duration) {
+        let seconds = unused.as_secs_f64() * self.fraction;
+        self.requests = quota.requests.unwrap_or(0.0) * seconds;
+        self.tokens = quota.tokens.unwrap_or(0.0) * seconds;
+        self.clamp(quota);
     }
 
-    /// Takes in what is pledged now.
+    /// Sets what is pledged now.
     ///
-    /// Time since the last look counts at the smaller of both parts, since the change between them
-    /// may have come at any moment.
+    /// Time since the last update is credited at the smaller of the old and the new fraction, since
+    /// the change between them may have come at any moment.
     pub fn set_pledged(&mut self, now: Time, pledged: Pledged) {
         let passed = now.since(self.updated).as_secs_f64().min(MAX_REFILL_SECS);
         self.elapsed_secs = passed * self.fraction.min(pledged.fraction);
         self.updated = now;
         self.fraction = pledged.fraction;
         self.complete = pledged.complete;
-        // Places outlast a loan. Until every host has told what it holds, none is lent: another
-        // home may have lent them all.
+        // Permits outlast a loan. None is lent until every host has reported what it holds, because
+        // another owner may have lent them all.
         self.permits_known = pledged.complete || (self.permits_known && pledged.exclusive);
     }
 
-    /// Fills up at the allowance's rate.
-    pub fn refill(&mut self, allowance: &Quota) {
+    /// Credits the elapsed time at the quota's rate.
+    pub fn refill(&mut self, quota: &Quota) {
         let passed = std::mem::take(&mut self.elapsed_secs);
-        let requests = allowance.requests.unwrap_or(0.0);
-        let tokens = allowance.tokens.unwrap_or(0.0);
+        let requests = quota.requests.unwrap_or(0.0);
+        let tokens = quota.tokens.unwrap_or(0.0);
         self.requests += requests * passed;
         self.tokens += tokens * passed;
-        self.clamp(allowance);
+        self.clamp(quota);
     }
 
-    fn clamp(&mut self, allowance: &Quota) {
-        self.requests = self.requests.min(request_burst(allowance) * self.fraction);
-        self.tokens = self.tokens.min(token_burst(allowance) * self.fraction);
+    fn clamp(&mut self, quota: &Quota) {
+        self.requests = self.requests.min(request_burst(quota) * self.fraction);
+        self.tokens = self.tokens.min(token_burst(quota) * self.fraction);
     }
 
-    /// Lends what a host asks for, as far as there is.
-    pub fn lend(&mut self, host: &str, wish: &Wish, allowance: &Quota, now: Time) -> Loan {
+    /// Lends what a host asks for, as far as available.
+    pub fn lend(&mut self, host: &str, wish: &Wish, quota: &Quota, now: Time) -> Loan {
         self.last_used = now;
         self.requests += wish.back_requests;
         self.tokens += wish.back_tokens;
-        self.clamp(allowance);
-        let running = self.lend_permits(host, wish, allowance);
+        self.clamp(quota);
+        let running = self.lend_permits(host, wish, quota);
         let mut loan = Loan {
             plan: wish.plan.clone(),
             running,
             ..Loan::default()
         };
         if self.fraction <= 0.0 {
-            // Hosts have not settled yet: what asks waits, since nothing is used up.
+            // No pledge counts yet: waiting requests stay queued, since the share is not used up.
             return loan;
         }
-        let wait = self.wait_secs(wish, allowance, running);
+        let wait = self.wait_secs(wish, quota, running);
         if wait > 0.0 {
             let millis =
                 Duration::from_secs_f64(wait.clamp(MIN_WAIT_SECS, MAX_WAIT_SECS)).as_millis();
             loan.wait = u32::try_from(millis).unwrap_or(u32::MAX);
             return loan;
         }
-        if allowance.requests.is_some() {
+        if quota.requests.is_some() {
             let first = first_request(wish);
             loan.requests = wish.requests.min(self.requests).max(first);
             self.requests -= loan.requests;
         }
-        if allowance.tokens.is_some() {
+        if quota.tokens.is_some() {
             loan.tokens = wish.tokens.min(self.tokens).max(wish.least).max(0.0);
             self.tokens -= loan.tokens;
         }
         loan
     }
 
-    /// Returns the time until the first waiting request could go; 0 when it can.
+    /// Returns the seconds until the first waiting request can go; 0 when it can.
     ///
-    /// A request larger than what can be saved up goes when everything is saved up, and is owed.
-    fn wait_secs(&self, wish: &Wish, allowance: &Quota, running: u32) -> f64 {
-        let until = |need: f64, most: f64, have: f64, rate: Option<f64>| {
+    /// A request larger than the full burst goes once the burst is full, and leaves the balance
+    /// negative.
+    fn wait_secs(&self, wish: &Wish, quota: &Quota, running: u32) -> f64 {
+        let until = |need: f64, burst: f64, have: f64, rate: Option<f64>| {
             let rate = rate? * self.fraction;
-            Some((need.min(most * self.fraction) - have) / rate)
+            Some((need.min(burst * self.fraction) - have) / rate)
         };
-        let (most, rate) = (request_burst(allowance), allowance.requests);
-        let requests = until(first_request(wish), most, self.requests, rate).unwrap_or(0.0);
-        let (most, rate) = (token_burst(allowance), allowance.tokens);
-        let tokens = until(wish.least, most, self.tokens, rate).unwrap_or(0.0);
-        let placeless = wish.waiting > 0 && wish.running > 0 && running == 0;
-        let place = match allowance.running {
-            Some(_) if placeless => PERMIT_WAIT_SECS,
+        let (burst, rate) = (request_burst(quota), quota.requests);
+        let requests = until(first_request(wish), burst, self.requests, rate).unwrap_or(0.0);
+        let (burst, rate) = (token_burst(quota), quota.tokens);
+        let tokens = until(wish.least, burst, self.tokens, rate).unwrap_or(0.0);
+        let no_permit = wish.waiting > 0 && wish.running > 0 && running == 0;
+        let permit = match quota.running {
+            Some(_) if no_permit => PERMIT_WAIT_SECS,
             _ => 0.0,
         };
-        requests.max(tokens).max(place)
+        requests.max(tokens).max(permit)
     }
 
-    /// Lends places for running requests.
-    fn lend_permits(&mut self, host: &str, wish: &Wish, allowance: &Quota) -> u32 {
-        let Some(most) = allowance.running else {
+    /// Lends permits for running requests; returns how many.
+    fn lend_permits(&mut self, host: &str, wish: &Wish, quota: &Quota) -> u32 {
+        let Some(limit) = quota.running else {
             return 0;
         };
         self.permits.insert(host.into(), wish.held);
@@ -155,29 +158,28 @@
             return 0;
         }
         let lent: u32 = self.permits.values().sum();
-        let running = wish.running.min(most.saturating_sub(lent));
+        let running = wish.running.min(limit.saturating_sub(lent));
         self.permits.insert(host.into(), wish.held + running);
         running
     }
 
-    /// Forgets the places of hosts that are gone.
+    /// Removes hosts that hold no permits, or that can hold none any more.
     pub fn retain_permits(&mut self, may_hold: impl Fn(&str) -> bool) {
         self.permits
             .retain(|name, count| *count > 0 && may_hold(name));
     }
 
-    /// Returns whether nothing would be lost by forgetting the ledger.
+    /// Returns whether the ledger can be removed without loss.
     #[must_use]
-    pub fn is_idle(&self, allowance: &Quota, now: Time) -> bool {
-        let full = self.requests >= request_burst(allowance) * self.fraction
-            && self.tokens >= token_burst(allowance) * self.fraction;
-        // At less than a request or so a second, what is saved up could not be told again.
-        let slow = allowance
-            .requests
-            .is_some_and(|rate| rate * BURST_SECS < 1.0);
+    pub fn is_idle(&self, quota: &Quota, now: Time) -> bool {
+        let full = self.requests >= request_burst(quota) * self.fraction
+            && self.tokens >= token_burst(quota) * self.fraction;
+        // At about one request a second or less, a new ledger is credited less than a full one
+        // holds.
+        let slow = quota.requests.is_some_and(|rate| rate * BURST_SECS < 1.0);
         let unasked = !slow && now.since(self.last_used) >= IDLE_TTL;
-        let places = self.complete && self.permits.is_empty();
-        unasked && full && (allowance.running.is_none() || places)
+        let none_held = self.complete && self.permits.is_empty();
+        unasked && full && (quota.running.is_none() || none_held)
     }
 }
 
@@ -186,12 +188,12 @@
     wish.requests.min(f64::from(wish.waiting.min(1)))
 }
 
-fn request_burst(allowance: &Quota) -> f64 {
-    allowance
+fn request_burst(quota: &Quota) -> f64 {
+    quota
         .requests
         .map_or(0.0, |rate| (rate * BURST_SECS).max(1.0))
 }
 
-fn token_burst(allowance: &Quota) -> f64 {
-    allowance.tokens.map_or(0.0, |rate| rate * BURST_SECS)
+fn token_burst(quota: &Quota) -> f64 {
+    quota.tokens.map_or(0.0, |rate| rate * BURST_SECS)
 }
--- a/src/core/share/mod.rs
+++ b/src/core/share/mod.rs
@@ -1,8 +1,8 @@
-//! What each plan may still use at this host.
+//! Shares: what each plan may still use at this host.
 //!
-//! Each plan's share has a home among the hosts, which lends short-lived parts of it to the hosts
-//! that ask; the sum lent never exceeds the share. This file is the borrower's side: what is here,
-//! what waits for more, when to ask.
+//! Each plan's share has an owner among the hosts, which lends short-lived parts of it to the hosts
+//! that ask for them; the sum of the loans never exceeds the share. This file is the borrower's
+//! side: the loans held here, the requests that wait for more, and when to ask the owner.
 
 mod borrow;
 mod ledger;
@@ -30,44 +30,44 @@
     joined, left, recent_views,
 };
 
-/// Time between two looks at what is short.
+/// Interval of the rounds that measure use and request and return loans.
 const BORROW_INTERVAL: Duration = Duration::from_millis(100);
-/// Time of recent use that is asked for ahead of need.
+/// Seconds of recent use that are borrowed ahead of need.
 const PREFETCH_SECS: f64 = 0.3;
-/// Weight of the last round in the recent use.
+/// Weight of the last round in the moving average of use.
 const USE_EWMA_WEIGHT: f64 = 0.2;
-/// Time without use after which a plan costs nothing any more.
+/// Time without use after which a plan's state at this host is removed.
 const UNUSED_TTL: Duration = Duration::from_secs(5);
-/// Longest wait for which a request is held back rather than refused.
+/// Longest expected wait for which a request is queued rather than refused.
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(150);
-/// Requests held at any rate.
+/// Requests that may queue whatever the plan's rate.
 const MIN_QUEUE_LENGTH: f64 = 2.0;
-/// Remaining life at which what was not used goes back.
+/// Remaining life at which the unused part of a loan is returned.
 const RETURN_BEFORE_EXPIRY: Duration = Duration::from_millis(150);
 
-/// What a request took.
+/// What a request is charged to its plan's share.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Cost {
-    /// Requests taken: one or, without a limit, none.
+    /// Requests charged: one, or none without a limit on requests.
     pub requests: f64,
-    /// Tokens taken.
+    /// Tokens charged.
     pub tokens: f64,
-    /// Whether a place for a running request was taken.
+    /// Whether it holds a permit to run.
     pub permit: bool,
 }
 
-/// Answer to a request that wants its share.
+/// Outcome of charging a request to its plan's share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It has it.
+    /// The request is charged and may go on.
     Granted,
-    /// It waits for another host.
+    /// The request is queued until more of the share is available.
     Queued,
-    /// There is none; it may come back after this time.
+    /// The share is used up; the caller may retry after this time.
     Exhausted(Duration),
 }
 
-/// A loan that is not used up.
+/// What is left of a loan.
 #[derive(Debug)]
 struct HeldLoan {
     until: Time,
@@ -75,55 +75,55 @@
     tokens: f64,
 }
 
-/// One plan's part at this host.
+/// One plan's share as held at this host.
 #[derive(Debug, Default)]
 struct LocalShare {
     loans: VecDeque<HeldLoan>,
-    /// Tokens used beyond what was taken.
+    /// Tokens used beyond what was charged; deducted from the next loans.
     debt: f64,
-    /// Places lent to this host, used or idle.
+    /// Permits lent to this host, in use or idle.
     permits: u32,
     running: u32,
-    /// Idle places go back after this.
+    /// Expiry of the idle permits.
     permits_until: Time,
-    /// Places that the home knows of; `None` when it may not.
+    /// Permits that the owner has on record for this host; `None` if it may have no record.
     reported_permits: Option<u32>,
     waiting: VecDeque<RequestKey>,
-    /// Taken since the last round, and a second lately.
+    /// Requests and tokens used since the last round, and their averaged rate a second.
     round_use: (f64, f64),
     use_rate: (f64, f64),
-    /// The home has nothing before this.
+    /// The owner had nothing left to lend and is not asked before this time.
     retry_at: Time,
     last_used: Time,
     source: Option<Source>,
 }
 
-/// A question to a home that is not answered yet.
+/// A borrow request that the owner has not answered.
 #[derive(Debug, Clone, Copy)]
 struct PendingBorrow {
     round: u64,
     sent: Time,
 }
 
-/// Parts at this host, and ledgers of the plans it is the home of.
+/// Shares held at this host, and ledgers of the plans it owns.
 #[derive(Debug, Default)]
 pub struct Shares {
     local: BTreeMap<Box<str>, LocalShare>,
     ledgers: BTreeMap<Box<str>, Ledger>,
-    /// This host's own parts of plans whose home is silent.
+    /// Ledgers over this host's own fraction of the plans whose owner is silent.
     fallback: BTreeMap<Box<str>, Ledger>,
     pledges: Pledges,
     pending: SecondaryMap<HostKey, PendingBorrow>,
-    /// Last round of questions answered, by peer.
+    /// Round of the last borrow request answered, by peer.
     last_answered: SecondaryMap<HostKey, u64>,
     round: u64,
     timer_armed: bool,
 }
 
 impl LocalShare {
-    /// Takes what a request costs, if it is here.
+    /// Deducts a request's cost if the loans held here cover it; returns whether they do.
     fn try_charge(&mut self, cost: Cost, now: Time) -> bool {
-        self.loans.retain(|lot| lot.until > now);
+        self.loans.retain(|loan| loan.until > now);
         let (requests, tokens) = self.available();
         if requests < cost.requests || tokens < cost.tokens {
             return false;
@@ -132,12 +132,13 @@
             return false;
         }
         let (mut requests, mut tokens) = (cost.requests, cost.tokens);
-        for lot in &mut self.loans {
-            let (some, more) = (lot.requests.min(requests), lot.tokens.min(tokens));
-            lot.requests -= some;
-            lot.tokens -= more;
-            requests -= some;
-            tokens -= more;
+        for loan in &mut self.loans {
+            let (used_requests, used_tokens) =
+                (loan.requests.min(requests), loan.tokens.min(tokens));
+            loan.requests -= used_requests;
+            loan.tokens -= used_tokens;
+            requests -= used_requests;
+            tokens -= used_tokens;
         }
         self.running += u32::from(cost.permit);
         self.round_use.0 += cost.requests;
@@ -146,23 +147,23 @@
         true
     }
 
-    /// Returns whether requests are rather held than refused.
+    /// Returns whether requests are queued rather than refused.
     ///
-    /// A wait that is shorter than the caller's own next try would be is not worth a refusal; the
-    /// queue is kept as short as the wait.
-    fn may_queue(&self, allowance: &Quota, wait: Duration) -> bool {
-        let rate = allowance.requests.unwrap_or(0.0);
-        let most = MAX_QUEUE_WAIT.as_secs_f64() * rate + MIN_QUEUE_LENGTH;
-        wait.is_zero() || wait <= MAX_QUEUE_WAIT && (self.waiting.len() as f64) < most
+    /// A wait shorter than the caller's own delay before a retry is not worth a refusal; the queue
+    /// is limited to what can go within that wait.
+    fn may_queue(&self, quota: &Quota, wait: Duration) -> bool {
+        let rate = quota.requests.unwrap_or(0.0);
+        let max_len = MAX_QUEUE_WAIT.as_secs_f64() * rate + MIN_QUEUE_LENGTH;
+        wait.is_zero() || wait <= MAX_QUEUE_WAIT && (self.waiting.len() as f64) < max_len
     }
 
     fn available(&self) -> (f64, f64) {
-        let requests = self.loans.iter().map(|lot| lot.requests).sum();
-        let tokens: f64 = self.loans.iter().map(|lot| lot.tokens).sum();
+        let requests = self.loans.iter().map(|loan| loan.requests).sum();
+        let tokens: f64 = self.loans.iter().map(|loan| loan.tokens).sum();
         (requests, tokens)
     }
 
-    /// Adds a loan; what is owed is paid from it first.
+    /// Adds a loan, less the debt.
     fn add_loan(&mut self, until: Time, requests: f64, tokens: f64) {
         let paid = self.debt.min(tokens);
         self.debt -= paid;
@@ -173,16 +174,16 @@
         });
     }
 
-    /// Takes out what is about to lapse unused, to be given back.
+    /// Removes what is about to expire unused, to be returned to the owner.
     fn take_expiring(&mut self, now: Time) -> (f64, f64) {
         let soon = now.after(RETURN_BEFORE_EXPIRY);
         let mut back = (0.0, 0.0);
-        self.loans.retain(|lot| {
-            if lot.until > now && lot.until <= soon {
-                back.0 += lot.requests;
-                back.1 += lot.tokens;
+        self.loans.retain(|loan| {
+            if loan.until > now && loan.until <= soon {
+                back.0 += loan.requests;
+                back.1 += loan.tokens;
             }
-            lot.until > soon
+            loan.until > soon
         });
         if self.permits_until <= soon {
             self.permits = self.running;
@@ -190,29 +191,26 @@
         back
     }
 
-    /// Brings the recent use up to date; called once a round.
+    /// Updates the averaged use; called once a round.
     fn update_use_rate(&mut self) {
-        let taken = std::mem::take(&mut self.round_use);
-        let rate = |taken: f64, recent: f64| {
-            recent * (1.0 - USE_EWMA_WEIGHT)
-                + taken / BORROW_INTERVAL.as_secs_f64() * USE_EWMA_WEIGHT
+        let used = std::mem::take(&mut self.round_use);
+        let rate = |used: f64, average: f64| {
+            average * (1.0 - USE_EWMA_WEIGHT)
+                + used / BORROW_INTERVAL.as_secs_f64() * USE_EWMA_WEIGHT
         };
-        self.use_rate = (
-            rate(taken.0, self.use_rate.0),
-            rate(taken.1, self.use_rate.1),
-        );
+        self.use_rate = (rate(used.0, self.use_rate.0), rate(used.1, self.use_rate.1));
     }
 }
 
-fn cost(core: &Core, key: RequestKey, allowance: &Quota) -> Cost {
+fn cost(core: &Core, key: RequestKey, quota: &Quota) -> Cost {
     let tokens = match &core.requests.arena[key].want {
         Want::Model(want) => f64::from(want.prompt) + f64::from(want.output),
         Want::Service(_) => 0.0,
     };
     Cost {
-        requests: f64::from(u8::from(allowance.requests.is_some())),
-        tokens: allowance.tokens.map_or(0.0, |_| tokens),
-        permit: allowance.running.is_some(),
+        requests: f64::from(u8::from(quota.requests.is_some())),
+        tokens: quota.tokens.map_or(0.0, |_| tokens),
+        permit: quota.running.is_some(),
     }
 }
 
@@ -220,58 +218,58 @@
     core.config.lists.uses.plans.get(plan)?.quota()
 }
 
-/// Takes a request's share.
+/// Charges a request to its plan's share.
 pub fn take(core: &mut Core, key: RequestKey, out: &mut Effects) -> Admission {
     let plan = core.requests.arena[key].record.plan.clone();
-    let Some(allowance) = quota_of(core, &plan) else {
+    let Some(quota) = quota_of(core, &plan) else {
         return Admission::Granted;
     };
-    let cost = cost(core, key, &allowance);
+    let cost = cost(core, key, &quota);
     arm_timer(core, out);
     let now = core.now;
     let source = source(core, &plan);
-    let part = core.shares.local.entry(plan.clone()).or_default();
-    part.last_used = now;
-    if part.waiting.is_empty() && part.try_charge(cost, now) {
+    let local = core.shares.local.entry(plan.clone()).or_default();
+    local.last_used = now;
+    if local.waiting.is_empty() && local.try_charge(cost, now) {
         core.requests.arena[key].taken = cost;
         return Admission::Granted;
     }
     match source {
         Source::Local | Source::OwnFraction => {
-            let wait = borrow::draw(core, &plan, &allowance, cost);
-            let part = core.shares.local.entry(plan).or_default();
-            if part.try_charge(cost, now) {
+            let wait = borrow::draw(core, &plan, &quota, cost);
+            let local = core.shares.local.entry(plan).or_default();
+            if local.try_charge(cost, now) {
                 core.requests.arena[key].taken = cost;
                 Admission::Granted
-            } else if part.may_queue(&allowance, wait) {
-                part.waiting.push_back(key);
+            } else if local.may_queue(&quota, wait) {
+                local.waiting.push_back(key);
                 Admission::Queued
             } else {
                 Admission::Exhausted(wait)
             }
         }
         Source::OwnerSilent(_) => {
-            part.waiting.push_back(key);
+            local.waiting.push_back(key);
             Admission::Queued
         }
-        Source::Peer(_) if part.retry_at > now => Admission::Exhausted(part.retry_at.since(now)),
+        Source::Peer(_) if local.retry_at > now => Admission::Exhausted(local.retry_at.since(now)),
         Source::Peer(owner) => {
-            part.waiting.push_back(key);
+            local.waiting.push_back(key);
             borrow::send_borrow(core, owner, out);
             Admission::Queued
         }
     }
 }
 
-/// Returns where a plan's share comes from, and drops what came from elsewhere.
+/// Returns the source of a plan's share, and resets what is kept about an earlier source.
 fn source(core: &mut Core, plan: &str) -> Source {
     let source = pledge::source(core, plan);
     let now = core.now;
-    let part = core.shares.local.entry(plan.into()).or_default();
-    if part.source != Some(source) {
-        part.source = Some(source);
-        part.retry_at = now;
-        part.reported_permits = None;
+    let local = core.shares.local.entry(plan.into()).or_default();
+    if local.source != Some(source) {
+        local.source = Some(source);
+        local.retry_at = now;
+        local.reported_permits = None;
         if source != Source::OwnFraction {
             core.shares.fallback.remove(plan);
         }
@@ -279,7 +277,8 @@
     source
 }
 
-/// Gives back what a request took and did not use.
+/// Returns what a request was charged and did not use, or adds what it used beyond that to the
+/// debt.
 pub fn reconcile(core: &mut Core, key: RequestKey, _out: &mut Effects) {
     let now = core.now;
     let request = &core.requests.arena[key];
@@ -293,45 +292,45 @@
     if taken == Cost::default() {
         return;
     }
-    let part = core
+    let local = core
         .shares
         .local
         .entry(request.record.plan.clone())
         .or_default();
     if taken.permit {
-        part.running = part.running.saturating_sub(1);
-        part.permits_until = now.after(LOAN_LIFETIME);
+        local.running = local.running.saturating_sub(1);
+        local.permits_until = now.after(LOAN_LIFETIME);
     }
     if taken.tokens > 0.0 {
         if used > taken.tokens {
-            part.debt += used - taken.tokens;
+            local.debt += used - taken.tokens;
         } else {
-            part.add_loan(now.after(LOAN_LIFETIME), 0.0, taken.tokens - used);
+            local.add_loan(now.after(LOAN_LIFETIME), 0.0, taken.tokens - used);
         }
     }
 }
 
-/// Forgets a request that waits for its share.
+/// Removes a request from its plan's queue.
 pub fn cancel_wait(core: &mut Core, key: RequestKey) {
     let plan = &core.requests.arena[key].record.plan;
-    if let Some(part) = core.shares.local.get_mut(plan) {
-        part.waiting.retain(|&waiting| waiting != key);
+    if let Some(local) = core.shares.local.get_mut(plan) {
+        local.waiting.retain(|&waiting| waiting != key);
     }
 }
 
-/// Lets waiting requests go as far as what is here allows.
+/// Admits waiting requests as far as the loans held here allow.
 fn admit_waiting(core: &mut Core, plan: &str, out: &mut Effects) {
-    let Some(allowance) = quota_of(core, plan) else {
+    let Some(quota) = quota_of(core, plan) else {
         return;
     };
     let now = core.now;
     while let Some(key) = first_waiting(core, plan) {
-        let cost = cost(core, key, &allowance);
-        let part = core.shares.local.entry(plan.into()).or_default();
-        if !part.try_charge(cost, now) {
+        let cost = cost(core, key, &quota);
+        let local = core.shares.local.entry(plan.into()).or_default();
+        if !local.try_charge(cost, now) {
             return;
         }
-        part.waiting.pop_front();
+        local.waiting.pop_front();
         core.requests.arena[key].taken = cost;
         request::go(core, key, out);
     }
@@ -341,18 +340,18 @@
     core.shares.local.get(plan)?.waiting.front().copied()
 }
 
-/// Draws for the waiting requests of a plan that this host lends to itself.
+/// Draws from this host's own ledger for the waiting requests of a plan.
 fn draw_for_waiting(core: &mut Core, plan: &str, out: &mut Effects) {
-    let Some(allowance) = quota_of(core, plan) else {
+    let Some(quota) = quota_of(core, plan) else {
         return;
     };
     while let Some(key) = first_waiting(core, plan) {
-        let cost = cost(core, key, &allowance);
-        let wait = borrow::draw(core, plan, &allowance, cost);
+        let cost = cost(core, key, &quota);
+        let wait = borrow::draw(core, plan, &quota, cost);
         admit_waiting(core, plan, out);
         if first_waiting(core, plan) == Some(key) {
-            let part = core.shares.local.get(plan);
-            if !part.is_some_and(|part| part.may_queue(&allowance, wait)) {
+            let local = core.shares.local.get(plan);
+            if !local.is_some_and(|local| local.may_queue(&quota, wait)) {
                 refuse_waiting(core, plan, wait, out);
             }
             return;
@@ -362,14 +361,14 @@
 
 /// Refuses the waiting requests of a plan.
 fn refuse_waiting(core: &mut Core, plan: &str, wait: Duration, out: &mut Effects) {
-    while let Some(part) = core.shares.local.get_mut(plan)
-        && let Some(key) = part.waiting.pop_front()
+    while let Some(local) = core.shares.local.get_mut(plan)
+        && let Some(key) = local.waiting.pop_front()
     {
         request::spent(core, key, wait, out);
     }
 }
 
-/// The lists changed.
+/// Removes the ledgers of plans that are no longer in the lists.
 pub fn lists_changed(core: &mut Core) {
     let plans = &core.config.lists.uses.plans;
     let shares = &mut core.shares;
@@ -377,7 +376,7 @@
     shares.fallback.retain(|plan, _| plans.contains_key(plan));
 }
 
-/// The hosts changed.
+/// Handles a change of the set of registered hosts.
 pub fn view_changed(core: &mut Core, out: &mut Effects) {
     if !pledge::view_changed(core) {
         return;
@@ -389,23 +388,25 @@
     arm_timer(core, out);
 }
 
-/// Checks on pledges; called with each beat.
+/// Checks the pledges; called with each heartbeat.
 pub fn check_pledges(core: &mut Core) {
     pledge::check(core);
 }
 
-/// Returns whether the hosts have settled with this one since its start.
+/// Returns whether the hosts' pledges have settled since this host started.
 ///
-/// Until then no home may lend and this host would refuse every caller with a limit.
+/// Until then no owner may lend, and this host would refuse every request of a plan with limits.
 #[must_use]
 pub fn pledges_settled(core: &Core) -> bool {
     pledge::ever_settled(core)
 }
 
-/// This host is leaving: what is here goes back with the next round, and it lends to its end.
+/// Stops borrowing ahead of need because this host is stopping.
+///
+/// Loans held here are returned as they near expiry; this host lends until its process ends.
 pub fn leave(core: &mut Core, out: &mut Effects) {
-    for part in core.shares.local.values_mut() {
-        part.use_rate = (0.0, 0.0);
+    for local in core.shares.local.values_mut() {
+        local.use_rate = (0.0, 0.0);
     }
     arm_timer(core, out);
 }
@@ -420,19 +421,20 @@
     }
 }
 
-/// Gives back, asks ahead of need, and forgets what is not used.
+/// Runs a round: returns loans, borrows ahead of need, and removes the state of unused plans.
 pub fn timer(core: &mut Core, out: &mut Effects) {
     core.shares.timer_armed = false;
     let now = core.now;
-    for part in core.shares.local.values_mut() {
-        part.update_use_rate();
+    for local in core.shares.local.values_mut() {
+        local.update_use_rate();
     }
     borrow::run_round(core, out);
-    core.shares.local.retain(|_, part| {
+    core.shares.local.retain(|_, local| {
         let unused =
-            now.since(part.last_used) >= UNUSED_TTL && part.running == 0 && part.debt <= 0.0;
-        let idle =
-            part.waiting.is_empty() && part.permits == 0 && part.reported_permits.unwrap_or(0) == 0;
+            now.since(local.last_used) >= UNUSED_TTL && local.running == 0 && local.debt <= 0.0;
+        let idle = local.waiting.is_empty()
+            && local.permits == 0
+            && local.reported_permits.unwrap_or(0) == 0;
         !(unused && idle)
     });
     borrow::remove_idle_ledgers(core);
@@ -441,12 +443,12 @@
     }
 }
 
-fn wish(plan: &str, part: &LocalShare, cost: Option<Cost>) -> Wish {
+fn wish(plan: &str, local: &LocalShare, cost: Option<Cost>) -> Wish {
     Wish {
         plan: plan.into(),
         waiting: u32::from(cost.is_some()),
         least: cost.map_or(0.0, |cost| cost.tokens),
-        held: part.permits,
+        held: local.permits,
         ..Wish::default()
     }
 }
--- a/src/core/share/pledge.rs
+++ b/src/core/share/pledge.rs
@@ -1,11 +1,11 @@
 //! Which host may lend how much of a plan's share.
 //!
-//! The home of a plan's share is found by rendezvous hashing over the registered hosts. Hosts may
-//! disagree on who is registered, so a home may lend only the parts that hosts pledge to it: one
-//! part in as many as there are hosts that may be alive. A host pledges its part to one home at a
-//! time and lets an older pledge run out before the next one counts. Every pledge falls due by
-//! itself, so that the parts lent by all homes together never exceed the whole, whoever is cut
-//! off, paused or replaced.
+//! The owner of a plan's share is chosen by rendezvous hashing over the registered hosts. Hosts may
+//! disagree on which hosts are registered, so an owner may lend only the fractions that hosts
+//! pledge to it: each host pledges one over the number of hosts that may be alive. A host pledges
+//! its fraction to one owner at a time, and an older pledge of it expires before the next one
+//! counts. Every pledge expires by itself, so that the fractions lent by all owners together never
+//! exceed the whole share, whichever hosts are cut off, paused or replaced.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -17,25 +17,27 @@
 use crate::core::message::{Beat, View};
 use crate::core::{Core, Time};
 
-/// Age at which a pledge counts no more, from when the beat that it echoes was sent.
+/// Age at which a pledge no longer counts, from when the heartbeat that it echoes was sent.
 ///
-/// Six beats: two may be lost, and a host may pause for half a second, before its part rests.
+/// Six heartbeats: two may be lost, and a host may pause for half a second, before its fraction
+/// goes unused.
 pub const PLEDGE_LIFETIME: Duration = Duration::from_millis(1500);
-/// Life of a loan, from when it was asked for.
+/// Life of a loan, from when it was requested.
 pub const LOAN_LIFETIME: Duration = Duration::from_millis(750);
-/// Time that a host has pledged to a home before the pledge counts there: an older pledge to
-/// another home may be in use for one pledge's life, and what was lent on it for one loan's life.
+/// Time for which a host has to pledge to an owner before the pledge counts there: an older pledge
+/// to another owner may be in use for one pledge's lifetime, and what was lent on it for one
+/// loan's.
 pub const SETTLE_TIME: Duration = Duration::from_millis(2250);
-/// Time without a change of any pledge after which a share that nobody used counts as saved up.
+/// Time without a change of any pledge after which a share that nobody used counts as accrued.
 pub const PLEDGE_STABLE_TIME: Duration = Duration::from_secs(1);
-/// Time after which a host counts as gone whose lease has lapsed and that the platform has
-/// withdrawn, beyond the time after which a host that is cut off takes no new work.
+/// Time after which a host whose lease lapsed and that the platform no longer lists counts as gone.
+/// It is added to the time after which a host that is cut off takes no new work.
 const DEPARTED_TIMEOUT: Duration = Duration::from_secs(30);
-/// Views remembered.
+/// Views kept.
 const MAX_VIEWS: usize = 8;
-/// Views told in a beat: enough to cover [`SETTLE`] unless hosts come and go faster.
+/// Views sent in a heartbeat: enough to cover [`SETTLE_TIME`] unless hosts come and go faster.
 const MAX_HEARTBEAT_VIEWS: usize = 3;
-/// Beats whose time of sending is remembered.
+/// Heartbeats whose time of sending is kept.
 const MAX_SENT_HEARTBEATS: usize = 16;
 
 /// A set of registered hosts that this host acted on.
@@ -46,47 +48,47 @@
     names: Vec<Box<str>>,
 }
 
-/// A host that is not registered any more and may still act.
+/// A host that is no longer registered and may still act.
 #[derive(Debug)]
 struct DepartedHost {
     since: Time,
-    /// It said that it stops, and takes no new work since.
+    /// It announced its stop, and takes no new work since.
     stopped: bool,
     listed: bool,
 }
 
-/// What this host knows of one peer's pledge, and of its own to that peer.
+/// A peer's pledge to this host, as far as known, and this host's pledge to the peer.
 #[derive(Debug, Default)]
 struct PeerPledge {
-    /// Numbers and times of the last beats sent.
+    /// Numbers and sending times of the last heartbeats.
     sent_heartbeats: VecDeque<(u64, Time)>,
-    /// When the beat was sent that the peer's last beat echoes.
+    /// Sending time of the heartbeat that the peer last echoed.
     echoed_sent: Option<Time>,
     /// Since when this host pledges to the peer.
     pledged_since: Option<Time>,
-    /// Since when it does not.
+    /// Since when this host no longer pledges to the peer.
     withdrawn_since: Time,
 }
 
-/// How a member stands to this host as home of one plan.
+/// State of a peer's pledge to this host as the owner of one plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PledgeState {
     /// Its pledge counts.
     Counted,
-    /// It has pledged to this host alone, for too short a time or too long ago to count.
+    /// The peer has pledged to this host alone, for too short a time or too long ago to count.
     Uncounted,
-    /// It may have pledged to another home lately.
+    /// The peer may have pledged to another owner lately.
     PledgedElsewhere,
 }
 
 /// Sum of the pledges to this host for one plan.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pledged {
-    /// Part of the share that may be lent, 0 to 1.
+    /// Fraction of the share that may be lent, 0 to 1.
     pub fraction: f64,
     /// Whether every host that may be alive pledges.
     pub complete: bool,
-    /// Whether none has pledged to another home lately.
+    /// Whether no host has pledged to another owner lately.
     pub exclusive: bool,
 }
 
@@ -96,20 +98,20 @@
     views: VecDeque<LocalView>,
     peers: SecondaryMap<HostKey, PeerPledge>,
     departed: BTreeMap<Box<str>, DepartedHost>,
-    /// Hosts that act on views with this host in them, by name and incarnation.
+    /// Hosts that act on views that include this host, by name and incarnation.
     aware: BTreeSet<(Box<str>, u64)>,
     registered_since: Option<Time>,
     last_count: usize,
     last_change: Time,
-    /// Whether all hosts had settled at a view with this host in it.
+    /// Whether the pledges have settled at a view that includes this host.
     settled: bool,
 }
 
-/// Takes in a change of the view; returns whether there was one.
+/// Notes a change of the view; returns whether there was one.
 pub fn view_changed(core: &mut Core) -> bool {
     let hash = core.members.view;
     let pledges = &mut core.shares.pledges;
-    if pledges.views.front().is_some_and(|seen| seen.hash == hash) {
+    if pledges.views.front().is_some_and(|view| view.hash == hash) {
         return false;
     }
     let mut names: Vec<Box<str>> = core
@@ -132,9 +134,9 @@
     true
 }
 
-/// Notes that a host is not registered any more.
+/// Notes that a host is no longer registered.
 pub fn left(core: &mut Core, member: &Member) {
-    let ghost = DepartedHost {
+    let host = DepartedHost {
         since: core.now,
         stopped: member.beat.stopping,
         listed: false,
@@ -142,10 +144,11 @@
     core.shares
         .pledges
         .departed
-        .insert(member.name.clone(), ghost);
+        .insert(member.name.clone(), host);
 }
 
-/// Notes that a host is registered: an earlier process of its name is dead, or is this one.
+/// Notes that a host is registered: an earlier process of its name has ended, or is the same
+/// process.
 ///
 /// A host that registers after this one finds this one registered.
 pub fn joined(core: &mut Core, name: &str, incarnation: u64) {
@@ -159,28 +162,28 @@
 
 /// Takes in the names of the hosts on the platform's list.
 ///
-/// A host that starts during trouble learns only from the list of hosts whose leases lapsed before
-/// it came and that serve on.
+/// A host that starts during a failure learns only from the list of hosts whose leases lapsed
+/// before it started and that still serve.
 pub fn hosts_listed<'a>(core: &mut Core, names: impl Iterator<Item = &'a str>) {
     let now = core.now;
     let pledges = &mut core.shares.pledges;
-    for ghost in pledges.departed.values_mut() {
-        ghost.listed = false;
+    for host in pledges.departed.values_mut() {
+        host.listed = false;
     }
     for name in names {
         if *name == *core.members.name || core.members.find(name).is_some() {
             continue;
         }
-        let ghost = pledges.departed.entry(name.into()).or_insert(DepartedHost {
+        let host = pledges.departed.entry(name.into()).or_insert(DepartedHost {
             since: now,
             stopped: false,
             listed: true,
         });
-        ghost.listed = true;
+        host.listed = true;
     }
 }
 
-/// Notes a beat on its way to a peer, and returns since when this host pledges to it.
+/// Notes a heartbeat sent to a peer, and returns for how long this host has pledged to the peer.
 pub fn heartbeat_sent(core: &mut Core, to: HostKey, number: u64) -> Duration {
     let may = may_pledge(core) && !permits_unreported(core, to);
     let now = core.now;
@@ -195,26 +198,26 @@
     peer.sent_heartbeats.push_front((number, now));
     peer.sent_heartbeats.truncate(MAX_SENT_HEARTBEATS);
     match peer.pledged_since {
-        Some(given) if may => now.since(given),
+        Some(since) if may => now.since(since),
         _ => Duration::ZERO,
     }
 }
 
 /// Returns whether this host pledges at all.
 ///
-/// One that was not registered from the start of its process pledges nothing until every host
-/// that may be alive counts it; otherwise the parts of a new host and of those that do not know it
+/// A host that was not registered when its process started pledges nothing until every host that
+/// may be alive counts it; otherwise the fractions of a new host and of those that do not know it
 /// would add up to more than the whole.
 fn may_pledge(core: &Core) -> bool {
     let pledges = &core.shares.pledges;
     let members = &core.members;
-    // The process that had this name before may have pledged until its end.
+    // An earlier process of this name may have pledged until its end.
     let fresh = |at| core.now.since(at) < PLEDGE_LIFETIME;
     if !members.registered || core.stop.begun() || pledges.registered_since.is_none_or(fresh) {
         return false;
     }
-    // A peer that knows of more hosts knows one that this host does not count, and that may not
-    // count this host.
+    // A peer that counts more hosts knows one that this host does not count, and that may not count
+    // this host.
     let count = host_count(core);
     let more = |member: &Member| member.beat.hosts > count;
     if members.arena.values().any(more) {
@@ -228,14 +231,14 @@
     members.arena.values().all(known) && pledges.departed.keys().all(|name| aware(name))
 }
 
-/// Returns the views this host acted on in the last [`SETTLE`], newest first.
+/// Returns the views that this host acted on in the last [`SETTLE_TIME`], newest first.
 #[must_use]
 pub fn recent_views(core: &Core) -> Vec<View> {
     let pledges = &core.shares.pledges;
     let mut views = Vec::new();
-    for seen in pledges.views.iter().take(MAX_HEARTBEAT_VIEWS) {
-        let age = view_age(pledges, seen, core.now);
-        let hash = seen.hash;
+    for view in pledges.views.iter().take(MAX_HEARTBEAT_VIEWS) {
+        let age = view_age(pledges, view, core.now);
+        let hash = view.hash;
         views.push(View { hash, age });
         if Duration::from_millis(age) >= SETTLE_TIME {
             break;
@@ -244,13 +247,13 @@
     views
 }
 
-/// Returns for how long a view has been the only one that this host pledged by.
+/// Returns the milliseconds for which a view has been the only one that this host pledged by.
 ///
-/// Before the first view with this host in it there was no pledge to run out.
-fn view_age(pledges: &Pledges, seen: &LocalView, now: Time) -> u64 {
-    let first = pledges.registered_since.is_some_and(|at| seen.since <= at);
-    let begun = now.since(seen.since);
-    millis(if first { begun + SETTLE_TIME } else { begun })
+/// Before the first view that includes this host there was no pledge that had to expire.
+fn view_age(pledges: &Pledges, view: &LocalView, now: Time) -> u64 {
+    let first = pledges.registered_since.is_some_and(|at| view.since <= at);
+    let age = now.since(view.since);
+    millis(if first { age + SETTLE_TIME } else { age })
 }
 
 fn millis(span: Duration) -> u64 {
@@ -264,10 +267,10 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// Takes in a peer's beat.
+/// Handles a peer's heartbeat.
 pub fn heartbeat_received(core: &mut Core, from: HostKey, beat: &Beat) {
     let now = core.now;
-    let here = core.members.view;
+    let view = core.members.view;
     let registered = core.members.registered;
     let pledges = &mut core.shares.pledges;
     let Some(peer) = pledges
@@ -282,23 +285,24 @@
         .iter()
         .find(|(number, _)| *number == beat.echo);
     peer.echoed_sent = sent.map(|(_, at)| *at).or(peer.echoed_sent);
-    // Heard in time at first, this host has not used its part on its own yet.
-    let begun = pledges.views.front().map_or(now, |seen| seen.since);
-    let first = peer.withdrawn_since == Time::default() && now.since(begun) < SETTLE_TIME;
+    // The first heartbeat came in time: this host has not used its fraction on its own yet.
+    let since = pledges.views.front().map_or(now, |view| view.since);
+    let first = peer.withdrawn_since == Time::default() && now.since(since) < SETTLE_TIME;
     peer.pledged_since
-        .get_or_insert(if first { begun } else { now });
-    if registered && beat.view == here {
+        .get_or_insert(if first { since } else { now });
+    if registered && beat.view == view {
         let member = &core.members.arena[from];
         let key = (member.name.clone(), member.incarnation);
         pledges.aware.insert(key);
     }
 }
 
-/// Withdraws pledges to homes that fell silent, forgets hosts that are gone, and notes changes.
+/// Withdraws pledges to owners that are silent, removes hosts that are gone, and notes changes of
+/// the pledges.
 pub fn check(core: &mut Core) {
     let now = core.now;
-    let hold = member::cut_off_bound(core) + DEPARTED_TIMEOUT;
-    let hears: Vec<(HostKey, bool)> = core
+    let timeout = member::cut_off_bound(core) + DEPARTED_TIMEOUT;
+    let alive: Vec<(HostKey, bool)> = core
         .members
         .arena
         .iter()
@@ -312,23 +316,23 @@
         })
         .collect();
     let pledges = &mut core.shares.pledges;
-    for (key, hears) in hears {
+    for (key, alive) in alive {
         let Some(peer) = pledges.peers.get_mut(key) else {
             continue;
         };
-        if !hears && peer.pledged_since.take().is_some() {
+        if !alive && peer.pledged_since.take().is_some() {
             peer.withdrawn_since = now;
         }
     }
     let arena = &core.members.arena;
     pledges.peers.retain(|key, _| arena.contains_key(key));
-    // Hosts that are fewer than the others, and cut off, refuse all work by then. If they are more,
-    // they may hear enough of each other to go on without the store.
+    // Departed hosts that are cut off and fewer than the others refuse all work by then. If they
+    // are more, they may receive enough heartbeats from each other to go on without the store.
     let fewer = pledges.departed.len() <= core.members.arena.len() + 1;
-    pledges.departed.retain(|_, ghost| {
-        let passed = now.since(ghost.since);
-        let gone = fewer && !ghost.listed && passed >= hold;
-        let stopped = ghost.stopped && passed >= SETTLE_TIME;
+    pledges.departed.retain(|_, host| {
+        let passed = now.since(host.since);
+        let gone = fewer && !host.listed && passed >= timeout;
+        let stopped = host.stopped && passed >= SETTLE_TIME;
         !gone && !stopped
     });
     let count = arena.keys().filter(|&key| peer_settled(core, key)).count();
@@ -344,7 +348,7 @@
     }
 }
 
-/// Returns whether a peer has pledged to this host, at the same view, for long enough.
+/// Returns whether a peer has pledged to this host, at the same view, for long enough to count.
 fn peer_settled(core: &Core, key: HostKey) -> bool {
     let beat = &core.members.arena[key].beat;
     let same = beat.view == core.members.view;
@@ -357,27 +361,27 @@
     echoed.is_some_and(|at| core.now.since(at) < PLEDGE_LIFETIME)
 }
 
-/// Returns whether a share that nobody used may count as saved up.
+/// Returns whether a share that nobody used may count as accrued.
 #[must_use]
 pub fn stable(core: &Core) -> bool {
     core.now.since(core.shares.pledges.last_change) >= PLEDGE_STABLE_TIME
 }
 
-/// Returns what hosts pledge to this one as the home of `plan`.
+/// Returns the pledges to this host as the owner of `plan`.
 pub fn pledged(core: &Core, plan: &str) -> Pledged {
     let pledges = &core.shares.pledges;
-    let mine: Vec<bool> = pledges
+    let owned: Vec<bool> = pledges
         .views
         .iter()
-        .map(|seen| owner_of(&seen.names, plan) == Some(&*core.members.name))
+        .map(|view| owner_of(&view.names, plan) == Some(&*core.members.name))
         .collect();
     let mut hosts = host_count(core);
-    let mut count = u32::from(own_counts(core, &mine));
-    let mut alone = true;
+    let mut count = u32::from(own_counts(core, &owned));
+    let mut exclusive = true;
     for (key, member) in &core.members.arena {
-        let stand = pledge_state(core, key, &member.beat, &mine);
-        alone &= stand != PledgeState::PledgedElsewhere;
-        if stand == PledgeState::Counted {
+        let state = pledge_state(core, key, &member.beat, &owned);
+        exclusive &= state != PledgeState::PledgedElsewhere;
+        if state == PledgeState::Counted {
             count += 1;
             hosts = hosts.max(member.beat.hosts);
         }
@@ -385,28 +389,28 @@
     Pledged {
         fraction: f64::from(count) / f64::from(hosts.max(count).max(1)),
         complete: count >= hosts,
-        exclusive: alone,
+        exclusive,
     }
 }
 
-fn own_counts(core: &Core, mine: &[bool]) -> bool {
+fn own_counts(core: &Core, owned: &[bool]) -> bool {
     let pledges = &core.shares.pledges;
     let ages = pledges
         .views
         .iter()
-        .map(|seen| view_age(pledges, seen, core.now));
-    may_pledge(core) && owner_throughout(ages.zip(mine.iter().map(|mine| Some(*mine))))
+        .map(|view| view_age(pledges, view, core.now));
+    may_pledge(core) && owner_throughout(ages.zip(owned.iter().map(|owned| Some(*owned))))
 }
 
-fn pledge_state(core: &Core, key: HostKey, beat: &Beat, mine: &[bool]) -> PledgeState {
+fn pledge_state(core: &Core, key: HostKey, beat: &Beat, owned: &[bool]) -> PledgeState {
     let views = &core.shares.pledges.views;
     let newest = View {
         hash: beat.view,
         age: beat.settled,
     };
     let known = std::iter::once(&newest).chain(&beat.views).map(|view| {
-        let at = views.iter().position(|seen| seen.hash == view.hash);
-        (view.age, at.map(|at| mine[at]))
+        let at = views.iter().position(|local| local.hash == view.hash);
+        (view.age, at.map(|at| owned[at]))
     });
     if !owner_throughout(known) {
         return PledgeState::PledgedElsewhere;
@@ -419,10 +423,11 @@
     }
 }
 
-/// Returns whether all views of the last [`SETTLE`], newest first, have this host as the home.
+/// Returns whether this host is the owner in all views of the last [`SETTLE_TIME`], given newest
+/// first.
 fn owner_throughout(views: impl Iterator<Item = (u64, Option<bool>)>) -> bool {
-    for (age, mine) in views {
-        if mine != Some(true) {
+    for (age, owned) in views {
+        if owned != Some(true) {
             return false;
         }
         if Duration::from_millis(age) >= SETTLE_TIME {
@@ -442,13 +447,13 @@
 /// Where a request's share comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// This host is the home.
+    /// This host is the owner.
     Local,
-    /// A peer is.
+    /// This peer is the owner.
     Peer(HostKey),
-    /// The home is silent for so long that this host has its own part back.
+    /// The owner has been silent for so long that this host uses its own fraction.
     OwnFraction,
-    /// The home is silent; this host has its own part back after this time.
+    /// The owner is silent; this host may use its own fraction after this time.
     OwnerSilent(Duration),
 }
 
@@ -456,10 +461,10 @@
 #[must_use]
 pub fn source(core: &Core, plan: &str) -> Source {
     let pledges = &core.shares.pledges;
-    let Some(seen) = pledges.views.front() else {
+    let Some(view) = pledges.views.front() else {
         return Source::OwnerSilent(SETTLE_TIME);
     };
-    let Some(name) = owner_of(&seen.names, plan) else {
+    let Some(name) = owner_of(&view.names, plan) else {
         return Source::OwnerSilent(SETTLE_TIME);
     };
     if *name == *core.members.name {
@@ -474,16 +479,16 @@
     if peer.pledged_since.is_some() {
         return Source::Peer(key);
     }
-    // The home may count the last pledge for one pledge's life, and this host's own views may have
-    // named another home until lately.
-    let since = core.now.since(peer.withdrawn_since.max(seen.since));
+    // The owner may count the last pledge for one pledge's lifetime, and this host's own views may
+    // have named another owner until lately.
+    let since = core.now.since(peer.withdrawn_since.max(view.since));
     match SETTLE_TIME.checked_sub(since) {
         Some(left) if left > Duration::ZERO => Source::OwnerSilent(left),
         _ => Source::OwnFraction,
     }
 }
 
-/// Returns this host's own part of every share.
+/// Returns this host's own fraction of every share.
 #[must_use]
 pub fn own_fraction(core: &Core) -> f64 {
     if may_pledge(core) {
@@ -493,21 +498,23 @@
     }
 }
 
-/// Returns whether a peer is the home of a plan of which it does not know what this host holds.
+/// Returns whether a peer is the owner of a plan and may not know the permits held here.
 fn permits_unreported(core: &Core, to: HostKey) -> bool {
     let source = Some(Source::Peer(to));
-    let mut parts = core.shares.local.values();
-    parts.any(|part| part.source == source && part.permits > 0 && part.reported_permits.is_none())
+    let mut shares = core.shares.local.values();
+    shares.any(|local| {
+        local.source == source && local.permits > 0 && local.reported_permits.is_none()
+    })
 }
 
-/// Returns whether a host may hold places lent by this one.
+/// Returns whether a host may hold permits lent by this one.
 pub fn may_hold_permits(core: &Core, name: &str) -> bool {
     *name == *core.members.name
         || core.members.find(name).is_some()
         || core.shares.pledges.departed.contains_key(name)
 }
 
-/// Returns whether pledges by a view with this host in it have counted since its start.
+/// Returns whether pledges by a view that includes this host have settled since its start.
 #[must_use]
 pub fn ever_settled(core: &Core) -> bool {
     core.shares.pledges.settled
--- a/src/core/share/tests/mod.rs
+++ b/src/core/share/tests/mod.rs
@@ -1,4 +1,4 @@
-//! No plan exceeds its share, whatever happens to the hosts between which it is divided.
+//! No plan exceeds its share, whatever fails between the hosts that lend it to each other.
 
 mod site;
 
@@ -16,14 +16,15 @@
     duration: Duration::from_millis(20),
 };
 const RATE_PER_SEC: f64 = 200.0;
-/// What a plan may use at once, beyond its rate: 1.5 s of it and one request.
+/// Requests a plan may use in a burst beyond its rate: 1.5 s of it, and one request.
 const MAX_BURST: f64 = RATE_PER_SEC * 1.5 + 1.0;
 
 fn seconds(count: u64) -> Duration {
     Duration::from_secs(count)
 }
 
-/// A quiet site with a share in use: nearly all of it is used, and not more.
+/// Without faults, a skewed load uses nearly all of a share and no more, at a bounded cost in bytes
+/// sent between hosts.
 #[test]
 fn steady_skewed_load_uses_its_share() {
     let mut site = Site::new(9, "requests = 200/s", SHORT_REQUEST, 1);
@@ -37,17 +38,22 @@
     let used = (site.admitted.len() - before) as f64;
     let sent = (site.bytes - bytes) as f64 / 60.0 / 9.0;
     println!(
-        "used {:.4} of the share, {sent:.0} bytes a second a host",
+        "used {:.4} of the share; {sent:.0} bytes/s sent by each host",
         used / (RATE_PER_SEC * 60.0)
     );
     assert!(site.max_excess(RATE_PER_SEC, |admitted| admitted.requests) <= MAX_BURST);
-    assert!(used >= RATE_PER_SEC * 60.0 * 0.97, "used {used}");
-    assert!(sent <= 3000.0, "{sent} bytes a second a host");
+    assert!(
+        used >= RATE_PER_SEC * 60.0 * 0.97,
+        "{used} requests admitted in 60 s"
+    );
+    assert!(sent <= 3000.0, "{sent} bytes/s sent by each host");
 }
 
-/// Hosts are cut off from each other and from the store, paused, killed and replaced in every
-/// order. A share that two hosts both believed theirs would let a customer use twice what was
-/// sold, and nobody would notice but the engines.
+/// Hosts are cut off from each other and from the store, paused, killed and replaced in random
+/// order.
+///
+/// If two hosts both counted the same fraction as theirs, a customer could use twice its share;
+/// only the load on the engines would show it.
 fn run_with_faults(seed: u64, uses: &str) -> usize {
     let mut site = Site::new(4, uses, SHORT_REQUEST, seed);
     site.load.duration = Duration::from_millis(150);
@@ -59,20 +65,23 @@
         inject_fault(&mut site);
         for _ in 0..site.rng.random_range(2..80) {
             site.run(Duration::from_millis(50));
-            let parts = site.lendable_fraction();
+            let fraction = site.lendable_fraction();
             assert!(
-                parts < 1.0001,
-                "seed {seed}: parts of {parts} at {:?}",
+                fraction < 1.0001,
+                "seed {seed}: hosts may lend {fraction} of the share at {:?}",
                 site.now
             );
         }
     }
-    let over = site.max_excess(RATE_PER_SEC, |admitted| admitted.requests);
-    assert!(over <= MAX_BURST, "seed {seed}: {over} above the rate");
+    let excess = site.max_excess(RATE_PER_SEC, |admitted| admitted.requests);
+    assert!(
+        excess <= MAX_BURST,
+        "seed {seed}: {excess} requests above the rate"
+    );
     if uses.contains("running") {
         assert!(
             site.max_running <= 20,
-            "seed {seed}: {} ran at once",
+            "seed {seed}: {} requests ran concurrently",
             site.max_running
         );
     }
@@ -101,8 +110,8 @@
             }
         }
         8 => {
-            let span = Duration::from_millis(site.rng.random_range(200..5000));
-            site.hosts[one].paused = site.now.after(span);
+            let pause = Duration::from_millis(site.rng.random_range(200..5000));
+            site.hosts[one].paused = site.now.after(pause);
         }
         _ => {
             site.kill(one);
@@ -117,26 +126,26 @@
     }
 }
 
-macro_rules! troubles {
+macro_rules! fault_tests {
     ($($name:ident: $uses:literal, $seeds:expr;)+) => {
         $(#[test]
         fn $name() {
             let total: usize = $seeds.map(|seed| run_with_faults(seed, $uses)).iter().sum();
-            println!("{total} let in");
-            assert!(total > 500 * $seeds.len(), "only {total} were let in at all");
+            println!("{total} requests admitted");
+            assert!(total > 500 * $seeds.len(), "only {total} requests were admitted");
         })+
     };
 }
 
-troubles! {
+fault_tests! {
     rate_limit_holds_under_faults: "requests = 200/s", [3, 6, 16, 19];
     rate_limit_holds_under_faults_other_seeds: "requests = 200/s", [0, 1, 2, 4];
     permit_limit_holds_under_faults: "requests = 200/s\nrunning = 20", [24, 26, 36, 37];
     permit_limit_holds_under_faults_other_seeds: "requests = 200/s\nrunning = 20", [8, 9, 10, 11];
 }
 
-/// Half the hosts of a site lose the store and the others, and the store drops them. Each half
-/// believes that it is all that is left; both together must not use more than the share.
+/// Half the hosts lose the store and the connections to the others, and their registrations expire.
+/// Each half counts only itself as registered; both together must stay within the share.
 #[test]
 fn partitioned_halves_stay_within_one_share() {
     let mut site = Site::new(6, "requests = 200/s", SHORT_REQUEST, 5);
@@ -152,7 +161,7 @@
         }
     }
     site.run(seconds(25));
-    // New hosts come that never heard of the lost half but by the others.
+    // The new host learns of the cut-off half only from the other hosts.
     site.start("host-6");
     site.hosts[6].load = 100.0;
     for one in 0..3 {
@@ -163,8 +172,8 @@
     assert!(site.max_excess(RATE_PER_SEC, |admitted| admitted.requests) <= MAX_BURST);
 }
 
-/// A customer asks for long answers and gets short ones, or long ones after a short estimate: what
-/// was not used comes back, and the plan gets what it pays for.
+/// A customer's answers are shorter than the estimate that was charged: the unused tokens are
+/// returned, so that the plan can use nearly all of its share.
 #[test]
 fn token_charge_follows_actual_use() {
     let load = Load {
@@ -183,12 +192,12 @@
     site.run(seconds(40));
     let after: f64 = site.admitted.iter().map(|admitted| admitted.tokens).sum();
     let used = (after - before) / (20_000.0 * 40.0);
-    println!("used {used:.4} of the tokens");
+    println!("used {used:.4} of the token rate");
     assert!(site.max_excess(20_000.0, |admitted| admitted.tokens) <= 30_000.0 + 500.0);
-    assert!(used > 0.9, "used {used}");
+    assert!(used > 0.9, "used {used} of the token rate");
 }
 
-/// A plan that nobody uses costs neither memory nor messages.
+/// A plan that nobody uses takes no memory and no messages: its state is removed.
 #[test]
 fn unused_plans_leave_no_state() {
     let mut site = Site::new(3, "requests = 200/s", SHORT_REQUEST, 4);
@@ -204,8 +213,8 @@
     assert!(site.now > Time::default());
 }
 
-/// A host that says it is ready and then refuses its first callers would be worse than one that
-/// says so a little later.
+/// A host reports ready only once it can admit requests; before the pledges settle it would refuse
+/// its first callers.
 #[test]
 fn ready_hosts_refuse_no_request() {
     for seed in 0..6 {
@@ -224,7 +233,10 @@
             host.load = 100.0;
         }
         site.run(seconds(3));
-        assert!(site.arrived > 800, "only {} came", site.arrived);
-        assert_eq!(site.refused, 0, "seed {seed}: refused at once");
+        assert!(site.arrived > 800, "only {} requests arrived", site.arrived);
+        assert_eq!(
+            site.refused, 0,
+            "seed {seed}: requests refused after hosts were ready"
+        );
     }
 }
--- a/src/core/share/tests/site.rs
+++ b/src/core/share/tests/site.rs
@@ -1,4 +1,5 @@
-//! Several cores in virtual time, joined by a network and a store that fail on command.
+//! Several cores in virtual time, connected by a simulated network and store in which tests inject
+//! faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -21,14 +22,14 @@
 use crate::store::{Op, TxnReply};
 use crate::wire::{Frame, encode};
 
-/// Life of a registration without renewal.
+/// Time after which a registration that is not renewed expires.
 const LEASE_TTL: Duration = Duration::from_secs(2);
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Bytes that tell the length of a frame.
+/// Bytes of a frame's length prefix.
 const FRAME_HEADER_BYTES: usize = 4;
 const API_KEY: &str = "key";
 
-/// Something at a point in virtual time.
+/// An event that is due at a point in virtual time.
 #[derive(Debug)]
 enum QueuedEvent {
     Event {
@@ -42,21 +43,21 @@
     Tick,
 }
 
-/// One host.
+/// A simulated host.
 #[derive(Debug)]
 pub struct Host {
     pub core: Option<Core>,
     pub name: Box<str>,
     life: u32,
-    /// Arrivals a second.
+    /// Requests that arrive per second.
     pub load: f64,
     pub store: bool,
     pub paused: Time,
-    /// The watch tells changes in order.
+    /// Delivery time of the last watched change; later ones come no earlier, in order.
     last_watch: Time,
 }
 
-/// Something that was let in.
+/// A request that was admitted.
 #[derive(Debug, Clone, Copy)]
 pub struct Admitted {
     pub at: Time,
@@ -64,14 +65,14 @@
     pub tokens: f64,
 }
 
-/// What every request asks.
+/// What every request asks for, and what running it takes.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     pub prompt: u32,
-    /// Most tokens, as asked for, and tokens generated.
+    /// Most output tokens, as asked for, and output tokens generated.
     pub output: u32,
     pub generated: u32,
-    /// Time a request runs.
+    /// Time for which a request runs.
     pub duration: Duration,
 }
 
@@ -83,7 +84,7 @@
     pub admitted: Vec<Admitted>,
     pub arrived: usize,
     pub refused: usize,
-    /// Requests running, by host, life and key; and the most there were at once.
+    /// Requests running, by host, life and key; and the most there were concurrently.
     running: BTreeSet<(usize, u32, RequestKey)>,
     pub max_running: usize,
     /// Bytes of frames sent between hosts.
@@ -127,7 +128,7 @@
         site
     }
 
-    /// Starts a host, in place of one of the same name where there is one.
+    /// Starts a host; it replaces one of the same name where there is one.
     pub fn start(&mut self, name: &str) {
         let settings = settings(name);
         let mut core = Core::new(settings, self.now, 1_000_000, self.rng.random());
@@ -135,9 +136,9 @@
         let key = KeyHash::of(API_KEY);
         let plans = format!("[customer c]\nplan = p\nkeys = {key}\n");
         config::told(&mut core, 1, &plans, &self.uses, &mut out);
-        let found = self.hosts.iter().position(|host| *host.name == *name);
-        let at = found.unwrap_or(self.hosts.len());
-        if found.is_none() {
+        let existing = self.hosts.iter().position(|host| *host.name == *name);
+        let at = existing.unwrap_or(self.hosts.len());
+        if existing.is_none() {
             self.hosts.push(Host {
                 core: None,
                 name: name.into(),
@@ -157,14 +158,14 @@
         self.snapshot(at);
     }
 
-    /// Ends a host's process at once.
+    /// Kills a host's process.
     pub fn kill(&mut self, at: usize) {
         self.hosts[at].core = None;
         self.hosts[at].life += 1;
         self.running.retain(|(host, _, _)| *host != at);
     }
 
-    /// Joins a host to the store again, or cuts it off.
+    /// Connects a host to the store or disconnects it.
     pub fn set_store(&mut self, at: usize, reached: bool) {
         if reached && !self.hosts[at].store {
             self.hosts[at].store = true;
@@ -205,7 +206,7 @@
         self.push(at, QueuedEvent::Event { host, life, event });
     }
 
-    /// Feeds an event after the time a message takes.
+    /// Feeds an event after a random network delay.
     fn feed_delayed(&mut self, host: usize, event: Event) {
         let life = self.hosts[host].life;
         let at = self
@@ -216,14 +217,14 @@
 
     fn watch(&mut self, host: usize, pairs: Vec<Watched>) {
         let life = self.hosts[host].life;
-        let lag = Duration::from_micros(self.rng.random_range(500..2500));
-        let at = self.now.after(lag).max(self.hosts[host].last_watch);
+        let delay = Duration::from_micros(self.rng.random_range(500..2500));
+        let at = self.now.after(delay).max(self.hosts[host].last_watch);
         self.hosts[host].last_watch = at;
         let event = Event::Store(StoreEvent::Watched(pairs));
         self.push(at, QueuedEvent::Event { host, life, event });
     }
 
-    /// Runs for a time.
+    /// Runs the simulation for a time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now.after(span);
         while let Some(entry) = self.events.first_entry() {
@@ -352,19 +353,19 @@
                 },
             ),
             Effect::Send { to, message } => {
-                let core = self.hosts[at].core.as_ref().expect("a host that acts");
+                let core = self.hosts[at].core.as_ref().expect("a running host");
                 let Some(name) = core.members.arena.get(to).map(|member| member.name.clone())
                 else {
                     return;
                 };
                 let mut bytes = BytesMut::new();
                 encode(&Frame::Message(message.clone()), &mut bytes);
-                // What requests leave behind is counted elsewhere.
+                // Records of requests are not part of the cost measured here.
                 if !matches!(message, Message::Traces(_)) {
                     self.bytes += bytes.len() + FRAME_HEADER_BYTES;
                 }
-                let found = self.hosts.iter().position(|host| host.name == name);
-                let Some(other) = found.filter(|&other| !self.cut_links.contains(&(at, other)))
+                let existing = self.hosts.iter().position(|host| host.name == name);
+                let Some(other) = existing.filter(|&other| !self.cut_links.contains(&(at, other)))
                 else {
                     return;
                 };
@@ -380,8 +381,8 @@
                     .registered
                     .get_mut(&self.hosts[at].name)
                     .filter(|_| store);
-                let kept = entry.map(|entry| entry.1 = now).map_or(0, |()| lease);
-                self.reply(at, job, StoreResult::Lease(kept));
+                let renewed = entry.map(|entry| entry.1 = now).map_or(0, |()| lease);
+                self.reply(at, job, StoreResult::Lease(renewed));
             }
             Effect::Txn { job, txn } => self.write(at, job, &txn.then),
             Effect::Call {
@@ -396,7 +397,10 @@
             Effect::Refuse { refusal, .. } => {
                 self.refused += 1;
                 let kinds = [Kind::ShareSpent, Kind::CutOff];
-                assert!(kinds.contains(&refusal.kind), "refused for {refusal:?}");
+                assert!(
+                    kinds.contains(&refusal.kind),
+                    "unexpected refusal: {refusal:?}"
+                );
             }
             _ => {}
         }
@@ -472,12 +476,12 @@
         }
     }
 
-    /// Returns the sum of the parts that hosts may lend or use now.
+    /// Returns the sum of the fractions that hosts may lend or use now.
     pub fn lendable_fraction(&mut self) -> f64 {
         let now = self.now;
-        let awake = self.hosts.iter_mut().filter(|host| host.paused <= now);
-        let cores = awake.filter_map(|host| host.core.as_mut());
-        let parts = cores.map(|core| {
+        let running = self.hosts.iter_mut().filter(|host| host.paused <= now);
+        let cores = running.filter_map(|host| host.core.as_mut());
+        let fractions = cores.map(|core| {
             core.now = now;
             match pledge::source(core, "p") {
                 Source::Local => pledge::pledged(core, "p").fraction,
@@ -485,19 +489,19 @@
                 Source::Peer(_) | Source::OwnerSilent(_) => 0.0,
             }
         });
-        parts.sum()
+        fractions.sum()
     }
 
-    /// Returns the most by which any window's total went beyond `rate` times its length.
-    pub fn max_excess(&self, rate: f64, what: impl Fn(&Admitted) -> f64) -> f64 {
-        let (mut total, mut least, mut over) = (0.0_f64, f64::INFINITY, 0.0_f64);
+    /// Returns the most by which the total of any window exceeded `rate` times its length.
+    pub fn max_excess(&self, rate: f64, amount: impl Fn(&Admitted) -> f64) -> f64 {
+        let (mut total, mut least, mut excess) = (0.0_f64, f64::INFINITY, 0.0_f64);
         for admitted in &self.admitted {
-            let due = rate * admitted.at.micros() as f64 / 1e6;
-            least = least.min(total - due);
-            total += what(admitted);
-            over = over.max(total - due - least);
+            let allowed = rate * admitted.at.micros() as f64 / 1e6;
+            least = least.min(total - allowed);
+            total += amount(admitted);
+            excess = excess.max(total - allowed - least);
         }
-        over
+        excess
     }
 }
 
@@ -525,5 +529,5 @@
          lease = 2s\n[limits]\nrequests = 100000\n[pool m]\nmodel = m\nfencing = checks\n\
          prefill = 1000000\ndecode = 1000000\nslots = 10000\n[service s]\n"
     );
-    Settings::parse(&text, "host.ini").expect("settings without a fault")
+    Settings::parse(&text, "host.ini").expect("valid settings")
 }
