--- a/src/core/order/change.rs
+++ b/src/core/order/change.rs
@@ -1,9 +1,10 @@
-//! A planned change of an engine: withdrawn, free of work, ordered, back to work.
+//! A planned role change of an engine: it is withdrawn, drained, ordered to change, and put back to
+//! work.
 //!
 //! Nothing here is forced. While hosts have streams on the engine, or a host does not confirm the
-//! withdrawal, no order goes out; after a bound the change is called off and the engine works on.
-//! Only once an order is recorded must the engine get to what was intended, for the order may
-//! reach it at any time.
+//! withdrawal, no order is sent; after a time limit the change is called off and the engine goes on
+//! serving in its role. Only once an order is recorded must the engine be brought to the intended
+//! role, because the order may reach it at any time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,31 +20,32 @@
 use crate::core::role::{Engine, Memory, View};
 use crate::core::{Core, Effects, Time};
 
-/// Time every host has to confirm a withdrawal before the change is called off.
+/// Time within which every host must confirm a withdrawal, or the change is called off.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time between two sendings of an order.
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
-/// Sendings of an order that was answered and did not come into force, before it is given up.
+/// Sendings of an order that is answered but does not come into force, before it is given up.
 const MAX_TRIES: u32 = 3;
 /// Time between two decisions on a pool's roles.
 const DECIDE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a pool's holder has under way.
+/// Work in progress of a pool's holder.
 #[derive(Debug, Default)]
 pub struct HolderState {
-    /// Routing state as stored, with its revision there; `None` until it is read.
+    /// Routing state as stored, with its revision in the key-value service; `None` until it is
+    /// read.
     pub route: Option<(Route, i64)>,
-    /// Call about the routing state on its way.
+    /// Pending call about the routing state.
     pub(super) route_call: Option<route::Call>,
     /// Intended orders as stored; `None` until they are read.
     pub intents: Option<Intents>,
-    /// Call about intended orders on its way.
+    /// Pending call about intended orders.
     pub(super) intent_call: Option<Call>,
-    /// Nothing is sent to the key-value service before this time.
+    /// No call to the key-value service is sent before this time.
     pub(super) next_call: Time,
-    /// The change under way.
+    /// The change in progress.
     pub change: Option<Change>,
-    /// Number of the last order under the present fencing number.
+    /// Number of the last order under the current fencing number.
     last_order: u64,
     last_decision: Time,
     memory: Memory,
@@ -58,12 +60,12 @@
     pub engine: Box<str>,
     /// Its new role.
     pub role: Role,
-    /// How far the change is.
+    /// How far the change has come.
     pub step: Step,
     /// Whether it can still be called off.
     commitment: Commitment,
     since: Time,
-    /// Since when no host has work there.
+    /// Since when no host has streams there.
     free_since: Option<Time>,
     tries: u32,
     /// Number of the last order that was answered and did not come into force.
@@ -81,7 +83,7 @@
     Recorded,
 }
 
-/// How far a change is.
+/// How far a change has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// The engine is withdrawn and finishes its streams.
@@ -90,32 +92,32 @@
     Record,
     /// The order is to be sent.
     Order,
-    /// The order is on its way.
+    /// The order is sent and not answered.
     Sent,
-    /// The order was answered at this time; the engine's report must show it.
+    /// The order was answered at this time; the engine's report must show its result.
     AwaitReport(Time),
-    /// The record is being taken away; then the engine serves in this role.
+    /// The record is being deleted; then the engine serves in this role.
     DeleteRecord(Role),
     /// The engine goes back to work in this role.
     Restore(Role),
 }
 
-/// Goes on with the holder's work on a pool.
+/// Advances the holder's work on a pool.
 pub(super) fn advance_holder(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let now = core.now;
-    let work = &core.orders.pool(pool).holder;
-    if now < work.next_call {
+    let holder = &core.orders.pool(pool).holder;
+    if now < holder.next_call {
         return;
     }
-    if work.route.is_none() && work.route_call.is_none() {
+    if holder.route.is_none() && holder.route_call.is_none() {
         route::read(core, pool, out);
     }
-    let work = &core.orders.pool(pool).holder;
-    if work.intents.is_none() && work.intent_call.is_none() {
+    let holder = &core.orders.pool(pool).holder;
+    if holder.intents.is_none() && holder.intent_call.is_none() {
         intent::read(core, pool, out);
     }
-    let work = &core.orders.pool(pool).holder;
-    if work.route.is_none() || work.intents.is_none() {
+    let holder = &core.orders.pool(pool).holder;
+    if holder.route.is_none() || holder.intents.is_none() {
         return;
     }
     publish::note_mismatches(core, pool);
@@ -130,7 +132,7 @@
     publish::publish(core, pool, out);
 }
 
-/// Returns the change that an earlier holder's recorded order calls for.
+/// Returns the change that an earlier holder's recorded order requires.
 fn inherited_change(core: &Core, pool: PoolKey) -> Option<Change> {
     let intents = core.orders.pool(pool).holder.intents.as_ref()?;
     let mut listed = intents
@@ -149,8 +151,8 @@
 fn decided_change(core: &mut Core, pool: PoolKey, out: &mut Effects) -> Option<Change> {
     let now = core.now;
     let at = usize::from(pool.0);
-    let work = &core.orders.pool(pool).holder;
-    let due = now.since(work.last_decision) >= DECIDE_INTERVAL;
+    let holder = &core.orders.pool(pool).holder;
+    let due = now.since(holder.last_decision) >= DECIDE_INTERVAL;
     let split = core.fleet.pools[at].settings.split;
     if !split || !due || !drain::departed_stopped(core) || !suspect::no_suspects(core, pool) {
         return None;
@@ -161,11 +163,12 @@
         .collect();
     let decide = core.orders.decide;
     let settings = core.fleet.pools[at].settings.clone();
-    let desk = core.orders.pool_mut(pool);
-    desk.holder.last_decision = now;
-    desk.demand
+    let state = core.orders.pool_mut(pool);
+    state.holder.last_decision = now;
+    state
+        .demand
         .retain(|_, (when, _)| now.since(*when) < DEMAND_MAX_AGE);
-    let (prompt, output) = desk.demand.values().fold((0.0, 0.0), |sum, (_, demand)| {
+    let (prompt, output) = state.demand.values().fold((0.0, 0.0), |sum, (_, demand)| {
         (sum.0 + demand.prompt, sum.1 + demand.output)
     });
     let view = View {
@@ -175,13 +178,13 @@
         prompt,
         output,
     };
-    let wish = decide(&view, &mut desk.holder.memory)?;
-    let engine = core.fleet.arena.get(wish.engine)?;
-    if engine.role == wish.role || engine.listed != Standing::Serving {
+    let decision = decide(&view, &mut state.holder.memory)?;
+    let engine = core.fleet.arena.get(decision.engine)?;
+    if engine.role == decision.role || engine.listed != Standing::Serving {
         return None;
     }
-    let (name, role) = (engine.name.clone(), wish.role);
-    let text = format!("{name} is to become {}", role.word());
+    let (name, role) = (engine.name.clone(), decision.role);
+    let text = format!("starting change of {name} to role {}", role.word());
     out.push(log_event(log::Level::Info, "change.begun", text));
     Some(Change::new(&name, role, Commitment::Revocable, now))
 }
@@ -227,10 +230,10 @@
     }
 }
 
-/// Takes a change as far as it goes now; `None` once it is over.
+/// Advances a change as far as possible now; `None` once it is finished.
 fn advance(core: &mut Core, pool: PoolKey, change: Change, out: &mut Effects) -> Option<Change> {
-    // An engine that the list no longer names is nobody's concern; a recorded order is taken up
-    // again should it come back.
+    // An engine that is no longer listed needs no change; a recorded order is taken up again if the
+    // engine is listed again.
     core.fleet.find(&change.engine)?;
     match change.step {
         Step::Drain => Some(await_drain(core, pool, change, out)),
@@ -252,30 +255,30 @@
     }
 }
 
-/// Waits until the engine has no work, or calls the change off.
+/// Waits until the engine is drained, or calls the change off.
 fn await_drain(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
     let now = core.now;
-    let desk = core.orders.pool_mut(pool);
-    let Some((route, modified)) = &desk.holder.route else {
+    let state = core.orders.pool_mut(pool);
+    let Some((route, modified)) = &state.holder.route else {
         return change;
     };
     let revision = route.revision;
     let withdrawn = route.engine_state(&change.engine).standing == Standing::Withdrawn;
-    // Only when this host's own watch shows the withdrawal does it know every host that
-    // registered before it; a host that registers later starts from it.
-    let word = if !withdrawn || desk.applied.modified < *modified {
+    // Only once this host's own watch shows the withdrawal has it seen every host that registered
+    // before it; a host that registers later starts from the withdrawal.
+    let drain_state = if !withdrawn || state.applied.modified < *modified {
         DrainState::Unconfirmed
-    } else if desk.applied.modified > *modified {
+    } else if state.applied.modified > *modified {
         // Nobody else writes it, so what was read is from before this host became the holder.
-        desk.holder.route = None;
+        state.holder.route = None;
         DrainState::Unconfirmed
     } else {
         drain::drain_state(core, pool, &change.engine, revision)
     };
-    if word != DrainState::Free {
+    if drain_state != DrainState::Free {
         change.free_since = None;
         return if change.commitment == Commitment::Revocable {
-            call_off(core, pool, change, word, out)
+            call_off(core, pool, change, drain_state, out)
         } else {
             change
         };
@@ -295,12 +298,12 @@
     if change.commitment == Commitment::Revocable
         && now.since(change.since) >= core.settings.limits.drain
     {
-        return call_off(core, pool, change, word, out);
+        return call_off(core, pool, change, drain_state, out);
     }
     change
 }
 
-/// Returns whether an earlier holder's order has done what it was to do.
+/// Returns whether an earlier holder's order has had its intended effect.
 fn order_in_force(core: &Core, pool: PoolKey, change: &Change) -> bool {
     let intents = core.orders.pool(pool).holder.intents.as_ref();
     let intent = intents.and_then(|all| all.get(&change.engine));
@@ -314,21 +317,24 @@
         })
 }
 
-/// Puts the engine back to work where the change has taken too long.
+/// Calls the change off if it has taken too long or the engine is leaving.
 fn call_off(
     core: &mut Core,
     pool: PoolKey,
     change: Change,
-    word: DrainState,
+    drain_state: DrainState,
     out: &mut Effects,
 ) -> Change {
     let waited = core.now.since(change.since);
-    let (bound, why) = match word {
+    let (bound, why) = match drain_state {
         DrainState::Unconfirmed => (CONFIRM_TIMEOUT, "a host did not confirm the withdrawal"),
-        DrainState::Busy => (core.settings.limits.drain, "streams outlasted the drain"),
+        DrainState::Busy => (
+            core.settings.limits.drain,
+            "streams still ran at the end of the drain time",
+        ),
         DrainState::Free => (
             core.settings.limits.drain,
-            "its report does not show it idle",
+            "the engine's report does not show it idle",
         ),
     };
     let leaving = core.fleet.find(&change.engine);
@@ -336,8 +342,12 @@
     if waited < bound.min(core.settings.limits.drain) && !leaving {
         return change;
     }
-    let why = if leaving { "it is leaving" } else { why };
-    let text = format!("the change of {} is called off: {why}", change.engine);
+    let why = if leaving {
+        "the engine is leaving"
+    } else {
+        why
+    };
+    let text = format!("role change of {} called off: {why}", change.engine);
     out.push(log_event(log::Level::Warn, "change.called_off", text));
     let stored = core.orders.pool(pool).holder.route.as_ref();
     let role = stored.map_or(Role::Both, |(route, _)| {
@@ -346,27 +356,28 @@
     change.with_step(Step::Restore(role))
 }
 
-/// Records the order as the engine's one intended order.
+/// Records the order as the engine's only intended order.
 fn record_order(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
     change.commitment = Commitment::Recorded;
-    let desk = core.orders.pool_mut(pool);
-    let fence = desk.authority.fence;
-    let known = desk
+    let state = core.orders.pool_mut(pool);
+    let fence = state.authority.fence;
+    let recorded = state
         .holder
         .intents
         .as_ref()
         .and_then(|all| all.get(&change.engine));
-    if known.is_some_and(|(intent, _)| intent.fence == fence && intent.order > change.failed_order)
+    if recorded
+        .is_some_and(|(intent, _)| intent.fence == fence && intent.order > change.failed_order)
     {
         return change.with_step(Step::Order);
     }
-    if desk.holder.intent_call.is_some() {
+    if state.holder.intent_call.is_some() {
         return change;
     }
-    desk.holder.last_order += 1;
+    state.holder.last_order += 1;
     let intent = Intent {
         fence,
-        order: desk.holder.last_order,
+        order: state.holder.last_order,
         role: change.role,
     };
     let call = Call::Put(change.engine.clone(), intent);
@@ -374,22 +385,24 @@
     change
 }
 
-/// Sends the order, provided that the engine is still free of work.
+/// Sends the order, provided that the engine is still drained.
 fn send_order(core: &mut Core, pool: PoolKey, mut change: Change, out: &mut Effects) -> Change {
     let now = core.now;
-    let desk = core.orders.pool(pool);
-    let intents = desk.holder.intents.as_ref();
+    let state = core.orders.pool(pool);
+    let intents = state.holder.intents.as_ref();
     let Some((intent, _)) = intents.and_then(|all| all.get(&change.engine)).copied() else {
         return change.with_step(Step::Record);
     };
     if now < change.resend_at {
         return change;
     }
-    let seen = drain::report(core, &change.engine);
-    if seen.is_some_and(|(_, r)| (r.fence, r.order) == (intent.fence, intent.order)) {
+    let reported = drain::report(core, &change.engine);
+    if reported
+        .is_some_and(|(_, report)| (report.fence, report.order) == (intent.fence, intent.order))
+    {
         return change.with_step(Step::AwaitReport(now));
     }
-    let revision = desk
+    let revision = state
         .holder
         .route
         .as_ref()
@@ -410,10 +423,10 @@
         order: intent.order,
         holder: core.members.name.clone(),
         action: Action::Role(change.role),
-        until: desk.authority.valid_until,
+        until: state.authority.valid_until,
     };
     let text = format!(
-        "{} is ordered to become {} by order {}.{}",
+        "ordered {} to take role {} (order {}.{})",
         order.engine,
         change.role.word(),
         order.fence,
@@ -428,7 +441,7 @@
     change.with_step(Step::Sent)
 }
 
-/// Takes in an order's answer.
+/// Handles the answer to an order.
 pub(super) fn order_answered(
     core: &mut Core,
     pool: PoolKey,
@@ -439,10 +452,10 @@
 ) {
     let now = core.now;
     let reported = drain::report(core, engine).map(|(_, report)| report.role);
-    let work = &mut core.orders.pool_mut(pool).holder;
-    let intents = work.intents.as_ref().and_then(|all| all.get(engine));
+    let holder = &mut core.orders.pool_mut(pool).holder;
+    let intents = holder.intents.as_ref().and_then(|all| all.get(engine));
     let current = intents.is_some_and(|(one, _)| (one.fence, one.order) == number);
-    let Some(change) = work
+    let Some(change) = holder
         .change
         .as_mut()
         .filter(|change| current && *change.engine == *engine && change.step == Step::Sent)
@@ -451,33 +464,34 @@
     };
     change.step = match result {
         Ordered::Done => Step::AwaitReport(now),
-        // The same order again: an engine that has carried it out knows it, and to one that
-        // takes any order it says the same.
+        // The same order is sent again: an engine that has carried it out recognizes it, and for
+        // one that accepts any order it means the same.
         Ordered::Unsent | Ordered::Unknown => Step::Order,
         Ordered::Fenced(fence) => {
-            let text = format!("{engine} has seen the fencing number {fence}");
+            let text = format!("{engine} refused the order: it has seen fencing number {fence}");
             out.push(log_event(log::Level::Error, "change.fenced", text));
             Step::DeleteRecord(reported.unwrap_or_default())
         }
     };
 }
 
-/// Waits until the engine's report shows what became of the order.
+/// Waits until the engine's report shows the result of the order.
 fn await_report(core: &Core, pool: PoolKey, mut change: Change, at: Time) -> Change {
-    let Some((told, report)) = drain::report(core, &change.engine) else {
+    let Some((reported_at, report)) = drain::report(core, &change.engine) else {
         return change;
     };
-    if told <= at.millis() || report.changing {
+    if reported_at <= at.millis() || report.changing {
         return change;
     }
     if report.role == change.role {
         return change.with_step(Step::DeleteRecord(report.role));
     }
-    // It crashed halfway. The order was answered, so it is no longer on its way; it goes out
-    // again under a new number, for an engine that kept the old one takes it for a repeat.
+    // The engine crashed during the change. The order was answered, so it is no longer in flight;
+    // it is sent again under a new number, because an engine that kept the old one takes it for a
+    // duplicate.
     change.tries += 1;
-    let work = &core.orders.pool(pool).holder;
-    change.failed_order = work.last_order;
+    let holder = &core.orders.pool(pool).holder;
+    change.failed_order = holder.last_order;
     if change.tries < MAX_TRIES {
         return change.with_step(Step::Record);
     }
@@ -485,7 +499,7 @@
     change.with_step(Step::DeleteRecord(role))
 }
 
-/// Takes the record away.
+/// Deletes the record.
 fn delete_record(
     core: &mut Core,
     pool: PoolKey,
@@ -493,14 +507,18 @@
     role: Role,
     out: &mut Effects,
 ) -> Change {
-    let work = &core.orders.pool(pool).holder;
-    let intents = work.intents.as_ref();
+    let holder = &core.orders.pool(pool).holder;
+    let intents = holder.intents.as_ref();
     if intents.is_some_and(|all| !all.contains_key(&change.engine)) {
-        let text = format!("{} goes back to work as {}", change.engine, role.word());
+        let text = format!(
+            "{} returns to service in role {}",
+            change.engine,
+            role.word()
+        );
         out.push(log_event(log::Level::Info, "change.done", text));
         return change.with_step(Step::Restore(role));
     }
-    if work.intent_call.is_none() {
+    if holder.intent_call.is_none() {
         let call = Call::Delete(change.engine.clone());
         intent::write(core, pool, call, out);
     }
--- a/src/core/order/intent.rs
+++ b/src/core/order/intent.rs
@@ -1,7 +1,7 @@
-//! Intended orders: each is recorded before it is given.
+//! Intended orders: each is recorded before it is sent.
 //!
-//! A holder that dies between record and answer leaves the record behind. Its successor finds it
-//! there and brings the engine to what was intended before it intends anything else, so that no
+//! A holder that crashes between record and answer leaves the record behind. Its successor finds it
+//! there and brings the engine to the intended role before it intends anything else, so that no
 //! engine gets conflicting orders.
 
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 pub struct Intent {
     /// Fencing number.
     pub fence: u64,
-    /// Number of the order under it.
+    /// Number of the order under that fencing number.
     pub order: u64,
     /// Role the engine is to take.
     pub role: Role,
@@ -29,14 +29,14 @@
 /// Intended orders by engine, each with the revision at which it was written.
 pub type Intents = BTreeMap<Box<str>, (Intent, i64)>;
 
-/// A call about intended orders that is on its way.
+/// A pending call about intended orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// All of a pool are read.
+    /// Reads all intended orders of a pool.
     Read,
-    /// One is written.
+    /// Writes one.
     Put(Box<str>, Intent),
-    /// One is taken away.
+    /// Deletes one.
     Delete(Box<str>),
 }
 
@@ -48,7 +48,7 @@
     format!("d/intent/{pool}/{engine}").into()
 }
 
-/// Asks for all intended orders of a pool.
+/// Reads all intended orders of a pool.
 pub(super) fn read(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let span = Span::Prefix(key_prefix(&name(core, pool)));
     core.orders.pool_mut(pool).holder.intent_call = Some(Call::Read);
@@ -56,10 +56,10 @@
     out.push(Effect::Read { job, span });
 }
 
-/// Records or takes away an engine's intended order, provided that this host is the holder.
+/// Writes or deletes an engine's intended order, provided that this host is the holder.
 pub(super) fn write(core: &mut Core, pool: PoolKey, call: Call, out: &mut Effects) {
     let pool_name = name(core, pool);
-    let desk = core.orders.pool_mut(pool);
+    let state = core.orders.pool_mut(pool);
     let (engine, op) = match &call {
         Call::Read => return,
         Call::Put(engine, intent) => (
@@ -72,51 +72,55 @@
         ),
         Call::Delete(engine) => (engine, Op::Delete(Span::Key(key(&pool_name, engine)))),
     };
-    let known = desk.holder.intents.as_ref().and_then(|all| all.get(engine));
+    let stored = state
+        .holder
+        .intents
+        .as_ref()
+        .and_then(|all| all.get(engine));
     let txn = Txn {
         compare: vec![
             Compare::Value {
                 key: record::holder_key(&pool_name),
-                is: desk.authority.value.clone(),
+                is: state.authority.value.clone(),
             },
             Compare::Modified {
                 key: key(&pool_name, engine),
-                at: known.map_or(0, |(_, modified)| *modified),
+                at: stored.map_or(0, |(_, modified)| *modified),
             },
         ],
         then: vec![op],
         otherwise: Vec::new(),
     };
-    desk.holder.intent_call = Some(call);
+    state.holder.intent_call = Some(call);
     let job = Job::Intent(pool);
     out.push(Effect::Txn { job, txn });
 }
 
-/// Takes in the end of a read or write; all but a plain success is settled by reading again.
+/// Handles the end of a read or write; anything but a plain success is resolved by reading again.
 pub(super) fn reply(core: &mut Core, pool: PoolKey, result: StoreResult) {
     let now = core.now;
     let folder = key_prefix(&name(core, pool));
-    let work = &mut core.orders.pool_mut(pool).holder;
-    match (work.intent_call.take(), result) {
+    let holder = &mut core.orders.pool_mut(pool).holder;
+    match (holder.intent_call.take(), result) {
         (Some(Call::Read), StoreResult::Read(range)) => {
             let pairs = range.pairs.iter();
-            work.intents = pairs.map(|pair| parse_pair(&folder, pair)).collect();
-            work.next_call = now.after(super::RETRY_DELAY * u32::from(work.intents.is_none()));
+            holder.intents = pairs.map(|pair| parse_pair(&folder, pair)).collect();
+            holder.next_call = now.after(super::RETRY_DELAY * u32::from(holder.intents.is_none()));
         }
         (Some(Call::Put(engine, intent)), StoreResult::Txn(txn)) if txn.succeeded => {
-            if let Some(all) = &mut work.intents {
+            if let Some(all) = &mut holder.intents {
                 all.insert(engine, (intent, txn.revision));
             }
         }
         (Some(Call::Delete(engine)), StoreResult::Txn(txn)) if txn.succeeded => {
-            if let Some(all) = &mut work.intents {
+            if let Some(all) = &mut holder.intents {
                 all.remove(&engine);
             }
         }
         (None, _) => {}
         _ => {
-            work.intents = None;
-            work.next_call = now.after(super::RETRY_DELAY);
+            holder.intents = None;
+            holder.next_call = now.after(super::RETRY_DELAY);
         }
     }
 }
@@ -128,7 +132,7 @@
 }
 
 impl Intent {
-    /// Writes it as JSON.
+    /// Encodes the intent as JSON.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         let role = self.role.word();
@@ -137,7 +141,7 @@
             .into_bytes()
     }
 
-    /// Reads it from JSON.
+    /// Decodes an intent from JSON.
     #[must_use]
     pub fn parse(bytes: &[u8]) -> Option<Self> {
         let value: Value = serde_json::from_slice(bytes).ok()?;
--- a/src/core/order/mod.rs
+++ b/src/core/order/mod.rs
@@ -1,10 +1,10 @@
 //! Orders to engines: who may give them, and the routing state of each pool.
 //!
-//! One host at a time holds the authority over a pool ([`hold`]). It withdraws an engine through
-//! the routing state ([`route`]), waits until no host has work there (`drain`), records the
-//! order it intends ([`intent`]), gives it, and puts the engine back to work ([`change`]). Where
-//! engines take any order, the processes that held the authority before must be known dead first
-//! (`suspect`).
+//! One host at a time holds the authority over a pool ([`authority`]). It withdraws an engine
+//! through the routing state ([`route`]), waits until no host has work there (`drain`), records the
+//! intended order ([`intent`]), sends it, and puts the engine back to work ([`change`]). Where
+//! engines accept any order, the processes that held the authority before must first be known to be
+//! dead (`suspect`).
 
 pub mod authority;
 pub mod change;
@@ -32,57 +32,57 @@
 use drain::ReceivedConfirm;
 use route::Applied;
 
-/// First word of the watched keys with a pool's routing state.
+/// First segment of the watched keys that hold a pool's routing state.
 pub const ROUTE: &str = "route";
-/// First word of the watched keys that name a pool's holder.
+/// First segment of the watched keys that name a pool's holder.
 pub const HOLDER: &str = "holder";
-/// Time between two looks at authority, orders and confirmations.
+/// Time between two checks of authority, orders and confirmations.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two words to a pool's holder on the work taken in.
+/// Time between two reports of demand to a pool's holder.
 const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
-/// Age from which a host's word on its demand is no longer counted.
+/// Age from which a host's reported demand is no longer counted.
 const DEMAND_MAX_AGE: Duration = Duration::from_secs(4);
-/// Time without effect after a call to the key-value service failed.
+/// Delay before the next call after a call to the key-value service had no effect.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How a pool's role change is chosen.
+/// Chooses the next role change of a pool, if any.
 pub type Decide = fn(&View<'_>, &mut Memory) -> Option<Change>;
 
-/// What this host knows and does about the orders of one pool.
+/// State of the orders of one pool at this host.
 #[derive(Debug, Default)]
 pub struct PoolOrders {
-    /// Authority.
+    /// Authority over the pool.
     pub authority: Authority,
     /// Routing state that this host acts on.
     pub applied: Applied,
-    /// What the holder has under way.
+    /// Work in progress while this host is the holder.
     pub holder: HolderState,
-    /// What hosts said about withdrawn engines.
+    /// Last confirmation of each host about withdrawn engines.
     confirms: BTreeMap<HostKey, ReceivedConfirm>,
     demand: BTreeMap<HostKey, (Time, Demand)>,
 }
 
-/// Authority over pools and orders on their way.
+/// Authority over pools, and orders in progress.
 #[derive(Debug)]
 pub struct Orders {
     pools: Vec<PoolOrders>,
-    /// Since when this host has seen every host that came and went.
+    /// Since when this host has seen every host join and leave.
     known_since: Option<Time>,
     /// Hosts whose registration is gone, and since when.
     departed: BTreeMap<Box<str>, Time>,
-    /// When demand was last told.
+    /// When demand was last reported.
     demand_sent: Time,
     /// How role changes are chosen.
     pub decide: Decide,
 }
 
 impl Orders {
-    /// Creates the state of a host that holds nothing.
+    /// Creates the state of a host that holds no pool.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
-        let desks = settings.pools.iter().map(|_| PoolOrders::default());
+        let states = settings.pools.iter().map(|_| PoolOrders::default());
         Self {
-            pools: desks.collect(),
+            pools: states.collect(),
             known_since: None,
             departed: BTreeMap::new(),
             demand_sent: Time::default(),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns what is known about a pool.
+    /// Returns the state of a pool.
     #[must_use]
     pub fn pool(&self, pool: PoolKey) -> &PoolOrders {
         &self.pools[usize::from(pool.0)]
@@ -115,7 +115,7 @@
     timer(core, out);
 }
 
-/// Goes on with authority and orders.
+/// Advances authority and orders of all pools.
 pub fn timer(core: &mut Core, out: &mut Effects) {
     if core.orders.known_since.is_none()
         && core.members.registered
@@ -134,7 +134,7 @@
     });
 }
 
-/// Goes on with one pool as far as it goes without waiting.
+/// Advances one pool as far as possible without waiting.
 fn advance(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     authority::advance(core, pool, out);
     suspect::check_suspects(core, pool, out);
@@ -144,7 +144,7 @@
     }
 }
 
-/// Takes in a pool's routing state.
+/// Handles a change of a pool's routing state.
 pub fn route_watched(core: &mut Core, pool: &str, pair: &Watched, out: &mut Effects) {
     if let Some(pool) = core.fleet.pool(pool) {
         route::watched(core, pool, pair);
@@ -152,14 +152,14 @@
     }
 }
 
-/// Takes in a pool's holder.
+/// Handles a change of a pool's holder.
 pub fn holder_watched(core: &mut Core, pool: &str, pair: &Watched, out: &mut Effects) {
     if let Some(pool) = core.fleet.pool(pool) {
         authority::watched(core, pool, pair, out);
     }
 }
 
-/// Takes in the end of a job.
+/// Handles the end of a call to the key-value service.
 pub fn reply(core: &mut Core, reply: StoreReply, out: &mut Effects) {
     let StoreReply { job, result } = reply;
     let pool = match job {
@@ -180,34 +180,34 @@
     advance(core, pool, out);
 }
 
-/// Takes in whether the key-value service answers.
+/// Handles a change in whether the key-value service answers.
 pub fn health(core: &mut Core, health: Health, _out: &mut Effects) {
     match health {
         Health::Up => {
-            for desk in &mut core.orders.pools {
-                desk.authority.watch_opened(core.now);
+            for state in &mut core.orders.pools {
+                state.authority.watch_opened(core.now);
             }
         }
         Health::Down => watch_lost(core),
     }
 }
 
-/// Notes that hosts may come and go unseen.
+/// Notes that hosts may join and leave unnoticed.
 ///
-/// One that came and went meanwhile may be cut off and act on an old routing state; nothing here
-/// would tell of it.
+/// A host that came and went meanwhile may be cut off and act on an old routing state, and nothing
+/// here would show it.
 pub fn watch_lost(core: &mut Core) {
     core.orders.known_since = None;
 }
 
-/// Takes in the platform's list.
+/// Handles a change of the platform's list.
 pub fn fleet_changed(core: &mut Core, _out: &mut Effects) {
     for pool in core.orders.pool_keys() {
         route::apply(core, pool);
     }
 }
 
-/// Takes in an order's answer.
+/// Handles the answer to an order.
 pub fn order_answered(
     core: &mut Core,
     name: &str,
@@ -230,15 +230,15 @@
     }
 }
 
-/// Takes in whether an address refuses connections.
+/// Handles the result of a probe of whether an address refuses connections.
 pub fn probed(core: &mut Core, addr: std::net::SocketAddr, probe: super::event::Probe) {
     let now = core.now;
-    for desk in &mut core.orders.pools {
-        suspect::probed(&mut desk.authority, addr, probe, now);
+    for state in &mut core.orders.pools {
+        suspect::probed(&mut state.authority, addr, probe, now);
     }
 }
 
-/// Takes in a host's word on a withdrawal.
+/// Handles a host's confirmation of a withdrawal.
 pub fn confirm_received(core: &mut Core, from: HostKey, confirm: &Confirm, out: &mut Effects) {
     if let Some(pool) = core.fleet.pool(&confirm.pool) {
         drain::confirm_received(core, pool, from, confirm);
@@ -246,12 +246,12 @@
     }
 }
 
-/// Takes in the work a host took in for a pool.
+/// Handles a host's report of the work it took in for a pool.
 pub fn demand_received(core: &mut Core, from: HostKey, demand: &Demand) {
     if let Some(pool) = core.fleet.pool(&demand.pool) {
         let now = core.now;
-        let desk = core.orders.pool_mut(pool);
-        desk.demand.insert(from, (now, demand.clone()));
+        let state = core.orders.pool_mut(pool);
+        state.demand.insert(from, (now, demand.clone()));
     }
 }
 
@@ -265,14 +265,14 @@
     core.orders.departed.remove(host);
 }
 
-/// Gives authority back.
+/// Gives up the authority over all pools.
 pub fn release(core: &mut Core, out: &mut Effects) {
     for pool in core.orders.pool_keys() {
         authority::release(core, pool, out);
     }
 }
 
-/// Tells the holder of each split pool what this host took in since the last time.
+/// Reports the work taken in since the last report to the holder of each split pool.
 fn send_demand(core: &mut Core, out: &mut Effects) {
     let since = core.now.since(core.orders.demand_sent);
     if since < DEMAND_INTERVAL {
@@ -286,15 +286,15 @@
         }
         let name = name(core, pool);
         let (prompt, output) = taken.get(&name).copied().unwrap_or_default();
-        let second = since.as_secs_f64();
+        let seconds = since.as_secs_f64();
         let demand = Demand {
             pool: name,
-            prompt: prompt as f64 / second,
-            output: output as f64 / second,
+            prompt: prompt as f64 / seconds,
+            output: output as f64 / seconds,
             refused: 0.0,
         };
-        let desk = core.orders.pool_mut(pool);
-        if let Some(to) = desk
+        let state = core.orders.pool_mut(pool);
+        if let Some(to) = state
             .authority
             .holder()
             .and_then(|host| core.members.find(host))
@@ -302,7 +302,7 @@
             let message = Message::Demand(demand);
             out.push(Effect::Send { to, message });
         } else {
-            desk.demand.insert(HostKey::default(), (core.now, demand));
+            state.demand.insert(HostKey::default(), (core.now, demand));
         }
     }
 }
--- a/src/core/order/publish.rs
+++ b/src/core/order/publish.rs
@@ -1,4 +1,4 @@
-//! What the routing state of a pool should say, and its writing.
+//! What the routing state of a pool should be, and its writing.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,8 @@
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects};
 
-/// Time an engine must report another role than routing assumes before routing follows it.
+/// Time for which an engine must report another role than routing assumes before routing follows
+/// it.
 ///
 /// Longer than a report is old, so that a report from before a change does not undo it.
 const MISMATCH_TIMEOUT: Duration = Duration::from_secs(3);
@@ -20,7 +21,7 @@
     let Some((route, _)) = &core.orders.pool(pool).holder.route else {
         return;
     };
-    let mut odd = BTreeMap::new();
+    let mut mismatches = BTreeMap::new();
     for &key in &core.fleet.pools[usize::from(pool.0)].engines {
         let engine = &core.fleet.arena[key];
         let Some((_, report)) = &engine.report else {
@@ -33,20 +34,20 @@
                 .holder
                 .role_mismatches
                 .get(&engine.name);
-            odd.insert(engine.name.clone(), since.copied().unwrap_or(now));
+            mismatches.insert(engine.name.clone(), since.copied().unwrap_or(now));
         }
     }
-    core.orders.pool_mut(pool).holder.role_mismatches = odd;
+    core.orders.pool_mut(pool).holder.role_mismatches = mismatches;
 }
 
-/// Writes the routing state where it is not what it should be.
+/// Writes the routing state if it is not what it should be.
 pub(super) fn publish(core: &mut Core, pool: PoolKey, out: &mut Effects) {
-    let work = &core.orders.pool(pool).holder;
-    let Some((route, _)) = &work.route else {
+    let holder = &core.orders.pool(pool).holder;
+    let Some((route, _)) = &holder.route else {
         return;
     };
     let engines = wanted_engines(core, pool, route);
-    if engines == route.engines || work.route_call.is_some() || core.now < work.next_call {
+    if engines == route.engines || holder.route_call.is_some() || core.now < holder.next_call {
         return;
     }
     let route = Route {
@@ -56,47 +57,48 @@
     route::write(core, pool, route, out);
 }
 
-/// Returns the routing state as it should be.
+/// Returns the engines of the routing state as they should be.
 fn wanted_engines(core: &Core, pool: PoolKey, route: &Route) -> BTreeMap<Box<str>, EngineState> {
-    let work = &core.orders.pool(pool).holder;
+    let holder = &core.orders.pool(pool).holder;
     let mut engines = route.engines.clone();
-    // What the list no longer names is forgotten, but for engines with a recorded order.
+    // Engines that are no longer listed are removed, except those with a recorded order.
     let recorded = |name: &str| {
-        work.intents
+        holder
+            .intents
             .as_ref()
             .is_some_and(|all| all.contains_key(name))
     };
     engines.retain(|name, _| recorded(name) || core.fleet.find(name).is_some());
     for &key in &core.fleet.pools[usize::from(pool.0)].engines {
         let engine = &core.fleet.arena[key];
-        let mut place = route.engine_state(&engine.name);
-        place.standing = Standing::Serving;
-        let change = work.change.as_ref();
+        let mut state = route.engine_state(&engine.name);
+        state.standing = Standing::Serving;
+        let change = holder.change.as_ref();
         match change.filter(|change| change.engine == engine.name) {
             Some(Change {
                 step: Step::Restore(role),
                 ..
-            }) => place.role = *role,
-            Some(_) => place.standing = Standing::Withdrawn,
-            None if recorded(&engine.name) => place.standing = Standing::Withdrawn,
-            None => follow_report(core, pool, engine, &mut place),
+            }) => state.role = *role,
+            Some(_) => state.standing = Standing::Withdrawn,
+            None if recorded(&engine.name) => state.standing = Standing::Withdrawn,
+            None => follow_report(core, pool, engine, &mut state),
         }
-        if place == EngineState::default() {
+        if state == EngineState::default() {
             engines.remove(&engine.name);
         } else {
-            engines.insert(engine.name.clone(), place);
+            engines.insert(engine.name.clone(), state);
         }
     }
     engines
 }
 
-/// Lets routing follow an engine that has long reported another role: it restarted.
-fn follow_report(core: &Core, pool: PoolKey, engine: &Backend, place: &mut EngineState) {
-    let odd = &core.orders.pool(pool).holder.role_mismatches;
-    let long = odd
+/// Changes the routing role of an engine that has long reported another one: it restarted.
+fn follow_report(core: &Core, pool: PoolKey, engine: &Backend, state: &mut EngineState) {
+    let mismatches = &core.orders.pool(pool).holder.role_mismatches;
+    let long = mismatches
         .get(&engine.name)
         .is_some_and(|since| core.now.since(*since) >= MISMATCH_TIMEOUT);
     if let Some((_, report)) = engine.report.as_ref().filter(|_| long) {
-        place.role = report.role;
+        state.role = report.role;
     }
 }
--- a/src/core/order/record.rs
+++ b/src/core/order/record.rs
@@ -1,4 +1,4 @@
-//! What the key-value service keeps of a pool's holders for good.
+//! What the key-value service keeps permanently about a pool's holders.
 
 use std::collections::BTreeSet;
 
@@ -8,19 +8,19 @@
 use super::suspect::Process;
 use crate::store::{Op, Pair, Reply, Span, TxnReply};
 
-/// What the key without a lease says.
+/// Value of the key without a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Record {
     /// Highest fencing number given out.
     pub fence: u64,
-    /// Token of the take-over that it was given out in.
+    /// Token of the takeover in which it was given out.
     pub token: Box<str>,
-    /// Processes that may have orders on their way.
+    /// Processes that may have orders in flight.
     pub processes: Vec<Process>,
 }
 
 impl Record {
-    /// Writes it as JSON.
+    /// Encodes the record as JSON.
     pub(super) fn to_json(&self) -> Vec<u8> {
         let processes: Vec<Value> = self
             .processes
@@ -41,7 +41,7 @@
         value.to_string().into_bytes()
     }
 
-    /// Reads it from JSON.
+    /// Decodes a record from JSON.
     pub(super) fn parse(bytes: &[u8]) -> Option<Self> {
         let value: Value = serde_json::from_slice(bytes).ok()?;
         let processes = value["processes"].as_array()?.iter().map(|process| {
@@ -70,7 +70,7 @@
     format!("d/fence/{pool}").into()
 }
 
-/// Returns the steps that read both keys.
+/// Returns the operations that read both keys.
 pub(super) fn read_both(pool: &str) -> Vec<Op> {
     vec![
         Op::Get(Span::Key(holder_key(pool))),
@@ -78,7 +78,7 @@
     ]
 }
 
-/// Returns what the reads of a transaction found.
+/// Returns the pairs that a transaction read.
 pub(super) fn read_pairs(txn: &TxnReply) -> impl Iterator<Item = &Pair> {
     let got = txn.replies.iter().filter_map(|reply| match reply {
         Reply::Got(pairs) => Some(pairs),
@@ -87,7 +87,7 @@
     got.flatten()
 }
 
-/// Returns the record and its revision; `None` when it cannot be read.
+/// Returns the record and its revision; `None` if it cannot be parsed.
 pub(super) fn record_in(txn: &TxnReply, name: &str) -> Option<(Record, i64)> {
     match read_pairs(txn).find(|pair| pair.key == fence_key(name)) {
         Some(pair) => Some((Record::parse(&pair.value)?, pair.modified)),
@@ -95,7 +95,7 @@
     }
 }
 
-/// Returns the step that writes the record.
+/// Returns the operation that writes the record.
 pub(super) fn put_record(name: &str, record: &Record) -> Op {
     Op::Put {
         key: fence_key(name),
--- a/src/core/order/route.rs
+++ b/src/core/order/route.rs
@@ -1,6 +1,6 @@
 //! The routing state of a pool: which engines take new work, and their roles.
 //!
-//! The holder writes it by compare-and-swap; every host applies it as the watch tells it.
+//! The holder writes it by compare-and-swap; every host applies it as its watch delivers it.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use crate::core::{Core, Effects, Time};
 use crate::store::{Compare, Op, Span, Txn};
 
-/// What the routing state says of one engine.
+/// State of one engine in the routing state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineState {
     /// Serving or withdrawn.
@@ -26,7 +26,7 @@
 /// A pool's routing state; engines that are not named serve in both roles.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Route {
-    /// Grows with each write.
+    /// Increases with each write.
     pub revision: u64,
     /// Engines by name.
     pub engines: BTreeMap<Box<str>, EngineState>,
@@ -39,11 +39,11 @@
     pub route: Route,
     /// Revision of the key-value service at which it was written.
     pub modified: i64,
-    /// Last word to the holder.
+    /// Last confirmation sent to the holder.
     pub(super) last_confirm: Option<SentConfirm>,
 }
 
-/// A word to the holder on withdrawn engines.
+/// A confirmation about withdrawn engines, as sent to the holder.
 #[derive(Debug)]
 pub(super) struct SentConfirm {
     pub holder: Box<str>,
@@ -52,34 +52,34 @@
     pub at: Time,
 }
 
-/// A call about the routing state that is on its way.
+/// A pending call about the routing state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Call {
-    /// It is read.
+    /// Reads the state.
     Read,
-    /// This is written.
+    /// Writes this state.
     Write(Route),
 }
 
 impl Route {
-    /// Returns what it says of an engine.
+    /// Returns the state of an engine.
     #[must_use]
     pub fn engine_state(&self, engine: &str) -> EngineState {
         self.engines.get(engine).copied().unwrap_or_default()
     }
 
-    /// Writes it as JSON.
+    /// Encodes the routing state as JSON.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         let engines: BTreeMap<&str, Value> = self
             .engines
             .iter()
-            .map(|(name, place)| {
-                let state = match place.standing {
+            .map(|(name, engine)| {
+                let state = match engine.standing {
                     Standing::Serving => "serving",
                     Standing::Withdrawn | Standing::Leaving => "withdrawn",
                 };
-                let role = place.role.word();
+                let role = engine.role.word();
                 (&**name, json!({"state": state, "role": role}))
             })
             .collect();
@@ -88,16 +88,16 @@
             .into_bytes()
     }
 
-    /// Reads it from JSON.
+    /// Decodes a routing state from JSON.
     #[must_use]
     pub fn parse(bytes: &[u8]) -> Option<Self> {
         let value: Value = serde_json::from_slice(bytes).ok()?;
-        let engines = value["engines"].as_object()?.iter().map(|(name, place)| {
-            let standing = match place["state"].as_str()? {
+        let engines = value["engines"].as_object()?.iter().map(|(name, engine)| {
+            let standing = match engine["state"].as_str()? {
                 "serving" => Standing::Serving,
                 _ => Standing::Withdrawn,
             };
-            let role = Role::from_word(place["role"].as_str()?)?;
+            let role = Role::from_word(engine["role"].as_str()?)?;
             Some((Box::from(name.as_str()), EngineState { standing, role }))
         });
         Some(Self {
@@ -111,7 +111,7 @@
     format!("w/{ROUTE}/{pool}").into()
 }
 
-/// Takes in the routing state that the watch shows.
+/// Applies the routing state that the watch shows.
 pub(super) fn watched(core: &mut Core, pool: PoolKey, pair: &Watched) {
     let route = match &pair.value {
         Some(bytes) => Route::parse(bytes),
@@ -125,18 +125,18 @@
     }
 }
 
-/// Brings the engines in line with the routing state.
+/// Updates the engines to the routing state.
 pub(super) fn apply(core: &mut Core, pool: PoolKey) {
     let route = &core.orders.pool(pool).applied.route;
     for &key in &core.fleet.pools[usize::from(pool.0)].engines {
         let engine = &mut core.fleet.arena[key];
-        let place = route.engine_state(&engine.name);
-        engine.routed = place.standing;
-        engine.role = place.role;
+        let state = route.engine_state(&engine.name);
+        engine.routed = state.standing;
+        engine.role = state.role;
     }
 }
 
-/// Asks for the state as it is stored.
+/// Reads the state as it is stored.
 pub(super) fn read(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     let span = Span::Key(key(&name(core, pool)));
     core.orders.pool_mut(pool).holder.route_call = Some(Call::Read);
@@ -144,18 +144,18 @@
     out.push(Effect::Read { job, span });
 }
 
-/// Writes a new state on top of the one that is stored, provided that this host is the holder.
+/// Writes a new state over the one that is stored, provided that this host is the holder.
 pub(super) fn write(core: &mut Core, pool: PoolKey, route: Route, out: &mut Effects) {
     let pool_name = name(core, pool);
-    let desk = core.orders.pool_mut(pool);
-    let Some((_, modified)) = desk.holder.route else {
+    let orders = core.orders.pool_mut(pool);
+    let Some((_, modified)) = orders.holder.route else {
         return;
     };
     let txn = Txn {
         compare: vec![
             Compare::Value {
                 key: record::holder_key(&pool_name),
-                is: desk.authority.value.clone(),
+                is: orders.authority.value.clone(),
             },
             Compare::Modified {
                 key: key(&pool_name),
@@ -169,32 +169,32 @@
         }],
         otherwise: Vec::new(),
     };
-    desk.holder.route_call = Some(Call::Write(route));
+    orders.holder.route_call = Some(Call::Write(route));
     let job = Job::Route(pool);
     out.push(Effect::Txn { job, txn });
 }
 
-/// Takes in the end of a read or write.
+/// Handles the end of a read or write.
 ///
-/// Whatever is not a plain success is settled by reading what is stored: a write whose answer was
-/// lost may stand there or not, and the next write compares with what was found.
+/// Anything but a plain success is resolved by reading what is stored: a write whose answer was
+/// lost may have taken effect or not, and the next write compares with what was read.
 pub(super) fn reply(core: &mut Core, pool: PoolKey, result: StoreResult) {
     let now = core.now;
-    let work = &mut core.orders.pool_mut(pool).holder;
-    match (work.route_call.take(), result) {
+    let holder = &mut core.orders.pool_mut(pool).holder;
+    match (holder.route_call.take(), result) {
         (Some(Call::Read), StoreResult::Read(range)) => {
             let pair = range.pairs.first();
             let route = pair.map_or(Some(Route::default()), |pair| Route::parse(&pair.value));
-            work.route = route.map(|route| (route, pair.map_or(0, |pair| pair.modified)));
+            holder.route = route.map(|route| (route, pair.map_or(0, |pair| pair.modified)));
         }
         (Some(Call::Write(route)), StoreResult::Txn(txn)) if txn.succeeded => {
-            work.route = Some((route, txn.revision));
+            holder.route = Some((route, txn.revision));
         }
-        // The call was made under an earlier hold of the authority.
+        // The call is from an earlier time when this host was the holder.
         (None, _) => {}
         _ => {
-            work.route = None;
-            work.next_call = now.after(super::RETRY_DELAY);
+            holder.route = None;
+            holder.next_call = now.after(super::RETRY_DELAY);
         }
     }
 }
--- a/src/core/order/suspect.rs
+++ b/src/core/order/suspect.rs
@@ -1,10 +1,11 @@
-//! Processes that held a pool's authority before and may still have an order on its way.
+//! Processes that held a pool's authority before and may still have an order in flight.
 //!
-//! An engine that takes any order would take one that a paused process sends after its lease
-//! lapsed, over the successor's. The sender's own check cannot rule that out, for the pause may
-//! fall between check and write. So the successor gives such engines no order before every
-//! earlier holder has taken its name out of the record or is known dead, and what the dead left
-//! in the network has had time to land. Orders wait; traffic does not.
+//! An engine that accepts any order would accept one that a paused process sends after its lease
+//! lapsed, and let it override the successor's. The sender's own check cannot rule that out,
+//! because the pause may fall between the check and the write. So the successor gives such engines
+//! no order before every earlier holder has removed its name from the record or is known to be
+//! dead, and before what the dead processes left in the network has had time to arrive. Orders
+//! wait; traffic does not.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,12 +17,13 @@
 use crate::core::{Core, Effects, Time};
 use crate::settings::Fencing;
 
-/// Time between two looks whether an earlier holder is dead.
+/// Time between two checks of whether an earlier holder is dead.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time a host must be off the platform's list before its process counts as dead.
+/// Time for which a host must be missing from the platform's list before its process counts as
+/// dead.
 const UNLISTED_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// A process that gives orders.
+/// A host process that gives orders.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Process {
     /// Host it runs on.
@@ -44,16 +46,16 @@
     }
 }
 
-/// A process that may still have an order on its way.
+/// A process that may still have an order in flight.
 #[derive(Debug, Clone)]
 pub struct Suspect {
     /// The process.
     pub process: Process,
-    /// Since when it is known dead.
+    /// Since when it is known to be dead.
     dead_since: Option<Time>,
-    /// When it was last looked at.
+    /// When it was last checked.
     last_checked: Option<Time>,
-    /// Since when the platform's list lacks its host.
+    /// Since when its host is missing from the platform's list.
     unlisted_since: Option<Time>,
 }
 
@@ -68,20 +70,20 @@
     }
 }
 
-/// Returns whether nobody else's order can reach an engine of the pool any more.
+/// Returns whether no other process's order can reach an engine of the pool any more.
 pub(super) fn no_suspects(core: &Core, pool: PoolKey) -> bool {
     let checks = core.fleet.pools[usize::from(pool.0)].settings.fencing == Fencing::Checks;
     checks || core.orders.pool(pool).authority.suspects.is_empty()
 }
 
-/// Looks whether earlier holders are dead.
+/// Checks whether earlier holders are dead.
 pub(super) fn check_suspects(core: &mut Core, pool: PoolKey, out: &mut Effects) {
     if no_suspects(core, pool) || !authority::holds(core, pool) {
         return;
     }
     let now = core.now;
     let mut suspects = std::mem::take(&mut core.orders.pool_mut(pool).authority.suspects);
-    let mut stale = false;
+    let mut undecided = false;
     for suspect in suspects.iter_mut().filter(|one| one.dead_since.is_none()) {
         if suspect
             .last_checked
@@ -93,27 +95,27 @@
         if replaced(core, &suspect.process) || long_unlisted(core, suspect) {
             suspect.dead_since = Some(now);
         } else {
-            stale = true;
+            undecided = true;
             let addr = suspect.process.addr;
             out.push(Effect::Probe(addr));
         }
     }
-    let over = suspects.iter().all(|one| {
+    let all_clear = suspects.iter().all(|one| {
         one.dead_since
             .is_some_and(|at| now.since(at) >= MAX_FLIGHT_TIME)
     });
     core.orders.pool_mut(pool).authority.suspects = suspects;
-    if over {
+    if all_clear {
         authority::remove_dead(core, pool, out);
-    } else if stale {
+    } else if undecided {
         authority::reread_record(core, pool, out);
     }
 }
 
 /// Returns whether a later process has bound the address of this one.
 ///
-/// The name alone does not tell: a host may be replaced by another machine of the same name
-/// while the old one is only cut off.
+/// The host name alone does not show it: another machine of the same name may replace a host that
+/// is only cut off.
 fn replaced(core: &Core, process: &Process) -> bool {
     let own = Process::own(core);
     if process.host == own.host {
@@ -126,7 +128,7 @@
     })
 }
 
-/// Returns whether the platform's list has long lacked the host.
+/// Returns whether the host has been missing from the platform's list for [`UNLISTED_TIMEOUT`].
 fn long_unlisted(core: &Core, suspect: &mut Suspect) -> bool {
     let hosts = &core.fleet.hosts;
     if hosts.is_empty() || hosts.contains(&suspect.process.host) {
@@ -137,12 +139,12 @@
     core.now.since(since) >= UNLISTED_TIMEOUT
 }
 
-/// Takes in whether an address refuses connections.
-pub(super) fn probed(hold: &mut Authority, addr: SocketAddr, probe: Probe, now: Time) {
+/// Handles the result of a probe of whether an address refuses connections.
+pub(super) fn probed(authority: &mut Authority, addr: SocketAddr, probe: Probe, now: Time) {
     if probe != Probe::Refused {
         return;
     }
-    for suspect in &mut hold.suspects {
+    for suspect in &mut authority.suspects {
         if suspect.process.addr == addr {
             suspect.dead_since.get_or_insert(now);
         }
--- a/src/core/share/borrow.rs
+++ b/src/core/share/borrow.rs
@@ -127,7 +127,7 @@
     let mut wish = wish(plan, local, costs.first().copied());
     (wish.back_requests, wish.back_tokens) = back;
     let (requests, tokens) = local.available();
-    let short = |need: f64, prefetch: f64, have: f64| {
+    let shortfall = |need: f64, prefetch: f64, have: f64| {
         // Borrowing only when half of it is used keeps the requests to the owner few.
         if need > have || have < prefetch / 2.0 {
             (need + prefetch - have).max(0.0)
@@ -135,16 +135,16 @@
             0.0
         }
     };
-    let needs = |what: fn(&Cost) -> f64| costs.iter().map(what).sum::<f64>();
+    let total = |amount: fn(&Cost) -> f64| costs.iter().map(amount).sum::<f64>();
     let prefetch = (
         local.use_rate.0 * PREFETCH_SECS,
         local.use_rate.1 * PREFETCH_SECS,
     );
     if quota.requests.is_some() {
-        wish.requests = short(needs(|cost| cost.requests), prefetch.0, requests);
+        wish.requests = shortfall(total(|cost| cost.requests), prefetch.0, requests);
     }
     if quota.tokens.is_some() {
-        wish.tokens = short(needs(|cost| cost.tokens) + local.debt, prefetch.1, tokens);
+        wish.tokens = shortfall(total(|cost| cost.tokens) + local.debt, prefetch.1, tokens);
         let debt = if costs.is_empty() { 0.0 } else { local.debt };
         wish.least = (wish.least + debt - tokens).max(0.0);
     }
@@ -278,8 +278,8 @@
 
 /// Handles a peer's answer to a borrow request.
 pub fn lend_received(core: &mut Core, from: HostKey, lend: &Lend, out: &mut Effects) {
-    // The answer to a replaced request is void: the owner knows so from the newer request, which
-    // states the permits held here.
+    // The answer to a replaced request is void: the newer request states the permits held here, so
+    // that the owner does not count those of the void answer.
     let Some(pending) = core.shares.pending.get(from).copied() else {
         return;
     };
--- a/src/core/share/ledger.rs
+++ b/src/core/share/ledger.rs
@@ -92,7 +92,7 @@
         self.tokens = self.tokens.min(token_burst(quota) * self.fraction);
     }
 
-    /// Lends what a host asks for, as far as available.
+    /// Lends what a host requests, as far as available.
     pub fn lend(&mut self, host: &str, wish: &Wish, quota: &Quota, now: Time) -> Loan {
         self.last_used = now;
         self.requests += wish.back_requests;
--- a/src/core/share/pledge.rs
+++ b/src/core/share/pledge.rs
@@ -160,7 +160,7 @@
     }
 }
 
-/// Takes in the names of the hosts on the platform's list.
+/// Handles the platform's list of hosts.
 ///
 /// A host that starts during a failure learns only from the list of hosts whose leases lapsed
 /// before it started and that still serve.
@@ -206,7 +206,7 @@
 /// Returns whether this host pledges at all.
 ///
 /// A host that was not registered when its process started pledges nothing until every host that
-/// may be alive counts it; otherwise the fractions of a new host and of those that do not know it
+/// may be alive counts it; otherwise the fractions of a new host and of those that do not count it
 /// would add up to more than the whole.
 fn may_pledge(core: &Core) -> bool {
     let pledges = &core.shares.pledges;
@@ -216,8 +216,8 @@
     if !members.registered || core.stop.begun() || pledges.registered_since.is_none_or(fresh) {
         return false;
     }
-    // A peer that counts more hosts knows one that this host does not count, and that may not count
-    // this host.
+    // A peer that counts more hosts counts one that this host does not, and that may not count this
+    // host.
     let count = host_count(core);
     let more = |member: &Member| member.beat.hosts > count;
     if members.arena.values().any(more) {
@@ -498,7 +498,7 @@
     }
 }
 
-/// Returns whether a peer is the owner of a plan and may not know the permits held here.
+/// Returns whether a peer is the owner of a plan and may have no record of the permits held here.
 fn permits_unreported(core: &Core, to: HostKey) -> bool {
     let source = Some(Source::Peer(to));
     let mut shares = core.shares.local.values();
--- a/src/core/share/tests/site.rs
+++ b/src/core/share/tests/site.rs
@@ -434,17 +434,23 @@
         self.notify_watchers(&name);
     }
 
-    fn admit(&mut self, at: usize, request: RequestKey, attempt: AttemptKey, made: Option<u32>) {
+    fn admit(
+        &mut self,
+        at: usize,
+        request: RequestKey,
+        attempt: AttemptKey,
+        generated: Option<u32>,
+    ) {
         let life = self.hosts[at].life;
         self.running.insert((at, life, request));
         self.max_running = self.max_running.max(self.running.len());
         self.admitted.push(Admitted {
             at: self.now,
             requests: 1.0,
-            tokens: made.map_or(0.0, |made| f64::from(self.load.prompt + made)),
+            tokens: generated.map_or(0.0, |generated| f64::from(self.load.prompt + generated)),
         });
         let end = self.now.after(self.load.duration);
-        let events = match made {
+        let events = match generated {
             None => vec![RequestEvent::Answered {
                 attempt,
                 result: Stored::default(),
