--- a/src/core/member/heartbeat.rs
+++ b/src/core/member/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Beats: what each host tells every other at an interval, and what is taken from them.
+//! Heartbeats: state that each host sends to every other at a fixed interval.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::core::message::{Beat, Message, View};
 use crate::core::{Core, Effects, config, killer, once, share};
 
-/// Time between two beats to a peer.
+/// Time between two heartbeats to a peer.
 ///
-/// With 16 hosts this costs each 3 KB a second; pledges of shares run out after six of them.
+/// With 16 hosts, heartbeats cost each host 3 KB/s. Pledges of shares expire after six intervals.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Beats a peer may leave unechoed before the connection to it is opened anew.
+/// Number of unechoed heartbeats after which the connection to a peer is reopened.
 ///
-/// A connection can go silent for good while new ones work; the peer then still beats on its own
-/// connection, but its echo stands still.
+/// A connection can stay open and silently drop everything while new ones work. The peer's own
+/// heartbeats then still arrive on its connection, but the number they echo no longer grows.
 const MAX_UNECHOED: u64 = 16;
 
-/// Sends a beat to every peer at once, out of turn.
+/// Sends a heartbeat to every peer immediately, independent of the interval.
 pub fn send_heartbeats(core: &mut Core, out: &mut Effects) {
     let revision = core.config.revision();
     let stopping = core.stop.begun();
@@ -32,15 +32,15 @@
         let number = core.members.arena[to].last_sent + 1;
         let pledged = share::sending(core, to, number);
         let peer = &mut core.members.arena[to];
-        let lost = peer
+        let unechoed = peer
             .last_sent
             .saturating_sub(peer.heartbeat.echo.max(peer.connection_start));
-        if lost >= MAX_UNECHOED {
+        if unechoed >= MAX_UNECHOED {
             peer.connection_start = peer.last_sent;
             out.push(Effect::Reconnect(to));
         }
         peer.last_sent = number;
-        let beat = Beat {
+        let heartbeat = Beat {
             number: peer.last_sent,
             echo: peer.heartbeat.number,
             view: newest.hash,
@@ -53,22 +53,22 @@
         };
         out.push(Effect::Send {
             to,
-            message: Message::Beat(beat),
+            message: Message::Beat(heartbeat),
         });
     }
 }
 
-/// Takes in a peer's beat.
-pub fn handle_heartbeat(core: &mut Core, from: HostKey, beat: &Beat, out: &mut Effects) {
+/// Handles a peer's heartbeat.
+pub fn handle_heartbeat(core: &mut Core, from: HostKey, heartbeat: &Beat, out: &mut Effects) {
     let peer = &mut core.members.arena[from];
-    if beat.number <= peer.heartbeat.number {
+    if heartbeat.number <= peer.heartbeat.number {
         return;
     }
-    let stopping = beat.stopping != peer.heartbeat.stopping;
-    let revision = beat.revision;
+    let stopping = heartbeat.stopping != peer.heartbeat.stopping;
+    let revision = heartbeat.revision;
     let first = peer.heartbeat.number == 0;
-    peer.heartbeat = beat.clone();
-    share::heard(core, from, beat);
+    peer.heartbeat = heartbeat.clone();
+    share::heard(core, from, heartbeat);
     if first {
         killer::welcome(core, from, out);
     }
--- a/src/core/member/inbox.rs
+++ b/src/core/member/inbox.rs
@@ -1,11 +1,11 @@
-//! Which part a peer's message goes to.
+//! Dispatch of messages from peers.
 
 use super::heartbeat;
 use crate::core::key::HostKey;
 use crate::core::message::Message;
 use crate::core::{Core, Effects, config, fleet, killer, load, once, order, share, trace};
 
-/// Hands a message to the part it is for.
+/// Passes a message to the module that handles it.
 pub(super) fn dispatch(core: &mut Core, from: HostKey, message: Message, out: &mut Effects) {
     match message {
         Message::Beat(beat) => heartbeat::handle_heartbeat(core, from, &beat, out),
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -1,4 +1,4 @@
-//! The hosts of this deployment: registration, beats, and what each host vouches for.
+//! Membership: registration of hosts, heartbeats, and isolation from the others.
 
 mod heartbeat;
 mod inbox;
@@ -20,12 +20,12 @@
 
 pub use heartbeat::send_heartbeats;
 
-/// First word of the watched keys that name hosts.
+/// First segment of the watched keys of host registrations.
 pub const WATCH_PREFIX: &str = "host";
-/// Silence after which a peer counts as unheard.
+/// Time without a message after which a peer counts as unreachable.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A host of this deployment other than this one.
+/// Another host of this deployment.
 #[derive(Debug, Clone)]
 pub struct Member {
     /// Name.
@@ -38,17 +38,17 @@
     pub domain: Box<str>,
     /// Wall clock at the start of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// When it was last heard.
+    /// When its last message was received.
     pub last_seen: Option<Time>,
-    /// Its last beat.
+    /// Last heartbeat received from it.
     pub heartbeat: Beat,
-    /// Number of the last beat sent to it.
+    /// Number of the last heartbeat sent to it.
     pub last_sent: u64,
-    /// Number of the first beat sent on the present connection.
+    /// Number of the last heartbeat sent before the current connection was opened.
     connection_start: u64,
 }
 
-/// The hosts, and this host's own standing among them.
+/// The hosts, and this host's own registration.
 #[derive(Debug)]
 pub struct Members {
     /// Other hosts.
@@ -61,23 +61,23 @@
     pub view: u64,
     /// When the view last changed.
     pub view_since: Time,
-    /// Whether this host stands among the registered hosts.
+    /// Whether this host is registered.
     pub registered: bool,
-    /// Whether this host has seen itself registered since it started or last slept.
+    /// Whether this host has seen its registration since it started or was last suspended.
     pub confirmed: bool,
-    /// Registrations of rounds before this one are from before this host last slept.
+    /// Registrations with a lower round number predate the last suspension of this host.
     min_round: u64,
     /// Lease of the registration; 0 for none.
     lease: i64,
     last_round: u64,
-    /// Whether the key-value service answers.
+    /// Whether the store answers.
     pub store: Health,
-    /// When the key-value service last answered.
+    /// When the store last answered.
     pub store_last_seen: Option<Time>,
 }
 
 impl Members {
-    /// Creates the state of a host that knows no other.
+    /// Creates the state of a host without peers.
     #[must_use]
     pub fn new(host: &HostSettings, incarnation: u64) -> Self {
         Self {
@@ -120,19 +120,18 @@
         self.names.len() + 1
     }
 
-    /// Returns whether a peer was heard lately.
+    /// Returns whether a message of a peer was received within [`PEER_TIMEOUT`].
     #[must_use]
     pub fn is_alive(&self, host: HostKey, now: Time) -> bool {
         self.arena
             .get(host)
             .and_then(|member| member.last_seen)
-            .is_some_and(|heard| now.since(heard) < PEER_TIMEOUT)
+            .is_some_and(|seen| now.since(seen) < PEER_TIMEOUT)
     }
 
-    /// Returns the host that `what` falls to by rendezvous hashing; `None` for this host.
+    /// Returns the host that owns `what` by rendezvous hashing; `None` for this host.
     ///
-    /// Hosts that are stopping are passed over, so that what they have is taken over before they
-    /// are gone.
+    /// Stopping hosts are skipped, so that others take over what they own before they exit.
     #[must_use]
     pub fn remote_owner(&self, what: &str) -> Option<HostKey> {
         let mine = (weight(&self.name, what), None);
@@ -175,8 +174,8 @@
     u64::from_le_bytes(first)
 }
 
-/// Returns up to `count` peers that keep copies of this host's records, other failure domains
-/// first.
+/// Returns up to `count` reachable peers that get copies of this host's trace records, those in
+/// other failure domains first.
 #[must_use]
 pub fn copy_targets(core: &Core, count: usize) -> Vec<HostKey> {
     let members = &core.members;
@@ -197,21 +196,21 @@
     peers
 }
 
-/// Returns whether this host has been cut off for too long to take new work.
+/// Returns whether this host has been cut off for too long to accept new work.
 ///
-/// A host that hears neither the key-value service nor any other host may act on a routing view
-/// from which an engine was withdrawn long ago. After the bound it refuses, so that the others
-/// may count it out.
+/// A host that reaches neither the store nor its peers may act on a routing view in which an engine
+/// that was withdrawn long ago is still listed. After [`cut_off_bound`] it refuses work, so that
+/// the other hosts need not wait for it.
 #[must_use]
 pub fn cut_off(core: &Core) -> bool {
     let bound = cut_off_bound(core);
     let members = &core.members;
-    let recent = |heard: Option<Time>| heard.is_some_and(|at| core.now.since(at) < bound);
+    let recent = |seen: Option<Time>| seen.is_some_and(|at| core.now.since(at) < bound);
     if !members.confirmed {
         return true;
     }
-    // Peers pass on which back ends are leaving; a host that hears neither the list nor them may
-    // send work to one that left long ago.
+    // Peers pass on which backend servers are leaving; a host that gets neither the platform's list
+    // nor messages of its peers may send work to one that left long ago.
     let peers = members.names.len();
     if peers > 0 && !recent(core.fleet.read) && !most_peers_seen(core, bound) {
         return true;
@@ -222,56 +221,59 @@
     peers == 0 || !most_peers_seen(core, bound)
 }
 
-/// Returns whether most peers were heard within this time.
+/// Returns whether at least half of the peers sent a message within `bound`.
 fn most_peers_seen(core: &Core, bound: Duration) -> bool {
     let members = &core.members;
-    let heard = members
+    let seen = members
         .peers()
         .filter(|&host| {
-            let heard = members.arena[host].last_seen;
-            heard.is_some_and(|at| core.now.since(at) < bound)
+            let last_seen = members.arena[host].last_seen;
+            last_seen.is_some_and(|at| core.now.since(at) < bound)
         })
         .count();
-    heard * 2 >= members.names.len()
+    seen * 2 >= members.names.len()
 }
 
-/// Returns the time without store and peers after which a host takes no new work.
+/// Returns the time without store and peers after which a host accepts no new work.
 ///
-/// Not under the life of a lease: renewals, which show that the service answers, come thrice in
-/// that time.
+/// It is at least the TTL of a lease: renewals, which show that the store answers, are sent three
+/// times per TTL.
 #[must_use]
 pub fn cut_off_bound(core: &Core) -> Duration {
     let settings = &core.settings;
     settings.limits.cut_off.max(settings.platform.lease)
 }
 
-/// Notes that this process did nothing for a while.
+/// Handles a pause of this process that was as long as its lease or longer.
 ///
-/// A process that slept past its lease may have been counted out, and what waits in its sockets
-/// is from before: a watch that tells of the past and beats that sound fresh. It takes no new
-/// work until the key-value service shows its registration anew, and with it all that came
-/// before. The renewal that is due by now asks for that.
+/// The lease of a process that was suspended for so long may have expired, and its sockets hold
+/// data from before the pause: outdated watch events, and heartbeats that look recent. The process
+/// accepts no new work until the watch shows a registration made after the pause, and with it every
+/// earlier change. The lease renewal that is due by now makes that registration.
 pub fn detect_pause(core: &mut Core, gap: Duration, out: &mut Effects) {
     if gap < core.settings.platform.lease || !core.members.confirmed {
         return;
     }
     core.members.confirmed = false;
-    // What waits in its sockets may show its own registration, as it was before.
+    // Buffered watch events may show its own registration from before the pause.
     core.members.min_round = core.members.last_round + 1;
     core.members.registered = false;
     core.members.store_last_seen = None;
     order::missed(core);
-    let text = format!("nothing happened here for {} ms", gap.as_millis());
+    let text = format!(
+        "no event was processed for {} ms; new work is refused until this host registers again",
+        gap.as_millis()
+    );
     out.push(log_event(log::Level::Warn, "host.woke", text));
 }
 
-/// Starts beats and registration.
+/// Starts heartbeats and registration.
 pub fn start(core: &mut Core, out: &mut Effects) {
     wake(core, Timer::Beat, heartbeat::HEARTBEAT_INTERVAL, out);
     register(core, out);
 }
 
-/// Sends beats, or goes on with the registration.
+/// Sends heartbeats, or renews the registration.
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
     match timer {
         Timer::Beat => {
@@ -292,14 +294,14 @@
     });
 }
 
-/// Asks for a lease or its renewal, and does so again in time.
+/// Requests or renews the lease, and schedules the next renewal.
 fn register(core: &mut Core, out: &mut Effects) {
     request_lease(core, out);
     let life = core.settings.platform.lease;
     wake(core, Timer::Register, life / 3, out);
 }
 
-/// Gets a lease if there is none, renews it otherwise.
+/// Requests a lease if there is none, and renews it otherwise.
 fn request_lease(core: &mut Core, out: &mut Effects) {
     if core.stop.begun() {
         return;
@@ -315,7 +317,7 @@
     }
 }
 
-/// Goes on with the registration when the key-value service has answered.
+/// Continues the registration after an answer of the store.
 pub fn reply(core: &mut Core, reply: &StoreReply, out: &mut Effects) {
     if matches!(reply.result, StoreResult::Lease(_) | StoreResult::Txn(_)) {
         core.members.store_last_seen = Some(core.now);
@@ -324,8 +326,8 @@
         StoreResult::Lease(0) => {
             core.members.lease = 0;
             core.members.registered = false;
-            // Not with a time of its own: with each lapse there would be one more that asks, and
-            // each of them would add another at the next.
+            // Without another timer: each expiry would add one more renewal timer, and the number
+            // of timers would double with every further expiry.
             request_lease(core, out);
         }
         StoreResult::Lease(lease) if lease != core.members.lease || !core.members.registered => {
@@ -336,8 +338,8 @@
                 txn,
             });
         }
-        // Whether a lost write took effect shows when the watch names this host; the next
-        // renewal tries again if it does not.
+        // If the outcome of the write is unknown, the watch shows whether it took effect; if not,
+        // the next renewal tries again.
         _ => {}
     }
 }
@@ -363,7 +365,7 @@
     }
 }
 
-/// Gives the registration back, so that the others need not wait for the lease to lapse.
+/// Revokes the registration, so that the other hosts need not wait for the lease to expire.
 pub fn unregister(core: &mut Core, out: &mut Effects) {
     let lease = std::mem::take(&mut core.members.lease);
     if lease != 0 {
@@ -371,17 +373,17 @@
     }
 }
 
-/// Takes in a change of one host's registration.
+/// Handles a change of one host's registration.
 pub fn watched(core: &mut Core, name: &str, pair: &Watched, out: &mut Effects) {
     let entry = pair
         .value
         .as_deref()
         .and_then(|bytes| parse_member(name, bytes));
     if *name == *core.members.name {
-        let (incarnation, floor) = (core.members.incarnation, core.members.min_round);
+        let (incarnation, min_round) = (core.members.incarnation, core.members.min_round);
         let round = pair.value.as_deref().map_or(0, parse_round);
         core.members.registered =
-            round >= floor && entry.is_some_and(|entry| entry.incarnation == incarnation);
+            round >= min_round && entry.is_some_and(|entry| entry.incarnation == incarnation);
         core.members.confirmed |= core.members.registered;
         return;
     }
@@ -391,10 +393,10 @@
     }
 }
 
-/// Acts on the hosts as they are after a batch of changes.
+/// Applies the set of hosts after a batch of changes.
 ///
-/// What comes in one batch is one change of the view: acting on each host in turn would move
-/// shares to hosts and away again.
+/// A batch is one change of the view: applying the hosts one by one would move shares to a host and
+/// away again.
 pub fn view_changed(core: &mut Core, out: &mut Effects) {
     core.members.update_view(core.now);
     share::moved(core, out);
@@ -452,7 +454,7 @@
     })
 }
 
-/// Takes in whether the key-value service answers.
+/// Handles a change of whether the store answers.
 pub fn handle_health(core: &mut Core, health: Health, out: &mut Effects) {
     if core.members.store != health {
         let (level, name) = match health {
@@ -462,7 +464,7 @@
         out.push(log_event(
             level,
             name,
-            "the key-value service changed state",
+            "the availability of the key-value store changed",
         ));
     }
     core.members.store = health;
@@ -473,7 +475,7 @@
     order::health(core, health, out);
 }
 
-/// Takes in a message or the loss of a connection.
+/// Handles a message from a peer, or the loss of the connection to it.
 pub fn step(core: &mut Core, event: PeerEvent, out: &mut Effects) {
     match event {
         PeerEvent::Down(host) => {
@@ -483,8 +485,8 @@
             once::peer_down(core, host, out);
         }
         PeerEvent::Message { from, message } => {
-            // A host that is not registered is not heard: what it says may be of a life that
-            // ended long ago.
+            // Messages from unregistered hosts are ignored: they may be from a process that ended
+            // long ago.
             let Some(host) = core.members.find(&from) else {
                 return;
             };
--- a/src/core/once/mod.rs
+++ b/src/core/once/mod.rs
@@ -1,25 +1,25 @@
-//! Calls that may not repeat: each is recorded as started before a back end sees it.
+//! At-most-once calls: each is recorded as started before it is sent to a backend server.
 //!
-//! Records are grouped into shards, one value in the key-value service each. A shard is written
-//! by the host that it falls to by rendezvous hashing; every write is a compare-and-swap on the
-//! value last read, so that a host which wrongly believes to own a shard cannot write over
-//! another's records. Whatever is waiting when a write returns goes out with the next one, so
-//! that the number of writes does not grow with the traffic.
+//! Records are grouped into shards; each shard is one value in the store. A shard is written by
+//! the host that owns it by rendezvous hashing. Every write is a compare-and-swap on the value
+//! last read, so a host that owns a shard only by an outdated view cannot overwrite the records
+//! of another. Operations that arrive during a write go out together with the next one, so the
+//! number of writes does not grow with traffic.
 //!
-//! Only the host that serves a request may say that it did not run: it alone knows whether it
-//! ever sent it. An owner never takes a record back by itself.
+//! Only the host that serves a request may declare that it did not run: no other host can tell
+//! whether the request was ever sent. An owner never removes a start record on its own.
 
-mod ask;
 mod owner;
 mod path;
 mod record;
+mod requester;
 
-pub use ask::{
-    begin, finish, give_up, handle_begun, handle_recorded, peer_down, timer, view_changed,
-};
 pub use owner::{handle_begin, handle_done, handle_health, reply};
 pub use path::is_canonical;
 pub use record::{Call, CallName, CallState, Calls, RETENTION};
+pub use requester::{
+    begin, finish, give_up, handle_begun, handle_recorded, peer_down, timer, view_changed,
+};
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,14 +30,15 @@
 use super::message::{Begin, Done, Message};
 use super::{Core, Effects, Time};
 
-/// Number of shards. More shards make each value, and so each write, smaller.
+/// Number of shards; more shards make each value, and so each write, smaller.
 const SHARD_COUNT: u16 = 256;
-/// Rounds kept free for one millisecond of a host's starts; far more than it can ask in one.
+/// Round numbers reserved per millisecond of process start time; a host submits far fewer
+/// operations in a millisecond.
 const ROUNDS_PER_MS: u64 = 1 << 20;
-/// Time between two looks at shards that nobody uses.
+/// Time between two sweeps of unused shards.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a host asks of a shard's owner.
+/// Operation that a host requests from the owner of a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum RecordOp {
     Begin(Begin),
@@ -68,35 +69,36 @@
     }
 }
 
-/// A question of this host to an owner.
+/// Operation of this host that its owner has not confirmed yet.
 #[derive(Debug, Clone)]
 struct PendingOp {
     request: Option<RequestKey>,
     op: RecordOp,
     since: Time,
-    /// When the question was last put, and how often.
+    /// When the operation was last sent; `sends` counts how often.
     last_sent: Time,
     sends: u32,
+    /// Owner it was last sent to; `None` for this host.
     owner: Option<HostKey>,
 }
 
-/// Records of calls that may not repeat.
+/// Records of at-most-once calls.
 #[derive(Debug)]
 pub struct Once {
     shards: BTreeMap<ShardKey, owner::Shard>,
     pending: BTreeMap<u64, PendingOp>,
     last_round: u64,
     last_job: u64,
-    /// When the next look is due.
+    /// When the next check of pending operations and unused shards is due.
     next_check: Option<Time>,
 }
 
 impl Once {
-    /// Creates the state of a host that has asked nothing yet.
+    /// Creates the state of a host without pending operations.
     ///
-    /// `incarnation` is the wall clock at the start of this process, in milliseconds. Rounds start
-    /// from it: the answer to a question of a former process under the same name must not be taken
-    /// for the answer to one of this process, or a call would run without its record.
+    /// `incarnation` is the wall clock at the start of this process, in milliseconds. Round numbers
+    /// start from it: an answer to an operation of an earlier process with the same name must not
+    /// match one of this process, or a call would run without a record.
     #[must_use]
     pub fn new(incarnation: u64) -> Self {
         Self {
@@ -108,13 +110,13 @@
         }
     }
 
-    /// Returns whether no record is on its way.
+    /// Returns whether no operation is pending, here or for another host.
     #[must_use]
     pub fn idle(&self) -> bool {
         self.pending.is_empty() && self.shards.values().all(owner::Shard::idle)
     }
 
-    /// Returns how many shards are held in memory.
+    /// Returns the number of shards in memory.
     #[must_use]
     pub fn loaded_shards(&self) -> usize {
         self.shards.len()
@@ -128,14 +130,15 @@
     ShardKey(u16::from_le_bytes([bytes[0], bytes[1]]) % SHARD_COUNT)
 }
 
+/// Returns the peer that owns a shard; `None` for this host.
 fn remote_owner(core: &Core, shard: ShardKey) -> Option<HostKey> {
     core.members.remote_owner(&format!("once/{}", shard.0))
 }
 
-/// Asks for a look after `span`, unless one comes sooner.
+/// Schedules a check after `span`, unless an earlier one is scheduled.
 fn schedule_check(core: &mut Core, span: Duration, out: &mut Effects) {
     let at = core.now.after(span);
-    if core.once.next_check.is_none_or(|look| at < look) {
+    if core.once.next_check.is_none_or(|due| at < due) {
         core.once.next_check = Some(at);
         let timer = Timer::Once;
         out.push(Effect::Wake { at, timer });
--- a/src/core/once/owner.rs
+++ b/src/core/once/owner.rs
@@ -1,9 +1,9 @@
-//! The side of a shard's owner: reads the shard, writes what is wished, answers.
+//! Owner side of at-most-once records: reads the shard, applies and writes operations, answers.
 
 use std::time::Duration;
 
 use super::record::{self, CallState, Calls};
-use super::{RecordOp, SWEEP_INTERVAL, ask, remote_owner, schedule_check};
+use super::{RecordOp, SWEEP_INTERVAL, remote_owner, requester, schedule_check};
 use crate::core::effect::{Effect, log_event};
 use crate::core::event::{Health, Job, StoreReply, StoreResult};
 use crate::core::key::{HostKey, ShardKey};
@@ -12,14 +12,14 @@
 use crate::store::{Compare, Op, Range, Span, Txn};
 use crate::wire;
 
-/// Time after which an unused shard leaves the memory.
+/// Time without use after which a shard is unloaded.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
-/// Time for which what was read about a running call is passed on without reading it again.
+/// Age of the last confirmed read or write up to which a call is reported as running from memory.
 const MAX_READ_AGE: Duration = Duration::from_secs(1);
-/// Most bytes of unused shards kept in memory; a host's whole budget is 64 MB.
+/// Bytes of loaded shards above which idle ones are unloaded; the host's memory budget is 64 MB.
 const MAX_LOADED_BYTES: usize = 8 * 1024 * 1024;
 
-/// A wish and where its answer goes; `None` for this host.
+/// Operation and the peer to answer; `None` for this host.
 #[derive(Debug, Clone)]
 pub(super) struct QueuedOp {
     pub(super) from: Option<HostKey>,
@@ -30,27 +30,28 @@
 #[derive(Debug, Default)]
 pub(super) struct Shard {
     pub(super) calls: Calls,
-    /// Bytes of the value, about.
+    /// Approximate size of the value.
     pub(super) bytes: usize,
-    /// Revision of the value in the key-value service that `calls` grew from; `None` before it
-    /// was read.
+    /// Store revision of the value that `calls` is based on; 0 if the key does not exist, `None`
+    /// before it is read.
     revision: Option<i64>,
-    /// Number of the read or write on its way.
+    /// Number of the read or write in flight.
     ///
-    /// A shard can move away and back while a call is on its way. Without a number the answer of
-    /// an old write would be taken for that of a new read, and the records for none.
+    /// A shard can move to another host and back while a store call is in flight. Without the
+    /// number, the answer to an old write would be taken for the answer to a new read, and the
+    /// shard for empty.
     job: Option<u64>,
-    /// Wishes in the write on its way, with their answers.
+    /// Operations in the write in flight, with their answers.
     writing: Vec<(QueuedOp, Message)>,
-    /// Wishes not looked at yet.
+    /// Operations not processed yet.
     queue: Vec<QueuedOp>,
     last_used: Time,
-    /// When the key-value service last confirmed what is here.
+    /// When the store last confirmed `calls`.
     last_confirmed: Time,
 }
 
 impl Shard {
-    /// Returns whether nothing waits for this shard.
+    /// Returns whether no operation is queued or in flight.
     pub(super) fn idle(&self) -> bool {
         self.job.is_none() && self.queue.is_empty() && self.writing.is_empty()
     }
@@ -60,13 +61,13 @@
     format!("d/once/{}", shard.0).into()
 }
 
-/// Gives up shards that fall to another host.
+/// Drops shards that another host owns by the current view.
 pub(super) fn drop_moved_shards(core: &mut Core, out: &mut Effects) {
     let shards = core.once.shards.keys().copied();
-    let gone: Vec<ShardKey> = shards
+    let moved: Vec<ShardKey> = shards
         .filter(|&key| remote_owner(core, key).is_some())
         .collect();
-    for key in gone {
+    for key in moved {
         let Some(shard) = core.once.shards.remove(&key) else {
             continue;
         };
@@ -77,7 +78,7 @@
     }
 }
 
-/// Tells a peer that this host does not own the shard.
+/// Answers a peer's start that this host does not own the shard.
 fn reply_not_owner(core: &mut Core, queued: &QueuedOp, out: &mut Effects) {
     if let (Some(_), RecordOp::Begin(begin)) = (queued.from, &queued.op) {
         let message = begun_message(begin, BeginState::NotOwner);
@@ -85,7 +86,7 @@
     }
 }
 
-/// When the key-value service is back, reads what waits.
+/// Processes queued operations once the store is available again.
 pub fn handle_health(core: &mut Core, health: Health, out: &mut Effects) {
     if health == Health::Up {
         let shards: Vec<ShardKey> = core.once.shards.keys().copied().collect();
@@ -95,19 +96,19 @@
     }
 }
 
-/// A peer asks for the record of a start.
+/// Handles a peer's request to record a start.
 pub fn handle_begin(core: &mut Core, from: HostKey, begin: Begin, out: &mut Effects) {
-    let (from, wish) = (Some(from), RecordOp::Begin(begin));
-    enqueue(core, QueuedOp { from, op: wish }, out);
+    let (from, op) = (Some(from), RecordOp::Begin(begin));
+    enqueue(core, QueuedOp { from, op }, out);
 }
 
-/// A peer asks for the record of an end.
+/// Handles a peer's request to record an end.
 pub fn handle_done(core: &mut Core, from: HostKey, done: Done, out: &mut Effects) {
-    let (from, wish) = (Some(from), RecordOp::Done(done));
-    enqueue(core, QueuedOp { from, op: wish }, out);
+    let (from, op) = (Some(from), RecordOp::Done(done));
+    enqueue(core, QueuedOp { from, op }, out);
 }
 
-/// Takes a wish into the queue of its shard.
+/// Adds an operation to the queue of its shard.
 pub(super) fn enqueue(core: &mut Core, queued: QueuedOp, out: &mut Effects) {
     let key = queued.op.shard();
     if queued.from.is_some() && remote_owner(core, key).is_some() {
@@ -133,9 +134,9 @@
     schedule_check(core, SWEEP_INTERVAL, out);
 }
 
-/// Reads the shard if need be, then writes what the queue changes.
+/// Reads the shard if necessary, then applies the queue and writes the changes.
 fn process_queue(core: &mut Core, key: ShardKey, out: &mut Effects) {
-    // Ends wait here for the service to come back; asking meanwhile would only add to its load.
+    // Ends stay queued until the store is back; calls to it meanwhile would only add load.
     if core.members.store == Health::Down {
         return;
     }
@@ -149,7 +150,7 @@
     if time.since(shard.last_confirmed) > MAX_READ_AGE && needs_reread(shard) {
         shard.revision = None;
     }
-    let Some(read) = shard.revision else {
+    let Some(revision) = shard.revision else {
         let span = Span::Key(shard_key(key));
         let job = new_job(core, key);
         out.push(Effect::Read { job, span });
@@ -159,13 +160,13 @@
     for queued in std::mem::take(&mut shard.queue) {
         apply_op(core, key, queued, out);
     }
-    write_shard(core, key, read, out);
+    write_shard(core, key, revision, out);
 }
 
-/// Returns whether a start is about another request's call that had started when the shard was last read.
+/// Returns whether a queued start meets a record that another request left at "started".
 ///
-/// Another host may have owned the shard since, while this one was suspended or cut off, and have
-/// written the call's end. Callers would be told "running" for as long as this host remembers.
+/// While this host was suspended or cut off, another host may have owned the shard and recorded
+/// the end of that call. Callers would get "running" for as long as this host keeps the shard.
 fn needs_reread(shard: &Shard) -> bool {
     shard.queue.iter().any(|queued| {
         let RecordOp::Begin(begin) = &queued.op else {
@@ -185,10 +186,10 @@
     Job::Record(key, number)
 }
 
-/// Applies a wish to the records in memory; it is answered when the change is written.
+/// Applies an operation to the records in memory; it is answered when the change is written.
 ///
-/// What changes nothing is answered at once, but for what this very write is about: that is
-/// looked at again when the write is done.
+/// An operation that changes nothing is answered immediately, unless the write being prepared
+/// changes the same record: then it is processed again after that write.
 fn apply_op(core: &mut Core, key: ShardKey, queued: QueuedOp, out: &mut Effects) {
     let (changed, message) = match &queued.op {
         RecordOp::Begin(begin) => {
@@ -221,7 +222,7 @@
     }
 }
 
-fn write_shard(core: &mut Core, key: ShardKey, read: i64, out: &mut Effects) {
+fn write_shard(core: &mut Core, key: ShardKey, revision: i64, out: &mut Effects) {
     let Some(shard) = core.once.shards.get_mut(&key) else {
         return;
     };
@@ -231,7 +232,7 @@
     let value = wire::encode_shard(&shard.calls);
     shard.bytes = value.len();
     let at = shard_key(key);
-    let compare = match read {
+    let compare = match revision {
         0 => Compare::Absent { key: at.clone() },
         modified => Compare::Modified {
             key: at.clone(),
@@ -252,7 +253,7 @@
     out.push(Effect::Txn { job, txn });
 }
 
-/// Goes on with a shard that was read or written.
+/// Handles the store's answer to a read or write of a shard.
 pub fn reply(core: &mut Core, reply: StoreReply, out: &mut Effects) {
     let Job::Record(key, number) = reply.job else {
         return;
@@ -274,7 +275,7 @@
             }
             process_queue(core, key, out);
         }
-        // Another host wrote the shard: read it anew and look at each wish again.
+        // Another host wrote the shard: read it again and reapply each operation.
         StoreResult::Txn(_) => {
             requeue_writes(shard);
             process_queue(core, key, out);
@@ -284,9 +285,9 @@
             refuse_begins(core, key, &BeginState::StoreDown, out);
         }
         _ => {
-            let wrote = !shard.writing.is_empty();
+            let was_write = !shard.writing.is_empty();
             requeue_writes(shard);
-            let state = if wrote {
+            let state = if was_write {
                 BeginState::Unclear
             } else {
                 BeginState::StoreDown
@@ -300,7 +301,7 @@
     let pair = range.pairs.first();
     let calls = pair.map_or(Some(Calls::new()), |pair| wire::decode_shard(&pair.value));
     let (Some(calls), Some(shard)) = (calls, core.once.shards.get_mut(&key)) else {
-        let text = format!("record shard {} cannot be read", key.0);
+        let text = format!("record shard {} in the store cannot be decoded", key.0);
         out.push(log_event(log::Level::Error, "once.unreadable", text));
         refuse_begins(core, key, &BeginState::StoreDown, out);
         return;
@@ -320,7 +321,7 @@
     shard.queue = before.chain(queue).collect();
 }
 
-/// The key-value service did not answer: callers are told at once, ends are kept for later.
+/// Refuses queued starts after a failed store call; ends stay queued.
 fn refuse_begins(core: &mut Core, key: ShardKey, state: &BeginState, out: &mut Effects) {
     let Some(shard) = core.once.shards.get_mut(&key) else {
         return;
@@ -355,15 +356,15 @@
                 state,
                 request,
             },
-        ) => ask::handle_begun(core, round, state, request, out),
+        ) => requester::handle_begun(core, round, state, request, out),
         (None, Message::Recorded { round, durable }) => {
-            ask::handle_recorded(core, round, durable, out)
+            requester::handle_recorded(core, round, durable, out)
         }
         (None, _) => {}
     }
 }
 
-/// Unloads shards that nobody uses, those unused for longest first.
+/// Unloads idle shards: those past the idle timeout, then the least recently used above the limit.
 pub(super) fn sweep(core: &mut Core) {
     let now = core.now;
     let shards = &mut core.once.shards;
--- a/src/core/once/record.rs
+++ b/src/core/once/record.rs
@@ -1,24 +1,24 @@
-//! The records of a shard, and what they say to a start and to an end.
+//! The records of a shard, and how starts and ends of calls change them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::ask;
+use super::requester;
 use crate::core::effect::Effect;
 use crate::core::event::{Print, Stored};
 use crate::core::key::{HostKey, ShardKey};
 use crate::core::message::{Begin, BeginState, Done, DoneState, Message};
 use crate::core::{Core, Effects, trace};
 
-/// Time a record is kept, from the start of its call; hosts' clocks must agree to far less.
+/// Time a record is kept, from the start of its call; the clocks of hosts must differ by far less.
 pub const RETENTION: Duration = Duration::from_hours(24);
-/// Bytes of a shard from which on new calls are refused; a value holds a megabyte.
+/// Shard size above which new calls are refused; a value in the store holds at most 1 MB.
 const MAX_BYTES_FOR_STARTS: usize = 800 * 1024;
-/// Bytes of a shard from which on answers are no longer kept, only that the call ran.
+/// Shard size above which responses are no longer kept, only that the call ran.
 const MAX_BYTES_FOR_RESULTS: usize = 900 * 1024;
-/// Bytes that a record takes besides its texts and its answer.
+/// Size of a record besides its strings and its response.
 const RECORD_OVERHEAD_BYTES: usize = 64;
-/// Bytes kept free for the end of a call that has started.
+/// Bytes reserved for the end of a started call.
 const END_RESERVE_BYTES: usize = 192;
 
 /// One recorded call.
@@ -26,20 +26,20 @@
 pub struct Call {
     /// Fingerprint of the call.
     pub fingerprint: Print,
-    /// Request that started it.
+    /// Id of the request that started it.
     pub request: Box<str>,
-    /// How far it is.
+    /// State.
     pub state: CallState,
-    /// When it was recorded; milliseconds since the Unix epoch.
+    /// When its start was recorded; milliseconds since the Unix epoch.
     pub recorded_ms: u64,
 }
 
-/// How far a recorded call is.
+/// State of a recorded call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallState {
-    /// It was about to be sent.
+    /// Recorded before it is sent to a backend server; it may be running.
     Started,
-    /// It ended with this answer.
+    /// It ended with this response.
     Done(Stored),
     /// It may have run.
     MayHaveRun,
@@ -51,22 +51,22 @@
 /// Recorded calls by name.
 pub type Calls = BTreeMap<CallName, Call>;
 
-/// Where the host is that serves a request.
+/// The host that serves a request.
 enum ServingHost {
     This,
     Peer(HostKey),
-    /// It is not registered, or another process has its name.
+    /// It is not registered, or another process is registered under its name.
     Gone,
 }
 
-/// Drops records whose time is over.
+/// Drops expired records.
 pub(super) fn expire(calls: &mut Calls, now: u64) {
     let keep = u64::try_from(RETENTION.as_millis()).unwrap_or(u64::MAX);
     calls.retain(|_, call| call.recorded_ms.saturating_add(keep) > now);
 }
 
-/// Looks up a start; returns whether it changed the records, what they say, and the request that
-/// first used the key.
+/// Applies a start; returns whether it changed the records, the resulting state, and the request
+/// that first used the key.
 pub(super) fn apply_begin(
     core: &mut Core,
     key: ShardKey,
@@ -74,35 +74,35 @@
     out: &mut Effects,
 ) -> (bool, BeginState, Box<str>) {
     let name = (begin.customer.clone(), begin.key.clone());
-    let own = begin.request.clone();
+    let request = begin.request.clone();
     let now = core.wall();
     let shard = core.once.shards.entry(key).or_default();
     let Some(call) = shard.calls.get(&name) else {
         let size =
-            name.0.len() + name.1.len() + own.len() + RECORD_OVERHEAD_BYTES + END_RESERVE_BYTES;
+            name.0.len() + name.1.len() + request.len() + RECORD_OVERHEAD_BYTES + END_RESERVE_BYTES;
         if shard.bytes + size > MAX_BYTES_FOR_STARTS {
-            return (false, BeginState::Full, own);
+            return (false, BeginState::Full, request);
         }
         shard.bytes += size;
         let call = Call {
             fingerprint: begin.print,
-            request: own.clone(),
+            request: request.clone(),
             state: CallState::Started,
             recorded_ms: now,
         };
         shard.calls.insert(name, call);
-        return (true, BeginState::Started, own);
+        return (true, BeginState::Started, request);
     };
     let first = call.request.clone();
     let state = match &call.state {
         _ if call.fingerprint != begin.print => BeginState::OtherBody,
         CallState::Done(result) => BeginState::Done(result.clone()),
         CallState::MayHaveRun => BeginState::MayHaveRun,
-        CallState::Started if first == own => BeginState::Started,
+        CallState::Started if first == request => BeginState::Started,
         CallState::Started => match serving_host(core, &first) {
             ServingHost::Gone => BeginState::MayHaveRun,
-            server => {
-                notify_started(core, &server, &first, out);
+            host => {
+                notify_started(core, &host, &first, out);
                 BeginState::Running
             }
         },
@@ -110,16 +110,18 @@
     (false, state, first)
 }
 
-/// Tells the host of a request that its call is recorded as started.
+/// Notifies the host that serves a request that its call is recorded as started.
 ///
-/// Where that host has long told its caller "not run", because the answer about the record was
-/// lost on the way, it then takes the record back, and the key's next repeat can run.
-fn notify_started(core: &mut Core, server: &ServingHost, first: &str, out: &mut Effects) {
-    // No question has this number: hosts count from the time of their start.
+/// If that host has answered "not run" to its caller, because the answer about the record was
+/// lost, it then removes the record, and the next retry with the key can run.
+fn notify_started(core: &mut Core, host: &ServingHost, first: &str, out: &mut Effects) {
+    // No operation has this number: round numbers start from the time of the process start.
     let round = 0;
     let request: Box<str> = first.into();
-    match *server {
-        ServingHost::This => ask::handle_begun(core, round, BeginState::Started, request, out),
+    match *host {
+        ServingHost::This => {
+            requester::handle_begun(core, round, BeginState::Started, request, out)
+        }
         ServingHost::Peer(to) => out.push(Effect::Send {
             to,
             message: Message::Begun {
@@ -132,7 +134,7 @@
     }
 }
 
-/// Returns where the host is that serves a request, in the same life.
+/// Returns the host process that serves a request, by the tag in the request id.
 fn serving_host(core: &Core, request: &str) -> ServingHost {
     let tag = request.split('-').next().unwrap_or_default();
     let members = &core.members;
@@ -144,20 +146,20 @@
     found.map_or(ServingHost::Gone, |(host, _)| ServingHost::Peer(host))
 }
 
-/// Takes in an end; returns whether the shard is to be written for it.
+/// Applies an end; returns whether the shard must be written for it.
 ///
-/// Ends can come late and more than once. Only a record that is still at "started" is taken back,
-/// and a result stands for good: a late "not run" would otherwise let the next repeat run a call
-/// that has run.
+/// Ends can arrive late and more than once. Only a record that is still at "started" is removed,
+/// and a recorded result is final: otherwise a late "not run" would let the next retry run a call
+/// that has already run.
 pub(super) fn apply_done(core: &mut Core, key: ShardKey, done: &Done) -> bool {
     let name = (done.customer.clone(), done.key.clone());
     let shard = core.once.shards.entry(key).or_default();
     let call = shard.calls.get_mut(&name);
     let Some(call) = call.filter(|call| call.request == done.request) else {
-        // The start may be recorded all the same: by another owner since this host read the shard,
-        // or by a write that is still on its way. Writing the shard as it is tells: it fails in
-        // the first case, and makes the other write fail in the second. Without it a call that has
-        // ended would be called running for as long as its record lasts.
+        // The start may still be recorded: by another owner since this host read the shard, or by
+        // a write that is in flight. Writing the shard unchanged settles this: the write fails in
+        // the first case, and makes the other write fail in the second. Without it, a call that
+        // has ended would be reported as running until its record expires.
         return true;
     };
     match &done.outcome {
@@ -168,7 +170,7 @@
             let kept = if fits {
                 result.clone()
             } else {
-                ask::oversized_placeholder(result.status)
+                requester::oversized_placeholder(result.status)
             };
             shard.bytes += kept.body.len() + kept.media.len();
             call.state = CallState::Done(kept);
--- a/src/core/once/ask.rs
+++ b/src/core/once/requester.rs
@@ -1,4 +1,5 @@
-//! The side of the host that serves a request: asks owners for records, and answers callers.
+//! Requester side of at-most-once records: the host that serves a request submits operations to
+//! shard owners and answers the caller.
 
 use std::time::Duration;
 
@@ -12,39 +13,41 @@
 use crate::core::{Core, Effects, stop, trace};
 use crate::error::{Kind, Ran};
 
-/// Largest answer kept with a record; a longer one is answered once and then only named.
+/// Largest response body kept with a record; a larger one reaches the first caller only, and
+/// retries get a placeholder.
 const MAX_RESULT_BYTES: usize = 16 * 1024;
-/// Time a caller waits for the record of its call's start or end.
+/// Time a caller waits for its call's start or end to be recorded.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two looks at questions that wait for an owner.
+/// Time between two checks of pending operations.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time until a question is put again.
+/// Time without an answer after which an operation is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
-/// Most questions on their way; beyond it new calls are refused, for none may be forgotten.
+/// Maximum number of pending operations; beyond it new calls are refused, since a pending
+/// operation must not be dropped.
 const MAX_PENDING_OPS: usize = 4096;
-/// Media type of the note that stands for an answer too long to keep.
+/// Media type of the placeholder for a response that is too large to keep.
 const PROBLEM_MEDIA: &str = "application/problem+json";
 
-/// Asks for the record that a call starts.
+/// Requests the record that a call starts.
 pub fn begin(core: &mut Core, key: RequestKey, out: &mut Effects) {
     if core.once.pending.len() >= MAX_PENDING_OPS {
-        let detail = "too many records are on their way to the key-value service";
+        let detail = "too many operations on call records are pending at this host";
         request::refuse(core, key, Refusal::new(Kind::StoreDown, detail), out);
         return;
     }
     let round = next_round(core);
     let request = &core.requests.arena[key];
-    let wish = RecordOp::Begin(Begin {
+    let op = RecordOp::Begin(Begin {
         round,
         customer: request.record.customer.clone(),
         key: request.idempotency_key.clone().unwrap_or_default(),
         print: request.fingerprint,
         request: request.record.id.clone(),
     });
-    submit(core, round, Some(key), wish, out);
+    submit(core, round, Some(key), op, out);
 }
 
-/// Asks for the record of a call's answer; the caller is answered once it is kept.
+/// Requests the record of a call's response; the caller is answered when it is stored.
 pub fn finish(core: &mut Core, key: RequestKey, result: Stored, out: &mut Effects) {
     let kept = if result.body.len() > MAX_RESULT_BYTES {
         oversized_placeholder(result.status)
@@ -55,7 +58,7 @@
     record_end(core, key, DoneState::Result(kept), out);
 }
 
-/// Returns the note that stands for an answer too long to keep.
+/// Returns the placeholder for a response that is too large to keep.
 pub(super) fn oversized_placeholder(status: u16) -> Stored {
     let text = "{\"title\":\"The call ran; its answer was too long to be kept for a repeat.\"}";
     Stored {
@@ -65,60 +68,60 @@
     }
 }
 
-/// Asks for the record that a call was given up, then refuses it.
+/// Requests the record that a call was given up, then refuses it.
 pub fn give_up(core: &mut Core, key: RequestKey, refusal: Refusal, out: &mut Effects) {
     let outcome = match refusal.ran {
         Ran::No => DoneState::NotRun,
         Ran::Yes | Ran::Unknown => DoneState::MayHaveRun,
     };
     record_end(core, key, outcome, out);
-    // The final answer does not wait for the record: whatever becomes of it, this host will not
-    // run the call again, and a record left at "started" only refuses repeats.
+    // The refusal does not wait for the record: whether or not it is stored, this host does not run
+    // the call again, and a record that stays at "started" only causes retries to be refused.
     request::refuse(core, key, refusal, out);
 }
 
 fn record_end(core: &mut Core, key: RequestKey, outcome: DoneState, out: &mut Effects) {
     let round = next_round(core);
     let request = &core.requests.arena[key];
-    let wish = RecordOp::Done(Done {
+    let op = RecordOp::Done(Done {
         round,
         customer: request.record.customer.clone(),
         key: request.idempotency_key.clone().unwrap_or_default(),
         request: request.record.id.clone(),
         outcome,
     });
-    submit(core, round, Some(key), wish, out);
+    submit(core, round, Some(key), op, out);
 }
 
-/// Takes back the record of a request that ended without having been sent.
+/// Removes the start record of a request that ended without having been sent.
 ///
-/// A start can be recorded although its caller was told "not run": the answer of the write, or of
-/// the owner, was lost or late. The record would refuse every repeat for a day. This host's own
-/// explanation tells whether the request was ever sent; where that is forgotten nothing is done.
+/// A start can be recorded although its caller received "not run": the answer of the write or of
+/// the owner was lost or late. Such a record would refuse every retry for a day. This host's own
+/// trace record shows whether the request was ever sent; if it was evicted, nothing is done.
 fn release_start(core: &mut Core, id: &str, out: &mut Effects) {
     let Some(record) = core.traces.own(id) else {
         return;
     };
-    // Its outcome may be that of another request with its key; what counts is what it sent itself.
+    // The outcome may be that of another request with the same key; only its own attempts count.
     let mut attempts = record.attempts.iter();
     let unsent = attempts.all(|attempt| attempt.ran == Some(Ran::No));
     if record.outcome.is_empty() || !unsent {
         return;
     }
     let (customer, key) = (record.customer.clone(), record.key.clone());
-    let mut asked = core.once.pending.values();
-    if asked.any(|asked| matches!(&asked.op, RecordOp::Done(done) if *done.request == *id)) {
+    let mut pending = core.once.pending.values();
+    if pending.any(|pending| matches!(&pending.op, RecordOp::Done(done) if *done.request == *id)) {
         return;
     }
     let round = next_round(core);
-    let wish = RecordOp::Done(Done {
+    let op = RecordOp::Done(Done {
         round,
         customer,
         key,
         request: id.into(),
         outcome: DoneState::NotRun,
     });
-    submit(core, round, None, wish, out);
+    submit(core, round, None, op, out);
 }
 
 fn next_round(core: &mut Core) -> u64 {
@@ -130,65 +133,63 @@
     core: &mut Core,
     round: u64,
     request: Option<RequestKey>,
-    wish: RecordOp,
+    op: RecordOp,
     out: &mut Effects,
 ) {
-    let asked = PendingOp {
+    let pending = PendingOp {
         request,
-        op: wish,
+        op,
         since: core.now,
         last_sent: core.now,
         sends: 0,
         owner: None,
     };
-    core.once.pending.insert(round, asked);
+    core.once.pending.insert(round, pending);
     send_op(core, round, out);
     schedule_check(core, CHECK_INTERVAL, out);
 }
 
-/// Puts a question to the shard's owner by the present view.
+/// Sends an operation to the owner of its shard by the current view.
 fn send_op(core: &mut Core, round: u64, out: &mut Effects) {
-    let Some(shard) = core.once.pending.get(&round).map(|asked| asked.op.shard()) else {
+    let Some(shard) = core
+        .once
+        .pending
+        .get(&round)
+        .map(|pending| pending.op.shard())
+    else {
         return;
     };
-    let to = remote_owner(core, shard);
-    let Some(asked) = core.once.pending.get_mut(&round) else {
+    let owner = remote_owner(core, shard);
+    let Some(pending) = core.once.pending.get_mut(&round) else {
         return;
     };
-    asked.owner = to;
-    asked.last_sent = core.now;
-    asked.sends += 1;
-    let wish = asked.op.clone();
-    match to {
+    pending.owner = owner;
+    pending.last_sent = core.now;
+    pending.sends += 1;
+    let op = pending.op.clone();
+    match owner {
         Some(to) => out.push(Effect::Send {
             to,
-            message: wish.message(),
+            message: op.message(),
         }),
-        None => owner::enqueue(
-            core,
-            QueuedOp {
-                from: None,
-                op: wish,
-            },
-            out,
-        ),
+        None => owner::enqueue(core, QueuedOp { from: None, op }, out),
     }
 }
 
-/// Puts questions again that have waited, gives up those that waited too long, and unloads shards.
+/// Resends unanswered operations, handles those that timed out, and unloads unused shards.
 pub fn timer(core: &mut Core, out: &mut Effects) {
-    if core.once.next_check.is_some_and(|look| core.now < look) {
+    if core.once.next_check.is_some_and(|check| core.now < check) {
         return;
     }
     core.once.next_check = None;
     let rounds: Vec<u64> = core.once.pending.keys().copied().collect();
     for round in rounds {
-        let Some(asked) = core.once.pending.get(&round) else {
+        let Some(pending) = core.once.pending.get(&round) else {
             continue;
         };
-        if core.now.since(asked.since) >= RECORD_TIMEOUT {
+        if core.now.since(pending.since) >= RECORD_TIMEOUT {
             op_timed_out(core, round, out);
-        } else if core.now.since(asked.last_sent) >= RESEND_INTERVAL {
+        } else if core.now.since(pending.last_sent) >= RESEND_INTERVAL {
             send_op(core, round, out);
         }
     }
@@ -200,20 +201,20 @@
     }
 }
 
-/// The owner did not answer in time.
+/// Handles an operation that its owner did not answer in time.
 fn op_timed_out(core: &mut Core, round: u64, out: &mut Effects) {
-    let Some(asked) = core.once.pending.get_mut(&round) else {
+    let Some(pending) = core.once.pending.get_mut(&round) else {
         return;
     };
-    match &asked.op {
+    match &pending.op {
         RecordOp::Begin(_) => {
-            let detail = "the start of the call could not be recorded in time";
+            let detail = "the start of the call was not recorded within 2 s";
             refuse_start(core, round, detail, out);
         }
-        // The caller gets its answer; the record is put again until it is kept.
+        // The caller gets its response; the record is sent again until it is stored.
         RecordOp::Done(_) => {
-            asked.since = core.now;
-            if let Some(key) = asked.request.take() {
+            pending.since = core.now;
+            if let Some(key) = pending.request.take() {
                 deliver_result(core, key, out);
             }
             send_op(core, round, out);
@@ -221,15 +222,15 @@
     }
 }
 
-/// Refuses a call whose start is not known to be recorded, and takes back what may be.
+/// Refuses a call whose start is not confirmed as recorded, and removes the record that may exist.
 fn refuse_start(core: &mut Core, round: u64, detail: &str, out: &mut Effects) {
-    let Some(asked) = core.once.pending.remove(&round) else {
+    let Some(pending) = core.once.pending.remove(&round) else {
         return;
     };
-    if let Some(key) = asked.request.filter(|key| is_starting(core, *key)) {
+    if let Some(key) = pending.request.filter(|key| is_starting(core, *key)) {
         request::refuse(core, key, Refusal::new(Kind::StoreDown, detail), out);
     }
-    if let RecordOp::Begin(begin) = asked.op {
+    if let RecordOp::Begin(begin) = pending.op {
         release_start(core, &begin.request, out);
     }
 }
@@ -239,27 +240,28 @@
     request.is_some_and(|request| request.phase == Phase::Starting)
 }
 
-/// A peer is gone: questions to it are put again to whom its shards fall.
+/// Sends operations that are pending at a disconnected peer again, by the current view.
 pub fn peer_down(core: &mut Core, host: HostKey, out: &mut Effects) {
-    resend_matching(core, |asked| asked.owner == Some(host), out);
+    resend_matching(core, |pending| pending.owner == Some(host), out);
 }
 
-/// The view changed: shards that fall to another host are given up, and questions are put again.
+/// Drops shards that another host owns by the new view, and sends this host's operations on them
+/// to the new owners.
 pub fn view_changed(core: &mut Core, out: &mut Effects) {
     owner::drop_moved_shards(core, out);
-    resend_matching(core, |asked| asked.owner.is_none(), out);
+    resend_matching(core, |pending| pending.owner.is_none(), out);
 }
 
 fn resend_matching(core: &mut Core, which: impl Fn(&PendingOp) -> bool, out: &mut Effects) {
-    let asked = core.once.pending.iter();
-    let asked = asked.filter(|(_, asked)| which(asked));
-    let rounds: Vec<u64> = asked.map(|(round, _)| *round).collect();
+    let pending = core.once.pending.iter();
+    let pending = pending.filter(|(_, pending)| which(pending));
+    let rounds: Vec<u64> = pending.map(|(round, _)| *round).collect();
     for round in rounds {
         send_op(core, round, out);
     }
 }
 
-/// The owner answered about a start.
+/// Handles an owner's answer about a start.
 pub fn handle_begun(
     core: &mut Core,
     round: u64,
@@ -267,39 +269,40 @@
     first: Box<str>,
     out: &mut Effects,
 ) {
-    let Some(asked) = core.once.pending.get(&round) else {
-        // The question was given up before its answer came, or an owner wonders about a record.
+    let Some(pending) = core.once.pending.get(&round) else {
+        // The operation was given up before its answer came, or an owner met a start record of
+        // this host's on behalf of another request (round 0).
         if state == BeginState::Started {
             release_start(core, &first, out);
         }
         return;
     };
-    let RecordOp::Begin(begin) = &asked.op else {
+    let RecordOp::Begin(begin) = &pending.op else {
         return;
     };
-    let once = asked.sends == 1;
+    let sent_once = pending.sends == 1;
     match state {
-        // Put again at the next look, when this view or the peer's has caught up.
+        // Sent again by the next checks, until this host's view and the peer's agree.
         BeginState::NotOwner => {}
         BeginState::Started if first != begin.request => {}
-        // A host that was suspended in between has no idea what happened meanwhile.
-        BeginState::Started if core.now.since(asked.since) >= RECORD_TIMEOUT => {
+        // Handled this late, the answer found this host suspended; the record may have changed since.
+        BeginState::Started if core.now.since(pending.since) >= RECORD_TIMEOUT => {
             refuse_start(
                 core,
                 round,
-                "the start of the call was recorded too late",
+                "the start of the call was recorded only after 2 s",
                 out,
             );
         }
-        BeginState::StoreDown if once => {
-            if let Some(key) = asked.request.filter(|key| is_starting(core, *key)) {
+        BeginState::StoreDown if sent_once => {
+            if let Some(key) = pending.request.filter(|key| is_starting(core, *key)) {
                 let refusal = refusal(&BeginState::StoreDown, &first);
                 request::refuse(core, key, refusal, out);
             }
             core.once.pending.remove(&round);
         }
         BeginState::StoreDown | BeginState::Unclear => {
-            let detail = "the key-value service does not answer";
+            let detail = "the key-value store does not answer";
             refuse_start(core, round, detail, out);
         }
         state => apply_state(core, round, state, first, out),
@@ -307,10 +310,10 @@
     stop::look(core, out);
 }
 
-/// Goes on with a call whose record is known.
+/// Continues a call according to the state of its record.
 fn apply_state(core: &mut Core, round: u64, state: BeginState, first: Box<str>, out: &mut Effects) {
-    let asked = core.once.pending.remove(&round);
-    let key = asked.and_then(|asked| asked.request);
+    let pending = core.once.pending.remove(&round);
+    let key = pending.and_then(|pending| pending.request);
     let Some(key) = key.filter(|key| is_starting(core, *key)) else {
         return;
     };
@@ -321,7 +324,7 @@
             request::dispatch(core, key, out);
         }
         BeginState::Done(result) => {
-            let text = format!("ran before as {first}; its answer is repeated");
+            let text = format!("ran as {first}; the recorded response is returned");
             request::note(core, key, text);
             request::reply(core, key, result, Some(first), out);
         }
@@ -329,43 +332,50 @@
     }
 }
 
-/// Returns the refusal for a call that is not to run.
+/// Returns the refusal for a call that must not run.
 fn refusal(state: &BeginState, first: &str) -> Refusal {
     match state {
-        // The first request may still be given up before it is sent.
-        BeginState::Running => {
-            Refusal::new(Kind::StillRunning, format!("it runs as {first}")).ran(Ran::Unknown)
-        }
-        BeginState::MayHaveRun => {
-            Refusal::new(Kind::MayHaveRun, format!("{first} may have run it"))
-        }
-        BeginState::OtherBody => {
-            Refusal::new(Kind::KeyReused, format!("the key belongs to {first}"))
-        }
-        BeginState::Full => Refusal::new(Kind::RecordsFull, "the shard of this key is full"),
+        // The first request may still be given up before it is sent, so `ran` is unknown.
+        BeginState::Running => Refusal::new(
+            Kind::StillRunning,
+            format!("request {first} with the same idempotency key is still running"),
+        )
+        .ran(Ran::Unknown),
+        BeginState::MayHaveRun => Refusal::new(
+            Kind::MayHaveRun,
+            format!("request {first} may have run the call"),
+        ),
+        BeginState::OtherBody => Refusal::new(
+            Kind::KeyReused,
+            format!("the idempotency key was used for another call by request {first}"),
+        ),
+        BeginState::Full => Refusal::new(
+            Kind::RecordsFull,
+            "the record shard of this idempotency key is full",
+        ),
         BeginState::Started
         | BeginState::Done(_)
         | BeginState::StoreDown
         | BeginState::Unclear
         | BeginState::NotOwner => {
-            Refusal::new(Kind::StoreDown, "the key-value service does not answer")
+            Refusal::new(Kind::StoreDown, "the key-value store does not answer")
         }
     }
 }
 
-/// The owner answered about an end.
+/// Handles an owner's answer about an end.
 pub fn handle_recorded(core: &mut Core, round: u64, durable: bool, out: &mut Effects) {
     if !durable {
         return;
     }
-    let asked = core.once.pending.remove(&round);
-    if let Some(key) = asked.and_then(|asked| asked.request) {
+    let pending = core.once.pending.remove(&round);
+    if let Some(key) = pending.and_then(|pending| pending.request) {
         deliver_result(core, key, out);
     }
     stop::look(core, out);
 }
 
-/// Gives the caller the answer of its call.
+/// Sends the caller the response that waited for its record.
 fn deliver_result(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let request = core.requests.arena.get_mut(key);
     if let Some(result) = request.and_then(|request| request.result.take()) {
