--- a/src/core/request/arrive.rs
+++ b/src/core/request/arrive.rs
@@ -1,4 +1,4 @@
-//! A request is taken in: checked, given its share, and let go.
+//! Arrival of a request: checks, its plan's share, and dispatch.
 
 use std::time::Duration;
 
@@ -11,15 +11,16 @@
 use super::{MAX_RETRY_BUDGET, Phase, Progress, RETRY_FRACTION, Request};
 use crate::error::Kind;
 
-/// Time a request waits for its plan's share: longer than hosts need to settle after a change.
+/// Time a request waits for its plan's share; longer than shares take to settle after a change of
+/// hosts.
 const SHARE_TIMEOUT: Duration = Duration::from_secs(4);
 
 pub(super) fn arrived(core: &mut Core, arrival: Arrival, out: &mut Effects) {
     let mut record = core.traces.new_record(core.wall());
-    let holder = core.config.index.get(arrival.caller).cloned();
-    if let Some(holder) = &holder {
-        record.customer = holder.customer.clone();
-        record.plan = holder.plan.clone();
+    let account = core.config.index.get(arrival.caller).cloned();
+    if let Some(account) = &account {
+        record.customer = account.customer.clone();
+        record.plan = account.plan.clone();
     }
     record.target = target(&arrival.want);
     record.key = arrival.idem.clone().unwrap_or_default();
@@ -60,7 +61,7 @@
         request: key,
         id,
     });
-    let checked = if holder.is_some() {
+    let checked = if account.is_some() {
         check(core, key)
     } else {
         Err(Refusal::new(Kind::BadKey, "no customer has this key"))
@@ -78,28 +79,30 @@
     }
 }
 
-/// Checks everything that needs no other host and costs no share.
+/// Runs all checks that need no other host and take nothing from the plan's share.
 fn check(core: &mut Core, key: RequestKey) -> Result<(), Refusal> {
     if member::cut_off(core) {
-        let detail = "this host hears neither the key-value service nor its peers";
+        let detail =
+            "this host is cut off from its peers or the key-value store, or not registered yet";
         return Err(Refusal::new(Kind::CutOff, detail));
     }
-    let most = core.settings.limits.requests;
-    if core.requests.arena.len() > most {
-        let detail = format!("this host holds {most} requests");
+    let max_requests = core.settings.limits.requests;
+    if core.requests.arena.len() > max_requests {
+        let detail = format!("this host holds its maximum of {max_requests} requests");
         return Err(Refusal::new(Kind::Overloaded, detail));
     }
     check_plan(core, key)?;
     let request = &core.requests.arena[key];
-    let print = request.fingerprint;
-    killer::check(core, print)?;
+    let fingerprint = request.fingerprint;
+    killer::check(core, fingerprint)?;
     if let Some(need) = need(request) {
-        admit::check(core, &need, print)?;
+        admit::check(core, &need, fingerprint)?;
     }
     Ok(())
 }
 
-/// Checks that the plan may use what the caller wants.
+/// Checks that the target exists, that the plan may use it, and that a call that is not retryable
+/// has an idempotency key.
 fn check_plan(core: &mut Core, key: RequestKey) -> Result<(), Refusal> {
     let request = &mut core.requests.arena[key];
     let uses = &core.config.lists.uses;
@@ -116,7 +119,7 @@
         ),
     };
     if !known {
-        let detail = format!("there is no {}", request.class);
+        let detail = format!("no such model or service: {}", request.class);
         return Err(Refusal::new(Kind::NotFound, detail));
     }
     if !allowed {
@@ -126,7 +129,7 @@
     if let Want::Service(want) = &request.want {
         request.retryable = uses.rule(&want.service, &want.method, &want.path);
         if !request.retryable && request.idempotency_key.is_none() {
-            let detail = "this call may not repeat and has no Idempotency-Key";
+            let detail = "this call is not retryable and has no Idempotency-Key header";
             return Err(Refusal::new(Kind::KeyMissing, detail));
         }
     }
@@ -144,17 +147,17 @@
     }
 }
 
-/// Refuses a request whose plan's share is used up.
+/// Refuses a request whose plan has exhausted its share.
 pub fn refuse_spent(core: &mut Core, key: RequestKey, retry: Duration, out: &mut Effects) {
     let plan = &core.requests.arena[key].record.plan;
     let refusal = Refusal::new(
         Kind::ShareSpent,
-        format!("the share of plan {plan} is used up"),
+        format!("the share of plan {plan} is exhausted"),
     );
     refuse(core, key, refusal.retry(retry), out);
 }
 
-/// Goes on with a request that has its share.
+/// Continues a request that got its share.
 pub fn share_granted(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let request = &mut core.requests.arena[key];
     if request.retryable {
@@ -175,7 +178,7 @@
         dispatch(core, key, out);
     } else if request.phase == Phase::Share {
         share::forget(core, key);
-        let detail = "no host lent a part of the plan's share in time";
+        let detail = "no part of the plan's share was granted within 4 s";
         refuse(core, key, Refusal::new(Kind::ShareSpent, detail), out);
     }
 }
--- a/src/core/request/attempt.rs
+++ b/src/core/request/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at back ends, and the pieces that they bring.
+//! Attempts at backend servers, and the events of their streams.
 
 use super::super::effect::{Effect, Meter, Open, Refusal};
 use super::super::event::{Break, Stored, Timer, Want};
@@ -10,7 +10,7 @@
 use super::{Attempt, Flow, Phase, Progress, Request, millis};
 use crate::error::{Kind, Ran};
 
-/// Sends a request to a back end.
+/// Sends a request to a backend server.
 pub fn dispatch(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let request = &core.requests.arena[key];
     if let Err(refusal) = killer::check(core, request.fingerprint) {
@@ -18,9 +18,9 @@
         give_up(core, key, refusal.ran(ran), out);
         return;
     }
-    let print = request.fingerprint;
+    let fingerprint = request.fingerprint;
     let chosen = if let Some(mut need) = need(request) {
-        killer::narrow(core, &mut need, print);
+        killer::narrow(core, &mut need, fingerprint);
         route::engine(core, &need)
     } else {
         let (service, avoid) = (request.class.clone(), request.avoid.clone());
@@ -32,7 +32,7 @@
             Want::Model(_) => Kind::NoEngine,
             Want::Service(_) => Kind::ServiceDown,
         };
-        let detail = format!("nothing that serves {} takes work", request.class);
+        let detail = format!("no backend server for {} accepts work", request.class);
         let ran = request.ran();
         give_up(core, key, Refusal::new(kind, detail).ran(ran), out);
         return;
@@ -43,7 +43,7 @@
     open_attempt(core, key, choice, None, out);
 }
 
-/// Returns what a completion needs of an engine; `None` for a call of a service.
+/// Returns the requirements of a completion on an engine; `None` for a service call.
 pub(super) fn need(request: &Request) -> Option<Need> {
     let want = request.model()?;
     Some(Need {
@@ -55,7 +55,7 @@
     })
 }
 
-/// Opens an attempt at a back end; `label` resumes the one of that name.
+/// Opens an attempt at a backend server; a given `label` resumes the attempt with that label.
 pub(super) fn open_attempt(
     core: &mut Core,
     key: RequestKey,
@@ -64,8 +64,8 @@
     out: &mut Effects,
 ) {
     let backend = choice.engine;
-    let filler = choice.prefill.unwrap_or(backend);
-    let queued = load::queued(core, filler);
+    let prefiller = choice.prefill.unwrap_or(backend);
+    let queued = load::queued(core, prefiller);
     let (prompt, output) = match &core.requests.arena[key].want {
         Want::Model(want) => {
             let output = load::expected(core, backend, want.output);
@@ -75,8 +75,8 @@
     };
     let request = &mut core.requests.arena[key];
     let resume = label.is_some().then_some(request.delivered);
-    let fresh = || format!("{}.{}", request.record.id, request.tries).into();
-    let label = label.unwrap_or_else(fresh);
+    let new_label = || format!("{}.{}", request.record.id, request.tries).into();
+    let label = label.unwrap_or_else(new_label);
     let attempt = core.requests.attempts.insert(Attempt {
         request: key,
         backend,
@@ -133,7 +133,7 @@
             });
         }
     }
-    load::sent(core, filler, prompt, out);
+    load::sent(core, prefiller, prompt, out);
     if let Some(prefill) = choice.prefill {
         core.fleet.sent(prefill, prompt, 0);
         core.fleet.sent(backend, 0, output);
@@ -152,27 +152,28 @@
             core.fleet.works(prefill);
             core.fleet
                 .ended(prefill, std::mem::take(&mut attempt.prompt), 0);
-            let (sent, ahead) = (attempt.sent, attempt.backlog);
-            load::filled(core, prefill, sent, ahead);
+            let (sent, backlog) = (attempt.sent, attempt.backlog);
+            load::filled(core, prefill, sent, backlog);
         }
     }
 }
 
-/// Notes that the caller does not take what the engine brings.
+/// Notes that the caller does not read and that reading from the engine is paused.
 ///
-/// Reading on would pile the answer up here, and a few callers on a weak signal would end the
-/// host. The engine is not silent meanwhile: it is not read.
+/// Otherwise the answer would be buffered here, and a few callers on slow links would exhaust the
+/// memory of the host. The pause does not count as silence of the engine.
 pub(super) fn delivery_blocked(core: &mut Core, attempt: AttemptKey) {
     if let Some(attempt) = core.requests.attempts.get_mut(attempt) {
         attempt.flow = Flow::Paused;
     }
 }
 
-/// Passes a piece on if it is the next one of the attempt in hand.
+/// Forwards a stream event to the caller if it is the next one of the current attempt.
 ///
-/// Pieces may come late, twice or out of order, and those of an attempt that was given up may
-/// still arrive. Only the piece that starts where the caller's answer ends is passed on; one that
-/// starts later means that something between is lost, and the attempt is resumed from there.
+/// Events may arrive late, twice or out of order, and those of an attempt that was given up may
+/// still arrive. Only the event that starts at the end of the delivered answer is forwarded. One
+/// that starts later means that tokens in between were lost: the attempt is resumed after the last
+/// delivered token.
 pub(super) fn stream_event(
     core: &mut Core,
     key: AttemptKey,
@@ -214,7 +215,7 @@
             after,
         }));
     }
-    let filled = (!attempt.has_tokens).then(|| {
+    let prefill_done = (!attempt.has_tokens).then(|| {
         attempt.has_tokens = true;
         attempt.first_token = core.now;
         let prompt = std::mem::take(&mut attempt.prompt);
@@ -229,10 +230,10 @@
     if let Some(record) = request.record.attempts.last_mut() {
         record.tokens += tokens;
     }
-    if let Some((backend, sent, ahead, prompt)) = filled
+    if let Some((backend, sent, backlog, prompt)) = prefill_done
         && prompt > 0
     {
-        load::filled(core, backend, sent, ahead);
+        load::filled(core, backend, sent, backlog);
     }
 }
 
@@ -245,7 +246,7 @@
         return;
     }
     if !core.requests.arena[request].finished {
-        let detail = "the end marker came before the end of the answer";
+        let detail = "the end marker arrived before the finish reason";
         attempt_failed(core, key, Ran::Yes, Break::Cut, detail, out);
         return;
     }
@@ -254,8 +255,8 @@
     let entry = &core.requests.arena[request];
     let record = entry.record.attempts.last();
     let tokens = record.map_or(0, |record| u64::from(record.tokens));
-    let most = entry.model().map_or(0, |want| want.output);
-    load::decoded(core, backend, span, tokens, most);
+    let max_output = entry.model().map_or(0, |want| want.output);
+    load::decoded(core, backend, span, tokens, max_output);
     close_attempt(core, key, "whole", Ran::Yes);
     out.push(Effect::Finish(request));
     end(core, request, "answered", Ran::Yes, out);
--- a/src/core/request/end.rs
+++ b/src/core/request/end.rs
@@ -1,4 +1,4 @@
-//! How a request ends.
+//! End of a request: answer, refusal, or a caller that disconnected.
 
 use super::super::effect::{Effect, Meter, Refusal};
 use super::super::event::Stored;
@@ -7,7 +7,7 @@
 use super::{Phase, millis, note};
 use crate::error::{Kind, Ran};
 
-/// Answers with a service's answer.
+/// Answers a request with the response of a service.
 pub fn reply(
     core: &mut Core,
     key: RequestKey,
@@ -23,7 +23,7 @@
     end(core, key, "answered", Ran::Yes, out);
 }
 
-/// Refuses a request, after its record says so where it may not repeat.
+/// Refuses a request; the end of one that is not retryable is recorded too.
 pub(super) fn give_up(core: &mut Core, key: RequestKey, refusal: Refusal, out: &mut Effects) {
     if core.requests.arena[key].retryable {
         refuse(core, key, refusal, out);
@@ -33,7 +33,7 @@
     }
 }
 
-/// Answers that there will be no whole answer.
+/// Answers a request with an error, in place of a complete answer.
 pub fn refuse(core: &mut Core, key: RequestKey, refusal: Refusal, out: &mut Effects) {
     let (outcome, ran) = (refusal.kind.answer().code, refusal.ran);
     note(core, key, refusal.detail.clone());
@@ -49,18 +49,18 @@
         return;
     };
     request.caller_left = true;
-    // A call that may not repeat goes on: its caller will ask for the result with the same key.
+    // A call that is not retryable continues: the caller will request the result with the same key.
     if !request.retryable && request.phase != Phase::Share {
-        note(core, key, "the caller left; the call goes on");
+        note(core, key, "the caller disconnected; the call continues");
         return;
     }
     if let Some(attempt) = request.attempt {
         out.push(Effect::Cancel(attempt));
-        close_attempt(core, attempt, "the caller left", Ran::Unknown);
+        close_attempt(core, attempt, "the caller disconnected", Ran::Unknown);
     }
     share::forget(core, key);
     let ran = core.requests.arena[key].ran();
-    note(core, key, "the caller left");
+    note(core, key, "the caller disconnected");
     end(core, key, Kind::CallerLeft.answer().code, ran, out);
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Ends a request: its record is whole, its share settled, its key gone.
+/// Ends a request: completes its trace record, settles its share and frees its key.
 pub(super) fn end(
     core: &mut Core,
     key: RequestKey,
@@ -112,7 +112,7 @@
         outcome,
         lasted,
     }));
-    // Whoever guesses keys must not push the records of customers out.
+    // Requests with guessed keys must not evict the records of customers.
     if !request.record.customer.is_empty() {
         core.traces.keep(request.record);
     }
--- a/src/core/request/failure.rs
+++ b/src/core/request/failure.rs
@@ -1,4 +1,4 @@
-//! Attempts that end without a whole answer: resumed, made elsewhere, or given up.
+//! Attempts that end without a complete answer: resumed, retried elsewhere, or given up.
 
 use std::time::Duration;
 
@@ -12,30 +12,30 @@
 use super::{Flow, Phase, millis, note};
 use crate::error::{Kind, Ran};
 
-/// Most attempts at one request, resumed streams not counted.
+/// Maximum number of attempts at one request, not counting resumed streams.
 const MAX_TRIES: u8 = 4;
-/// Times one stream is resumed at the same engine.
+/// Maximum number of times that a stream is resumed at the same engine.
 const MAX_RESUMES: u8 = 2;
-/// Time between the loss of an engine and the next try elsewhere.
+/// Delay between the failure of an engine and the retry at another one.
 ///
-/// The request may be what the engine died of. Another host may have lost an engine to it in the
-/// same moment, and what that host says is on its way.
+/// The request may have crashed the engine. Another host may have lost an engine to it at the same
+/// time, and the report of that host may still be in flight.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Takes in the end of an attempt without a whole answer: resumes it, tries elsewhere, or gives
+/// Handles the end of an attempt without a complete answer: resumes it, retries elsewhere, or gives
 /// the request up.
 pub(super) fn attempt_failed(
     core: &mut Core,
     key: AttemptKey,
     ran: Ran,
-    how: Break,
+    cause: Break,
     detail: &str,
     out: &mut Effects,
 ) {
     let Some(attempt) = core.requests.attempts.get(key) else {
         return;
     };
-    // Until the prefill is done, it is the engine that prefills which failed.
+    // Until the prefill is done, a failure is attributed to the prefill engine.
     let (backend, split) = match attempt.prefill {
         Some(prefill) => (prefill, true),
         None => (attempt.backend, false),
@@ -46,17 +46,17 @@
     let entry = &mut core.requests.arena[request];
     if matches!(entry.want, Want::Service(_)) {
         core.fleet.failed(backend, core.now);
-        service_failed(core, request, backend, ran, how, detail, out);
+        service_failed(core, request, backend, ran, cause, detail, out);
         return;
     }
-    if how == Break::Rejected {
+    if cause == Break::Rejected {
         let refusal = Refusal::new(Kind::Malformed, detail).ran(ran);
         refuse(core, request, refusal, out);
         return;
     }
-    if matches!(how, Break::Cut | Break::Silent) && entry.resumes < MAX_RESUMES && !split {
+    if matches!(cause, Break::Cut | Break::Silent) && entry.resumes < MAX_RESUMES && !split {
         entry.resumes += 1;
-        entry.last_break = Some(how);
+        entry.last_break = Some(cause);
         note(
             core,
             request,
@@ -65,30 +65,31 @@
         resume(core, request, backend, label, out);
         return;
     }
-    if how == Break::Forgotten {
+    if cause == Break::Forgotten {
         core.fleet.works(backend);
     } else {
         core.fleet.failed(backend, core.now);
     }
     let entry = &mut core.requests.arena[request];
-    // It closed this stream and now neither answers nor knows it: it died while running it. After
-    // a silence the same shows only that the connection or the network is lost.
-    let gone = matches!(how, Break::Unreachable | Break::Forgotten);
-    // While it prefills for another there is nothing to resume, and so nothing more to ask it.
-    let died = gone && entry.last_break == Some(Break::Cut) || split && how == Break::Cut;
-    if died || how != Break::Forgotten {
+    // The engine closed this stream and now does not answer or does not know the attempt: it
+    // crashed while running it. After a silence the same only shows that the connection or the
+    // network was lost.
+    let gone = matches!(cause, Break::Unreachable | Break::Forgotten);
+    // A prefill for another engine cannot be resumed, so a closed connection counts as a crash.
+    let crashed = gone && entry.last_break == Some(Break::Cut) || split && cause == Break::Cut;
+    if crashed || cause != Break::Forgotten {
         entry.avoid.push(backend);
     }
     entry.resumes = 0;
     entry.last_break = None;
-    if died {
+    if crashed {
         killer::suspect(core, request, backend, out);
     }
-    let pause = match how {
-        Break::Refused | Break::Forgotten if !died => Duration::ZERO,
+    let delay = match cause {
+        Break::Refused | Break::Forgotten if !crashed => Duration::ZERO,
         _ => RETRY_DELAY,
     };
-    retry(core, request, detail, Kind::EngineFailed, pause, out);
+    retry(core, request, detail, Kind::EngineFailed, delay, out);
 }
 
 pub(super) fn resume(
@@ -105,35 +106,37 @@
     }
 }
 
-/// Tries elsewhere if tries and the budget of repeats allow, and gives the request up otherwise.
+/// Retries elsewhere if the attempt limit and the retry budget allow, and gives the request up
+/// otherwise.
 pub(super) fn retry(
     core: &mut Core,
     key: RequestKey,
     detail: &str,
     kind: Kind,
-    pause: Duration,
+    delay: Duration,
     out: &mut Effects,
 ) {
     let request = &core.requests.arena[key];
     let ran = request.ran();
     if request.tries >= MAX_TRIES {
-        let refusal = Refusal::new(kind, format!("{detail}; no try is left")).ran(ran);
+        let refusal = Refusal::new(kind, format!("{detail}; no attempts left")).ran(ran);
         give_up(core, key, refusal, out);
     } else if core.requests.take_retry() {
         let class = core.requests.arena[key].class.clone();
         out.push(Effect::Meter(Meter::Retried { class }));
-        note(core, key, format!("{detail}; tried elsewhere"));
-        if pause.is_zero() {
+        note(core, key, format!("{detail}; retried elsewhere"));
+        if delay.is_zero() {
             dispatch(core, key, out);
         } else {
             core.requests.arena[key].phase = Phase::Pause;
             out.push(Effect::Wake {
-                at: core.now.after(pause),
+                at: core.now.after(delay),
                 timer: Timer::Request(key),
             });
         }
     } else {
-        let refusal = Refusal::new(kind, format!("{detail}; too many repeats just now")).ran(ran);
+        let refusal =
+            Refusal::new(kind, format!("{detail}; the retry budget is exhausted")).ran(ran);
         give_up(core, key, refusal, out);
     }
 }
@@ -143,13 +146,13 @@
     key: RequestKey,
     backend: BackendKey,
     ran: Ran,
-    how: Break,
+    cause: Break,
     detail: &str,
     out: &mut Effects,
 ) {
     let request = &mut core.requests.arena[key];
     request.avoid.push(backend);
-    let kind = match how {
+    let kind = match cause {
         Break::Unreachable | Break::Refused => Kind::ServiceDown,
         Break::Cut | Break::Silent | Break::Forgotten | Break::Rejected => Kind::ServiceFailed,
     };
@@ -161,11 +164,10 @@
     }
 }
 
-/// Looks whether an attempt has fallen silent.
+/// Checks whether an attempt has brought no data for too long.
 ///
-/// Something between the two ends can lose track of a connection: it then stays open and silent
-/// for good, while new ones work. The caller would wait for ever; a fresh connection resumes the
-/// stream where it stopped.
+/// A middlebox can lose the state of a connection, which then stays open without any data while new
+/// ones work. The caller would wait forever; a new connection resumes the stream where it stopped.
 pub(super) fn check_silence(core: &mut Core, key: AttemptKey, out: &mut Effects) {
     let Some(attempt) = core.requests.attempts.get(key) else {
         return;
@@ -189,7 +191,7 @@
         return;
     }
     let detail = format!(
-        "silent for {} ms",
+        "no data for {} ms",
         millis(core.now.since(attempt.last_progress))
     );
     attempt_failed(core, key, Ran::Unknown, Break::Silent, &detail, out);
--- a/src/core/request/mod.rs
+++ b/src/core/request/mod.rs
@@ -1,4 +1,4 @@
-//! The life of a request: taken in, admitted, attempted, answered or refused.
+//! Lifecycle of a request: arrival, admission, attempts, answer or refusal.
 
 mod arrive;
 mod attempt;
@@ -19,21 +19,21 @@
 pub use attempt::dispatch;
 pub use end::{refuse, reply};
 
-/// Part of the requests that our own repeats may add.
+/// Fraction of the requests that retries of this host may add; each arrival adds it to the budget.
 const RETRY_FRACTION: f64 = 0.1;
-/// Repeats that may be saved up: enough for every stream of a few engines that die at once.
+/// Maximum retry budget: enough for every stream of a few engines that crash at the same time.
 const MAX_RETRY_BUDGET: f64 = 64.0;
 
-/// What a request waits for.
+/// Phase of a request: what it waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// A part of its plan's share.
+    /// Its part of the plan's share.
     Share,
-    /// The record that it starts.
+    /// The record of its start.
     Starting,
-    /// What other hosts know of the engine that was lost.
+    /// The delay before a retry, during which reports of other hosts on the failure may arrive.
     Pause,
-    /// A back end.
+    /// A backend server.
     Running,
     /// The record of its end.
     Saving,
@@ -42,7 +42,7 @@
 /// A request being served.
 #[derive(Debug)]
 pub struct Request {
-    /// What the caller wants.
+    /// Model or service that the caller requests.
     pub want: Want,
     /// The caller's idempotency key.
     pub idempotency_key: Option<Box<str>>,
@@ -50,75 +50,76 @@
     pub fingerprint: Print,
     /// When it arrived.
     pub arrived: Time,
-    /// When the last token was passed on.
+    /// When the last token was forwarded.
     pub last_token: Option<Time>,
-    /// Tokens passed on to the caller.
+    /// Tokens forwarded to the caller.
     pub delivered: u64,
-    /// What it waits for.
+    /// Current phase.
     pub phase: Phase,
-    /// The attempt in hand.
+    /// Current attempt.
     pub attempt: Option<AttemptKey>,
     /// Whether it may run more than once.
     pub retryable: bool,
     /// What it took of its plan's share.
     pub taken: share::Taken,
-    /// What became of it so far.
+    /// Trace record so far.
     pub record: Record,
-    /// Back ends that failed it.
+    /// Backend servers that failed it.
     pub avoid: Vec<BackendKey>,
-    /// Answer of a call that may not repeat, while its record is on its way.
+    /// Response of a call that is not retryable, while its record is pending.
     pub result: Option<Stored>,
     /// Whether the caller has closed its connection.
     pub caller_left: bool,
-    /// Whether the piece with the finish reason was passed on.
+    /// Whether the event with the finish reason was forwarded.
     finished: bool,
     progress: Progress,
-    /// How the last attempt was lost, while the same engine is asked to go on with it.
+    /// How the last attempt ended, while it is being resumed at the same engine.
     last_break: Option<Break>,
     tries: u8,
     resumes: u8,
     class: Box<str>,
 }
 
-/// What the engine in hand has brought of the answer.
+/// What the current engine has sent of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Nothing,
     Tokens,
 }
 
-/// Why an attempt brings nothing at the moment.
+/// Why an attempt brings no data at the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Flow {
-    /// The engine has nothing yet, or its connection is lost.
+    /// The engine has sent nothing, or its connection is lost.
     Open,
-    /// The caller does not take what came; nothing is read from the engine.
+    /// The caller does not read, so nothing is read from the engine.
     Paused,
 }
 
-/// One attempt at one back end.
+/// One attempt at one backend server.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The request.
+    /// Request.
     pub request: RequestKey,
-    /// The back end.
+    /// Backend server.
     pub backend: BackendKey,
-    /// Engine that prefills for the back end, until it is done.
+    /// Engine that does the prefill for `backend`, until the prefill is done.
     prefill: Option<BackendKey>,
     /// When it was sent.
     sent: Time,
-    /// When it brought the first token.
+    /// When the first token arrived; `sent` until then.
     first_token: Time,
-    /// Prompt tokens that the engine had then, by this host's reckoning, its own among them.
+    /// Prompt tokens queued at the engine when it was sent, as estimated by this host, including its
+    /// own.
     backlog: u64,
-    /// Name at the back end.
+    /// Name of the attempt at the backend server.
     label: Box<str>,
-    /// When it was sent, or last brought something.
+    /// When it was sent, or when data last arrived.
     last_progress: Time,
-    /// Whether anything of the answer arrived.
+    /// Whether tokens of the answer have arrived.
     has_tokens: bool,
     flow: Flow,
-    /// Tokens counted into the back end's backlog.
+    /// Prompt and output tokens counted into the backlog of the backend server.
     prompt: u64,
     output: u64,
 }
@@ -130,7 +131,7 @@
     pub arena: SlotMap<RequestKey, Request>,
     /// Attempts.
     pub attempts: SlotMap<AttemptKey, Attempt>,
-    /// Repeats that may be made now.
+    /// Retries that are allowed now.
     retry_budget: f64,
 }
 
@@ -145,17 +146,17 @@
 }
 
 impl Requests {
-    /// Returns whether one more repeat may be made, and counts it.
+    /// Returns whether another retry is allowed, and takes it from the budget.
     fn take_retry(&mut self) -> bool {
-        let may = self.retry_budget >= 1.0;
-        if may {
+        let allowed = self.retry_budget >= 1.0;
+        if allowed {
             self.retry_budget -= 1.0;
         }
-        may
+        allowed
     }
 }
 
-/// Takes in one event about a request.
+/// Handles an event of a request.
 pub fn step(core: &mut Core, event: RequestEvent, out: &mut Effects) {
     match event {
         RequestEvent::Arrived(arrival) => arrive::arrived(core, *arrival, out),
@@ -178,7 +179,7 @@
     }
 }
 
-/// Takes in the end of a wait.
+/// Handles an expired timer of a request or an attempt.
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
     match timer {
         Timer::Request(key) => arrive::wait_ended(core, key, out),
@@ -187,7 +188,7 @@
     }
 }
 
-/// Adds a decision to a request's record.
+/// Adds a note on a decision to the trace record of a request.
 pub fn note(core: &mut Core, key: RequestKey, text: impl Into<Box<str>>) {
     let wall = core.wall();
     if let Some(request) = core.requests.arena.get_mut(key) {
@@ -200,7 +201,7 @@
 }
 
 impl Request {
-    /// Returns whether a back end ran the request, by what its attempts brought.
+    /// Returns whether a backend server ran the request, by the results of its attempts.
     #[must_use]
     pub fn ran(&self) -> Ran {
         if self.delivered > 0 {
@@ -214,13 +215,13 @@
         if all_refused { Ran::No } else { Ran::Unknown }
     }
 
-    /// Returns whether the engine in hand has brought tokens.
+    /// Returns whether the current engine has sent tokens.
     #[must_use]
     pub fn answering(&self) -> bool {
         self.progress == Progress::Tokens
     }
 
-    /// Returns the model that the caller wants.
+    /// Returns the completion that the caller requests, if it is one.
     #[must_use]
     pub fn model(&self) -> Option<&ModelWant> {
         match &self.want {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Returns the service call that the caller wants.
+    /// Returns the service call that the caller requests, if it is one.
     #[must_use]
     pub fn service(&self) -> Option<&ServiceWant> {
         match &self.want {
