--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -1,4 +1,4 @@
-//! An operator's edit on its way into the key-value service.
+//! Writing an operator's edit to the store.
 
 use super::{
     CHUNK_FOLDER, HEAD_KEY, Head, MAX_CHUNK_BYTES, chunk_name, fetch, parse_head, put_in_force,
@@ -11,34 +11,35 @@
 use crate::lists::{self, Chunk, Lists, Uses};
 use crate::store::{Compare, Op, Pair, Reply, Span, Txn, TxnReply};
 
-/// Edits whose tokens a head remembers: more than come while a lost answer is settled.
+/// Number of previous edits whose tokens a head keeps; more than can follow while the writer of an
+/// edit finds out about a lost answer.
 const MAX_PRIOR_EDITS: usize = 8;
-/// Chunks deleted by one swap; a transaction takes 128 steps.
+/// Maximum number of chunks deleted by one swap; a transaction has at most 128 operations.
 const MAX_DELETES_PER_TXN: usize = 100;
-/// Tries of a write whose outcome is unknown before the operator is told so.
+/// Retries of a write with an unknown outcome before the operator is answered that it is unclear.
 const MAX_EDIT_TRIES: u32 = 20;
 
-/// An edit on its way into the key-value service.
+/// An edit that is being written to the store.
 #[derive(Debug)]
 pub struct Pending {
     list: Which,
     head: Head,
-    /// Revision of the key-value service at which the edited head stood; 0 for none.
+    /// Store revision at which the edited head was written; 0 if there is no head.
     base_modified: i64,
-    /// Chunks that are still to be written.
+    /// Chunks not written yet.
     chunks: Vec<Chunk>,
-    /// Chunks that no head names any more.
+    /// Chunks that no head references any more, deleted by the swap.
     deleted: Vec<Box<str>>,
     tries: u32,
     lists: Lists,
-    /// Chunks of the plans, for the next edit.
+    /// Chunks of the new plans; the next edit is parsed against them.
     plan_chunks: Vec<Chunk>,
 }
 
-/// Takes an operator's edit in hand.
+/// Starts an operator's edit.
 ///
-/// While the key-value service is known to be down, an edit is refused at once: nothing of it was
-/// sent, and an operator need not wait to learn that.
+/// While the store is known to be down, an edit is refused immediately: none of it was sent, and
+/// the operator need not wait for a timeout.
 pub fn apply(core: &mut Core, ask: AskKey, edit: &Edit, out: &mut Effects) {
     if core.members.store == Health::Down {
         let answer = OperatorAnswer::StoreDown;
@@ -56,8 +57,8 @@
 
 fn prepare(core: &mut Core, edit: &Edit) -> Result<Pending, OperatorAnswer> {
     let current = &core.config.lists;
-    // An edit on top of a head that is not in force here yet would be checked against the wrong
-    // other list.
+    // With a newer head that is not in force here yet, the edit would be checked against an outdated
+    // version of the other list.
     if edit.base != current.revision || core.config.newest_known() > current.revision {
         return Err(conflict(core, edit.list));
     }
@@ -90,10 +91,11 @@
     };
     head.prior_tokens.insert(0, base.token.clone());
     head.prior_tokens.truncate(MAX_PRIOR_EDITS);
-    let (gone, old) = retire(base, &head);
-    head.retired = old;
+    let (deleted, kept) = retire(base, &head);
+    head.retired = kept;
     let all = plans.iter().chain(&uses);
-    // What the head names is there as long as the head stands, and the swap needs it to stand.
+    // Chunks that the base head references exist as long as it is current, and the swap only
+    // succeeds while it is.
     let chunks = all.filter(|chunk| !base.names(&chunk_name(chunk)));
     let chunks: Vec<Chunk> = chunks.cloned().collect();
     Ok(Pending {
@@ -101,28 +103,28 @@
         head,
         base_modified: core.config.head_modified,
         chunks,
-        deleted: gone,
+        deleted,
         tries: 0,
         lists,
         plan_chunks: plans,
     })
 }
 
-/// Returns which chunks go with the new head, and which stay for hosts that still read the old.
+/// Returns the chunks that the swap deletes, and those kept for hosts that still read the old head.
 ///
-/// They are deleted by the swap itself. A racing edit that writes one of them again and counts on
-/// it stands on the old head, and its own swap fails; one that stands on the new head writes them
-/// after this deletion.
+/// The swap itself deletes them. A concurrent edit that rewrites one of them and relies on it is
+/// based on the old head, so its swap fails; an edit based on the new head writes them after this
+/// deletion.
 fn retire(base: &Head, head: &Head) -> (Vec<Box<str>>, Vec<Box<str>>) {
     let unnamed = |chunks: &[Box<str>]| -> Vec<Box<str>> {
         let chunks = chunks.iter().filter(|chunk| !head.names(chunk));
         chunks.cloned().collect()
     };
-    let mut gone = unnamed(&base.retired);
-    let mut old = gone.split_off(gone.len().min(MAX_DELETES_PER_TXN));
-    old.extend(unnamed(&base.plans));
-    old.extend(unnamed(&base.uses));
-    (gone, old)
+    let mut deleted = unnamed(&base.retired);
+    let mut kept = deleted.split_off(deleted.len().min(MAX_DELETES_PER_TXN));
+    kept.extend(unnamed(&base.plans));
+    kept.extend(unnamed(&base.uses));
+    (deleted, kept)
 }
 
 fn faults<T: ToString>(found: &[T]) -> OperatorAnswer {
@@ -142,7 +144,7 @@
     }
 }
 
-/// Writes the next chunk, or swaps the head when all chunks are there.
+/// Writes the next chunk, or swaps the head when all chunks are written.
 fn write_next(core: &mut Core, ask: AskKey, out: &mut Effects) {
     let Some(pending) = core.config.pending.get(&ask) else {
         return;
@@ -180,8 +182,8 @@
         value: write_head(&pending.head).into(),
         lease: 0,
     }];
-    let gone = pending.deleted.iter();
-    then.extend(gone.map(|hash| Op::Delete(Span::Key(format!("{CHUNK_FOLDER}{hash}").into()))));
+    let deleted = pending.deleted.iter();
+    then.extend(deleted.map(|hash| Op::Delete(Span::Key(format!("{CHUNK_FOLDER}{hash}").into()))));
     Txn {
         compare: vec![base],
         then,
@@ -189,7 +191,7 @@
     }
 }
 
-/// Goes on with an edit when the key-value service has answered.
+/// Continues an edit after an answer of the store.
 pub fn handle_reply(core: &mut Core, ask: AskKey, result: &StoreResult, out: &mut Effects) {
     let Some(pending) = core.config.pending.get_mut(&ask) else {
         return;
@@ -201,15 +203,16 @@
             write_next(core, ask, out);
         }
         StoreResult::Txn(txn) => {
-            let theirs =
+            let found_head =
                 read_pairs(txn).find_map(|pair| Some((parse_head(&pair.value)?, pair.modified)));
             if txn.succeeded {
                 finish(core, ask, Some(txn.revision), out);
             } else {
-                resolve_conflict(core, ask, theirs, out);
+                resolve_conflict(core, ask, found_head, out);
             }
         }
-        // The same swap again settles it: it succeeds, or finds its own head, or another's.
+        // Retrying the same swap settles the outcome: it succeeds, or finds this edit's head, or
+        // that of another edit.
         StoreResult::Unknown if pending.tries < MAX_EDIT_TRIES => {
             pending.tries += 1;
             write_next(core, ask, out);
@@ -224,39 +227,44 @@
     }
 }
 
-/// Finds out what it means that another head stands where an edit was to go.
-fn resolve_conflict(core: &mut Core, ask: AskKey, theirs: Option<(Head, i64)>, out: &mut Effects) {
+/// Resolves a failed swap: finds out whether this edit or another one was written.
+fn resolve_conflict(
+    core: &mut Core,
+    ask: AskKey,
+    found_head: Option<(Head, i64)>,
+    out: &mut Effects,
+) {
     let Some(pending) = core.config.pending.get_mut(&ask) else {
         return;
     };
-    let Some((head, stood)) = theirs else {
+    let Some((head, modified)) = found_head else {
         finish(core, ask, None, out);
         return;
     };
     let token = &pending.head.token;
     if head.token == *token {
-        // The answer to the first swap was lost, and the second finds its own head there.
-        finish(core, ask, Some(stood), out);
+        // The answer to an earlier swap was lost, and this one found the head that it wrote.
+        finish(core, ask, Some(modified), out);
     } else if head.prior_tokens.contains(token) {
-        // It was lost, and the next edit came on top of this one.
+        // The answer was lost, and another edit has been written on top of this one.
         finish(core, ask, Some(0), out);
     } else if head.revision + 1 == pending.head.revision && pending.tries < MAX_EDIT_TRIES {
-        // The lists came from a peer, while this host's own watch is silent: the edit stands on
-        // the right head and only its place was not known here.
+        // The lists in force came from a peer while this host's watch brought nothing: the edit is
+        // based on the current head, and only its store revision was not known here.
         pending.tries += 1;
-        pending.base_modified = stood;
+        pending.base_modified = modified;
         write_next(core, ask, out);
     } else {
         if head.revision > core.config.head.revision {
             core.config.head = head;
-            core.config.head_modified = stood;
+            core.config.head_modified = modified;
             fetch(core, out);
         }
         finish(core, ask, None, out);
     }
 }
 
-/// Returns what the reads of a transaction found.
+/// Returns the pairs found by the reads of a transaction.
 fn read_pairs(txn: &TxnReply) -> impl Iterator<Item = &Pair> {
     txn.replies
         .iter()
@@ -267,18 +275,19 @@
         .flatten()
 }
 
-/// Ends an edit whose head stands in the key-value service at this revision of it, if it does.
-fn finish(core: &mut Core, ask: AskKey, stands: Option<i64>, out: &mut Effects) {
+/// Ends an edit: accepted if its head was written, at this store revision (0 if unknown), and
+/// otherwise refused with a conflict.
+fn finish(core: &mut Core, ask: AskKey, written_at: Option<i64>, out: &mut Effects) {
     let Some(pending) = core.config.pending.remove(&ask) else {
         return;
     };
-    let answer = if let Some(stood) = stands {
+    let answer = if let Some(modified) = written_at {
         let revision = pending.lists.revision;
-        // An operator's next edit may come before the watch brings this head; it must not be
-        // taken for one on top of the head before.
-        if pending.head.revision > core.config.head.revision && stood > 0 {
+        // An operator's next edit may arrive before the watch event of this head; it must not be
+        // treated as based on the previous head.
+        if pending.head.revision > core.config.head.revision && modified > 0 {
             core.config.head = pending.head;
-            core.config.head_modified = stood;
+            core.config.head_modified = modified;
         }
         put_in_force(core, pending.lists, pending.plan_chunks, out);
         OperatorAnswer::Accepted(revision)
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -1,9 +1,8 @@
-//! The operators' lists: which revision is in force here, how a newer one gets in, how an edit
-//! is accepted.
+//! The operators' lists: the revision in force, updates to a newer one, and edits.
 //!
-//! The lists stand in the key-value service as chunks named by their content and one small head
-//! that names them. An edit writes the chunks first and then swaps the head, so that a reader
-//! never sees half an edit and two operators who race get one success and one conflict.
+//! The store holds the lists as content-addressed chunks and one small head value that references
+//! them. An edit writes the chunks first and then replaces the head by compare-and-swap, so a reader
+//! never sees a partial edit, and of two concurrent edits one succeeds and one gets a conflict.
 
 mod edit;
 
@@ -23,27 +22,27 @@
 
 pub use edit::apply;
 
-/// First word of the watched key of the head.
+/// First segment of the watched key of the head.
 pub const WATCH_PREFIX: &str = "lists";
-/// The head's key.
+/// Key of the head.
 const HEAD_KEY: &str = "w/lists/head";
-/// Folder of the chunks.
+/// Key prefix of the chunks.
 const CHUNK_FOLDER: &str = "d/chunk/";
-/// Largest chunk; well under the largest value of the key-value service.
+/// Maximum size of a chunk; well below the maximum value size of the store.
 const MAX_CHUNK_BYTES: usize = 256 * 1024;
-/// Time until a list known to be newer is asked for again.
+/// Time until lists known to be newer are requested again.
 const FETCH_INTERVAL: Duration = Duration::from_millis(500);
-/// What the head names.
+/// The head: the chunks of the newest lists, and the edit that wrote it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct Head {
     revision: u64,
-    /// Names the edit, so that its writer knows it again when the answer was lost.
+    /// Identifies the edit, so that its writer recognizes it if the answer was lost.
     token: Box<str>,
     plans: Vec<Box<str>>,
     uses: Vec<Box<str>>,
-    /// Chunks that only the head before named: hosts may still read them.
+    /// Chunks that only the previous head references; hosts may still read them.
     retired: Vec<Box<str>>,
-    /// Tokens of the edits before, newest first.
+    /// Tokens of the previous edits, newest first.
     prior_tokens: Vec<Box<str>>,
 }
 
@@ -54,28 +53,28 @@
     }
 }
 
-/// The lists in force and what is on its way.
+/// The lists in force, and pending updates and edits.
 #[derive(Debug, Default)]
 pub struct Config {
     /// The lists in force.
     pub lists: Lists,
     /// Customers by the hashes of their keys.
     pub index: Index,
-    /// Chunks that the plans in force were read from.
+    /// Chunks of the plans in force.
     plan_chunks: Vec<Chunk>,
-    /// Newest head seen, and where it stood.
+    /// Newest head seen, and the store revision at which it was written.
     head: Head,
     head_modified: i64,
-    /// Chunks of the newest head, as far as they are here.
+    /// Chunks of the newest head that have been read so far.
     head_chunks: BTreeMap<Box<str>, Box<[u8]>>,
-    /// Newest revision a peer has in force.
+    /// Newest revision in force at a peer.
     peer_revision: u64,
     fetch_scheduled: bool,
     pending: BTreeMap<AskKey, edit::Pending>,
 }
 
 impl Config {
-    /// Returns the revision in force; 0 before the first.
+    /// Returns the revision in force; 0 if there is none yet.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.lists.revision
@@ -86,7 +85,7 @@
     }
 }
 
-/// Takes in the head as the key-value service has it.
+/// Handles a watch event of the head.
 pub fn watched(core: &mut Core, pair: &Watched, out: &mut Effects) {
     let Some(head) = pair.value.as_deref().and_then(parse_head) else {
         return;
@@ -99,10 +98,9 @@
     fetch(core, out);
 }
 
-/// Notes that a peer has a newer revision in force, and asks it for the lists.
+/// Handles the revision in a peer's heartbeat: if it is newer, requests the lists from the peer.
 ///
-/// During an outage of the key-value service this is how a revision that was accepted just before
-/// reaches every host.
+/// During an outage of the store, this is how a revision accepted just before reaches every host.
 pub fn peer_revision_seen(core: &mut Core, from: HostKey, revision: u64, out: &mut Effects) {
     if revision > core.config.newest_known() {
         core.config.peer_revision = revision;
@@ -124,7 +122,7 @@
     }
 }
 
-/// Asks again for lists that are known to be newer.
+/// Requests lists that are known to be newer again.
 pub fn timer(core: &mut Core, out: &mut Effects) {
     core.config.fetch_scheduled = false;
     if core.config.newest_known() <= core.config.revision() {
@@ -146,7 +144,7 @@
     }
 }
 
-/// Reads the chunks of the newest head that are not here yet.
+/// Reads the chunks of the newest head that are still missing.
 fn fetch(core: &mut Core, out: &mut Effects) {
     let config = &mut core.config;
     let revision = config.head.revision;
@@ -173,7 +171,7 @@
     schedule_fetch(core, out);
 }
 
-/// Returns a chunk's name in the key-value service.
+/// Returns the name of a chunk: its hash in hexadecimal.
 fn chunk_name(chunk: &Chunk) -> Box<str> {
     blake3::Hash::from_bytes(chunk.hash)
         .to_hex()
@@ -181,7 +179,7 @@
         .into()
 }
 
-/// Puts the newest head's lists in force once every chunk is here.
+/// Puts the lists of the newest head in force once every chunk has been read.
 fn assemble(core: &mut Core, out: &mut Effects) {
     let head = &core.config.head;
     let text = |hashes: &[Box<str>]| {
@@ -202,10 +200,11 @@
     handle_lists(core, head.revision, &plans, &uses, out);
 }
 
-/// Takes in whole lists, from a peer or from the key-value service.
+/// Handles complete lists from a peer or from the store.
 pub fn handle_lists(core: &mut Core, revision: u64, plans: &str, uses: &str, out: &mut Effects) {
     let config = &core.config;
-    // A host that starts on lists known to be old would let in who lost access long ago.
+    // A host that starts with lists known to be outdated would admit customers whose access was
+    // revoked long ago.
     let starts_old = config.revision() == 0 && revision < config.newest_known();
     if revision <= config.revision() || starts_old {
         return;
@@ -213,7 +212,9 @@
     let parts = lists::chunks(plans, MAX_CHUNK_BYTES);
     let parsed = (read_plans(config, &parts), Uses::parse(uses, "use"));
     let (Ok(plans), Ok(uses)) = parsed else {
-        let text = format!("revision {revision} of the lists cannot be read here");
+        let text = format!(
+            "revision {revision} of the lists cannot be parsed; the revision in force stays"
+        );
         out.push(log_event(log::Level::Error, "lists.unreadable", text));
         return;
     };
@@ -225,7 +226,7 @@
     put_in_force(core, lists, parts, out);
 }
 
-/// Reads the plans, and of them only what differs from those in force.
+/// Parses plans; only chunks that differ from the plans in force are parsed again.
 fn read_plans(config: &Config, parts: &[Chunk]) -> Result<Plans, Vec<Fault>> {
     config
         .lists
@@ -234,7 +235,7 @@
         .reread(&config.plan_chunks, parts, "plans")
 }
 
-/// Puts lists in force; a revision that is not newer is left out, so that none reverts.
+/// Puts lists in force; a revision that is not newer is ignored, so the lists never revert.
 fn put_in_force(core: &mut Core, lists: Lists, parts: Vec<Chunk>, out: &mut Effects) {
     if lists.revision <= core.config.lists.revision {
         return;
@@ -264,7 +265,7 @@
     }
 }
 
-/// Goes on with an edit, or takes in a chunk.
+/// Handles an answer of the store to an edit or to the read of a chunk.
 pub fn reply(core: &mut Core, reply: StoreReply, out: &mut Effects) {
     match reply.job {
         Job::Apply(ask) => edit::handle_reply(core, ask, &reply.result, out),
