--- a/src/core/trace/buffer.rs
+++ b/src/core/trace/buffer.rs
@@ -1,13 +1,13 @@
-//! A bounded set of records.
+//! Bounded buffer of trace records.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{Attempt, Note, Record};
 
-/// Bytes of a place in a map or queue, and of an allocation's own head, about.
+/// Approximate overhead of an entry in a map or queue, or of an allocation.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// Records up to a number of bytes; the oldest are forgotten first.
+/// Records up to a total size; the oldest are evicted first.
 #[derive(Debug, Default)]
 pub(super) struct RecordBuffer {
     records: BTreeMap<Box<str>, Record>,
@@ -17,10 +17,10 @@
 }
 
 impl RecordBuffer {
-    /// Keeps a record, in place of an earlier one of its id.
+    /// Stores a record, replacing an earlier one with the same id.
     ///
-    /// A late copy of a request that still ran does not replace the record of its end.
-    pub(super) fn put(&mut self, record: Record, most: usize) {
+    /// A late copy of an unfinished record does not replace a finished one.
+    pub(super) fn put(&mut self, record: Record, max_bytes: usize) {
         let id = record.id.clone();
         if let Some(known) = self.records.get(&id) {
             if !known.outcome.is_empty() && record.outcome.is_empty() {
@@ -32,7 +32,7 @@
         }
         self.bytes += record_bytes(&record);
         self.records.insert(id, record);
-        while self.bytes > most {
+        while self.bytes > max_bytes {
             let Some(oldest) = self.order.pop_front() else {
                 break;
             };
@@ -51,15 +51,15 @@
         self.records.len()
     }
 
-    /// Returns the arrival of the newest record forgotten.
+    /// Returns the latest arrival among evicted records; milliseconds since the Unix epoch.
     pub(super) fn newest_evicted(&self) -> u64 {
         self.newest_evicted
     }
 }
 
-/// Returns about how many bytes of memory a record takes, its places in map and queue included.
+/// Returns the approximate memory of a record in bytes, including its entries in map and queue.
 pub(super) fn record_bytes(record: &Record) -> usize {
-    let texts = [
+    let strings = [
         &record.id,
         &record.id,
         &record.id,
@@ -70,7 +70,7 @@
         &record.outcome,
         &record.key,
     ];
-    let texts: usize = texts
+    let strings: usize = strings
         .iter()
         .map(|text| text.len() + ENTRY_OVERHEAD_BYTES)
         .sum();
@@ -79,5 +79,5 @@
     });
     let notes = record.notes.iter();
     let notes = notes.map(|note| size_of::<Note>() + note.text.len() + ENTRY_OVERHEAD_BYTES);
-    size_of::<Record>() + texts + attempts.sum::<usize>() + notes.sum::<usize>()
+    size_of::<Record>() + strings + attempts.sum::<usize>() + notes.sum::<usize>()
 }
--- a/src/core/trace/mod.rs
+++ b/src/core/trace/mod.rs
@@ -1,7 +1,8 @@
-//! What became of requests: kept here, copied to peers in other failure domains, told to operators.
+//! Trace records of requests: kept in memory, copied to peers, and returned to operators.
 //!
-//! Every record is copied to two peers. What is unusual or must not repeat goes to the key-value
-//! service as well, in batches, so that it outlives the hosts.
+//! Every record is copied to two peers, in other failure domains where possible. Records of failed
+//! or retried requests and of at-most-once calls are also written to the store, in batches, so that
+//! they survive the loss of hosts.
 
 mod buffer;
 mod search;
@@ -24,22 +25,21 @@
 use search::Search;
 use segment::Segments;
 
-/// Bytes of records a host keeps of requests it served itself.
+/// Memory limit for records of requests that this host served.
 const MAX_OWN_BYTES: usize = 12 * 1024 * 1024;
-/// Bytes of records a host keeps for its peers.
+/// Memory limit for copies of peers' records.
 const MAX_COPY_BYTES: usize = 20 * 1024 * 1024;
-/// Note on a call that may not repeat, once its start is recorded.
+/// Note on an at-most-once call whose start has been recorded.
 pub const RECORDED_NOTE: &str = "recorded as started";
 /// Time between two batches of copies.
 ///
-/// A host that is killed takes with it what it has not yet copied: at most this much of its last
-/// decisions.
+/// When a host is killed, its decisions since the last batch are lost.
 const COPY_INTERVAL: Duration = Duration::from_millis(200);
-/// Peers that get a copy of each record.
+/// Number of peers that get a copy of each record.
 const COPY_COUNT: usize = 2;
-/// Most records in one message, so that a frame stays well under its bound.
+/// Maximum number of records per message; keeps a frame well below its size limit.
 const MAX_BATCH_RECORDS: usize = 256;
-/// What became of one request.
+/// Trace record of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Record {
     /// Request id.
@@ -72,10 +72,10 @@
     pub notes: Vec<Note>,
 }
 
-/// One attempt at one back end.
+/// One attempt at one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Attempt {
-    /// Name of the back end.
+    /// Name of the backend server.
     pub backend: Box<str>,
     /// Milliseconds from the request's arrival.
     pub began: u64,
@@ -85,7 +85,7 @@
     pub end: Box<str>,
     /// Tokens it delivered.
     pub tokens: u32,
-    /// Whether the back end ran it; `None` while it runs.
+    /// Whether the backend server ran it; `None` while it runs.
     pub ran: Option<Ran>,
 }
 
@@ -98,7 +98,7 @@
     pub text: Box<str>,
 }
 
-/// Records of requests, own and copied.
+/// Trace records of this host's requests, and copies of peers' records.
 #[derive(Debug)]
 pub struct Traces {
     host: Box<str>,
@@ -115,10 +115,10 @@
 }
 
 impl Traces {
-    /// Creates an empty store of records.
+    /// Creates a state without records.
     ///
-    /// `incarnation` is the wall clock at the start of this process, in milliseconds, so that a
-    /// host which comes back under its old name gives out other ids.
+    /// `incarnation` is the wall clock at the start of this process, in milliseconds; it makes request
+    /// ids differ from those of an earlier process with the same host name.
     #[must_use]
     pub fn new(host: &HostSettings, incarnation: u64) -> Self {
         Self {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Returns a new record with its own id: host tag, arrival and count, in hexadecimal.
+    /// Returns a new record with a unique id: process tag, arrival and count, in hexadecimal.
     pub fn new_record(&mut self, wall: u64) -> Record {
         self.last_number += 1;
         Record {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Keeps the record as it is now; the next batch copies it to peers.
+    /// Keeps the current state of a record; the next batch copies it to peers.
     pub fn keep(&mut self, record: Record) {
         self.dirty.insert(record.id.clone());
         self.segments.offer(&record);
@@ -165,13 +165,14 @@
         self.own.get(id)
     }
 
-    /// Returns how many own records and copies are kept.
+    /// Returns the numbers of own records and of copies.
     #[must_use]
     pub fn count(&self) -> (usize, usize) {
         (self.own.len(), self.copies.len())
     }
 
-    /// Returns the time since which every record this host was given is kept.
+    /// Returns the arrival time after which this host has every record that it served or received;
+    /// milliseconds since the Unix epoch.
     fn complete_since(&self) -> u64 {
         self.since
             .max(self.own.newest_evicted())
@@ -179,14 +180,14 @@
     }
 }
 
-/// Returns the first part of the ids that a host gives out in one life.
+/// Returns the first part of the request ids that one process of a host assigns.
 #[must_use]
 pub fn process_tag(host: &str, incarnation: u64) -> Box<str> {
     let hash = blake3::hash(format!("{host}\n{incarnation}").as_bytes());
     hash.to_hex()[..8].into()
 }
 
-/// Returns the arrival that an id names, in milliseconds since the Unix epoch.
+/// Returns the arrival time in a request id, in milliseconds since the Unix epoch.
 #[must_use]
 pub fn arrival_of(id: &str) -> Option<u64> {
     let mut parts = id.split('-');
@@ -195,7 +196,7 @@
     fits.then(|| u64::from_str_radix(wall, 16).ok())?
 }
 
-/// Starts the batches of copies.
+/// Schedules the next batch of copies.
 pub fn start(core: &mut Core, out: &mut Effects) {
     out.push(Effect::Wake {
         at: core.now.after(COPY_INTERVAL),
@@ -203,7 +204,7 @@
     });
 }
 
-/// Sends a batch, or gives up waiting for peers.
+/// Sends a batch of copies, or handles a search that timed out.
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
     match timer {
         Timer::Traces => {
@@ -216,7 +217,7 @@
     }
 }
 
-/// Copies every changed record to its peers.
+/// Copies every changed record to peers.
 pub fn flush(core: &mut Core, out: &mut Effects) {
     if core.stop.begun() {
         segment::write(core, out);
@@ -224,13 +225,13 @@
     if core.traces.dirty.is_empty() {
         return;
     }
-    let keepers = member::copy_targets(core, COPY_COUNT);
+    let targets = member::copy_targets(core, COPY_COUNT);
     let dirty = std::mem::take(&mut core.traces.dirty);
     let records: Vec<Record> = dirty
         .iter()
         .filter_map(|id| core.traces.own.get(id).cloned())
         .collect();
-    for to in keepers {
+    for to in targets {
         for batch in records.chunks(MAX_BATCH_RECORDS) {
             out.push(Effect::Send {
                 to,
@@ -240,7 +241,7 @@
     }
 }
 
-/// Keeps copies for a peer.
+/// Keeps copies of a peer's records.
 pub fn store_copies(core: &mut Core, records: Vec<Record>) {
     for record in records {
         core.traces.copies.put(record, MAX_COPY_BYTES);
--- a/src/core/trace/search.rs
+++ b/src/core/trace/search.rs
@@ -1,4 +1,4 @@
-//! An operator's question: what is here, what peers have, what the key-value service has.
+//! Search for a record on behalf of an operator: in memory, at peers, and in the store.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,31 +12,32 @@
 use crate::error::Ran;
 use crate::wire;
 
-/// Time a question waits for peers, and then for the key-value service.
+/// Time a search waits for peers, and again for the store.
 const SEARCH_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Outcome of a request whose host is gone.
+/// Outcome of an unfinished request whose host is gone.
 const LOST_OUTCOME: &str = "lost";
 
-/// Where a question looks now.
+/// Stage of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Stage {
-    /// At these peers, which have not answered yet.
+    /// Waiting for these peers.
     Peers(BTreeSet<HostKey>),
-    /// In the key-value service.
+    /// Waiting for the store.
     Segments,
 }
 
-/// An operator's question on its way.
+/// A search on behalf of an operator.
 #[derive(Debug)]
 pub(super) struct Search {
     ask: AskKey,
     id: Box<str>,
     stage: Stage,
-    /// Unfinished record heard so far; a finished one ends the search.
+    /// Most complete record found so far; a finished one ends the search.
     best: Option<Box<Record>>,
-    /// Time since which every host that answered has kept what it was given.
+    /// Arrival time after which every host that answered has all its records; milliseconds since the
+    /// Unix epoch.
     since: u64,
-    /// Hosts that did not answer, the key-value service counted as one.
+    /// Number of peers that did not answer; the store counts as one.
     unanswered: usize,
 }
 
@@ -44,7 +45,7 @@
     record.is_some_and(|record| !record.outcome.is_empty())
 }
 
-/// Answers an operator from what is here, or asks every peer.
+/// Answers an operator from memory, or queries every peer.
 pub fn explain(core: &mut Core, ask: AskKey, id: &str, out: &mut Effects) {
     let best = core.traces.find(id).cloned().map(Box::new);
     let peers: BTreeSet<HostKey> = core.members.peers().collect();
@@ -58,9 +59,9 @@
         unanswered: 0,
         best,
     };
-    let here = finished(search.best.as_deref());
+    let is_finished = finished(search.best.as_deref());
     core.traces.searches.insert(round, search);
-    if here || arrival_of(id).is_none() {
+    if is_finished || arrival_of(id).is_none() {
         conclude(core, round, out);
         return;
     }
@@ -83,7 +84,7 @@
     });
 }
 
-/// Answers a peer's question.
+/// Answers a peer's query.
 pub fn answer_peer(core: &mut Core, from: HostKey, round: u64, id: &str, out: &mut Effects) {
     let record = core.traces.find(id).cloned().map(Box::new);
     let since = core.traces.complete_since();
@@ -95,7 +96,7 @@
     out.push(Effect::Send { to: from, message });
 }
 
-/// Takes in a peer's answer.
+/// Handles a peer's answer.
 pub fn handle_answer(
     core: &mut Core,
     from: HostKey,
@@ -107,11 +108,11 @@
     let Some(search) = core.traces.searches.get_mut(&round) else {
         return;
     };
-    let Stage::Peers(waiting) = &mut search.stage else {
+    let Stage::Peers(pending) = &mut search.stage else {
         return;
     };
-    waiting.remove(&from);
-    let last = waiting.is_empty();
+    pending.remove(&from);
+    let last = pending.is_empty();
     search.since = search.since.max(since);
     search.merge(record.map(|record| *record));
     if finished(search.best.as_deref()) {
@@ -122,31 +123,32 @@
 }
 
 impl Search {
-    /// Keeps the record that tells most.
+    /// Keeps the more complete of the known and the given record.
     ///
-    /// A host that was restarted under its name may answer a question that its former self was
-    /// put, so the id is compared.
+    /// The id is compared because a segment holds records of other requests too, and because round
+    /// numbers repeat after a restart: an answer may be to a query of an earlier process with this
+    /// host's name.
     fn merge(&mut self, record: Option<Record>) {
         let Some(record) = record.filter(|record| record.id == self.id) else {
             return;
         };
         let known = self.best.as_deref();
-        let more = |known: &Record| record.attempts.len() >= known.attempts.len();
-        if finished(Some(&record)) || !finished(known) && known.is_none_or(more) {
+        let has_as_many = |known: &Record| record.attempts.len() >= known.attempts.len();
+        if finished(Some(&record)) || !finished(known) && known.is_none_or(has_as_many) {
             self.best = Some(Box::new(record));
         }
     }
 }
 
-/// A question has waited long enough for what it waits for.
+/// Moves a search on whose current stage timed out.
 pub(super) fn timed_out(core: &mut Core, ask: AskKey, out: &mut Effects) {
     let mut searches = core.traces.searches.iter_mut();
     let Some((&round, search)) = searches.find(|(_, search)| search.ask == ask) else {
         return;
     };
     match &search.stage {
-        Stage::Peers(waiting) => {
-            search.unanswered += waiting.len();
+        Stage::Peers(pending) => {
+            search.unanswered += pending.len();
             search_segments(core, round, out);
         }
         Stage::Segments => {
@@ -156,7 +158,7 @@
     }
 }
 
-/// Looks in the key-value service, which keeps what is unusual or must not repeat.
+/// Searches the store, which holds records of failed or retried requests and at-most-once calls.
 fn search_segments(core: &mut Core, round: u64, out: &mut Effects) {
     let Some(search) = core.traces.searches.get_mut(&round) else {
         return;
@@ -170,7 +172,7 @@
     wait(core, ask, out);
 }
 
-/// Takes in what the key-value service has.
+/// Handles the segments read from the store.
 pub fn found(core: &mut Core, round: u64, reply: StoreReply, out: &mut Effects) {
     let Some(search) = core.traces.searches.get_mut(&round) else {
         return;
@@ -202,7 +204,7 @@
     out.push(Effect::Answer { ask, answer });
 }
 
-/// Returns whether the host that gave out an id is among the hosts, in the same life.
+/// Returns whether the process that assigned an id is this one or a registered host.
 fn is_issuer_present(core: &Core, id: &str) -> bool {
     let wanted = id.split('-').next().unwrap_or_default();
     let members = &core.members;
@@ -211,9 +213,10 @@
         || peers.any(|peer| *process_tag(&peer.name, peer.incarnation) == *wanted)
 }
 
-/// Says so where a request can no longer end because its host is gone.
+/// Marks an unfinished record as lost if the host of the request is gone.
 ///
-/// Its last copy still says "running"; a support engineer would wait for an end that never comes.
+/// The last copy still shows the request as running; a support engineer would wait for an end that
+/// never arrives.
 fn mark_lost(core: &Core, record: &mut Record) {
     if !record.outcome.is_empty() || is_issuer_present(core, &record.id) {
         return;
@@ -221,7 +224,7 @@
     record.outcome = LOST_OUTCOME.into();
     record.ran = Some(Ran::Unknown);
     let text = format!(
-        "{} is gone; what it decided after the last copy of this record is lost",
+        "host {} is gone; its decisions after the last copy of this record are lost",
         record.host
     );
     let text = text.into();
@@ -234,24 +237,24 @@
     let keep = u64::try_from(segment::RETENTION.as_millis()).unwrap_or(u64::MAX);
     let why: Box<str> = match arrival_of(&search.id) {
         None => "this is not a request id of this system".into(),
-        Some(arrived) if arrived > core.wall() => "no request of this id has arrived yet".into(),
+        Some(arrived) if arrived > core.wall() => "no request with this id has arrived yet".into(),
         Some(arrived) if arrived + keep < core.wall() => {
-            format!("the record has aged out: none is kept for sure after {hours} hours").into()
+            format!("the record has aged out: records are guaranteed for {hours} hours only").into()
         }
         Some(_) if search.unanswered > 0 => {
-            let silent = search.unanswered;
-            format!("{silent} of those who may have the record did not answer; ask again").into()
+            let unanswered = search.unanswered;
+            format!("{unanswered} of the peers and the store did not answer; try again").into()
         }
         Some(_) if !is_issuer_present(core, &search.id) => {
-            "the host that served it is gone; a record that nothing unusual was in goes with it \
-             and with the two hosts that kept copies"
+            "the host that served it is gone; the record of an ordinary request is lost with it and \
+             the two hosts that had copies"
                 .into()
         }
         Some(arrived) if arrived <= search.since => {
-            "the record has aged out: nothing unusual was in it, and newer ones took its place"
+            "the record has aged out: the request was an ordinary one, and newer records replaced it"
                 .into()
         }
-        Some(_) => "no host has a record of this id".into(),
+        Some(_) => "no host has a record with this id".into(),
     };
     OperatorAnswer::NoRecord { why }
 }
--- a/src/core/trace/segment.rs
+++ b/src/core/trace/segment.rs
@@ -1,8 +1,8 @@
-//! Batches of records in the key-value service, for what must outlive the hosts.
+//! Batches of trace records in the store, for records that must survive the loss of hosts.
 //!
-//! A segment holds records of one host's life that arrived in the same few seconds. Its key is
-//! made of what every request id says, so that one read finds a record without any index. Segments
-//! go with a lease that nobody renews: the service forgets them by itself.
+//! A segment holds records of one host process whose requests arrived within the same few seconds.
+//! Its key is derived from parts of the request id, so one read finds a record without an index.
+//! Segments are attached to a lease that is never renewed, so the store deletes them on expiry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,34 +17,37 @@
 use crate::store::{Op, Span, Txn};
 use crate::wire;
 
-/// Least time that a segment lasts.
+/// Minimum lifetime of a segment.
 pub const RETENTION: Duration = Duration::from_hours(24);
-/// Time for which one lease is used; a segment lasts up to this much longer.
+/// Time for which one lease is used for new segments; a segment lasts up to this much longer.
 const LEASE_REUSE: Duration = Duration::from_hours(1);
-/// Least time between two writes of a host.
+/// Minimum time between two writes of a host.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two writes of all hosts together: ten a second at most, of several hundred that
-/// the service takes, however many hosts there are.
+/// Time between two writes of all hosts together.
+///
+/// However many hosts there are, they make at most ten writes a second, of the several hundred that
+/// the store accepts.
 const GLOBAL_WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// Milliseconds of arrivals that share a folder; one read of it finds a record.
+/// Span of arrival times that share a key prefix; one read of the prefix finds a record.
 const FOLDER_SPAN_MS: u64 = 10_000;
-/// Most bytes in one write, by the records' weight in memory; a value holds a megabyte.
+/// Maximum size of one write, by the size of records in memory; a value in the store holds at most
+/// 1 MB.
 const MAX_BATCH_BYTES: usize = 256 * 1024;
-/// Most bytes that wait for a write.
+/// Maximum size of the records that wait for a write.
 const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
-/// Most bytes of all hosts' segments together, over the time they last.
+/// Maximum size of all segments of all hosts within [`RETENTION`].
 const MAX_TOTAL_BYTES: f64 = 512.0 * 1024.0 * 1024.0;
-/// Part of its budget that a host may save up.
+/// Fraction of a host's byte budget per [`RETENTION`] that may accumulate.
 const BURST_FRACTION: f64 = 1.0 / 24.0;
 
-/// What waits to be written, and what is on its way.
+/// Records queued for the store, and the write in flight.
 #[derive(Debug, Default)]
 pub(super) struct Segments {
     queue: BTreeMap<Box<str>, Record>,
     queued_bytes: usize,
-    /// Records in the write on its way; written again under the same keys when it fails.
+    /// Records in the write in flight; written again under the same keys if it fails.
     batch: Vec<Record>,
-    /// Number of the batch.
+    /// Number of the batch, part of the keys.
     batch_number: u64,
     in_flight: bool,
     lease: i64,
@@ -54,11 +57,11 @@
     /// Bytes that may be written now.
     budget: f64,
     last_refill: Option<Time>,
-    /// Records left out because too many came.
+    /// Records dropped because the queue was full, since the last log event.
     left_out: u64,
 }
 
-/// Tells whether a record must outlive the hosts.
+/// Returns whether a record must survive the loss of hosts.
 fn must_persist(record: &Record) -> bool {
     let recorded = record.notes.iter().any(|note| *note.text == *RECORDED_NOTE);
     let ended = !record.outcome.is_empty();
@@ -67,33 +70,33 @@
 }
 
 impl Segments {
-    /// Takes a record in if it must outlive the hosts.
+    /// Queues a record if it must survive the loss of hosts.
     pub(super) fn offer(&mut self, record: &Record) {
         if !must_persist(record) {
             return;
         }
-        let weight = buffer::record_bytes(record);
+        let size = buffer::record_bytes(record);
         if let Some(known) = self.queue.remove(&record.id) {
             self.queued_bytes -= buffer::record_bytes(&known);
         }
-        if self.queued_bytes + weight > MAX_QUEUED_BYTES {
+        if self.queued_bytes + size > MAX_QUEUED_BYTES {
             self.left_out += 1;
             return;
         }
-        self.queued_bytes += weight;
+        self.queued_bytes += size;
         self.queue.insert(record.id.clone(), record.clone());
     }
 
-    /// Takes the next batch out of the queue, within the budget.
+    /// Moves records from the queue to the next batch, within the budget.
     fn take_batch(&mut self) {
         let mut bytes = 0;
         while let Some(entry) = self.queue.first_entry() {
-            let weight = buffer::record_bytes(entry.get());
-            let spent = (bytes + weight) as f64;
-            if bytes + weight > MAX_BATCH_BYTES || spent > self.budget {
+            let size = buffer::record_bytes(entry.get());
+            let spent = (bytes + size) as f64;
+            if bytes + size > MAX_BATCH_BYTES || spent > self.budget {
                 break;
             }
-            bytes += weight;
+            bytes += size;
             self.batch.push(entry.remove());
         }
         self.queued_bytes -= bytes;
@@ -102,38 +105,38 @@
     }
 
     fn refill(&mut self, now: Time, hosts: f64) {
-        let most = MAX_TOTAL_BYTES / hosts * BURST_FRACTION;
+        let max_budget = MAX_TOTAL_BYTES / hosts * BURST_FRACTION;
         let rate = MAX_TOTAL_BYTES / hosts / RETENTION.as_secs_f64();
-        let passed = self
+        let elapsed = self
             .last_refill
             .map(|filled| now.since(filled).as_secs_f64());
-        let more = passed.map_or(most, |passed| passed * rate);
-        self.budget = (self.budget + more).min(most);
+        let refill = elapsed.map_or(max_budget, |elapsed| elapsed * rate);
+        self.budget = (self.budget + refill).min(max_budget);
         self.last_refill = Some(now);
     }
 }
 
-/// Returns the folder of the segments that may hold a request; `None` where it is no id.
+/// Returns the key prefix of the segments that may hold a record; `None` if `id` is not a request id.
 pub(super) fn folder(id: &str) -> Option<Box<str>> {
     let arrived = super::arrival_of(id)?;
     let tag = id.split('-').next()?;
     Some(format!("d/trace/{tag}/{:x}/", arrived / FOLDER_SPAN_MS).into())
 }
 
-/// Writes what waits, when it is time.
+/// Writes queued records if a write is due.
 pub(super) fn tick(core: &mut Core, out: &mut Effects) {
     let hosts = u32::try_from(core.members.count()).unwrap_or(u32::MAX);
-    let every = MIN_WRITE_INTERVAL.max(GLOBAL_WRITE_INTERVAL * hosts);
+    let interval = MIN_WRITE_INTERVAL.max(GLOBAL_WRITE_INTERVAL * hosts);
     if core.members.store == Health::Down {
-        // All hosts see the service come back at the same moment; each waits a time of its own.
-        let part = core.rng.random_range(0.0..1.0);
-        core.traces.segments.next_write = core.now.after(every.mul_f64(part));
+        // All hosts see the store come back at the same time; a random delay spreads their writes.
+        let fraction = core.rng.random_range(0.0..1.0);
+        core.traces.segments.next_write = core.now.after(interval.mul_f64(fraction));
         return;
     }
     let segments = &mut core.traces.segments;
     segments.refill(core.now, f64::from(hosts));
     if core.now >= segments.next_write {
-        segments.next_write = core.now.after(every);
+        segments.next_write = core.now.after(interval);
         write(core, out);
     }
     report_left_out(core, out);
@@ -142,12 +145,14 @@
 fn report_left_out(core: &mut Core, out: &mut Effects) {
     let count = std::mem::take(&mut core.traces.segments.left_out);
     if count > 0 {
-        let text = format!("{count} explanations are kept in hosts' memory only: too many came");
+        let text = format!(
+            "{count} trace records are kept in memory only: the queue for writes to the store was full"
+        );
         out.push(log_event(log::Level::Warn, "trace.left_out", text));
     }
 }
 
-/// Writes the next batch, after getting a lease where there is none.
+/// Writes the next batch, or requests a lease first if there is none to use.
 pub(super) fn write(core: &mut Core, out: &mut Effects) {
     let now = core.now;
     let segments = &mut core.traces.segments;
@@ -190,7 +195,7 @@
     }
 }
 
-/// Takes in the answer to a lease or a write.
+/// Handles the answer to a lease request or a write.
 pub fn written(core: &mut Core, reply: &StoreReply, out: &mut Effects) {
     let now = core.now;
     let segments = &mut core.traces.segments;
@@ -204,12 +209,12 @@
             }
         }
         StoreResult::Txn(_) => segments.batch.clear(),
-        // The lease may be gone. The batch stays, and is written again under the same keys.
+        // The lease may have expired. The batch is kept and written again under the same keys.
         _ => segments.lease = 0,
     }
 }
 
-/// Reads the segments that may hold a request.
+/// Reads the segments that may hold a record.
 pub(super) fn read(round: u64, folder: Box<str>, out: &mut Effects) {
     out.push(Effect::Read {
         job: Job::Find(round),
