--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -96,7 +96,7 @@
     let all = plans.iter().chain(&uses);
     // Chunks that the base head references exist as long as it is current, and the swap only
     // succeeds while it is.
-    let chunks = all.filter(|chunk| !base.names(&chunk_name(chunk)));
+    let chunks = all.filter(|chunk| !base.references(&chunk_name(chunk)));
     let chunks: Vec<Chunk> = chunks.cloned().collect();
     Ok(Pending {
         list: edit.list,
@@ -117,7 +117,7 @@
 /// deletion.
 fn retire(base: &Head, head: &Head) -> (Vec<Box<str>>, Vec<Box<str>>) {
     let unnamed = |chunks: &[Box<str>]| -> Vec<Box<str>> {
-        let chunks = chunks.iter().filter(|chunk| !head.names(chunk));
+        let chunks = chunks.iter().filter(|chunk| !head.references(chunk));
         chunks.cloned().collect()
     };
     let mut deleted = unnamed(&base.retired);
@@ -249,7 +249,7 @@
         // The answer was lost, and another edit has been written on top of this one.
         finish(core, ask, Some(0), out);
     } else if head.revision + 1 == pending.head.revision && pending.tries < MAX_EDIT_TRIES {
-        // The lists in force came from a peer while this host's watch brought nothing: the edit is
+        // The lists in force came from a peer while this host's watch delivered nothing: the edit is
         // based on the current head, and only its store revision was not known here.
         pending.tries += 1;
         pending.base_modified = modified;
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -47,7 +47,7 @@
 }
 
 impl Head {
-    fn names(&self, chunk: &str) -> bool {
+    fn references(&self, chunk: &str) -> bool {
         let mut names = self.plans.iter().chain(&self.uses);
         names.any(|name| **name == *chunk)
     }
--- a/src/core/request/failure.rs
+++ b/src/core/request/failure.rs
@@ -164,7 +164,7 @@
     }
 }
 
-/// Checks whether an attempt has brought no data for too long.
+/// Checks whether an attempt has delivered no data for too long.
 ///
 /// A middlebox can lose the state of a connection, which then stays open without any data while new
 /// ones work. The caller would wait forever; a new connection resumes the stream where it stopped.
--- a/src/core/request/mod.rs
+++ b/src/core/request/mod.rs
@@ -87,7 +87,7 @@
     Tokens,
 }
 
-/// Why an attempt brings no data at the moment.
+/// Why an attempt delivers no data at the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Flow {
     /// The engine has sent nothing, or its connection is lost.
--- a/src/core/trace/mod.rs
+++ b/src/core/trace/mod.rs
@@ -8,8 +8,8 @@
 mod search;
 mod segment;
 
-pub use search::{answer_peer, explain, found, handle_answer};
-pub use segment::{RETENTION, written};
+pub use search::{answer_peer, explain, handle_answer, handle_segments};
+pub use segment::{RETENTION, handle_write};
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/src/core/trace/search.rs
+++ b/src/core/trace/search.rs
@@ -173,7 +173,7 @@
 }
 
 /// Handles the segments read from the store.
-pub fn found(core: &mut Core, round: u64, reply: StoreReply, out: &mut Effects) {
+pub fn handle_segments(core: &mut Core, round: u64, reply: StoreReply, out: &mut Effects) {
     let Some(search) = core.traces.searches.get_mut(&round) else {
         return;
     };
--- a/src/core/trace/segment.rs
+++ b/src/core/trace/segment.rs
@@ -196,7 +196,7 @@
 }
 
 /// Handles the answer to a lease request or a write.
-pub fn written(core: &mut Core, reply: &StoreReply, out: &mut Effects) {
+pub fn handle_write(core: &mut Core, reply: &StoreReply, out: &mut Effects) {
     let now = core.now;
     let segments = &mut core.traces.segments;
     segments.in_flight = false;
