--- a/src/core/once/mod.rs
+++ b/src/core/once/mod.rs
@@ -9,17 +9,17 @@
 //! Only the host that serves a request may declare that it did not run: only that host can determine
 //! whether it ever sent the request. An owner never removes a start record on its own.
 
+mod ask;
 mod owner;
 mod path;
 mod record;
-mod requester;
 
+pub use ask::{
+    begin, finish, give_up, handle_begun, handle_recorded, peer_down, timer, view_changed,
+};
 pub use owner::{handle_begin, handle_done, handle_health, reply};
 pub use path::is_canonical;
 pub use record::{Call, CallName, CallState, Calls, RETENTION};
-pub use requester::{
-    begin, finish, give_up, handle_begun, handle_recorded, peer_down, timer, view_changed,
-};
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/core/once/owner.rs
+++ b/src/core/once/owner.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::record::{self, CallState, Calls};
-use super::{RecordOp, SWEEP_INTERVAL, remote_owner, requester, schedule_check};
+use super::{RecordOp, SWEEP_INTERVAL, ask, remote_owner, schedule_check};
 use crate::core::effect::{Effect, log_event};
 use crate::core::event::{Health, Job, StoreReply, StoreResult};
 use crate::core::key::{HostKey, ShardKey};
@@ -356,9 +356,9 @@
                 state,
                 request,
             },
-        ) => requester::handle_begun(core, round, state, request, out),
+        ) => ask::handle_begun(core, round, state, request, out),
         (None, Message::Recorded { round, durable }) => {
-            requester::handle_recorded(core, round, durable, out)
+            ask::handle_recorded(core, round, durable, out)
         }
         (None, _) => {}
     }
--- a/src/core/once/record.rs
+++ b/src/core/once/record.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::requester;
+use super::ask;
 use crate::core::effect::Effect;
 use crate::core::event::{Print, Stored};
 use crate::core::key::{HostKey, ShardKey};
@@ -119,9 +119,7 @@
     let round = 0;
     let request: Box<str> = first.into();
     match *host {
-        ServingHost::This => {
-            requester::handle_begun(core, round, BeginState::Started, request, out)
-        }
+        ServingHost::This => ask::handle_begun(core, round, BeginState::Started, request, out),
         ServingHost::Peer(to) => out.push(Effect::Send {
             to,
             message: Message::Begun {
@@ -170,7 +168,7 @@
             let kept = if fits {
                 result.clone()
             } else {
-                requester::oversized_placeholder(result.status)
+                ask::oversized_placeholder(result.status)
             };
             shard.bytes += kept.body.len() + kept.media.len();
             call.state = CallState::Done(kept);
