--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -57,8 +57,8 @@
 
 fn prepare(core: &mut Core, edit: &Edit) -> Result<Pending, OperatorAnswer> {
     let current = &core.config.lists;
-    // With a newer head that is not in force here yet, the edit would be checked against an outdated
-    // version of the other list.
+    // With a newer head that is not in force here yet, the edit would be checked against an
+    // outdated version of the other list.
     if edit.base != current.revision || core.config.newest_known() > current.revision {
         return Err(conflict(core, edit.list));
     }
@@ -249,8 +249,8 @@
         // The answer was lost, and another edit has been written on top of this one.
         finish(core, ask, Some(0), out);
     } else if head.revision + 1 == pending.head.revision && pending.tries < MAX_EDIT_TRIES {
-        // The lists in force came from a peer while this host's watch delivered nothing: the edit is
-        // based on the current head, and only its store revision was not known here.
+        // The lists in force came from a peer while this host's watch delivered nothing: the edit
+        // is based on the current head, and only its store revision was not known here.
         pending.tries += 1;
         pending.base_modified = modified;
         write_next(core, ask, out);
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -1,8 +1,9 @@
 //! The operators' lists: the revision in force, updates to a newer one, and edits.
 //!
 //! The store holds the lists as content-addressed chunks and one small head value that references
-//! them. An edit writes the chunks first and then replaces the head by compare-and-swap, so a reader
-//! never sees a partial edit, and of two concurrent edits one succeeds and one gets a conflict.
+//! them. An edit writes the chunks first and then replaces the head by compare-and-swap, so a
+//! reader never sees a partial edit, and of two concurrent edits one succeeds and one gets a
+//! conflict.
 
 mod edit;
 
@@ -32,6 +33,7 @@
 const MAX_CHUNK_BYTES: usize = 256 * 1024;
 /// Time until lists known to be newer are requested again.
 const FETCH_INTERVAL: Duration = Duration::from_millis(500);
+
 /// The head: the chunks of the newest lists, and the edit that wrote it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct Head {
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -69,6 +69,7 @@
     min_round: u64,
     /// Lease of the registration; 0 for none.
     lease: i64,
+    /// Number of the last registration call.
     last_round: u64,
     /// Whether the store answers.
     pub store: Health,
--- a/src/core/once/ask.rs
+++ b/src/core/once/ask.rs
@@ -285,7 +285,8 @@
         // Sent again by the next checks, until this host's view and the peer's agree.
         BeginState::NotOwner => {}
         BeginState::Started if first != begin.request => {}
-        // Handled this late, the answer found this host suspended; the record may have changed since.
+        // An answer handled this late means that this host was suspended in between; the record may
+        // have changed since.
         BeginState::Started if core.now.since(pending.since) >= RECORD_TIMEOUT => {
             refuse_start(
                 core,
--- a/src/core/once/mod.rs
+++ b/src/core/once/mod.rs
@@ -6,8 +6,8 @@
 //! of another. Operations that arrive during a write go out together with the next one, so the
 //! number of writes does not grow with traffic.
 //!
-//! Only the host that serves a request may declare that it did not run: only that host can determine
-//! whether it ever sent the request. An owner never removes a start record on its own.
+//! Only the host that serves a request may declare that it did not run: only that host can
+//! determine whether it ever sent the request. An owner never removes a start record on its own.
 
 mod ask;
 mod owner;
--- a/src/core/request/mod.rs
+++ b/src/core/request/mod.rs
@@ -109,8 +109,8 @@
     sent: Time,
     /// When the first token arrived; `sent` until then.
     first_token: Time,
-    /// Prompt tokens queued at the engine when it was sent, as estimated by this host, including its
-    /// own.
+    /// Prompt tokens queued at the engine when it was sent, its own included; estimated by this
+    /// host.
     backlog: u64,
     /// Name of the attempt at the backend server.
     label: Box<str>,
--- a/src/core/trace/mod.rs
+++ b/src/core/trace/mod.rs
@@ -39,6 +39,7 @@
 const COPY_COUNT: usize = 2;
 /// Maximum number of records per message; keeps a frame well below its size limit.
 const MAX_BATCH_RECORDS: usize = 256;
+
 /// Trace record of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Record {
@@ -117,8 +118,8 @@
 impl Traces {
     /// Creates a state without records.
     ///
-    /// `incarnation` is the wall clock at the start of this process, in milliseconds; it makes request
-    /// ids differ from those of an earlier process with the same host name.
+    /// `incarnation` is the wall clock at the start of this process, in milliseconds; it makes
+    /// request ids differ from those of an earlier process with the same host name.
     #[must_use]
     pub fn new(host: &HostSettings, incarnation: u64) -> Self {
         Self {
--- a/src/core/trace/search.rs
+++ b/src/core/trace/search.rs
@@ -34,8 +34,8 @@
     stage: Stage,
     /// Most complete record found so far; a finished one ends the search.
     best: Option<Box<Record>>,
-    /// Arrival time after which every host that answered has all its records; milliseconds since the
-    /// Unix epoch.
+    /// Arrival time after which every host that answered has all its records; milliseconds since
+    /// the Unix epoch.
     since: u64,
     /// Number of peers that did not answer; the store counts as one.
     unanswered: usize,
@@ -246,12 +246,12 @@
             format!("{unanswered} of the peers and the store did not answer; try again").into()
         }
         Some(_) if !is_issuer_present(core, &search.id) => {
-            "the host that served it is gone; the record of an ordinary request is lost with it and \
-             the two hosts that had copies"
+            "the host that served it is gone; the record of an ordinary request is lost with it \
+             and the two hosts that had copies"
                 .into()
         }
         Some(arrived) if arrived <= search.since => {
-            "the record has aged out: the request was an ordinary one, and newer records replaced it"
+            "the record has aged out: the request was ordinary, and newer records replaced it"
                 .into()
         }
         Some(_) => "no host has a record with this id".into(),
--- a/src/core/trace/segment.rs
+++ b/src/core/trace/segment.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// Returns the key prefix of the segments that may hold a record; `None` if `id` is not a request id.
+/// Returns the key prefix of the segments that may hold a record; `None` if `id` is no request id.
 pub(super) fn folder(id: &str) -> Option<Box<str>> {
     let arrived = super::arrival_of(id)?;
     let tag = id.split('-').next()?;
@@ -146,7 +146,7 @@
     let count = std::mem::take(&mut core.traces.segments.left_out);
     if count > 0 {
         let text = format!(
-            "{count} trace records are kept in memory only: the queue for writes to the store was full"
+            "{count} trace records are kept in memory only: the queue for the store was full"
         );
         out.push(log_event(log::Level::Warn, "trace.left_out", text));
     }
