--- a/src/core/relay/tests/parts.rs
+++ b/src/core/relay/tests/parts.rs
@@ -79,7 +79,7 @@
         .instances
         .find(&sent.instance)
         .expect("known");
-    let own = site.core.relay.instances.arena[key].own;
+    let own = site.core.relay.instances.arena[key].own_work;
     assert_eq!(own.tokens, OWN, "what is copied is not read");
 }
 
@@ -156,7 +156,7 @@
             ..Gossip::default()
         })));
         let key = site.core.relay.instances.find("p").expect("known");
-        let held = site.core.relay.instances.arena[key].parts.len();
+        let held = site.core.relay.instances.arena[key].blocks.len();
         let millis = (number - 1) * 150;
         if !(1500..=2100).contains(&millis) {
             assert_eq!(held, usize::from(millis < 1500), "after {millis} ms");
@@ -243,7 +243,7 @@
 fn start(site: &mut Site, running: &mut Running) -> Option<u64> {
     let sent = site.sent()?;
     let key = site.core.relay.instances.find(&sent.instance)?;
-    let waits = site.core.relay.instances.arena[key].own.tokens / 40;
+    let waits = site.core.relay.instances.arena[key].own_work.tokens / 40;
     let tokens = site.core.relay.attempts[sent.attempt].work.tokens;
     running.push((site.now + waits + 60, sent));
     Some(tokens)
