--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -190,7 +190,7 @@
         }
     }
     call.is_late = choice.is_late;
-    instance.own = instance.own.plus(choice.work);
+    instance.own_work = instance.own_work.plus(choice.work);
     instance.limit.spend(now);
     if let Some(prompt) = &call.prompt {
         prefix_cache::record_prompt(instance, prompt, now, from_millis(choice.expected_ms));
@@ -224,7 +224,7 @@
             ("expected_ms", format!("{:.0}", choice.expected_ms).into()),
             ("calls", instance.work().calls.to_string().into()),
             ("tokens", instance.work().tokens.to_string().into()),
-            ("own_tokens", instance.own.tokens.to_string().into()),
+            ("own_tokens", instance.own_work.tokens.to_string().into()),
             ("peer_age_ms", peer_age),
             ("unlisted_ms", unlisted),
             ("reads", choice.work.tokens.to_string().into()),
@@ -291,7 +291,7 @@
 pub(super) fn close_attempt(core: &mut Core, key: AttemptKey) -> Option<Attempt> {
     let attempt = core.relay.attempts.remove(key)?;
     if let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) {
-        instance.own = instance.own.minus(attempt.work);
+        instance.own_work = instance.own_work.minus(attempt.work);
     }
     if let Some(call) = core.relay.calls.get_mut(attempt.call)
         && call.attempt == Some(key)
@@ -312,7 +312,7 @@
     };
     attempt.work = attempt.work.minus(done);
     if let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) {
-        instance.own = instance.own.minus(done);
+        instance.own_work = instance.own_work.minus(done);
     }
 }
 
--- a/src/core/relay/prefix_cache.rs
+++ b/src/core/relay/prefix_cache.rs
@@ -74,7 +74,7 @@
 /// A cached block counts only if all blocks before it are cached as well.
 fn cached_tokens(instance: &Instance, prompt: &Prompt, by: Option<Time>) -> u64 {
     let is_cached = |block: &PrefixBlock| {
-        let known = instance.parts.get(&block.id);
+        let known = instance.blocks.get(&block.id);
         block.tokens < MIN_BLOCK_TOKENS
             || known.is_some_and(|known| by.is_none_or(|by| known.ready <= by))
     };
@@ -188,7 +188,7 @@
         ready,
         tokens,
     };
-    let known = instance.parts.entry(id).or_insert(block);
+    let known = instance.blocks.entry(id).or_insert(block);
     known.last_used = now;
     known.ready = known.ready.min(ready);
 }
@@ -212,22 +212,22 @@
     if fill > 0.0 {
         let lifetime = memory as f64 / fill;
         instance
-            .parts
+            .blocks
             .retain(|_, block| now.since(block.last_used).as_secs_f64() < lifetime);
     }
     let capacity = memory as f64 * SHARED_MEMORY_FRACTION;
     loop {
-        let sum: u64 = instance.parts.values().map(|block| block.tokens).sum();
+        let sum: u64 = instance.blocks.values().map(|block| block.tokens).sum();
         if sum as f64 <= capacity {
             return;
         }
         let oldest = instance
-            .parts
+            .blocks
             .iter()
             .min_by_key(|(_, block)| block.last_used);
         let Some(oldest) = oldest.map(|(id, _)| *id) else {
             return;
         };
-        instance.parts.remove(&oldest);
+        instance.blocks.remove(&oldest);
     }
 }
--- a/src/core/relay/tests/domain.rs
+++ b/src/core/relay/tests/domain.rs
@@ -363,7 +363,7 @@
         let node = self.hosts[host].as_ref().expect("a running host");
         let instances = &node.core.relay.instances;
         let key = instances.find(server).expect("a known server");
-        instances.arena[key].others_total
+        instances.arena[key].peer_total
     }
 
     /// Returns the milliseconds until a host has reports of so many requests of other hosts at a server.
--- a/src/core/relay/tests/load.rs
+++ b/src/core/relay/tests/load.rs
@@ -102,7 +102,7 @@
     // The work of a host without recent messages is dropped after a while.
     site.advance(3000);
     let key = site.core.relay.instances.find("p").expect("registered");
-    assert_eq!(site.core.relay.instances.arena[key].others_total.tokens, 0);
+    assert_eq!(site.core.relay.instances.arena[key].peer_total.tokens, 0);
 }
 
 /// A burst of long prompts exceeds what the engines can prefill in time. Those that would be late
--- a/src/core/relay/tests/prefix_cache.rs
+++ b/src/core/relay/tests/prefix_cache.rs
@@ -79,7 +79,7 @@
         .instances
         .find(&sent.instance)
         .expect("registered");
-    let own = site.core.relay.instances.arena[key].own;
+    let own = site.core.relay.instances.arena[key].own_work;
     assert_eq!(own.tokens, OWN, "copied tokens are not prefilled");
 }
 
@@ -161,7 +161,7 @@
             ..Gossip::default()
         })));
         let key = site.core.relay.instances.find("p").expect("registered");
-        let cached = site.core.relay.instances.arena[key].parts.len();
+        let cached = site.core.relay.instances.arena[key].blocks.len();
         let millis = (number - 1) * 150;
         if !(1500..=2100).contains(&millis) {
             assert_eq!(cached, usize::from(millis < 1500), "after {millis} ms");
@@ -249,7 +249,7 @@
 fn start(site: &mut TestHost, running: &mut Running) -> Option<u64> {
     let sent = site.sent()?;
     let key = site.core.relay.instances.find(&sent.instance)?;
-    let wait = site.core.relay.instances.arena[key].own.tokens / 40;
+    let wait = site.core.relay.instances.arena[key].own_work.tokens / 40;
     let tokens = site.core.relay.attempts[sent.attempt].work.tokens;
     running.push((site.now + wait + 60, sent));
     Some(tokens)
