--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -227,7 +227,7 @@
     match source {
         Some(source) if how == Break::Refused => {
             source.taken(false);
-            source.spoiled > SPOILED
+            source.kv_loss_rate > SPOILED
         }
         _ => false,
     }
@@ -244,11 +244,11 @@
     };
     match how {
         Break::Refused => instance.refused(now),
-        Break::Rejected => instance.misplaced = true,
+        Break::Rejected => instance.addr_reused = true,
         Break::Unreachable => instance.unreachable(now),
         Break::Cut | Break::Silent | Break::Forgotten => instance.failed(now),
     }
-    if how == Break::Rejected || !instance.takes(now) && how != Break::Refused {
+    if how == Break::Rejected || !instance.is_available(now) && how != Break::Refused {
         note(
             out,
             log::Level::Info,
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -255,7 +255,7 @@
 
 /// Returns for how long a backend server's entry has been missing from the store, for the log.
 fn unlisted(core: &Core, key: BackendKey) -> Box<str> {
-    let missed = core.relay.instances.arena[key].missed;
+    let missed = core.relay.instances.arena[key].missing_since;
     missed.map_or_else(
         || "listed".into(),
         |at| core.now.since(at).as_millis().to_string().into(),
@@ -287,7 +287,7 @@
 pub(super) fn close(core: &mut Core, key: AttemptKey) -> Option<Attempt> {
     let attempt = core.relay.attempts.remove(key)?;
     if let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) {
-        instance.own = instance.own.less(attempt.work);
+        instance.own = instance.own.minus(attempt.work);
     }
     if let Some(call) = core.relay.calls.get_mut(attempt.call)
         && call.attempt == Some(key)
@@ -306,9 +306,9 @@
         calls: 0,
         ..attempt.work
     };
-    attempt.work = attempt.work.less(done);
+    attempt.work = attempt.work.minus(done);
     if let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) {
-        instance.own = instance.own.less(done);
+        instance.own = instance.own.minus(done);
     }
 }
 
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -154,7 +154,8 @@
 fn limited(core: &Core, service: &str) -> Option<Duration> {
     let all = core.relay.instances.of(service).iter();
     let all = all.map(|key| &core.relay.instances.arena[*key]);
-    let limited = all.filter(|instance| instance.takes(core.now) && !instance.admits(core.now));
+    let limited =
+        all.filter(|instance| instance.is_available(core.now) && !instance.admits(core.now));
     limited
         .map(|instance| instance.limit.wait(core.now).unwrap_or_default())
         .min()
@@ -299,7 +300,7 @@
     let here = base + queue + reads.before + own;
     let crossing = crossing(core, call, instance, policy);
     let vain = match stage {
-        Stage::Prefill => instance.vain(own),
+        Stage::Prefill => instance.kv_loss_cost(own),
         Stage::Decode => 0.0,
     };
     Way {
@@ -316,7 +317,7 @@
             + load::usual(instance, own) * policy.work * share
             + displaced(learned, fetch.map_or(0, |fetch| fetch.tokens))
             + crossing
-            + instance.risk()
+            + instance.failure_cost()
             + vain
             - instance.limit.preference(core.now),
     }
--- a/src/core/relay/choose/plain.rs
+++ b/src/core/relay/choose/plain.rs
@@ -31,7 +31,7 @@
         let expected = load::latency(instance) * (1.0 + (ahead - 0.5).max(0.0));
         let crossing = if instance.domain == domain { 0.0 } else { 2.0 };
         let noise: f64 = core.rng.random_range(0.9..1.1);
-        let cost = expected * (1.0 + ahead * 0.3) * noise + crossing + instance.risk()
+        let cost = expected * (1.0 + ahead * 0.3) * noise + crossing + instance.failure_cost()
             - instance.limit.preference(core.now);
         if best.is_none_or(|(least, ..)| cost < least) {
             best = Some((cost, expected, backend));
--- a/src/core/relay/gossip/gather.rs
+++ b/src/core/relay/gossip/gather.rs
@@ -10,7 +10,7 @@
 use super::super::super::key::HostKey;
 use super::super::super::{Core, Effects};
 use super::super::event::{Gossip, GossipKind, Included, LoadReport};
-use super::super::instance::{Work, short};
+use super::super::instance::{Work, short_hash};
 use super::super::note;
 use super::aggregator::{Change, preferred};
 use super::{
@@ -114,7 +114,7 @@
         })
         .collect();
     let view = &core.relay.view;
-    let quiet = !view.probes.has_news() && !view.history.has_news() && !peers.down.any();
+    let quiet = !view.probes.has_news() && !view.history.has_unsent() && !peers.down.any();
     let waits = peers
         .answered
         .is_some_and(|at| core.now.since(at) < KEEPALIVE_INTERVAL);
@@ -136,7 +136,7 @@
 
 /// Returns the short hash of one process of a host.
 fn process(host: &str, incarnation: u64) -> u32 {
-    short(&format!("{host}/{incarnation}"))
+    short_hash(&format!("{host}/{incarnation}"))
 }
 
 /// Takes in a report, a question for totals, or a farewell.
@@ -176,7 +176,7 @@
         .iter()
         .map(|load| {
             let part = reported.get(&load.instance).copied().unwrap_or_default();
-            load_report(load.instance, Work::from(*load).less(part))
+            load_report(load.instance, Work::from(*load).minus(part))
         })
         .collect();
     let domain = core.settings.host.domain.clone();
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -57,7 +57,7 @@
     expire(core);
     peers::drop_silent(core, out);
     for instance in core.relay.instances.arena.values_mut() {
-        instance.age(core.now);
+        instance.update_fill_rate(core.now);
     }
     sweep(core);
     core.relay.instances.sweep(core.now);
@@ -68,7 +68,7 @@
         publish_own(core, out);
     }
     gather::answer(core, out);
-    view::attend(core, out);
+    view::resume_watch(core, out);
     if core.relay.peers.across.any() && represents_domain(core) {
         domains::tell(core, out);
     }
@@ -143,7 +143,7 @@
     let limits = limits.is_some_and(|told| limit::changed_since(core, told));
     let news = news || limits;
     let news =
-        news || view.probes.has_news() || (view.history.has_news() && replicates_changes(core));
+        news || view.probes.has_news() || (view.history.has_unsent() && replicates_changes(core));
     let peers = &mut core.relay.peers;
     let same = !news && loads == peers.last;
     if same
@@ -198,13 +198,13 @@
         GossipKind::Own => replicates_changes(core),
         _ => false,
     };
-    let passage = passes.then(|| core.relay.view.passage());
+    let passage = passes.then(|| core.relay.view.take_changes());
     let probes = &mut core.relay.view.probes;
     let newest = match kind {
         // Each failure domain probes the store for itself.
         GossipKind::Domain(_) | GossipKind::Passed(_) => None,
-        GossipKind::Totals(_) => probes.latest(core.now),
-        _ => probes.newest(core.now),
+        GossipKind::Totals(_) => probes.latest_report(core.now),
+        _ => probes.own_report(core.now),
     };
     Gossip {
         host: core.settings.host.name.clone(),
@@ -347,7 +347,7 @@
     peer.number = message.number;
     peer.heard = Some(now);
     limit::reported(core, &message.host, &message.limits, out);
-    view::era::seen(core, message.era, &message.host, out);
+    view::era::observe(core, message.era, &message.host, out);
     if message.era < core.relay.view.era() {
         // The sender has not heard of this era: its revisions mean nothing here.
         message.uptime = None;
@@ -355,13 +355,13 @@
         message.newest = None;
     }
     if let Some(uptime) = message.uptime {
-        view::up(core, uptime, out);
+        view::uptime_reported(core, uptime, out);
     }
     if let Some(passage) = message.passage.take() {
-        view::passed(core, &message.host, passage, out);
+        view::apply_replicated(core, &message.host, passage, out);
     }
     if let Some(newest) = message.newest {
-        view::probe::told(core, newest, out);
+        view::probe::reported(core, newest, out);
     }
     let peers = &mut core.relay.peers;
     peers.down.hear(&message.parts, &message.deaths);
@@ -390,7 +390,7 @@
 /// Takes in which prompt parts engines were sent.
 fn note_parts(core: &mut Core, parts: &[PrefixReport]) {
     for part in parts {
-        let Some(engine) = core.relay.instances.by_short(part.instance) else {
+        let Some(engine) = core.relay.instances.by_short_hash(part.instance) else {
             continue;
         };
         let instance = &mut core.relay.instances.arena[engine];
--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -56,35 +56,35 @@
     /// Wall clock at its start, in milliseconds since the Unix epoch.
     pub born: u64,
     /// When its entry was first missed after the watch was interrupted.
-    pub missed: Option<Time>,
+    pub missing_since: Option<Time>,
     /// Another instance answered at its address.
-    pub misplaced: bool,
+    pub addr_reused: bool,
     /// This host's unfinished work there.
     pub own: Work,
     /// The other hosts' unfinished work there, as they told it.
     pub others: BTreeMap<HostKey, Work>,
     /// Sum of the other hosts' work.
-    pub theirs: Work,
+    pub others_total: Work,
     /// Failures since the last success.
     pub fails: u32,
     /// Refusals since the last success.
     pub refusals: u32,
     /// It gets no new work before this time.
-    pub retry: Time,
+    pub retry_at: Time,
     /// How fast it is against the other engines of its service.
     pub pace: Pace,
     /// How slow its link is.
     pub link: Link,
     /// Part of the KV caches read there that could not be taken lately.
-    pub spoiled: f64,
+    pub kv_loss_rate: f64,
     /// Part of the requests that failed there lately.
-    pub errors: f64,
+    pub error_rate: f64,
     /// Milliseconds a plain request takes there; 0 before the first.
-    pub latency: f64,
+    pub latency_ms: f64,
     /// When it last brought anything.
     pub heard: Option<Time>,
     /// Tokens that this host had put into its memory, older ones for less, and as of when.
-    filled: (f64, Time),
+    recent_fill: (f64, Time),
     /// Requests that it takes from all hosts together.
     pub limit: Limit,
     /// Prompt parts that it holds or is about to, by their ids.
@@ -115,7 +115,7 @@
 
     /// Returns the difference, not below zero.
     #[must_use]
-    pub fn less(self, other: Self) -> Self {
+    pub fn minus(self, other: Self) -> Self {
         Self {
             calls: self.calls.saturating_sub(other.calls),
             fill: self.fill.saturating_sub(other.fill),
@@ -137,7 +137,7 @@
 impl Instance {
     fn new(entry: Entry) -> Self {
         Self {
-            short: short(&entry.id),
+            short: short_hash(&entry.id),
             id: entry.id,
             service: entry.service,
             addr: entry.addr,
@@ -146,21 +146,21 @@
             leaving: entry.leaving,
             stage: entry.stage,
             born: entry.born,
-            missed: None,
-            misplaced: false,
+            missing_since: None,
+            addr_reused: false,
             own: Work::default(),
             others: BTreeMap::new(),
-            theirs: Work::default(),
+            others_total: Work::default(),
             fails: 0,
             refusals: 0,
-            retry: Time::default(),
+            retry_at: Time::default(),
             pace: Pace::default(),
             link: Link::default(),
-            spoiled: 0.0,
-            errors: 0.0,
-            latency: 0.0,
+            kv_loss_rate: 0.0,
+            error_rate: 0.0,
+            latency_ms: 0.0,
             heard: None,
-            filled: (0.0, Time::default()),
+            recent_fill: (0.0, Time::default()),
             limit: Limit::default(),
             parts: BTreeMap::new(),
         }
@@ -168,35 +168,37 @@
 
     /// Returns whether new work may go there.
     #[must_use]
-    pub fn takes(&self, now: Time) -> bool {
-        let missed = self.missed.is_some_and(|at| now.since(at) > MISSING_GRACE);
-        !self.leaving && !self.misplaced && !missed && now >= self.retry
+    pub fn is_available(&self, now: Time) -> bool {
+        let missed = self
+            .missing_since
+            .is_some_and(|at| now.since(at) > MISSING_GRACE);
+        !self.leaving && !self.addr_reused && !missed && now >= self.retry_at
     }
 
     /// Returns whether new work may go there now, by its limit also.
     #[must_use]
     pub fn admits(&self, now: Time) -> bool {
-        self.takes(now) && self.limit.admits(now)
+        self.is_available(now) && self.limit.admits(now)
     }
 
     /// Returns all known unfinished work there.
     #[must_use]
     pub fn work(&self) -> Work {
-        self.own.plus(self.theirs)
+        self.own.plus(self.others_total)
     }
 
     /// Notes that tokens are put into its memory.
     pub fn fill(&mut self, tokens: u64, now: Time) {
-        self.age(now);
-        self.filled.0 += tokens as f64;
+        self.update_fill_rate(now);
+        self.recent_fill.0 += tokens as f64;
     }
 
     /// Works out how fast its memory is filled by this host.
-    pub fn age(&mut self, now: Time) {
-        let (sum, at) = self.filled;
+    pub fn update_fill_rate(&mut self, now: Time) {
+        let (sum, at) = self.recent_fill;
         let past = now.since(at).as_secs_f64() / FILL_WINDOW.as_secs_f64();
-        self.filled = (sum * (-past).exp(), now);
-        let rate = self.filled.0 / FILL_WINDOW.as_secs_f64();
+        self.recent_fill = (sum * (-past).exp(), now);
+        let rate = self.recent_fill.0 / FILL_WINDOW.as_secs_f64();
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -210,9 +212,9 @@
     pub fn failed(&mut self, now: Time) {
         let factor = 2_u32.saturating_pow(self.fails.min(8));
         self.fails += 1;
-        self.errors += (1.0 - self.errors) * ERROR_WEIGHT;
+        self.error_rate += (1.0 - self.error_rate) * ERROR_WEIGHT;
         if self.fails >= UNHEALTHY_FAILURES {
-            self.retry = now.after((INITIAL_BACKOFF * factor).min(MAX_BACKOFF));
+            self.retry_at = now.after((INITIAL_BACKOFF * factor).min(MAX_BACKOFF));
         }
     }
 
@@ -226,34 +228,35 @@
     pub fn refused(&mut self, now: Time) {
         let pause = REFUSAL_BACKOFF * 2_u32.pow(self.refusals.min(MAX_REFUSAL_DOUBLINGS));
         self.refusals += 1;
-        self.errors += (1.0 - self.errors) * ERROR_WEIGHT;
-        self.retry = self.retry.max(now.after(pause));
+        self.error_rate += (1.0 - self.error_rate) * ERROR_WEIGHT;
+        self.retry_at = self.retry_at.max(now.after(pause));
     }
 
     /// Returns the milliseconds that a request is expected to lose by being sent there in vain.
     #[must_use]
-    pub fn risk(&self) -> f64 {
-        self.errors / (1.0 - self.errors).max(MIN_SUCCESS_RATIO) * FAILED_SEND_COST_MS
+    pub fn failure_cost(&self) -> f64 {
+        self.error_rate / (1.0 - self.error_rate).max(MIN_SUCCESS_RATIO) * FAILED_SEND_COST_MS
     }
 
     /// Notes whether a KV cache that was read there could be taken.
     pub fn taken(&mut self, taken: bool) {
         let spoiled = if taken { 0.0 } else { 1.0 };
-        self.spoiled += (spoiled - self.spoiled) * ERROR_WEIGHT;
+        self.kv_loss_rate += (spoiled - self.kv_loss_rate) * ERROR_WEIGHT;
     }
 
     /// Returns the milliseconds that reading a prompt there is expected to lose, where it takes
     /// this long: what cannot be taken over is read again elsewhere.
     #[must_use]
-    pub fn vain(&self, millis: f64) -> f64 {
-        self.spoiled / (1.0 - self.spoiled).max(MIN_SUCCESS_RATIO) * (FAILED_SEND_COST_MS + millis)
+    pub fn kv_loss_cost(&self, millis: f64) -> f64 {
+        self.kv_loss_rate / (1.0 - self.kv_loss_rate).max(MIN_SUCCESS_RATIO)
+            * (FAILED_SEND_COST_MS + millis)
     }
 
     /// Notes that it answered.
     pub fn works(&mut self) {
         self.fails = 0;
         self.refusals = 0;
-        self.errors -= self.errors * ERROR_WEIGHT;
+        self.error_rate -= self.error_rate * ERROR_WEIGHT;
     }
 }
 
@@ -272,7 +275,7 @@
 
 /// Returns the short hash of an id.
 #[must_use]
-pub fn short(id: &str) -> u32 {
+pub fn short_hash(id: &str) -> u32 {
     let mut first = [0; 4];
     first.copy_from_slice(&blake3::hash(id.as_bytes()).as_bytes()[..4]);
     u32::from_le_bytes(first)
@@ -283,17 +286,17 @@
 pub struct Instances {
     /// Backend servers.
     pub arena: SlotMap<BackendKey, Instance>,
-    names: BTreeMap<Box<str>, BackendKey>,
-    shorts: BTreeMap<u32, BackendKey>,
+    by_id: BTreeMap<Box<str>, BackendKey>,
+    by_hash: BTreeMap<u32, BackendKey>,
     /// Backend servers at which a host has unfinished work, as it told.
     told: BTreeMap<HostKey, Vec<BackendKey>>,
-    services: BTreeMap<Box<str>, Vec<BackendKey>>,
+    by_service: BTreeMap<Box<str>, Vec<BackendKey>>,
     departed: Departed,
 }
 
 /// A change of what is believed of a backend server, for the log.
 #[derive(Debug, Clone)]
-pub struct Belief {
+pub struct StateChange {
     /// Its id.
     pub id: Box<str>,
     /// What is believed now.
@@ -304,27 +307,29 @@
     /// Returns the key of a backend server.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<BackendKey> {
-        self.names.get(id).copied()
+        self.by_id.get(id).copied()
     }
 
     /// Returns the key of the backend server with this short hash.
     #[must_use]
-    pub fn by_short(&self, short: u32) -> Option<BackendKey> {
-        self.shorts.get(&short).copied()
+    pub fn by_short_hash(&self, short: u32) -> Option<BackendKey> {
+        self.by_hash.get(&short).copied()
     }
 
     /// Returns the backend servers of a service.
     #[must_use]
     pub fn of(&self, service: &str) -> &[BackendKey] {
-        self.services.get(service).map_or(&[], Vec::as_slice)
+        self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Returns how many backend servers take work though their entries are missing.
     #[must_use]
     pub fn unlisted(&self, now: Time) -> u64 {
         let all = self.arena.values();
-        all.map(|instance| u64::from(instance.missed.is_some() && instance.takes(now)))
-            .sum()
+        all.map(|instance| {
+            u64::from(instance.missing_since.is_some() && instance.is_available(now))
+        })
+        .sum()
     }
 
     /// Returns how many backend servers name a limit.
@@ -336,15 +341,15 @@
     }
 
     /// Takes in what the store told; returns what is believed anew.
-    pub fn changed(&mut self, changes: &mut Changes, era: u64, now: Time) -> Vec<Belief> {
+    pub fn changed(&mut self, changes: &mut Changes, era: u64, now: Time) -> Vec<StateChange> {
         let mut beliefs = Vec::new();
         self.departed.sweep(now);
         if changes.whole {
             let listed = |id: &str| changes.instances.iter().any(|entry| *entry.id == *id);
             for instance in self.arena.values_mut() {
-                if !listed(&instance.id) && !instance.leaving && instance.missed.is_none() {
-                    instance.missed = Some(now);
-                    beliefs.push(Belief {
+                if !listed(&instance.id) && !instance.leaving && instance.missing_since.is_none() {
+                    instance.missing_since = Some(now);
+                    beliefs.push(StateChange {
                         id: instance.id.clone(),
                         what: "missing",
                     });
@@ -360,14 +365,14 @@
             } else {
                 self.departed.remove(&entry.id);
             }
-            self.written(entry, now, &mut beliefs);
+            self.apply_entry(entry, now, &mut beliefs);
         }
         for id in std::mem::take(&mut changes.gone) {
             if let Some(key) = self.find(&id) {
                 let instance = &mut self.arena[key];
                 let born = instance.born;
                 if !instance.leaving {
-                    beliefs.push(Belief {
+                    beliefs.push(StateChange {
                         id: id.clone(),
                         what: "gone",
                     });
@@ -381,9 +386,9 @@
     }
 
     /// Takes backend servers whose entries are missing for gone; returns what is believed anew.
-    pub fn drop_missing(&mut self, era: u64, now: Time) -> Vec<Belief> {
+    pub fn drop_missing(&mut self, era: u64, now: Time) -> Vec<StateChange> {
         let all = self.arena.values_mut();
-        let missing = all.filter(|instance| instance.missed.is_some() && !instance.leaving);
+        let missing = all.filter(|instance| instance.missing_since.is_some() && !instance.leaving);
         let gone: Vec<(Box<str>, u64)> = missing
             .map(|instance| {
                 instance.leaving = true;
@@ -393,9 +398,9 @@
         for (id, born) in &gone {
             self.departed.insert(id.clone(), *born, era, now);
         }
-        let beliefs: Vec<Belief> = gone
+        let beliefs: Vec<StateChange> = gone
             .into_iter()
-            .map(|(id, _)| Belief { id, what: "gone" })
+            .map(|(id, _)| StateChange { id, what: "gone" })
             .collect();
         if !beliefs.is_empty() {
             self.sweep(now);
@@ -403,7 +408,7 @@
         beliefs
     }
 
-    fn written(&mut self, entry: Entry, now: Time, beliefs: &mut Vec<Belief>) {
+    fn apply_entry(&mut self, entry: Entry, now: Time, beliefs: &mut Vec<StateChange>) {
         let id = entry.id.clone();
         let mut restarted = false;
         if let Some(key) = self.find(&id) {
@@ -413,7 +418,7 @@
                 // It started again under its old id, and knows nothing of before.
                 self.remove(key);
                 restarted = true;
-                beliefs.push(Belief {
+                beliefs.push(StateChange {
                     id: id.clone(),
                     what: "restarted",
                 });
@@ -423,15 +428,15 @@
             let instance = &mut self.arena[key];
             if instance.leaving != entry.leaving {
                 let what = if entry.leaving { "leaving" } else { "ready" };
-                beliefs.push(Belief { id, what });
+                beliefs.push(StateChange { id, what });
             }
             instance.leaving = entry.leaving;
-            instance.missed = None;
+            instance.missing_since = None;
             instance.stage = entry.stage;
             instance.slots = entry.slots.max(1);
             return;
         }
-        beliefs.push(Belief {
+        beliefs.push(StateChange {
             id: id.clone(),
             what: if entry.leaving { "leaving" } else { "ready" },
         });
@@ -442,16 +447,16 @@
         }
         let short = instance.short;
         let key = self.arena.insert(instance);
-        self.names.insert(id, key);
-        self.shorts.insert(short, key);
-        self.services.entry(service).or_default().push(key);
+        self.by_id.insert(id, key);
+        self.by_hash.insert(short, key);
+        self.by_service.entry(service).or_default().push(key);
     }
 
     /// Forgets what has left and holds no work.
     pub fn sweep(&mut self, now: Time) {
         let ended = |instance: &Instance| {
             let missed = instance
-                .missed
+                .missing_since
                 .is_some_and(|at| now.since(at) > MISSING_GRACE);
             (instance.leaving || missed) && instance.own.calls == 0
         };
@@ -469,9 +474,9 @@
 
     fn remove(&mut self, key: BackendKey) {
         if let Some(instance) = self.arena.remove(key) {
-            self.names.remove(&instance.id);
-            self.shorts.remove(&instance.short);
-            if let Some(list) = self.services.get_mut(&instance.service) {
+            self.by_id.remove(&instance.id);
+            self.by_hash.remove(&instance.short);
+            if let Some(list) = self.by_service.get_mut(&instance.service) {
                 list.retain(|other| *other != key);
             }
         }
@@ -483,18 +488,18 @@
             if let Some(instance) = self.arena.get_mut(key)
                 && let Some(old) = instance.others.remove(&host)
             {
-                instance.theirs = instance.theirs.less(old);
+                instance.others_total = instance.others_total.minus(old);
             }
         }
         let mut keys = Vec::with_capacity(loads.len());
         for load in loads {
-            if let Some(key) = self.by_short(load.instance) {
+            if let Some(key) = self.by_short_hash(load.instance) {
                 let instance = &mut self.arena[key];
                 let work = Work::from(*load);
                 if let Some(twice) = instance.others.insert(host, work) {
-                    instance.theirs = instance.theirs.less(twice);
+                    instance.others_total = instance.others_total.minus(twice);
                 }
-                instance.theirs = instance.theirs.plus(work);
+                instance.others_total = instance.others_total.plus(work);
                 keys.push(key);
             }
         }
--- a/src/core/relay/limit.rs
+++ b/src/core/relay/limit.rs
@@ -10,7 +10,7 @@
 use super::super::time::Time;
 use super::super::{Core, Effects};
 use super::event::{LimitReport, NamedLimit};
-use super::instance::{Instance, short};
+use super::instance::{Instance, short_hash};
 use super::note;
 
 /// Least requests a second that are sent to a limited server: without one now and then, nobody learns that a
@@ -178,7 +178,7 @@
 pub fn reported(core: &mut Core, from: &str, reports: &[LimitReport], out: &mut Effects) {
     let now = core.now;
     for report in reports {
-        let Some(key) = core.relay.instances.by_short(report.instance) else {
+        let Some(key) = core.relay.instances.by_short_hash(report.instance) else {
             continue;
         };
         let limit = &mut core.relay.instances.arena[key].limit;
@@ -238,7 +238,7 @@
     let peers = &core.relay.peers;
     let hosts = peers.hosts() as f64;
     let sharing = rate.ceil().clamp(1.0, hosts);
-    let own = rank(short(&core.settings.host.name), instance.short);
+    let own = rank(short_hash(&core.settings.host.name), instance.short);
     let ranks = peers.shorts().map(|other| rank(other, instance.short));
     let ahead = ranks.filter(|other| *other > own).count();
     if (ahead as f64) < sharing {
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -41,8 +41,8 @@
 /// Returns the milliseconds a plain request takes there.
 #[must_use]
 pub fn latency(instance: &Instance) -> f64 {
-    if instance.latency > 0.0 {
-        instance.latency
+    if instance.latency_ms > 0.0 {
+        instance.latency_ms
     } else {
         LATENCY
     }
@@ -84,7 +84,7 @@
     );
     if instance.stage.is_none() {
         let old = latency(instance);
-        instance.latency = old + (took - old) * LATENCY_STEP;
+        instance.latency_ms = old + (took - old) * LATENCY_STEP;
     } else if let Some(stage) = instance.stage
         && matches!(task, Task::Prefill | Task::Whole)
     {
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -246,7 +246,7 @@
             end,
             detail,
         } => answer::broke(core, attempt, ran, end, &detail, out),
-        RelayEvent::Era(era) => view::era::seen(core, era, view::era::STORE_SOURCE, out),
+        RelayEvent::Era(era) => view::era::observe(core, era, view::era::STORE_SOURCE, out),
         RelayEvent::Store { number, answer } => view::answered(core, number, answer, out),
         RelayEvent::Reported { instance, report } => {
             split::reported(core, &instance, report, out);
@@ -269,7 +269,7 @@
         RelayTimer::Publish => gossip::publish(core, out),
         RelayTimer::Register => peers::register(core, out),
         RelayTimer::RegisterAgain => peers::register_again(core, out),
-        RelayTimer::Follow(last) => view::follow(core, last, out),
+        RelayTimer::Follow(last) => view::resume(core, last, out),
         RelayTimer::Probe => view::probe::probe(core, out),
         RelayTimer::Overdue => view::probe::overdue(core, out),
         RelayTimer::Plan => split::plan(core, out),
@@ -310,7 +310,7 @@
     split::changed(core, &changes, out);
 }
 
-fn note_beliefs(beliefs: Vec<instance::Belief>, out: &mut Effects) {
+fn note_beliefs(beliefs: Vec<instance::StateChange>, out: &mut Effects) {
     for belief in beliefs {
         note(
             out,
--- a/src/core/relay/parts.rs
+++ b/src/core/relay/parts.rs
@@ -100,7 +100,7 @@
     let mut most: BTreeMap<&str, Holder> = BTreeMap::new();
     for key in core.relay.instances.of(&call.service) {
         let instance = &core.relay.instances.arena[*key];
-        if !instance.takes(core.now) || call.tried.contains(key) {
+        if !instance.is_available(core.now) || call.tried.contains(key) {
             continue;
         }
         let tokens = held(instance, prompt, Some(core.now));
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -15,7 +15,7 @@
 use super::super::{Core, Effects};
 use super::event::{Changes, LoadReport, PrefixReport, PromptPart, RelayEffect};
 use super::gossip::{Aggregator, PendingUpdates};
-use super::instance::short;
+use super::instance::short_hash;
 use super::{RelayJob, RelayTimer, gossip, job, limit, note, parts, wake};
 use crate::store::{Compare, Op, Txn};
 
@@ -299,7 +299,7 @@
 pub(super) fn peer(name: &str, domain: Box<str>, addr: SocketAddr) -> Peer {
     Peer {
         name: name.into(),
-        short: short(name),
+        short: short_hash(name),
         domain,
         addr,
         heard: None,
--- a/src/core/relay/split.rs
+++ b/src/core/relay/split.rs
@@ -309,7 +309,7 @@
     let keys = core.relay.instances.of(service).iter().copied();
     keys.filter(|key| {
         let instance = &core.relay.instances.arena[*key];
-        !instance.leaving && !instance.misplaced && instance.missed.is_none()
+        !instance.leaving && !instance.addr_reused && instance.missing_since.is_none()
     })
     .collect()
 }
--- a/src/core/relay/tests/departed.rs
+++ b/src/core/relay/tests/departed.rs
@@ -21,7 +21,7 @@
     let site = domain.hosts[host].as_ref().expect("a host that runs");
     let instances = &site.core.relay.instances;
     let key = instances.find(server);
-    key.is_some_and(|key| instances.arena[key].takes(site.core.now))
+    key.is_some_and(|key| instances.arena[key].is_available(site.core.now))
 }
 
 /// A host is cut off while a server's entry is removed, and reads every key once it is back.
--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -244,7 +244,10 @@
         assert!(site.core.relay.view.era() == 2);
         let instances = &site.core.relay.instances;
         let key = instances.find("r").expect("known");
-        assert!(instances.arena[key].takes(site.core.now), "host {host}");
+        assert!(
+            instances.arena[key].is_available(site.core.now),
+            "host {host}"
+        );
     }
 }
 
--- a/src/core/relay/tests/gossip.rs
+++ b/src/core/relay/tests/gossip.rs
@@ -149,7 +149,7 @@
             number: 1,
             kind: GossipKind::Domain("y".into()),
             loads: vec![LoadReport {
-                instance: crate::core::relay::instance::short("p"),
+                instance: crate::core::relay::instance::short_hash("p"),
                 calls: 3,
                 ..Default::default()
             }],
--- a/src/core/relay/tests/handover.rs
+++ b/src/core/relay/tests/handover.rs
@@ -118,6 +118,6 @@
     for id in ["d", "e"] {
         let key = site.core.relay.instances.find(id).expect("known");
         let instance = &site.core.relay.instances.arena[key];
-        assert!(instance.errors < 0.5, "{id}: {}", instance.errors);
+        assert!(instance.error_rate < 0.5, "{id}: {}", instance.error_rate);
     }
 }
--- a/src/core/relay/tests/load.rs
+++ b/src/core/relay/tests/load.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::core::relay::event::{Gossip, LoadReport, PrefixReport, Task};
-use crate::core::relay::instance::short;
+use crate::core::relay::instance::short_hash;
 
 fn site() -> Site {
     let mut site = Site::new();
@@ -66,7 +66,7 @@
             parts: vec![PrefixReport {
                 part: 1,
                 tokens: 13_000,
-                instance: short(engine),
+                instance: short_hash(engine),
             }],
             ..word("host-2", 1)
         })));
@@ -81,7 +81,7 @@
     let mut site = site();
     host(&mut site, "host-2");
     let busy = |id: &str| LoadReport {
-        instance: short(id),
+        instance: short_hash(id),
         calls: 3,
         fill: 0,
         tokens: 30_000,
@@ -100,7 +100,7 @@
     // A host that fell silent counts for nothing after a while.
     site.pass(3000);
     let key = site.core.relay.instances.find("p").expect("known");
-    assert_eq!(site.core.relay.instances.arena[key].theirs.tokens, 0);
+    assert_eq!(site.core.relay.instances.arena[key].others_total.tokens, 0);
 }
 
 /// A burst of long prompts is more than the engines can read in time. What would come late anyway
--- a/src/core/relay/tests/mod.rs
+++ b/src/core/relay/tests/mod.rs
@@ -60,7 +60,7 @@
     /// Returns a host that knows the configuration and follows the store.
     fn new() -> Self {
         let mut site = Self::blank();
-        site.core.relay.view.confirm(Time::from_millis(site.now));
+        site.core.relay.view.mark_fresh(Time::from_millis(site.now));
         site.configure(catalog(1));
         site
     }
--- a/src/core/relay/tests/parts.rs
+++ b/src/core/relay/tests/parts.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::core::relay::event::{Gossip, LoadReport, PrefixReport, Task};
-use crate::core::relay::instance::short;
+use crate::core::relay::instance::short_hash;
 
 const SHARED: u64 = 13_000;
 const OWN: u64 = 3700;
@@ -36,7 +36,7 @@
 /// Has another host tell of its work, and of a shared part that engines hold.
 fn told(site: &mut Site, number: u64, busy: &[&str], holding: &[&str]) {
     let loads = busy.iter().map(|id| LoadReport {
-        instance: short(id),
+        instance: short_hash(id),
         calls: 3,
         fill: 0,
         tokens: 12_000,
@@ -44,7 +44,7 @@
     let parts = holding.iter().map(|id| PrefixReport {
         part: 1,
         tokens: 13_000,
-        instance: short(id),
+        instance: short_hash(id),
     });
     site.event(RelayEvent::Gossiped(Box::new(Gossip {
         host: "host-2".into(),
@@ -141,7 +141,7 @@
     let mut site = site();
     told(&mut site, 1, &[], &["p"]);
     let fill = LoadReport {
-        instance: short("p"),
+        instance: short_hash("p"),
         fill: 300_000,
         ..LoadReport::default()
     };
--- a/src/core/relay/tests/view/mod.rs
+++ b/src/core/relay/tests/view/mod.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::core::relay::event::{Ask, StoreAnswer};
-use crate::core::relay::view::between;
+use crate::core::relay::view::watch_pause;
 
 /// Time after the store's return within which a host must know what changed meanwhile.
 const MAX_CATCH_UP_MS: u64 = 1000;
@@ -432,7 +432,7 @@
 /// all of them. Few hosts ask soon; of many, each asks seldom, and all together no more often.
 #[test]
 fn hosts_ask_the_store_less_often_the_more_they_are() {
-    let pause = |hosts| between(hosts).as_millis();
+    let pause = |hosts| watch_pause(hosts).as_millis();
     assert_eq!(
         [pause(1), pause(9), pause(78), pause(370)],
         [150, 150, 936, 1200]
--- a/src/core/relay/view/era.rs
+++ b/src/core/relay/view/era.rs
@@ -10,7 +10,7 @@
 
 use super::super::event::RelayEffect;
 use super::super::{RelayTimer, note, peers, split, wake};
-use super::{ask, pause};
+use super::{pause, request_next};
 use crate::core::effect::Effect;
 use crate::core::{Core, Effects};
 
@@ -35,7 +35,7 @@
 }
 
 /// Takes in the era that an answer of the store or another host named; 0 where it named none.
-pub fn seen(core: &mut Core, era: u64, source: &str, out: &mut Effects) {
+pub fn observe(core: &mut Core, era: u64, source: &str, out: &mut Effects) {
     let before = core.relay.view.era;
     if era <= before {
         return;
@@ -58,7 +58,7 @@
         out.push(Effect::Relay(RelayEffect::Unask(number)));
     }
     if source == STORE_SOURCE {
-        ask(core, out);
+        request_next(core, out);
     } else {
         let spread = core.rng.random_range(Duration::ZERO..MAX_READ_JITTER);
         pause(core, spread, out);
--- a/src/core/relay/view/history.rs
+++ b/src/core/relay/view/history.rs
@@ -16,12 +16,12 @@
     after: i64,
     /// Changes, and in how many messages each was passed on.
     events: VecDeque<(StoreChange, u8)>,
-    news: bool,
+    unsent: bool,
 }
 
 impl History {
     /// Begins anew at a revision up to which everything was read.
-    pub fn restart(&mut self, at: i64) {
+    pub fn reset(&mut self, at: i64) {
         *self = Self {
             after: at,
             ..Self::default()
@@ -29,8 +29,8 @@
     }
 
     /// Adds changes that follow those known.
-    pub fn learn(&mut self, events: impl IntoIterator<Item = StoreChange>) {
-        self.news = true;
+    pub fn append(&mut self, events: impl IntoIterator<Item = StoreChange>) {
+        self.unsent = true;
         self.events
             .extend(events.into_iter().map(|event| (event, 0)));
         let mut size: usize = self.events.iter().map(|(event, _)| size(event)).sum();
@@ -44,13 +44,13 @@
 
     /// Tells whether changes were learned since the last message.
     #[must_use]
-    pub fn has_news(&self) -> bool {
-        self.news
+    pub fn has_unsent(&self) -> bool {
+        self.unsent
     }
 
     /// Returns what the next message passes on, where all changes up to a revision are known.
-    pub fn take(&mut self, at: i64) -> ReplicatedChanges {
-        self.news = false;
+    pub fn next_batch(&mut self, at: i64) -> ReplicatedChanges {
+        self.unsent = false;
         while let Some((event, times)) = self.events.front()
             && *times >= SENDS_PER_CHANGE
         {
--- a/src/core/relay/view/mod.rs
+++ b/src/core/relay/view/mod.rs
@@ -63,14 +63,14 @@
 
 /// A call in hand.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct PendingCall {
     number: u64,
     sent: Time,
 }
 
 /// What a whole read brought so far.
 #[derive(Debug, Default)]
-struct Pages {
+struct FullRead {
     /// Revision of the first page, and when it was asked for: what changed since comes by the watch.
     first: Option<(i64, Time)>,
     /// Last key of the last page.
@@ -84,15 +84,15 @@
     /// Era of the store to which all revisions here belong; 0 while none was named.
     pub(super) era: u64,
     /// Eras that ended since this host's start.
-    ended: u32,
+    ended_eras: u32,
     /// Revision up to which everything is known.
     at: i64,
     /// Pages of a whole read; `None` while changes are watched.
-    pages: Option<Pages>,
+    full_read: Option<FullRead>,
     /// The page or the watch in hand; none in a pause.
-    asked: Option<Asked>,
+    pending: Option<PendingCall>,
     /// Number of the last page or watch.
-    last: u64,
+    last_call: u64,
     /// Number of the last call, probes included.
     number: u64,
     /// Probes, by which a lost call is noticed.
@@ -100,25 +100,25 @@
     /// For how long the store has answered, as this host and others know.
     pub(super) uptime: uptime::Uptime,
     /// Pages and watches that failed in a row.
-    fails: u32,
+    failures: u32,
     /// Whether the store itself turned the last one away.
     refused: bool,
     /// Whether this host watches for nothing, as another one tells it of changes.
-    rests: bool,
+    passive: bool,
     /// Host from which changes are learned, or [`STORE_SOURCE`].
     source: Option<Box<str>>,
     /// Changes learned lately, for hosts near by.
     pub(super) history: history::History,
     /// Latest moment as of which all that the store held was known here.
-    current: Option<Time>,
+    fresh_at: Option<Time>,
     started: Time,
     /// What the log was last told of the store.
-    said: Option<Said>,
+    logged: Option<LoggedState>,
 }
 
 /// What the log was told of the store.
 #[derive(Debug, Clone, Copy)]
-struct Said {
+struct LoggedState {
     up: bool,
     /// [`View::current`] at that time.
     current: Option<Time>,
@@ -128,39 +128,39 @@
     /// Whether this host watches the store itself and knows what it holds.
     #[must_use]
     pub fn watches(&self, now: Time) -> bool {
-        !self.rests && self.pages.is_none() && self.is_fresh(now)
+        !self.passive && self.full_read.is_none() && self.is_fresh(now)
     }
 
     /// Returns the latest moment as of which all that the store held was known here.
     #[must_use]
     pub fn current(&self) -> Option<Time> {
-        self.current
+        self.fresh_at
     }
 
     /// Returns the number of the page or the watch in hand.
     #[cfg(test)]
     pub(super) fn asked_number(&self) -> Option<u64> {
-        self.asked.map(|asked| asked.number)
+        self.pending.map(|asked| asked.number)
     }
 
     /// Tells whether what is not known here does not exist, but for the last moments.
     #[must_use]
     pub fn is_fresh(&self, now: Time) -> bool {
-        self.current.is_some_and(|at| now.since(at) <= STALE_AFTER)
+        self.fresh_at.is_some_and(|at| now.since(at) <= STALE_AFTER)
     }
 
     /// Takes in that all that the store held at a moment is known.
-    pub(super) fn confirm(&mut self, at: Time) {
-        self.current = self.current.max(Some(at));
+    pub(super) fn mark_fresh(&mut self, at: Time) {
+        self.fresh_at = self.fresh_at.max(Some(at));
     }
 
     /// Returns the changes that the next message passes on.
-    pub(super) fn passage(&mut self) -> ReplicatedChanges {
-        self.history.take(self.at)
+    pub(super) fn take_changes(&mut self) -> ReplicatedChanges {
+        self.history.next_batch(self.at)
     }
 
     /// Says in the log from whom this host learns of changes, where that is another than before.
-    fn name_source(&mut self, source: &str, out: &mut Effects) {
+    fn set_source(&mut self, source: &str, out: &mut Effects) {
         if self.source.as_deref() == Some(source) {
             return;
         }
@@ -173,7 +173,7 @@
         note(out, log::Level::Info, "view.source", fields);
     }
 
-    fn next(&mut self) -> u64 {
+    fn next_number(&mut self) -> u64 {
         self.number += 1;
         self.number
     }
@@ -187,26 +187,26 @@
     /// Returns how many eras ended since this host's start.
     #[must_use]
     pub fn ended_eras(&self) -> u32 {
-        self.ended
+        self.ended_eras
     }
 
     /// Forgets all that belongs to an era that ended; returns the number of the call in hand.
     fn restart(&mut self) -> Option<u64> {
-        self.ended += 1;
+        self.ended_eras += 1;
         self.at = 0;
-        self.rests = false;
-        self.fails = 0;
+        self.passive = false;
+        self.failures = 0;
         self.refused = false;
         self.probes = probe::Probes::default();
         self.uptime = uptime::Uptime::default();
-        self.history.restart(0);
-        self.begin_anew();
-        self.asked.take().map(|asked| asked.number)
+        self.history.reset(0);
+        self.start_full_read();
+        self.pending.take().map(|asked| asked.number)
     }
 
     /// Forgets what was read or watched: every key is read next.
-    fn begin_anew(&mut self) {
-        self.pages = Some(Pages::default());
+    fn start_full_read(&mut self) {
+        self.full_read = Some(FullRead::default());
     }
 }
 
@@ -214,22 +214,22 @@
 pub fn start(core: &mut Core, out: &mut Effects) {
     let view = &mut core.relay.view;
     view.started = core.now;
-    view.begin_anew();
-    ask(core, out);
+    view.start_full_read();
+    request_next(core, out);
     probe::start(core, out);
 }
 
 /// Asks for the next page, or for changes.
-fn ask(core: &mut Core, out: &mut Effects) {
+fn request_next(core: &mut Core, out: &mut Effects) {
     let view = &mut core.relay.view;
-    view.rests = false;
-    let number = view.next();
-    view.last = number;
-    view.asked = Some(Asked {
+    view.passive = false;
+    let number = view.next_number();
+    view.last_call = number;
+    view.pending = Some(PendingCall {
         number,
         sent: core.now,
     });
-    let ask = match &view.pages {
+    let ask = match &view.full_read {
         Some(pages) => Ask::Page {
             after: pages.after.clone(),
         },
@@ -242,78 +242,88 @@
 }
 
 /// Goes on after the pause that followed call `last`, unless that was cut short.
-pub fn follow(core: &mut Core, last: u64, out: &mut Effects) {
+pub fn resume(core: &mut Core, last: u64, out: &mut Effects) {
     let view = &core.relay.view;
-    if view.asked.is_none() && view.last == last && !view.rests {
-        go_on(core, out);
+    if view.pending.is_none() && view.last_call == last && !view.passive {
+        continue_reading(core, out);
     }
 }
 
 /// Tells whether another host tells this one of changes, and did so lately or is about to.
-fn is_served(core: &Core) -> bool {
+fn receives_changes(core: &Core) -> bool {
     let view = &core.relay.view;
     let fresh = view
-        .current
+        .fresh_at
         .is_some_and(|at| core.now.since(at) <= MAX_PASSIVE_AGE);
     let begins = core.now.since(view.started) <= STARTUP_GRACE && gossip::has_predecessor(core);
     fresh && (begins || !gossip::represents_domain(core))
 }
 
 /// Asks for the next page, or for changes unless another host tells of them.
-fn go_on(core: &mut Core, out: &mut Effects) {
-    if core.relay.view.pages.is_none() && is_served(core) {
-        core.relay.view.rests = true;
+fn continue_reading(core: &mut Core, out: &mut Effects) {
+    if core.relay.view.full_read.is_none() && receives_changes(core) {
+        core.relay.view.passive = true;
     } else {
-        ask(core, out);
+        request_next(core, out);
     }
 }
 
 /// Watches again if this host is no longer told of changes.
-pub fn attend(core: &mut Core, out: &mut Effects) {
-    if core.relay.view.rests && !is_served(core) {
-        ask(core, out);
+pub fn resume_watch(core: &mut Core, out: &mut Effects) {
+    if core.relay.view.passive && !receives_changes(core) {
+        request_next(core, out);
     }
 }
 
 /// Takes in changes that another host passed on.
 ///
 /// Changes that begin after what is known here would leave a gap: the store is asked for those.
-pub fn passed(core: &mut Core, from: &str, passage: ReplicatedChanges, out: &mut Effects) {
+pub fn apply_replicated(
+    core: &mut Core,
+    from: &str,
+    passage: ReplicatedChanges,
+    out: &mut Effects,
+) {
     let view = &mut core.relay.view;
     if passage.at <= view.at {
         return;
     }
     if passage.after > view.at {
-        if view.rests {
-            ask(core, out);
+        if view.passive {
+            request_next(core, out);
         }
         return;
     }
     let at = view.at;
-    view.name_source(from, out);
+    view.set_source(from, out);
     let events = passage.events.into_iter();
     let new: Vec<StoreChange> = events.filter(|event| event.revision > at).collect();
     view.at = passage.at;
-    if view.pages.is_none() {
-        view.rests = true;
-        if let Some(asked) = view.asked.take() {
+    if view.full_read.is_none() {
+        view.passive = true;
+        if let Some(asked) = view.pending.take() {
             // It would bring the same once more.
             out.push(Effect::Relay(RelayEffect::Unask(asked.number)));
         }
     }
     let changes: Vec<Changes> = new.iter().map(|event| event.changes.clone()).collect();
-    view.history.learn(new);
+    view.history.append(new);
     for changes in changes {
         super::changed(core, changes, out);
     }
 }
 
 fn pause(core: &Core, time: Duration, out: &mut Effects) {
-    wake(core, time, RelayTimer::Follow(core.relay.view.last), out);
+    wake(
+        core,
+        time,
+        RelayTimer::Follow(core.relay.view.last_call),
+        out,
+    );
 }
 
 /// Returns the pause between two watches for so many hosts.
-pub(super) fn between(hosts: usize) -> Duration {
+pub(super) fn watch_pause(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
     WATCH_PAUSE_PER_HOST
         .saturating_mul(hosts)
@@ -326,30 +336,32 @@
         return;
     }
     let view = &mut core.relay.view;
-    let Some(asked) = view.asked.take_if(|asked| asked.number == number) else {
+    let Some(asked) = view.pending.take_if(|asked| asked.number == number) else {
         // It was given up.
         return;
     };
     match answer {
-        StoreAnswer::Page { at, changes, after } => page(core, asked, at, changes, after, out),
+        StoreAnswer::Page { at, changes, after } => {
+            handle_page(core, asked, at, changes, after, out)
+        }
         StoreAnswer::Changes {
             at,
             changes,
             events,
         } => {
             if at > view.at {
-                view.name_source(STORE_SOURCE, out);
-                view.history.learn(events);
+                view.set_source(STORE_SOURCE, out);
+                view.history.append(events);
             }
-            watched(core, asked, at, changes, out);
+            handle_changes(core, asked, at, changes, out);
         }
         // Only probes ask for the newest revision: as an answer to anything else it says nothing.
         StoreAnswer::Compacted | StoreAnswer::Newest(_) => {
-            view.begin_anew();
+            view.start_full_read();
             retry(core, out);
         }
         StoreAnswer::Failed { refused } => {
-            view.begin_anew();
+            view.start_full_read();
             view.refused = refused;
             retry(core, out);
         }
@@ -359,8 +371,8 @@
 /// Asks again after a while.
 fn retry(core: &mut Core, out: &mut Effects) {
     let view = &mut core.relay.view;
-    let most = INITIAL_BACKOFF.saturating_mul(1 << view.fails.min(8));
-    view.fails += 1;
+    let most = INITIAL_BACKOFF.saturating_mul(1 << view.failures.min(8));
+    view.failures += 1;
     let time = most
         .min(MAX_BACKOFF)
         .mul_f64(core.rng.random_range(0.3..1.0));
@@ -368,40 +380,46 @@
 }
 
 /// Takes in a page of all keys, and begins to watch after the last one.
-fn page(
+fn handle_page(
     core: &mut Core,
-    asked: Asked,
+    asked: PendingCall,
     at: i64,
     changes: Changes,
     after: Option<Box<str>>,
     out: &mut Effects,
 ) {
     let view = &mut core.relay.view;
-    let mut pages = view.pages.take().unwrap_or_default();
+    let mut pages = view.full_read.take().unwrap_or_default();
     let (first, since) = *pages.first.get_or_insert((at, asked.sent));
     pages.changes.extend(changes);
     if after.is_some() {
         pages.after = after;
-        view.pages = Some(pages);
-        ask(core, out);
+        view.full_read = Some(pages);
+        request_next(core, out);
         return;
     }
-    view.fails = 0;
+    view.failures = 0;
     view.probes.losses = 0;
     view.at = first;
-    view.name_source(STORE_SOURCE, out);
-    view.history.restart(first);
-    view.confirm(since);
+    view.set_source(STORE_SOURCE, out);
+    view.history.reset(first);
+    view.mark_fresh(since);
     view.uptime.answered(since);
     pages.changes.whole = true;
     super::changed(core, pages.changes, out);
     drop_missing(core, out);
-    judge(core, out);
-    go_on(core, out);
+    log_availability(core, out);
+    continue_reading(core, out);
 }
 
 /// Takes in what changed, and goes on watching.
-fn watched(core: &mut Core, asked: Asked, at: i64, changes: Changes, out: &mut Effects) {
+fn handle_changes(
+    core: &mut Core,
+    asked: PendingCall,
+    at: i64,
+    changes: Changes,
+    out: &mut Effects,
+) {
     // Where one host watches for a failure domain, there are as many as domains.
     let hosts = if gossip::represents_domain(core) {
         core.relay.peers.domains.len() + 1
@@ -410,19 +428,19 @@
     };
     let view = &mut core.relay.view;
     view.probes.losses = 0;
-    view.confirm(asked.sent);
+    view.mark_fresh(asked.sent);
     let news = at > view.at;
     view.at = view.at.max(at);
     super::changed(core, changes, out);
     if news {
-        pause(core, between(hosts), out);
+        pause(core, watch_pause(hosts), out);
     } else {
-        go_on(core, out);
+        continue_reading(core, out);
     }
 }
 
 /// Takes in for how long the store has answered, as another host knows.
-pub fn up(core: &mut Core, report: UptimeReport, out: &mut Effects) {
+pub fn uptime_reported(core: &mut Core, report: UptimeReport, out: &mut Effects) {
     core.relay.view.uptime.reported(report, core.now);
     drop_missing(core, out);
 }
@@ -440,22 +458,22 @@
 }
 
 /// Says when the store is taken for away, and when it is back.
-fn judge(core: &mut Core, out: &mut Effects) {
+fn log_availability(core: &mut Core, out: &mut Effects) {
     let now = core.now;
     let view = &mut core.relay.view;
     let up = view.is_fresh(now);
-    let same = view.said.is_some_and(|said| said.up == up);
+    let same = view.logged.is_some_and(|said| said.up == up);
     if same || (!up && now.since(view.started) <= STALE_AFTER) {
         return;
     }
     // When it is back: how long this host had to act on what it knew before.
-    let heard = match view.said {
+    let heard = match view.logged {
         Some(said) if up => said.current,
-        _ => view.current,
+        _ => view.fresh_at,
     };
-    view.said = Some(Said {
+    view.logged = Some(LoggedState {
         up,
-        current: view.current,
+        current: view.fresh_at,
     });
     let heard = heard.map_or_else(|| "never".into(), |heard| in_ms(now.since(heard)));
     let (level, name) = if up {
--- a/src/core/relay/view/probe.rs
+++ b/src/core/relay/view/probe.rs
@@ -7,7 +7,7 @@
 
 use super::super::event::{Ask, ProbeReport, RelayEffect, StoreAnswer};
 use super::super::{RelayTimer, gossip, note, wake};
-use super::{Asked, View, ask, drop_missing, in_ms, judge};
+use super::{PendingCall, View, drop_missing, in_ms, log_availability, request_next};
 use crate::core::effect::Effect;
 use crate::core::time::Time;
 use crate::core::{Core, Effects};
@@ -34,33 +34,33 @@
 
 /// An answered probe, against which older calls are held.
 #[derive(Debug, Clone, Copy)]
-struct Check {
+struct ProbeResult {
     sent: Time,
     newest: i64,
     /// Whether another host sent it: then nothing follows for the probes of this one.
-    heard: bool,
+    remote: bool,
 }
 
 /// Probes of this host and of those near by.
 #[derive(Debug, Default)]
 pub struct Probes {
     /// Those without an answer, by number, and when they were sent.
-    open: BTreeMap<u64, Time>,
+    pending: BTreeMap<u64, Time>,
     /// The last answered one, of this host or of another one.
-    last: Option<Check>,
+    last: Option<ProbeResult>,
     /// Whether it is this host's own, and the others were not told.
     news: bool,
     /// What the call in hand is held against, and when its grace is over.
-    check: Option<(Check, Time)>,
+    check: Option<(ProbeResult, Time)>,
     /// Pages and watches given up in a row.
     pub(super) losses: u32,
 }
 
 impl Probes {
     /// Returns what this host's own last answered probe showed, to tell the other hosts.
-    pub fn newest(&mut self, now: Time) -> Option<ProbeReport> {
+    pub fn own_report(&mut self, now: Time) -> Option<ProbeReport> {
         self.news = false;
-        let own = self.last.filter(|check| !check.heard)?;
+        let own = self.last.filter(|check| !check.remote)?;
         Some(ProbeReport {
             revision: own.newest,
             age: now.since(own.sent),
@@ -69,7 +69,7 @@
 
     /// Returns what the last answered probe showed, whoever sent it, to tell those that hear of
     /// other hosts by this one.
-    pub fn latest(&mut self, now: Time) -> Option<ProbeReport> {
+    pub fn latest_report(&mut self, now: Time) -> Option<ProbeReport> {
         self.news = false;
         let check = self.last?;
         Some(ProbeReport {
@@ -84,49 +84,49 @@
         self.news
     }
 
-    fn send(&mut self, number: u64, now: Time) {
-        self.open.insert(number, now);
-        if self.open.len() > MAX_PENDING_PROBES {
-            self.open.pop_first();
+    fn record_sent(&mut self, number: u64, now: Time) {
+        self.pending.insert(number, now);
+        if self.pending.len() > MAX_PENDING_PROBES {
+            self.pending.pop_first();
         }
     }
 
     /// Tells whether a probe was lost that was sent before an answered one.
-    fn lost(&self, check: Check) -> bool {
-        let first = self.open.first_key_value();
-        !check.heard && first.is_some_and(|(_, sent)| *sent < check.sent)
+    fn lost_before(&self, check: ProbeResult) -> bool {
+        let first = self.pending.first_key_value();
+        !check.remote && first.is_some_and(|(_, sent)| *sent < check.sent)
     }
 }
 
 impl View {
     /// Takes in an answered probe.
-    fn learn(&mut self, check: Check) {
+    fn learn(&mut self, check: ProbeResult) {
         self.uptime.answered(check.sent);
-        if self.pages.is_none() && check.newest <= self.at {
-            self.confirm(check.sent);
+        if self.full_read.is_none() && check.newest <= self.at {
+            self.mark_fresh(check.sent);
         }
         let probes = &mut self.probes;
         if probes.last.is_none_or(|last| last.sent < check.sent) {
             probes.last = Some(check);
-            probes.news = !check.heard;
+            probes.news = !check.remote;
         }
     }
 
     /// Tells whether the page or watch in hand should have brought something by now, since the
     /// store answered a probe that was sent after it.
-    fn owes(&self, check: Check) -> bool {
-        let older = self.asked.is_some_and(|asked| asked.sent < check.sent);
-        (older && self.pages.is_some()) || ((older || self.rests) && check.newest > self.at)
+    fn is_overdue(&self, check: ProbeResult) -> bool {
+        let older = self.pending.is_some_and(|asked| asked.sent < check.sent);
+        (older && self.full_read.is_some()) || ((older || self.passive) && check.newest > self.at)
     }
 }
 
 /// Begins to probe.
 pub fn start(core: &mut Core, out: &mut Effects) {
-    wake_after(core, Duration::ZERO, out);
+    schedule_probe(core, Duration::ZERO, out);
 }
 
 /// Asks for the time of the next probe, where so much of it has passed.
-fn wake_after(core: &mut Core, passed: Duration, out: &mut Effects) {
+fn schedule_probe(core: &mut Core, passed: Duration, out: &mut Effects) {
     let after = core
         .rng
         .random_range(PROBE_INTERVAL_BOUNDS.0..PROBE_INTERVAL_BOUNDS.1);
@@ -141,25 +141,25 @@
     let view = &mut core.relay.view;
     let ago = view.probes.last.map(|check| core.now.since(check.sent));
     if let Some(ago) = ago.filter(|ago| *ago < PROBE_INTERVAL_BOUNDS.0) {
-        wake_after(core, ago, out);
+        schedule_probe(core, ago, out);
     } else {
         if represents_domain || core.rng.random::<f64>() * f64::from(near) < PROBERS_PER_ROUND {
-            let number = view.next();
-            view.probes.send(number, core.now);
+            let number = view.next_number();
+            view.probes.record_sent(number, core.now);
             let ask = Ask::Probe;
             out.push(Effect::Relay(RelayEffect::Ask { number, ask }));
         }
-        wake_after(core, Duration::ZERO, out);
+        schedule_probe(core, Duration::ZERO, out);
     }
-    judge(core, out);
+    log_availability(core, out);
 }
 
 /// Takes in what a probe of another host of this failure domain showed.
-pub fn told(core: &mut Core, newest: ProbeReport, out: &mut Effects) {
-    let check = Check {
+pub fn reported(core: &mut Core, newest: ProbeReport, out: &mut Effects) {
+    let check = ProbeResult {
         sent: core.now.before(newest.age),
         newest: newest.revision,
-        heard: true,
+        remote: true,
     };
     let view = &mut core.relay.view;
     if view.probes.last.is_some_and(|last| last.sent >= check.sent) {
@@ -168,53 +168,53 @@
     view.learn(check);
     drop_missing(core, out);
     let spread = core.rng.random_range(Duration::ZERO..MAX_CHECK_JITTER);
-    doubt(core, check, spread, out);
-    judge(core, out);
+    check_pending_call(core, check, spread, out);
+    log_availability(core, out);
 }
 
 /// Takes in the answer to a probe, or that there is none; tells whether it belongs to one.
 pub fn answered(core: &mut Core, number: u64, answer: &StoreAnswer, out: &mut Effects) -> bool {
     let view = &mut core.relay.view;
-    let Some(sent) = view.probes.open.remove(&number) else {
+    let Some(sent) = view.probes.pending.remove(&number) else {
         return false;
     };
     match answer {
         StoreAnswer::Newest(newest) => {
-            let check = Check {
+            let check = ProbeResult {
                 sent,
                 newest: *newest,
-                heard: false,
+                remote: false,
             };
-            showed(core, check, out);
+            handle_result(core, check, out);
         }
         // Nothing was lost: the store answers, or no call reaches it.
         StoreAnswer::Failed { refused: true } => {}
-        _ => view.probes.send(number, sent),
+        _ => view.probes.record_sent(number, sent),
     }
     true
 }
 
 /// Takes in what a probe of this host showed.
-fn showed(core: &mut Core, check: Check, out: &mut Effects) {
+fn handle_result(core: &mut Core, check: ProbeResult, out: &mut Effects) {
     core.relay.view.learn(check);
     drop_missing(core, out);
     let view = &mut core.relay.view;
-    if view.fails > 0 && view.asked.is_none() && !view.refused {
+    if view.failures > 0 && view.pending.is_none() && !view.refused {
         // The store answers again: the rest of the pause is saved.
-        ask(core, out);
+        request_next(core, out);
     } else {
         let took = core.now.since(check.sent);
-        doubt(core, check, took * 2, out);
+        check_pending_call(core, check, took * 2, out);
     }
-    judge(core, out);
+    log_availability(core, out);
 }
 
 /// Looks whether older calls were lost, where a probe raises the doubt, so long after their grace.
 ///
 /// The check that is due first counts: one probe may be slow for its connection's sake alone.
-fn doubt(core: &mut Core, check: Check, more: Duration, out: &mut Effects) {
+fn check_pending_call(core: &mut Core, check: ProbeResult, more: Duration, out: &mut Effects) {
     let view = &mut core.relay.view;
-    if !view.probes.lost(check) && !view.owes(check) {
+    if !view.probes.lost_before(check) && !view.is_overdue(check) {
         return;
     }
     let grace = LOST_CALL_GRACE.saturating_mul(1 << view.probes.losses) + more;
@@ -237,31 +237,31 @@
         wake(core, due.since(core.now), RelayTimer::Overdue, out);
         return;
     }
-    let silent = view.probes.lost(check);
+    let silent = view.probes.lost_before(check);
     if silent {
-        view.probes.open.retain(|_, sent| *sent >= check.sent);
+        view.probes.pending.retain(|_, sent| *sent >= check.sent);
     }
-    if view.rests && view.owes(check) {
+    if view.passive && view.is_overdue(check) {
         // What the other host should have passed on is asked for.
-        ask(core, out);
+        request_next(core, out);
         return;
     }
-    let older = view.asked.filter(|asked| asked.sent < check.sent);
-    match older.filter(|_| silent || view.owes(check)) {
-        Some(asked) => give_up(core, asked, check, out),
+    let older = view.pending.filter(|asked| asked.sent < check.sent);
+    match older.filter(|_| silent || view.is_overdue(check)) {
+        Some(asked) => abandon(core, asked, check, out),
         // A later probe may have raised a doubt of its own meanwhile.
         None => {
             if let Some(last) = view.probes.last {
-                doubt(core, last, Duration::ZERO, out);
+                check_pending_call(core, last, Duration::ZERO, out);
             }
         }
     }
 }
 
 /// Gives a page or a watch up as lost, and reads every key anew.
-fn give_up(core: &mut Core, asked: Asked, check: Check, out: &mut Effects) {
+fn abandon(core: &mut Core, asked: PendingCall, check: ProbeResult, out: &mut Effects) {
     let view = &mut core.relay.view;
-    let call = match view.pages {
+    let call = match view.full_read {
         Some(_) => "range",
         None => "watch",
     };
@@ -273,8 +273,8 @@
         ("probed_ms", in_ms(core.now.since(check.sent))),
     ];
     view.probes.losses = (view.probes.losses + 1).min(MAX_GRACE_DOUBLINGS);
-    view.begin_anew();
+    view.start_full_read();
     note(out, log::Level::Warn, "store.call_lost", fields);
     out.push(Effect::Relay(RelayEffect::Unask(asked.number)));
-    ask(core, out);
+    request_next(core, out);
 }
