--- a/benches/core/main.rs
+++ b/benches/core/main.rs
@@ -48,7 +48,7 @@
         let mut site = Site::new(count, 100, 8);
         let need = need();
         group.bench_function(BenchmarkId::new("route", count), |bench| {
-            bench.iter(|| route::engine(&mut site.core, &need));
+            bench.iter(|| route::choose_engine(&mut site.core, &need));
         });
         group.bench_function(BenchmarkId::new("admit", count), |bench| {
             let print = chiveway::core::event::Print::default();
--- a/benches/policy/hosts.rs
+++ b/benches/policy/hosts.rs
@@ -5,7 +5,7 @@
 use chiveway::core::event::{
     Entry, EntryKind, Event, FleetEvent, Health, Report, Role, StoreEvent, Watched,
 };
-use chiveway::core::fleet::Standing;
+use chiveway::core::fleet::ServingState;
 use chiveway::core::{Core, Effects, Time};
 use chiveway::lists::{Index, KeyHash, Lists, Plans, Uses};
 use chiveway::settings::Settings;
@@ -180,7 +180,7 @@
 }
 
 /// Puts a pool's routing state for one engine in force at a host.
-pub fn route(core: &mut Core, engine: usize, routed: Standing, role: Role) {
+pub fn route(core: &mut Core, engine: usize, routed: ServingState, role: Role) {
     if let Some(key) = core.fleet.find(&engine_name(engine)) {
         let engine = &mut core.fleet.arena[key];
         engine.routed = routed;
--- a/benches/policy/roles.rs
+++ b/benches/policy/roles.rs
@@ -3,7 +3,7 @@
 use chiveway::core::Time;
 use chiveway::core::event::Role;
 use chiveway::core::key::BackendKey;
-use chiveway::core::role::{self, Memory, View};
+use chiveway::core::role::{self, DecisionState, View};
 use chiveway::settings::PoolSettings;
 
 use crate::engine::{Load, PREFILL, SLOTS};
@@ -22,7 +22,7 @@
     /// Nobody.
     Fixed,
     /// [`role::decide`].
-    Ours(Memory),
+    Ours(DecisionState),
     /// Changes one engine when one side is busy and the other is not, by the last reports.
     Threshold,
     /// Prefill engines wanted at each second, worked out from the trace.
--- a/benches/policy/world/floor.rs
+++ b/benches/policy/world/floor.rs
@@ -4,7 +4,7 @@
 
 use chiveway::core::effect::Open;
 use chiveway::core::event::Break;
-use chiveway::core::fleet::Standing;
+use chiveway::core::fleet::ServingState;
 use chiveway::error::Ran;
 
 use super::{Ev, HOP, HostEv, Run, World};
@@ -32,7 +32,7 @@
         let exact = router == Router::Exact;
         let pieces = &self.calls[call].pieces;
         let seen: Vec<baseline::Seen> = (0..self.engines.len())
-            .filter(|&at| self.routed[at] == Standing::Serving && !self.leaving[at])
+            .filter(|&at| self.routed[at] == ServingState::Serving && !self.leaving[at])
             .filter(|&at| self.engines[at].state == State::Up)
             .map(|at| {
                 let engine = &self.engines[at];
--- a/benches/policy/world/mod.rs
+++ b/benches/policy/world/mod.rs
@@ -10,7 +10,7 @@
 
 use chiveway::core::Core;
 use chiveway::core::event::{Break, Event, Role, Timer};
-use chiveway::core::fleet::Standing;
+use chiveway::core::fleet::ServingState;
 use chiveway::core::key::{AttemptKey, RequestKey};
 use chiveway::error::Ran;
 use chiveway::settings::PoolSettings;
@@ -155,7 +155,7 @@
     held: Vec<u32>,
     /// Prompt tokens on their way to or at an engine.
     backlog: Vec<u64>,
-    routed: Vec<Standing>,
+    routed: Vec<ServingState>,
     leaving: Vec<bool>,
     shifts: Vec<Shift>,
     samples: VecDeque<(u64, Vec<Load>)>,
@@ -194,7 +194,7 @@
             engines,
             held: vec![0; count],
             backlog: vec![0; count],
-            routed: vec![Standing::Serving; count],
+            routed: vec![ServingState::Serving; count],
             leaving: vec![false; count],
             shifts: Vec::new(),
             samples: VecDeque::new(),
--- a/benches/policy/world/shifts.rs
+++ b/benches/policy/world/shifts.rs
@@ -1,7 +1,7 @@
 //! Role changes: when one is decided, how it goes on and when it is called off.
 
 use chiveway::core::event::Role;
-use chiveway::core::fleet::Standing;
+use chiveway::core::fleet::ServingState;
 use chiveway::core::key::BackendKey;
 use chiveway::core::role;
 
@@ -24,7 +24,7 @@
                     key: key(at),
                     domain: format!("domain-{}", at % 3).into(),
                     role: self.engines[at].role,
-                    serving: self.routed[at] == Standing::Serving,
+                    serving: self.routed[at] == ServingState::Serving,
                     streams: self.held[at],
                     speed: self.engines[at].speed,
                 },
@@ -43,7 +43,7 @@
         };
         let engine = (0..self.engines.len()).find(|&at| key(at) == change);
         if let Some(engine) = engine {
-            self.routed[engine] = Standing::Withdrawn;
+            self.routed[engine] = ServingState::Withdrawn;
             self.tell_all(engine);
             self.shifts.push(Shift {
                 engine,
@@ -81,7 +81,7 @@
             _ => return false,
         }
         self.tally.lost += (self.now - shift.since) as f64 / 1e6;
-        self.routed[engine] = Standing::Serving;
+        self.routed[engine] = ServingState::Serving;
         self.tell_all(engine);
         true
     }
--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -39,7 +39,7 @@
         return Ok(());
     };
     let second = core.wall() / 1000;
-    let (patience, margin) = if due(print, second) {
+    let (patience, margin) = if is_due(print, second) {
         (DUE_MAX_WAIT_RATIO, 0.0)
     } else {
         (MAX_WAIT_RATIO, FREE_STREAM_MARGIN)
@@ -47,21 +47,21 @@
     // A prompt that takes longer than wanted even at an idle engine is not refused for it.
     let alone = f64::from(need.prompt) / settings.prefill;
     let bound = settings.first_token.as_secs_f64().max(alone * 2.0) * patience;
-    let detail = if offer.first > bound {
+    let detail = if offer.first_token > bound {
         format!(
             "the first token would come after {:.2} s, more than the {bound:.2} s that are taken",
-            offer.first
+            offer.first_token
         )
-    } else if offer.free < margin || offer.between > settings.between.as_secs_f64() {
+    } else if offer.free < margin || offer.token_gap > settings.between.as_secs_f64() {
         "every engine generates as many answers as it can in time".into()
     } else {
         return Ok(());
     };
-    if load::untried(core, offer.choice.prefill.unwrap_or(offer.choice.engine)) {
+    if load::is_untried(core, offer.choice.prefill.unwrap_or(offer.choice.engine)) {
         return Ok(());
     }
-    demand(core, offer.choice.engine, need);
-    Err(Refusal::new(Kind::Overloaded, detail).retry(back(print, second)))
+    count_refused_demand(core, offer.choice.engine, need);
+    Err(Refusal::new(Kind::Overloaded, detail).retry(retry_after(print, second)))
 }
 
 /// Returns whether a request comes in its slot, or so little after it as clocks and networks
@@ -70,13 +70,13 @@
 /// Slots are how hosts that share nothing keep a promise: a refused caller is told to come back
 /// in the slot that its request's fingerprint names, and whichever host it then reaches takes it
 /// before those whose slot it is not. Hosts' clocks agree within a second.
-fn due(print: Print, second: u64) -> bool {
+fn is_due(print: Print, second: u64) -> bool {
     let slot = slot(print);
     second % RETRY_SLOTS == slot || (second + RETRY_SLOTS - 1) % RETRY_SLOTS == slot
 }
 
 /// Returns the time until a request's slot, at least a second.
-fn back(print: Print, second: u64) -> Duration {
+fn retry_after(print: Print, second: u64) -> Duration {
     let ahead = (slot(print) + RETRY_SLOTS - second % RETRY_SLOTS) % RETRY_SLOTS;
     Duration::from_secs(if ahead == 0 { RETRY_SLOTS } else { ahead })
 }
@@ -87,8 +87,8 @@
 
 /// Counts a refused request into the demand that role changes follow, as a part: its caller asks
 /// again.
-fn demand(core: &mut Core, engine: BackendKey, need: &Need) {
-    let output = load::expected(core, engine, need.output);
+fn count_refused_demand(core: &mut Core, engine: BackendKey, need: &Need) {
+    let output = load::expected_tokens(core, engine, need.output);
     let pool = core.fleet.arena[engine].pool.clone();
     let taken = core.fleet.taken.entry(pool).or_default();
     taken.0 += u64::from(need.prompt) / ATTEMPTS_PER_REQUEST;
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -27,7 +27,7 @@
 
 /// Whether new work goes to a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Standing {
+pub enum ServingState {
     /// It takes new work.
     #[default]
     Serving,
@@ -47,7 +47,7 @@
     /// Its engines, in name order.
     pub engines: Vec<BackendKey>,
     /// Tokens that answers had and that their callers allowed, older ones counted less.
-    pub length: (f64, f64),
+    pub answer_tokens: (f64, f64),
 }
 
 /// An engine or a service instance.
@@ -64,9 +64,9 @@
     /// Failure domain.
     pub domain: Box<str>,
     /// What the platform's list says.
-    pub listed: Standing,
+    pub listed: ServingState,
     /// What the pool's routing state says.
-    pub routed: Standing,
+    pub routed: ServingState,
     /// Role by the pool's routing state.
     pub role: Role,
     /// Streams and calls of this host that run there now.
@@ -86,18 +86,20 @@
     /// Streams of this host there when the last report was read.
     pub told: u32,
     /// Low half of the hash of the name.
-    pub seed: u32,
+    pub name_hash: u32,
     /// Failures since the last success.
     pub fails: u32,
     /// It gets no new work before this time.
-    pub retry: Time,
+    pub retry_at: Time,
 }
 
 impl Backend {
     /// Returns whether new work may go there.
     #[must_use]
-    pub fn takes(&self, now: Time) -> bool {
-        self.listed == Standing::Serving && self.routed == Standing::Serving && now >= self.retry
+    pub fn is_available(&self, now: Time) -> bool {
+        self.listed == ServingState::Serving
+            && self.routed == ServingState::Serving
+            && now >= self.retry_at
     }
 }
 
@@ -106,7 +108,7 @@
 pub struct Fleet {
     /// Engines and services.
     pub arena: SlotMap<BackendKey, Backend>,
-    names: BTreeMap<Box<str>, BackendKey>,
+    by_name: BTreeMap<Box<str>, BackendKey>,
     /// Pools, in name order; a [`PoolKey`] is a position here.
     pub pools: Vec<Pool>,
     /// Service instances by service name.
@@ -114,17 +116,17 @@
     /// Hosts that the platform's list names.
     pub hosts: BTreeSet<Box<str>>,
     /// Hosts that the platform's list calls leaving.
-    pub leaving: BTreeSet<Box<str>>,
+    pub leaving_hosts: BTreeSet<Box<str>>,
     /// When the platform's list was last read.
-    pub read: Option<Time>,
+    pub read_at: Option<Time>,
     /// Back ends that the list called leaving or no longer named.
-    gone: BTreeSet<Box<str>>,
+    leaving_backends: BTreeSet<Box<str>>,
     /// When that set last changed.
     changed: Time,
     /// Which peer said that a back end is leaving, where this host's own list does not say so.
-    words: BTreeMap<Box<str>, HostKey>,
+    leaving_by_peer: BTreeMap<Box<str>, HostKey>,
     /// When the other hosts were last told of this host's streams.
-    pub streams_told: Time,
+    pub streams_sent_at: Time,
     /// Prompt and output tokens sent to each pool since its holder was last told.
     pub taken: BTreeMap<Box<str>, (u64, u64)>,
 }
@@ -137,21 +139,21 @@
             name: name.clone(),
             settings: settings.clone(),
             engines: Vec::new(),
-            length: (0.0, 0.0),
+            answer_tokens: (0.0, 0.0),
         });
         let services = settings.services.keys().cloned();
         Self {
             arena: SlotMap::with_key(),
-            names: BTreeMap::new(),
+            by_name: BTreeMap::new(),
             pools: pools.collect(),
             services: services.map(|name| (name, Vec::new())).collect(),
             hosts: BTreeSet::new(),
-            leaving: BTreeSet::new(),
-            read: None,
-            gone: BTreeSet::new(),
+            leaving_hosts: BTreeSet::new(),
+            read_at: None,
+            leaving_backends: BTreeSet::new(),
             changed: Time::default(),
-            words: BTreeMap::new(),
-            streams_told: Time::default(),
+            leaving_by_peer: BTreeMap::new(),
+            streams_sent_at: Time::default(),
             taken: BTreeMap::new(),
         }
     }
@@ -173,11 +175,11 @@
     /// Returns the key of a back end.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<BackendKey> {
-        self.names.get(name).copied()
+        self.by_name.get(name).copied()
     }
 
     /// Counts work sent to a back end.
-    pub fn sent(&mut self, key: BackendKey, prompt: u64, output: u64) {
+    pub fn add_work(&mut self, key: BackendKey, prompt: u64, output: u64) {
         if let Some(backend) = self.arena.get_mut(key) {
             backend.streams += 1;
             backend.prefill += prompt;
@@ -191,7 +193,7 @@
     }
 
     /// Counts work that ended at a back end.
-    pub fn ended(&mut self, key: BackendKey, prompt: u64, output: u64) {
+    pub fn remove_work(&mut self, key: BackendKey, prompt: u64, output: u64) {
         if let Some(backend) = self.arena.get_mut(key) {
             backend.streams = backend.streams.saturating_sub(1);
             backend.prefill = backend.prefill.saturating_sub(prompt);
@@ -211,7 +213,7 @@
         if let Some(backend) = self.arena.get_mut(key) {
             let factor = 2_u32.saturating_pow(backend.fails.min(8));
             backend.fails += 1;
-            backend.retry = now.after((INITIAL_BACKOFF * factor).min(MAX_BACKOFF));
+            backend.retry_at = now.after((INITIAL_BACKOFF * factor).min(MAX_BACKOFF));
         }
     }
 
@@ -223,7 +225,7 @@
         for instances in self.services.values_mut() {
             instances.clear();
         }
-        for &key in self.names.values() {
+        for &key in self.by_name.values() {
             let backend = &self.arena[key];
             match backend.kind {
                 EntryKind::Engine => {
@@ -253,7 +255,7 @@
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
     let every = if timer == Timer::Listing {
         out.push(Effect::List);
-        tell(core, out);
+        send_listing(core, out);
         core.settings.platform.refresh
     } else {
         let engines = core.fleet.arena.values();
@@ -273,7 +275,7 @@
 /// Takes in a list, a report or an order's answer.
 pub fn step(core: &mut Core, event: FleetEvent, out: &mut Effects) {
     match event {
-        FleetEvent::Listed(entries) => listed(core, entries, out),
+        FleetEvent::Listed(entries) => apply_listing(core, entries, out),
         FleetEvent::Report { name, report } => {
             if let (Some(key), Some(report)) = (core.fleet.find(&name), report) {
                 let backend = &mut core.fleet.arena[key];
@@ -294,45 +296,45 @@
 }
 
 /// Takes in the platform's list: what it no longer names gets no new work.
-fn listed(core: &mut Core, entries: Vec<Entry>, out: &mut Effects) {
+fn apply_listing(core: &mut Core, entries: Vec<Entry>, out: &mut Effects) {
     let hosts = entries.iter().filter(|entry| entry.kind == EntryKind::Host);
     share::listed(core, hosts.map(|entry| &*entry.name));
     let now = core.now;
     let fleet = &mut core.fleet;
-    fleet.read = Some(now);
-    fleet.words.clear();
-    let mut gone: BTreeSet<Box<str>> = fleet.names.keys().cloned().collect();
-    fleet.leaving.clear();
+    fleet.read_at = Some(now);
+    fleet.leaving_by_peer.clear();
+    let mut gone: BTreeSet<Box<str>> = fleet.by_name.keys().cloned().collect();
+    fleet.leaving_hosts.clear();
     fleet.hosts.clear();
     for entry in entries {
         if entry.kind == EntryKind::Host {
             fleet.hosts.insert(entry.name.clone());
             if entry.leaving {
-                fleet.leaving.insert(entry.name);
+                fleet.leaving_hosts.insert(entry.name);
             }
             continue;
         }
         gone.remove(&entry.name);
         let changed = if entry.leaving {
-            fleet.gone.insert(entry.name.clone())
+            fleet.leaving_backends.insert(entry.name.clone())
         } else {
-            fleet.gone.remove(&entry.name)
+            fleet.leaving_backends.remove(&entry.name)
         };
         if changed {
             fleet.changed = now;
         }
-        take_entry(fleet, entry, out);
+        apply_entry(fleet, entry, out);
     }
     for name in gone {
-        let key = fleet.names[&name];
-        if fleet.gone.insert(name.clone()) {
+        let key = fleet.by_name[&name];
+        if fleet.leaving_backends.insert(name.clone()) {
             fleet.changed = now;
         }
         if fleet.arena[key].streams == 0 {
-            fleet.names.remove(&name);
+            fleet.by_name.remove(&name);
             fleet.arena.remove(key);
         } else {
-            fleet.arena[key].listed = Standing::Leaving;
+            fleet.arena[key].listed = ServingState::Leaving;
         }
     }
     fleet.regroup();
@@ -340,11 +342,11 @@
 }
 
 /// Tells peers which back ends are leaving: one of them may be cut off from the list.
-fn tell(core: &mut Core, out: &mut Effects) {
+fn send_listing(core: &mut Core, out: &mut Effects) {
     let now = core.now;
     let fleet = &mut core.fleet;
     let Some(read) = fleet
-        .read
+        .read_at
         .filter(|_| now.since(fleet.changed) < LEAVING_NOTICE_TIME)
     else {
         return;
@@ -352,7 +354,12 @@
     let age = u64::try_from(now.since(read).as_millis()).unwrap_or(u64::MAX);
     let listing = Listing {
         age,
-        leaving: fleet.gone.iter().take(MAX_LEAVING_NAMES).cloned().collect(),
+        leaving: fleet
+            .leaving_backends
+            .iter()
+            .take(MAX_LEAVING_NAMES)
+            .cloned()
+            .collect(),
     };
     for to in core.members.peers() {
         let message = Message::Listing(listing.clone());
@@ -365,44 +372,44 @@
 /// Only the peer that called a back end leaving may call it back: another that never knew of it
 /// does not name it either.
 pub fn told(core: &mut Core, from: HostKey, listing: &Listing, out: &mut Effects) {
-    let own = core.fleet.read;
+    let own = core.fleet.read_at;
     let own = own.map_or(u128::MAX, |read| core.now.since(read).as_millis());
     if u128::from(listing.age) >= own {
         return;
     }
     let fleet = &mut core.fleet;
     let back: Vec<Box<str>> = fleet
-        .words
+        .leaving_by_peer
         .iter()
         .filter(|(name, host)| **host == from && !listing.leaving.contains(name))
         .map(|(name, _)| name.clone())
         .collect();
     for name in back {
-        fleet.words.remove(&name);
+        fleet.leaving_by_peer.remove(&name);
         if let Some(key) = fleet.find(&name) {
-            fleet.arena[key].listed = Standing::Serving;
+            fleet.arena[key].listed = ServingState::Serving;
         }
     }
     for name in &listing.leaving {
         let Some(key) = fleet.find(name) else {
             continue;
         };
-        if fleet.arena[key].listed != Standing::Leaving {
+        if fleet.arena[key].listed != ServingState::Leaving {
             let text = format!("{name} is leaving by a peer's list");
             out.push(log_event(log::Level::Info, "backend.listed", text));
-            fleet.arena[key].listed = Standing::Leaving;
-            fleet.words.insert(name.clone(), from);
+            fleet.arena[key].listed = ServingState::Leaving;
+            fleet.leaving_by_peer.insert(name.clone(), from);
         }
     }
 }
 
-fn take_entry(fleet: &mut Fleet, entry: Entry, out: &mut Effects) {
+fn apply_entry(fleet: &mut Fleet, entry: Entry, out: &mut Effects) {
     let listed = if entry.leaving {
-        Standing::Leaving
+        ServingState::Leaving
     } else {
-        Standing::Serving
+        ServingState::Serving
     };
-    if let Some(&key) = fleet.names.get(&entry.name) {
+    if let Some(&key) = fleet.by_name.get(&entry.name) {
         let backend = &mut fleet.arena[key];
         if backend.listed != listed {
             let text = format!("{} is {listed:?} by the platform's list", entry.name);
@@ -417,7 +424,7 @@
     let hash = name
         .bytes()
         .fold(0, |hash, byte| load::mix(hash ^ u64::from(byte)));
-    let seed = u32::try_from(hash & u64::from(u32::MAX)).unwrap_or_default();
+    let name_hash = u32::try_from(hash & u64::from(u32::MAX)).unwrap_or_default();
     let key = fleet.arena.insert(Backend {
         name: entry.name,
         kind: entry.kind,
@@ -425,7 +432,7 @@
         addr: entry.addr,
         domain: entry.domain,
         listed,
-        routed: Standing::Serving,
+        routed: ServingState::Serving,
         role: Role::Both,
         streams: 0,
         prefill: 0,
@@ -435,9 +442,9 @@
         measured: load::Measured::default(),
         others: BTreeMap::new(),
         told: 0,
-        seed,
+        name_hash,
         fails: 0,
-        retry: Time::default(),
+        retry_at: Time::default(),
     });
-    fleet.names.insert(name, key);
+    fleet.by_name.insert(name, key);
 }
--- a/src/core/killer.rs
+++ b/src/core/killer.rs
@@ -37,7 +37,7 @@
 
 /// One engine lost while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Death {
+struct Crash {
     engine: Box<str>,
     /// Milliseconds since the Unix epoch.
     at: u64,
@@ -48,14 +48,14 @@
 /// What is known of one fingerprint.
 #[derive(Debug, Clone, Default)]
 struct Case {
-    deaths: Vec<Death>,
+    crashes: Vec<Crash>,
     request: Box<str>,
 }
 
 impl Case {
     /// Returns the time of the last death.
     fn last(&self) -> u64 {
-        self.deaths.iter().map(|death| death.at).max().unwrap_or(0)
+        self.crashes.iter().map(|death| death.at).max().unwrap_or(0)
     }
 }
 
@@ -64,7 +64,7 @@
 pub struct Killers {
     cases: BTreeMap<Print, Case>,
     /// Engine and time of deaths with a suspect that the engine had not begun to answer.
-    taking: BTreeMap<Box<str>, Vec<u64>>,
+    unanswered_crashes: BTreeMap<Box<str>, Vec<u64>>,
 }
 
 impl Killers {
@@ -76,15 +76,15 @@
     }
 
     /// Returns whether a death counts against the request.
-    fn counts(&self, death: &Death) -> bool {
-        let taking = self.taking.get(&death.engine);
+    fn counts(&self, death: &Crash) -> bool {
+        let taking = self.unanswered_crashes.get(&death.engine);
         let other = |at: &u64| at.abs_diff(death.at) < SAME_CRASH_MS;
         !death.answering || !taking.is_some_and(|times| times.iter().any(other))
     }
 
     /// Returns the deaths that count against a fingerprint.
-    fn counted(&self, print: Print, wall: u64) -> Vec<&Death> {
-        let deaths = self.case(print, wall).map(|case| case.deaths.iter());
+    fn counted(&self, print: Print, wall: u64) -> Vec<&Crash> {
+        let deaths = self.case(print, wall).map(|case| case.crashes.iter());
         let deaths = deaths.into_iter().flatten();
         deaths.filter(|death| self.counts(death)).collect()
     }
@@ -120,8 +120,8 @@
 /// A request of which an engine died goes to one engine, the same from every host. Others go to
 /// one of two as long as these are not busy: the one that has the prompt's prefix and the first
 /// by fingerprint.
-pub fn narrow(core: &Core, need: &mut Need, print: Print) {
-    let takers = takers(core, need);
+pub fn restrict_engines(core: &Core, need: &mut Need, print: Print) {
+    let takers = available_engines(core, need);
     let dead: BTreeSet<Box<str>> = {
         let deaths = core.killers.counted(print, core.wall());
         deaths.iter().map(|death| death.engine.clone()).collect()
@@ -133,7 +133,7 @@
         keys.retain(|key| !dead.contains(&core.fleet.arena[*key].name));
         keys.sort_by_key(|&key| rank(print, &core.fleet.arena[key].name));
         if dead.is_empty() {
-            let chosen = pair(core, need, &keys);
+            let chosen = engine_pair(core, need, &keys);
             allowed.extend(chosen);
         } else {
             allowed.extend(keys.first());
@@ -143,17 +143,17 @@
         .extend(takers.into_iter().filter(|key| !allowed.contains(key)));
 }
 
-fn takers(core: &Core, need: &Need) -> Vec<BackendKey> {
+fn available_engines(core: &Core, need: &Need) -> Vec<BackendKey> {
     let engines = core.fleet.serving(&need.model);
     let engines = engines.flat_map(|pool| pool.engines.iter().copied());
     engines
-        .filter(|&key| core.fleet.arena[key].takes(core.now) && !need.avoid.contains(&key))
+        .filter(|&key| core.fleet.arena[key].is_available(core.now) && !need.avoid.contains(&key))
         .collect()
 }
 
 /// Returns the two engines for a fingerprint, or all where these are busy.
-fn pair(core: &Core, need: &Need, keys: &[BackendKey]) -> Vec<BackendKey> {
-    let home = route::home(core, need, keys);
+fn engine_pair(core: &Core, need: &Need, keys: &[BackendKey]) -> Vec<BackendKey> {
+    let home = route::prefix_engine(core, need, keys);
     let others = keys.iter().copied().filter(|key| Some(*key) != home);
     let two: Vec<BackendKey> = home
         .into_iter()
@@ -176,7 +176,7 @@
 }
 
 /// Notes that an engine died while running a request, here and at every peer.
-pub fn suspect(core: &mut Core, key: RequestKey, backend: BackendKey, out: &mut Effects) {
+pub fn report_crash(core: &mut Core, key: RequestKey, backend: BackendKey, out: &mut Effects) {
     let Some(engine) = core
         .fleet
         .arena
@@ -203,20 +203,20 @@
 }
 
 /// Tells a host that is new what this one knows: it would run each suspect once more otherwise.
-pub fn welcome(core: &Core, to: HostKey, out: &mut Effects) {
+pub fn sync_new_host(core: &Core, to: HostKey, out: &mut Effects) {
     let wall = core.wall();
     let killers = &core.killers;
     let cases = killers.cases.keys();
     let cases = cases.filter_map(|print| Some((*print, killers.case(*print, wall)?)));
     let suspects = cases.flat_map(|(print, case)| {
-        let suspect = move |death: &Death| Suspect {
+        let suspect = move |death: &Crash| Suspect {
             print,
             engine: death.engine.clone(),
             at: death.at,
             request: case.request.clone(),
             answering: death.answering,
         };
-        case.deaths.iter().map(suspect)
+        case.crashes.iter().map(suspect)
     });
     let mut suspects: Vec<Suspect> = suspects.collect();
     suspects.sort_by_key(|suspect| std::cmp::Reverse(suspect.at));
@@ -233,7 +233,10 @@
     let at = suspect.at.min(core.wall());
     let killers = &mut core.killers;
     if !suspect.answering {
-        let times = killers.taking.entry(suspect.engine.clone()).or_default();
+        let times = killers
+            .unanswered_crashes
+            .entry(suspect.engine.clone())
+            .or_default();
         times.retain(|time| at.saturating_sub(*time) < millis(SUSPICION_TTL));
         if !times.iter().any(|time| time.abs_diff(at) < SAME_CRASH_MS) {
             times.push(at);
@@ -241,13 +244,13 @@
     }
     let case = killers.cases.entry(suspect.print).or_default();
     let known = case
-        .deaths
+        .crashes
         .iter_mut()
         .find(|death| death.engine == suspect.engine && death.at.abs_diff(at) < SAME_CRASH_MS);
     if let Some(death) = known {
         death.answering &= suspect.answering;
     } else {
-        case.deaths.push(Death {
+        case.crashes.push(Crash {
             engine: suspect.engine,
             at,
             answering: suspect.answering,
@@ -265,8 +268,8 @@
             killers.cases.remove(&print);
         }
     }
-    if killers.taking.len() > MAX_CASES {
-        killers.taking.pop_first();
+    if killers.unanswered_crashes.len() > MAX_CASES {
+        killers.unanswered_crashes.pop_first();
     }
 }
 
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -58,12 +58,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Measured {
     /// Prompt tokens waiting there at a time, of all hosts as far as they told.
-    queue: f64,
+    queued_tokens: f64,
     at: Time,
     /// When this host last sent a prompt there.
     sent: Time,
     /// Prompt tokens of this host that the others were not told of yet.
-    untold: u64,
+    unsent: u64,
     /// Time between tokens against that of an engine of nominal speed; 0 before the first.
     slowness: f64,
 }
@@ -78,7 +78,7 @@
 /// through since, and what its report adds.
 fn backlog(engine: &Backend, settings: &PoolSettings, now: Time) -> f64 {
     let passed = now.since(engine.measured.at).as_secs_f64();
-    let left = engine.measured.queue - passed / pace(engine, settings);
+    let left = engine.measured.queued_tokens - passed / pace(engine, settings);
     let known = left.max(engine.prefill as f64);
     let Some((read, report)) = &engine.report else {
         return known;
@@ -96,7 +96,8 @@
     settings(core, key).is_some_and(|settings| {
         let most = settings.first_token.as_secs_f64() * patience;
         let late = wait(engine, settings, core.now) > most;
-        let crowded = engine.role != Role::Prefill && free(engine, settings) < MIN_FREE_STREAMS;
+        let crowded =
+            engine.role != Role::Prefill && free_streams(engine, settings) < MIN_FREE_STREAMS;
         late || crowded
     })
 }
@@ -105,7 +106,7 @@
 #[must_use]
 pub fn queued(core: &Core, key: BackendKey) -> u64 {
     let engine = &core.fleet.arena[key];
-    settings(core, key).map_or(0, |settings| whole(backlog(engine, settings, core.now)))
+    settings(core, key).map_or(0, |settings| to_tokens(backlog(engine, settings, core.now)))
 }
 
 /// Returns whether an engine reports that nothing waits there and this host has sent it nothing
@@ -115,7 +116,7 @@
 /// an engine far slower than it is, a host that refused every request would never measure it, and
 /// would refuse for ever beside hosts that are served; one request now and then finds out.
 #[must_use]
-pub fn untried(core: &Core, key: BackendKey) -> bool {
+pub fn is_untried(core: &Core, key: BackendKey) -> bool {
     let engine = &core.fleet.arena[key];
     let idle = |(read, report): &(Time, super::event::Report)| {
         let age = core.now.since(*read) + Duration::from_millis(u64::from(report.age));
@@ -134,14 +135,14 @@
     let now = core.now;
     let engine = &mut core.fleet.arena[key];
     engine.measured.sent = now;
-    engine.measured.untold += prompt;
-    let untold = engine.measured.untold as f64 * nominal;
+    engine.measured.unsent += prompt;
+    let untold = engine.measured.unsent as f64 * nominal;
     if untold < MIN_UNSENT_S || core.members.count() > MAX_SHARING_PEERS {
         return;
     }
-    let prompt = std::mem::take(&mut engine.measured.untold);
+    let prompt = std::mem::take(&mut engine.measured.unsent);
     let sent = Sent {
-        engine: engine.seed,
+        engine: engine.name_hash,
         prompt: u32::try_from(prompt).unwrap_or(u32::MAX),
     };
     out.extend(core.members.peers().map(|to| Effect::Send {
@@ -154,7 +155,7 @@
 pub fn told(core: &mut Core, sent: Sent) {
     let engines = core.fleet.arena.iter();
     let engine = engines
-        .filter(|(_, engine)| engine.seed == sent.engine)
+        .filter(|(_, engine)| engine.name_hash == sent.engine)
         .map(|(key, _)| key)
         .next();
     if let Some(key) = engine {
@@ -163,12 +164,12 @@
 }
 
 /// Tells the other hosts how many streams this host has at each engine.
-pub fn tell_streams(core: &mut Core, out: &mut Effects) {
-    let passed = core.now.since(core.fleet.streams_told);
+pub fn send_streams(core: &mut Core, out: &mut Effects) {
+    let passed = core.now.since(core.fleet.streams_sent_at);
     if core.members.count() > MAX_SHARING_PEERS || passed < STREAMS_INTERVAL {
         return;
     }
-    core.fleet.streams_told = core.now;
+    core.fleet.streams_sent_at = core.now;
     for engine in core.fleet.arena.values_mut() {
         engine.told = engine.streams;
     }
@@ -176,7 +177,7 @@
     let streams: Vec<(u32, u32)> = engines
         .map(|&key| &core.fleet.arena[key])
         .filter(|engine| engine.streams > 0)
-        .map(|engine| (engine.seed, engine.streams))
+        .map(|engine| (engine.name_hash, engine.streams))
         .collect();
     out.extend(core.members.peers().map(|to| Effect::Send {
         to,
@@ -185,9 +186,9 @@
 }
 
 /// Takes in how many streams another host has at each engine.
-pub fn told_streams(core: &mut Core, from: HostKey, streams: &[(u32, u32)]) {
+pub fn receive_streams(core: &mut Core, from: HostKey, streams: &[(u32, u32)]) {
     for engine in core.fleet.arena.values_mut() {
-        let told = streams.iter().find(|(seed, _)| *seed == engine.seed);
+        let told = streams.iter().find(|(seed, _)| *seed == engine.name_hash);
         // An engine without streams of the sender still has its word: none.
         engine
             .others
@@ -211,7 +212,7 @@
     };
     let measured = &mut core.fleet.arena[key].measured;
     let passed = now.since(measured.at).as_secs_f64();
-    measured.queue = (measured.queue - passed / pace).max(0.0) + prompt as f64;
+    measured.queued_tokens = (measured.queued_tokens - passed / pace).max(0.0) + prompt as f64;
     measured.at = now;
 }
 
@@ -224,12 +225,12 @@
     if streams > slots {
         return f64::INFINITY;
     }
-    slowness(engine) * nominal(streams, settings)
+    slowness(engine) * nominal_gap(streams, settings)
 }
 
 /// Returns the streams that an engine can take before its time between tokens is too long.
 #[must_use]
-pub fn free(engine: &Backend, settings: &PoolSettings) -> f64 {
+pub fn free_streams(engine: &Backend, settings: &PoolSettings) -> f64 {
     let slots = settings.slots as f64;
     let slowness = slowness(engine);
     let full = slots / settings.decode;
@@ -247,7 +248,7 @@
 }
 
 /// Returns the seconds between tokens at an engine of nominal speed.
-fn nominal(streams: f64, settings: &PoolSettings) -> f64 {
+fn nominal_gap(streams: f64, settings: &PoolSettings) -> f64 {
     let slots = settings.slots as f64;
     slots / settings.decode
         * (EMPTY_BATCH_GAP_RATIO + (1.0 - EMPTY_BATCH_GAP_RATIO) * streams / slots)
@@ -302,20 +303,20 @@
 
 /// Returns the tokens that an answer is likely to have whose caller allows this many.
 #[must_use]
-pub fn expected(core: &Core, key: BackendKey, most: u32) -> u64 {
+pub fn expected_tokens(core: &Core, key: BackendKey, most: u32) -> u64 {
     let pool = core.fleet.pool(&core.fleet.arena[key].pool);
     let (had, allowed) = pool.map_or((0.0, 0.0), |pool| {
-        core.fleet.pools[usize::from(pool.0)].length
+        core.fleet.pools[usize::from(pool.0)].answer_tokens
     });
     let part = if allowed > 0.0 { had / allowed } else { 1.0 };
-    whole(f64::from(most) * part)
+    to_tokens(f64::from(most) * part)
 }
 
 /// Learns from a whole answer: `tokens` of `most` tokens allowed took `span` from the first to
 /// the last.
-pub fn decoded(core: &mut Core, key: BackendKey, span: Duration, tokens: u64, most: u32) {
+pub fn learn_decode(core: &mut Core, key: BackendKey, span: Duration, tokens: u64, most: u32) {
     if let Some(pool) = core.fleet.pool(&core.fleet.arena[key].pool) {
-        let (had, allowed) = &mut core.fleet.pools[usize::from(pool.0)].length;
+        let (had, allowed) = &mut core.fleet.pools[usize::from(pool.0)].answer_tokens;
         *had = *had * LENGTH_DECAY + tokens as f64;
         *allowed = *allowed * LENGTH_DECAY + f64::from(most);
     }
@@ -325,7 +326,7 @@
     let seen = span.as_secs_f64() / (tokens - 1) as f64;
     let Some(nominal) = settings(core, key).map(|settings| {
         let streams = streams(&core.fleet.arena[key]).min(settings.slots as f64);
-        nominal(streams, settings)
+        nominal_gap(streams, settings)
     }) else {
         return;
     };
@@ -344,7 +345,7 @@
     clippy::cast_sign_loss,
     reason = "token counts are positive and far below the bound of the type"
 )]
-fn whole(tokens: f64) -> u64 {
+fn to_tokens(tokens: f64) -> u64 {
     tokens as u64
 }
 
--- a/src/core/member/beat.rs
+++ b/src/core/member/beat.rs
@@ -68,7 +68,7 @@
     peer.beat = beat.clone();
     share::heard(core, from, beat);
     if first {
-        killer::welcome(core, from, out);
+        killer::sync_new_host(core, from, out);
     }
     if stopping {
         once::moved(core, out);
--- a/src/core/member/inbox.rs
+++ b/src/core/member/inbox.rs
@@ -36,7 +36,7 @@
         Message::Listing(listing) => fleet::told(core, from, &listing, out),
         Message::Demand(demand) => order::demanded(core, from, &demand),
         Message::Sent(sent) => load::told(core, sent),
-        Message::Running(streams) => load::told_streams(core, from, &streams),
+        Message::Running(streams) => load::receive_streams(core, from, &streams),
         Message::Suspect(suspect) => killer::told(core, suspect),
     }
 }
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -209,7 +209,7 @@
     // Peers pass on which back ends are leaving; a host that hears neither the list nor them may
     // send work to one that left long ago.
     let peers = members.names.len();
-    if peers > 0 && !recent(core.fleet.read) && !most(core, bound) {
+    if peers > 0 && !recent(core.fleet.read_at) && !most(core, bound) {
         return true;
     }
     if recent(members.store_heard) {
@@ -273,7 +273,7 @@
         Timer::Beat => {
             share::beat(core);
             beats(core, out);
-            load::tell_streams(core, out);
+            load::send_streams(core, out);
             wake(core, Timer::Beat, beat::EVERY, out);
         }
         Timer::Register => register(core, out),
--- a/src/core/order/change.rs
+++ b/src/core/order/change.rs
@@ -14,9 +14,9 @@
 use super::{DEMAND_AGE, name, publish, suspect};
 use crate::core::effect::{Action, Effect, Meter, Order, log_event};
 use crate::core::event::{Ordered, Role};
-use crate::core::fleet::{Backend, Standing};
+use crate::core::fleet::{Backend, ServingState};
 use crate::core::key::PoolKey;
-use crate::core::role::{Engine, Memory, View};
+use crate::core::role::{DecisionState, Engine, View};
 use crate::core::{Core, Effects, Time};
 
 /// Time every host has to confirm a withdrawal before the change is called off.
@@ -46,7 +46,7 @@
     /// Number of the last order under the present fencing number.
     number: u64,
     decided: Time,
-    memory: Memory,
+    memory: DecisionState,
     /// Since when engines report another role than routing assumes.
     pub(super) odd: BTreeMap<Box<str>, Time>,
 }
@@ -172,7 +172,7 @@
     };
     let wish = decide(&view, &mut desk.work.memory)?;
     let engine = core.fleet.arena.get(wish.engine)?;
-    if engine.role == wish.role || engine.listed != Standing::Serving {
+    if engine.role == wish.role || engine.listed != ServingState::Serving {
         return None;
     }
     let (name, role) = (engine.name.clone(), wish.role);
@@ -195,7 +195,7 @@
         key,
         domain: engine.domain.clone(),
         role: engine.role,
-        serving: engine.takes(core.now),
+        serving: engine.is_available(core.now),
         streams: engine.streams.max(reported),
         speed,
     }
@@ -236,7 +236,7 @@
         Step::Close(role) => Some(close(core, pool, change, role, out)),
         Step::Restore(role) => {
             let wanted = Place {
-                standing: Standing::Serving,
+                standing: ServingState::Serving,
                 role,
             };
             let stored = core.orders.desk(pool).work.route.as_ref();
@@ -254,7 +254,7 @@
         return change;
     };
     let revision = route.revision;
-    let withdrawn = route.place(&change.engine).standing == Standing::Withdrawn;
+    let withdrawn = route.place(&change.engine).standing == ServingState::Withdrawn;
     // Only when this host's own watch shows the withdrawal does it know every host that
     // registered before it; a host that registers later starts from it.
     let word = if !withdrawn || desk.applied.modified < *modified {
@@ -324,7 +324,7 @@
         ),
     };
     let leaving = core.fleet.find(&change.engine);
-    let leaving = leaving.is_some_and(|key| core.fleet.arena[key].listed != Standing::Serving);
+    let leaving = leaving.is_some_and(|key| core.fleet.arena[key].listed != ServingState::Serving);
     if waited < bound.min(core.settings.limits.drain) && !leaving {
         return change;
     }
--- a/src/core/order/drain.rs
+++ b/src/core/order/drain.rs
@@ -10,7 +10,7 @@
 use super::route::Told;
 use crate::core::effect::Effect;
 use crate::core::event::Report;
-use crate::core::fleet::Standing;
+use crate::core::fleet::ServingState;
 use crate::core::key::{HostKey, PoolKey};
 use crate::core::message::{Confirm, Message};
 use crate::core::{Core, Effects, Time};
@@ -87,7 +87,7 @@
     let engines = core.fleet.pools[usize::from(pool.0)].engines.iter();
     let engines = engines.map(|&key| &core.fleet.arena[key]);
     engines
-        .filter(|engine| engine.routed == Standing::Withdrawn)
+        .filter(|engine| engine.routed == ServingState::Withdrawn)
         .map(|engine| (engine.name.clone(), engine.streams))
         .collect()
 }
--- a/src/core/order/mod.rs
+++ b/src/core/order/mod.rs
@@ -22,7 +22,7 @@
 use super::event::{Health, Job, Ordered, StoreReply, Timer, Watched};
 use super::key::{HostKey, PoolKey};
 use super::message::{Confirm, Demand, Message};
-use super::role::{self, Change, Memory, View};
+use super::role::{self, Change, DecisionState, View};
 use super::{Core, Effects, Time};
 use crate::settings::Settings;
 
@@ -46,7 +46,7 @@
 const RETRY: Duration = Duration::from_millis(500);
 
 /// How a pool's role change is chosen.
-pub type Decide = fn(&View<'_>, &mut Memory) -> Option<Change>;
+pub type Decide = fn(&View<'_>, &mut DecisionState) -> Option<Change>;
 
 /// What this host knows and does about the orders of one pool.
 #[derive(Debug, Default)]
--- a/src/core/order/publish.rs
+++ b/src/core/order/publish.rs
@@ -5,7 +5,7 @@
 
 use super::change::{Change, Step};
 use super::route::{self, Place, Route};
-use crate::core::fleet::{Backend, Standing};
+use crate::core::fleet::{Backend, ServingState};
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects};
 
@@ -65,15 +65,15 @@
     for &key in &core.fleet.pools[usize::from(pool.0)].engines {
         let engine = &core.fleet.arena[key];
         let mut place = route.place(&engine.name);
-        place.standing = Standing::Serving;
+        place.standing = ServingState::Serving;
         let change = work.change.as_ref();
         match change.filter(|change| change.engine == engine.name) {
             Some(Change {
                 step: Step::Restore(role),
                 ..
             }) => place.role = *role,
-            Some(_) => place.standing = Standing::Withdrawn,
-            None if recorded(&engine.name) => place.standing = Standing::Withdrawn,
+            Some(_) => place.standing = ServingState::Withdrawn,
+            None if recorded(&engine.name) => place.standing = ServingState::Withdrawn,
             None => follow(core, pool, engine, &mut place),
         }
         if place == Place::default() {
--- a/src/core/order/route.rs
+++ b/src/core/order/route.rs
@@ -9,7 +9,7 @@
 use super::{ROUTE, name, record};
 use crate::core::effect::Effect;
 use crate::core::event::{Job, Role, StoreResult, Watched};
-use crate::core::fleet::Standing;
+use crate::core::fleet::ServingState;
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects, Time};
 use crate::store::{Compare, Op, Span, Txn};
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Place {
     /// Serving or withdrawn.
-    pub standing: Standing,
+    pub standing: ServingState,
     /// Role that routing assumes.
     pub role: Role,
 }
@@ -76,8 +76,8 @@
             .iter()
             .map(|(name, place)| {
                 let state = match place.standing {
-                    Standing::Serving => "serving",
-                    Standing::Withdrawn | Standing::Leaving => "withdrawn",
+                    ServingState::Serving => "serving",
+                    ServingState::Withdrawn | ServingState::Leaving => "withdrawn",
                 };
                 let role = place.role.word();
                 (&**name, json!({"state": state, "role": role}))
@@ -94,8 +94,8 @@
         let value: Value = serde_json::from_slice(bytes).ok()?;
         let engines = value["engines"].as_object()?.iter().map(|(name, place)| {
             let standing = match place["state"].as_str()? {
-                "serving" => Standing::Serving,
-                _ => Standing::Withdrawn,
+                "serving" => ServingState::Serving,
+                _ => ServingState::Withdrawn,
             };
             let role = Role::from_word(place["role"].as_str()?)?;
             Some((Box::from(name.as_str()), Place { standing, role }))
--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -23,7 +23,7 @@
     load::measured(core, key, took, out);
     close(core, key);
     if let Some(instance) = core.relay.instances.arena.get_mut(engine) {
-        instance.works();
+        instance.record_success();
         core.relay.calls[call].cache = Some(Cache {
             engine,
             instance: instance.id.clone(),
@@ -45,7 +45,7 @@
     close(core, key);
     let failed = status >= FAILURES;
     if let Some(instance) = core.relay.instances.arena.get_mut(backend) {
-        instance.works();
+        instance.record_success();
     }
     if failed && may_repeat(core, call) && !core.relay.calls[call].delivered {
         core.relay.calls[call].tried.push(backend);
@@ -94,7 +94,7 @@
         load::measured(core, key, took, out);
         count_prefilled(core, key);
         if let Some(instance) = core.relay.instances.arena.get_mut(backend) {
-            instance.works();
+            instance.record_success();
         }
         // The engine has taken the KV cache over.
         core.relay.calls[call_key].cache = None;
@@ -226,7 +226,7 @@
     let source = source.and_then(|key| core.relay.instances.arena.get_mut(key));
     match source {
         Some(source) if how == Break::Refused => {
-            source.taken(false);
+            source.record_kv_transfer(false);
             source.kv_loss_rate > SPOILED
         }
         _ => false,
@@ -243,10 +243,10 @@
         return;
     };
     match how {
-        Break::Refused => instance.refused(now),
+        Break::Refused => instance.record_refusal(now),
         Break::Rejected => instance.addr_reused = true,
-        Break::Unreachable => instance.unreachable(now),
-        Break::Cut | Break::Silent | Break::Forgotten => instance.failed(now),
+        Break::Unreachable => instance.record_unreachable(now),
+        Break::Cut | Break::Silent | Break::Forgotten => instance.record_failure(now),
     }
     if how == Break::Rejected || !instance.is_available(now) && how != Break::Refused {
         note(
@@ -256,7 +256,7 @@
             vec![
                 ("backend", instance.id.clone()),
                 ("how", format!("{how:?}").into()),
-                ("fails", instance.fails.to_string().into()),
+                ("fails", instance.failures.to_string().into()),
             ],
         );
     }
@@ -310,7 +310,7 @@
     };
     let call = &core.relay.calls[attempt.call];
     let instance = core.relay.instances.arena.get(attempt.backend);
-    let heard = instance.and_then(|instance| instance.heard);
+    let heard = instance.and_then(|instance| instance.last_response);
     let bound = load::silence(call, attempt, heard, core.now);
     let waited = core.now.since(attempt.last);
     if waited < bound {
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -415,7 +415,7 @@
 
 /// Returns how long ago all that the store held was known here, for the log.
 fn heard(core: &Core) -> Box<str> {
-    let heard = core.relay.view.current();
+    let heard = core.relay.view.fresh_at();
     heard.map_or_else(
         || "never".into(),
         |heard| core.now.since(heard).as_millis().to_string().into(),
--- a/src/core/relay/choose/handover.rs
+++ b/src/core/relay/choose/handover.rs
@@ -64,7 +64,7 @@
         let brought = parts::missing(instance, &prompt);
         let cost =
             expected + crowded(instance) + displaced(learned, brought) + instance.failure_cost()
-                - instance.limit.preference(core.now)
+                - instance.limit.recheck_bonus(core.now)
                 + crossing(core, call, instance, policy);
         if best.is_none_or(|(least, ..)| cost < least) {
             best = Some((cost, reads, expected, backend));
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -319,7 +319,7 @@
             + crossing
             + instance.failure_cost()
             + vain
-            - instance.limit.preference(core.now),
+            - instance.limit.recheck_bonus(core.now),
     }
 }
 
--- a/src/core/relay/choose/plain.rs
+++ b/src/core/relay/choose/plain.rs
@@ -32,7 +32,7 @@
         let crossing = if instance.domain == domain { 0.0 } else { 2.0 };
         let noise: f64 = core.rng.random_range(0.9..1.1);
         let cost = expected * (1.0 + ahead * 0.3) * noise + crossing + instance.failure_cost()
-            - instance.limit.preference(core.now);
+            - instance.limit.recheck_bonus(core.now);
         if best.is_none_or(|(least, ..)| cost < least) {
             best = Some((cost, expected, backend));
         }
--- a/src/core/relay/gossip/gather.rs
+++ b/src/core/relay/gossip/gather.rs
@@ -114,7 +114,7 @@
         })
         .collect();
     let view = &core.relay.view;
-    let quiet = !view.probes.has_news() && !view.history.has_unsent() && !peers.down.any();
+    let quiet = !view.probes.has_unsent() && !view.history.has_unsent() && !peers.down.any();
     let waits = peers
         .answered
         .is_some_and(|at| core.now.since(at) < KEEPALIVE_INTERVAL);
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -143,7 +143,7 @@
     let limits = limits.is_some_and(|told| limit::changed_since(core, told));
     let news = news || limits;
     let news =
-        news || view.probes.has_news() || (view.history.has_unsent() && replicates_changes(core));
+        news || view.probes.has_unsent() || (view.history.has_unsent() && replicates_changes(core));
     let peers = &mut core.relay.peers;
     let same = !news && loads == peers.last;
     if same
--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -66,7 +66,7 @@
     /// Sum of the other hosts' work.
     pub others_total: Work,
     /// Failures since the last success.
-    pub fails: u32,
+    pub failures: u32,
     /// Refusals since the last success.
     pub refusals: u32,
     /// It gets no new work before this time.
@@ -82,7 +82,7 @@
     /// Milliseconds a plain request takes there; 0 before the first.
     pub latency_ms: f64,
     /// When it last brought anything.
-    pub heard: Option<Time>,
+    pub last_response: Option<Time>,
     /// Tokens that this host had put into its memory, older ones for less, and as of when.
     recent_fill: (f64, Time),
     /// Requests that it takes from all hosts together.
@@ -151,7 +151,7 @@
             own: Work::default(),
             others: BTreeMap::new(),
             others_total: Work::default(),
-            fails: 0,
+            failures: 0,
             refusals: 0,
             retry_at: Time::default(),
             pace: Pace::default(),
@@ -159,7 +159,7 @@
             kv_loss_rate: 0.0,
             error_rate: 0.0,
             latency_ms: 0.0,
-            heard: None,
+            last_response: None,
             recent_fill: (0.0, Time::default()),
             limit: Limit::default(),
             parts: BTreeMap::new(),
@@ -209,23 +209,23 @@
     }
 
     /// Notes that it could not be reached or broke off: it gets no new work for a while.
-    pub fn failed(&mut self, now: Time) {
-        let factor = 2_u32.saturating_pow(self.fails.min(8));
-        self.fails += 1;
+    pub fn record_failure(&mut self, now: Time) {
+        let factor = 2_u32.saturating_pow(self.failures.min(8));
+        self.failures += 1;
         self.error_rate += (1.0 - self.error_rate) * ERROR_WEIGHT;
-        if self.fails >= UNHEALTHY_FAILURES {
+        if self.failures >= UNHEALTHY_FAILURES {
             self.retry_at = now.after((INITIAL_BACKOFF * factor).min(MAX_BACKOFF));
         }
     }
 
     /// Notes that nothing listens at its address, or nothing answers there.
-    pub fn unreachable(&mut self, now: Time) {
-        self.fails = self.fails.max(UNHEALTHY_FAILURES - 1);
-        self.failed(now);
+    pub fn record_unreachable(&mut self, now: Time) {
+        self.failures = self.failures.max(UNHEALTHY_FAILURES - 1);
+        self.record_failure(now);
     }
 
     /// Notes that it refused a request.
-    pub fn refused(&mut self, now: Time) {
+    pub fn record_refusal(&mut self, now: Time) {
         let pause = REFUSAL_BACKOFF * 2_u32.pow(self.refusals.min(MAX_REFUSAL_DOUBLINGS));
         self.refusals += 1;
         self.error_rate += (1.0 - self.error_rate) * ERROR_WEIGHT;
@@ -239,7 +239,7 @@
     }
 
     /// Notes whether a KV cache that was read there could be taken.
-    pub fn taken(&mut self, taken: bool) {
+    pub fn record_kv_transfer(&mut self, taken: bool) {
         let spoiled = if taken { 0.0 } else { 1.0 };
         self.kv_loss_rate += (spoiled - self.kv_loss_rate) * ERROR_WEIGHT;
     }
@@ -253,8 +253,8 @@
     }
 
     /// Notes that it answered.
-    pub fn works(&mut self) {
-        self.fails = 0;
+    pub fn record_success(&mut self) {
+        self.failures = 0;
         self.refusals = 0;
         self.error_rate -= self.error_rate * ERROR_WEIGHT;
     }
@@ -289,7 +289,7 @@
     by_id: BTreeMap<Box<str>, BackendKey>,
     by_hash: BTreeMap<u32, BackendKey>,
     /// Backend servers at which a host has unfinished work, as it told.
-    told: BTreeMap<HostKey, Vec<BackendKey>>,
+    reported: BTreeMap<HostKey, Vec<BackendKey>>,
     by_service: BTreeMap<Box<str>, Vec<BackendKey>>,
     departed: Departed,
 }
@@ -300,7 +300,7 @@
     /// Its id.
     pub id: Box<str>,
     /// What is believed now.
-    pub what: &'static str,
+    pub state: &'static str,
 }
 
 impl Instances {
@@ -341,7 +341,12 @@
     }
 
     /// Takes in what the store told; returns what is believed anew.
-    pub fn changed(&mut self, changes: &mut Changes, era: u64, now: Time) -> Vec<StateChange> {
+    pub fn apply_changes(
+        &mut self,
+        changes: &mut Changes,
+        era: u64,
+        now: Time,
+    ) -> Vec<StateChange> {
         let mut beliefs = Vec::new();
         self.departed.sweep(now);
         if changes.whole {
@@ -351,7 +356,7 @@
                     instance.missing_since = Some(now);
                     beliefs.push(StateChange {
                         id: instance.id.clone(),
-                        what: "missing",
+                        state: "missing",
                     });
                 }
             }
@@ -374,7 +379,7 @@
                 if !instance.leaving {
                     beliefs.push(StateChange {
                         id: id.clone(),
-                        what: "gone",
+                        state: "gone",
                     });
                 }
                 instance.leaving = true;
@@ -400,7 +405,7 @@
         }
         let beliefs: Vec<StateChange> = gone
             .into_iter()
-            .map(|(id, _)| StateChange { id, what: "gone" })
+            .map(|(id, _)| StateChange { id, state: "gone" })
             .collect();
         if !beliefs.is_empty() {
             self.sweep(now);
@@ -420,7 +425,7 @@
                 restarted = true;
                 beliefs.push(StateChange {
                     id: id.clone(),
-                    what: "restarted",
+                    state: "restarted",
                 });
             }
         }
@@ -428,7 +433,7 @@
             let instance = &mut self.arena[key];
             if instance.leaving != entry.leaving {
                 let what = if entry.leaving { "leaving" } else { "ready" };
-                beliefs.push(StateChange { id, what });
+                beliefs.push(StateChange { id, state: what });
             }
             instance.leaving = entry.leaving;
             instance.missing_since = None;
@@ -438,7 +443,7 @@
         }
         beliefs.push(StateChange {
             id: id.clone(),
-            what: if entry.leaving { "leaving" } else { "ready" },
+            state: if entry.leaving { "leaving" } else { "ready" },
         });
         let service = entry.service.clone();
         let mut instance = Instance::new(entry);
@@ -484,7 +489,7 @@
 
     /// Takes in a host's whole unfinished work.
     pub fn told(&mut self, host: HostKey, loads: &[LoadReport]) {
-        for key in self.told.remove(&host).unwrap_or_default() {
+        for key in self.reported.remove(&host).unwrap_or_default() {
             if let Some(instance) = self.arena.get_mut(key)
                 && let Some(old) = instance.others.remove(&host)
             {
@@ -504,7 +509,7 @@
             }
         }
         if !keys.is_empty() {
-            self.told.insert(host, keys);
+            self.reported.insert(host, keys);
         }
     }
 }
--- a/src/core/relay/limit.rs
+++ b/src/core/relay/limit.rs
@@ -36,7 +36,7 @@
     /// Requests a second from all hosts together.
     rate: Option<f64>,
     /// As of when that is known.
-    known: Time,
+    known_at: Time,
     /// When this host learned of the last change.
     changed: Option<Time>,
     /// Whether the last answer named one that cannot be read.
@@ -45,7 +45,7 @@
     share: f64,
     /// Requests that this host may send, as of `filled`.
     tokens: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
 impl Limit {
@@ -53,7 +53,7 @@
     #[must_use]
     pub fn since(start: Time) -> Self {
         Self {
-            known: start,
+            known_at: start,
             ..Self::default()
         }
     }
@@ -79,8 +79,8 @@
 
     /// Returns the milliseconds of delay that are borne to learn whether the limit still holds.
     #[must_use]
-    pub fn preference(&self, now: Time) -> f64 {
-        let overdue = now.since(self.known).saturating_sub(RECHECK_AFTER);
+    pub fn recheck_bonus(&self, now: Time) -> f64 {
+        let overdue = now.since(self.known_at).saturating_sub(RECHECK_AFTER);
         self.rate
             .map_or(0.0, |_| overdue.as_secs_f64() * RECHECK_MS_PER_SECOND)
     }
@@ -89,20 +89,20 @@
     pub fn spend(&mut self, now: Time) {
         if self.rate.is_some() {
             self.tokens = self.available(now) - 1.0;
-            self.filled = now;
+            self.refilled_at = now;
         }
     }
 
     fn available(&self, now: Time) -> f64 {
-        let gained = self.share * now.since(self.filled).as_secs_f64();
+        let gained = self.share * now.since(self.refilled_at).as_secs_f64();
         let most = (self.share * BURST_WINDOW.as_secs_f64()).max(1.0);
         (self.tokens + gained).min(most)
     }
 
     /// Sets this host's part from now on.
-    fn allot(&mut self, share: f64, now: Time) {
+    fn set_share(&mut self, share: f64, now: Time) {
         self.tokens = self.available(now);
-        self.filled = now;
+        self.refilled_at = now;
         self.share = share;
     }
 
@@ -112,14 +112,14 @@
         // Answers overtake each other: one that was sent before the limit was named does not end it. And hosts
         // that return each other's reports would make them ever newer.
         let since = if begins {
-            self.known
+            self.known_at
         } else {
-            self.known.after(MAX_REPORT_SKEW)
+            self.known_at.after(MAX_REPORT_SKEW)
         };
         if known <= since {
             return false;
         }
-        self.known = known;
+        self.known_at = known;
         if self.rate == rate {
             return false;
         }
@@ -127,7 +127,7 @@
         self.changed = Some(now);
         if begins {
             self.tokens = 0.0;
-            self.filled = now;
+            self.refilled_at = now;
             self.share = 0.0;
         }
         true
@@ -140,13 +140,13 @@
         (self.rate.is_some() || ended).then(|| LimitReport {
             instance,
             rate: self.rate,
-            age: now.since(self.known),
+            age: now.since(self.known_at),
         })
     }
 }
 
 /// Takes in what an answer names.
-pub fn named(core: &mut Core, attempt: AttemptKey, limit: NamedLimit, out: &mut Effects) {
+pub fn observe(core: &mut Core, attempt: AttemptKey, limit: NamedLimit, out: &mut Effects) {
     let Some((backend, sent)) = core
         .relay
         .attempts
@@ -161,7 +161,7 @@
     };
     let unreadable = limit == NamedLimit::Unreadable;
     if unreadable && !instance.limit.unreadable {
-        note_limit(instance, "unreadable".into(), "answer", out);
+        log_limit(instance, "unreadable".into(), "answer", out);
     }
     instance.limit.unreadable = unreadable;
     let changed = match limit {
@@ -170,7 +170,7 @@
         NamedLimit::Unreadable => false,
     };
     if changed {
-        follow(core, backend, "answer", out);
+        apply_change(core, backend, "answer", out);
     }
 }
 
@@ -183,7 +183,7 @@
         };
         let limit = &mut core.relay.instances.arena[key].limit;
         if limit.learn(report.rate, now.before(report.age), now) {
-            follow(core, key, from, out);
+            apply_change(core, key, from, out);
         }
     }
 }
@@ -211,20 +211,20 @@
 }
 
 /// Works this host's parts out anew, after hosts joined or left.
-pub fn apportion_all(core: &mut Core) {
+pub fn update_shares(core: &mut Core) {
     let instances = core.relay.instances.arena.iter();
     let limited = instances.filter(|(_, instance)| instance.limit.rate.is_some());
     let limited: Vec<BackendKey> = limited.map(|(key, _)| key).collect();
     for key in limited {
-        apportion(core, key);
+        update_share(core, key);
     }
 }
 
-fn apportion(core: &mut Core, key: BackendKey) {
+fn update_share(core: &mut Core, key: BackendKey) {
     let instance = &core.relay.instances.arena[key];
     let share = share(core, instance);
     let now = core.now;
-    core.relay.instances.arena[key].limit.allot(share, now);
+    core.relay.instances.arena[key].limit.set_share(share, now);
 }
 
 /// Returns this host's part of a server's rate, in requests a second.
@@ -257,17 +257,17 @@
     mixed ^ (mixed >> 31)
 }
 
-fn follow(core: &mut Core, key: BackendKey, source: &str, out: &mut Effects) {
-    apportion(core, key);
+fn apply_change(core: &mut Core, key: BackendKey, source: &str, out: &mut Effects) {
+    update_share(core, key);
     let instance = &core.relay.instances.arena[key];
     let rate = instance
         .limit
         .rate
         .map_or_else(|| "none".into(), |rate| format!("{rate:.2}").into());
-    note_limit(instance, rate, source, out);
+    log_limit(instance, rate, source, out);
 }
 
-fn note_limit(instance: &Instance, rate: Box<str>, source: &str, out: &mut Effects) {
+fn log_limit(instance: &Instance, rate: Box<str>, source: &str, out: &mut Effects) {
     let fields = vec![
         ("backend", instance.id.clone()),
         ("rate", rate),
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -64,7 +64,7 @@
     let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) else {
         return;
     };
-    instance.heard = Some(now);
+    instance.last_response = Some(now);
     note(
         out,
         log::Level::Info,
@@ -145,7 +145,7 @@
         }
     }
     if let Some(instance) = source.and_then(|key| arena.get_mut(key)) {
-        instance.taken(true);
+        instance.record_kv_transfer(true);
     }
 }
 
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -235,7 +235,7 @@
     match event {
         RelayEvent::Arrived(arrival) => call::arrived(core, *arrival, out),
         RelayEvent::Left(key) => call::left(core, key, out),
-        RelayEvent::Limited { attempt, limit } => limit::named(core, attempt, limit, out),
+        RelayEvent::Limited { attempt, limit } => limit::observe(core, attempt, limit, out),
         RelayEvent::Prefilled { attempt, handle } => answer::prefilled(core, attempt, handle, out),
         RelayEvent::Answered { attempt, status } => answer::answered(core, attempt, status, out),
         RelayEvent::Piece { attempt, number } => answer::piece(core, attempt, number, out),
@@ -304,7 +304,10 @@
         adopt(core, catalog, out);
     }
     let era = core.relay.view.era();
-    let beliefs = core.relay.instances.changed(&mut changes, era, core.now);
+    let beliefs = core
+        .relay
+        .instances
+        .apply_changes(&mut changes, era, core.now);
     note_beliefs(beliefs, out);
     peers::changed(core, &changes, out);
     split::changed(core, &changes, out);
@@ -316,7 +319,7 @@
             out,
             log::Level::Info,
             "backend.listed",
-            vec![("backend", belief.id), ("state", belief.what.into())],
+            vec![("backend", belief.id), ("state", belief.state.into())],
         );
     }
 }
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -320,7 +320,7 @@
     }
     let key = peers.arena.insert(peer(name, domain, addr));
     peers.names.insert(name.into(), key);
-    limit::apportion_all(core);
+    limit::update_shares(core);
     note(
         out,
         log::Level::Info,
@@ -364,7 +364,7 @@
     if let Some(key) = core.relay.peers.names.remove(name) {
         core.relay.instances.told(key, &[]);
         core.relay.peers.arena.remove(key);
-        limit::apportion_all(core);
+        limit::update_shares(core);
         note(
             out,
             log::Level::Info,
--- a/src/core/relay/view/era.rs
+++ b/src/core/relay/view/era.rs
@@ -48,12 +48,12 @@
         ("era", era.to_string().into()),
         ("before", before.to_string().into()),
         ("source", source.into()),
-        ("at", core.relay.view.at.to_string().into()),
+        ("at", core.relay.view.revision.to_string().into()),
     ];
     note(out, log::Level::Warn, "store.era", fields);
     split::forget(core, out);
     peers::forget_lease(core);
-    let asked = core.relay.view.restart();
+    let asked = core.relay.view.reset();
     if let Some(number) = asked {
         out.push(Effect::Relay(RelayEffect::Unask(number)));
     }
--- a/src/core/relay/view/mod.rs
+++ b/src/core/relay/view/mod.rs
@@ -86,7 +86,7 @@
     /// Eras that ended since this host's start.
     ended_eras: u32,
     /// Revision up to which everything is known.
-    at: i64,
+    revision: i64,
     /// Pages of a whole read; `None` while changes are watched.
     full_read: Option<FullRead>,
     /// The page or the watch in hand; none in a pause.
@@ -121,7 +121,7 @@
 struct LoggedState {
     up: bool,
     /// [`View::current`] at that time.
-    current: Option<Time>,
+    fresh_at: Option<Time>,
 }
 
 impl View {
@@ -133,7 +133,7 @@
 
     /// Returns the latest moment as of which all that the store held was known here.
     #[must_use]
-    pub fn current(&self) -> Option<Time> {
+    pub fn fresh_at(&self) -> Option<Time> {
         self.fresh_at
     }
 
@@ -156,7 +156,7 @@
 
     /// Returns the changes that the next message passes on.
     pub(super) fn take_changes(&mut self) -> ReplicatedChanges {
-        self.history.next_batch(self.at)
+        self.history.next_batch(self.revision)
     }
 
     /// Says in the log from whom this host learns of changes, where that is another than before.
@@ -168,7 +168,7 @@
         let fields = vec![
             ("source", source.into()),
             ("before", before.unwrap_or_else(|| "none".into())),
-            ("at", self.at.to_string().into()),
+            ("at", self.revision.to_string().into()),
         ];
         note(out, log::Level::Info, "view.source", fields);
     }
@@ -191,9 +191,9 @@
     }
 
     /// Forgets all that belongs to an era that ended; returns the number of the call in hand.
-    fn restart(&mut self) -> Option<u64> {
+    fn reset(&mut self) -> Option<u64> {
         self.ended_eras += 1;
-        self.at = 0;
+        self.revision = 0;
         self.passive = false;
         self.failures = 0;
         self.refused = false;
@@ -234,7 +234,7 @@
             after: pages.after.clone(),
         },
         None => Ask::Watch {
-            after: view.at,
+            after: view.revision,
             wait: WATCH_TIMEOUT,
         },
     };
@@ -285,20 +285,20 @@
     out: &mut Effects,
 ) {
     let view = &mut core.relay.view;
-    if passage.at <= view.at {
+    if passage.at <= view.revision {
         return;
     }
-    if passage.after > view.at {
+    if passage.after > view.revision {
         if view.passive {
             request_next(core, out);
         }
         return;
     }
-    let at = view.at;
+    let at = view.revision;
     view.set_source(from, out);
     let events = passage.events.into_iter();
     let new: Vec<StoreChange> = events.filter(|event| event.revision > at).collect();
-    view.at = passage.at;
+    view.revision = passage.at;
     if view.full_read.is_none() {
         view.passive = true;
         if let Some(asked) = view.pending.take() {
@@ -341,15 +341,13 @@
         return;
     };
     match answer {
-        StoreAnswer::Page { at, changes, after } => {
-            handle_page(core, asked, at, changes, after, out)
-        }
+        StoreAnswer::Page { at, changes, after } => add_page(core, asked, at, changes, after, out),
         StoreAnswer::Changes {
             at,
             changes,
             events,
         } => {
-            if at > view.at {
+            if at > view.revision {
                 view.set_source(STORE_SOURCE, out);
                 view.history.append(events);
             }
@@ -380,7 +378,7 @@
 }
 
 /// Takes in a page of all keys, and begins to watch after the last one.
-fn handle_page(
+fn add_page(
     core: &mut Core,
     asked: PendingCall,
     at: i64,
@@ -400,7 +398,7 @@
     }
     view.failures = 0;
     view.probes.losses = 0;
-    view.at = first;
+    view.revision = first;
     view.set_source(STORE_SOURCE, out);
     view.history.reset(first);
     view.mark_fresh(since);
@@ -429,8 +427,8 @@
     let view = &mut core.relay.view;
     view.probes.losses = 0;
     view.mark_fresh(asked.sent);
-    let news = at > view.at;
-    view.at = view.at.max(at);
+    let news = at > view.revision;
+    view.revision = view.revision.max(at);
     super::changed(core, changes, out);
     if news {
         pause(core, watch_pause(hosts), out);
@@ -468,12 +466,12 @@
     }
     // When it is back: how long this host had to act on what it knew before.
     let heard = match view.logged {
-        Some(said) if up => said.current,
+        Some(said) if up => said.fresh_at,
         _ => view.fresh_at,
     };
     view.logged = Some(LoggedState {
         up,
-        current: view.fresh_at,
+        fresh_at: view.fresh_at,
     });
     let heard = heard.map_or_else(|| "never".into(), |heard| in_ms(now.since(heard)));
     let (level, name) = if up {
--- a/src/core/relay/view/probe.rs
+++ b/src/core/relay/view/probe.rs
@@ -49,7 +49,7 @@
     /// The last answered one, of this host or of another one.
     last: Option<ProbeResult>,
     /// Whether it is this host's own, and the others were not told.
-    news: bool,
+    unsent: bool,
     /// What the call in hand is held against, and when its grace is over.
     check: Option<(ProbeResult, Time)>,
     /// Pages and watches given up in a row.
@@ -59,7 +59,7 @@
 impl Probes {
     /// Returns what this host's own last answered probe showed, to tell the other hosts.
     pub fn own_report(&mut self, now: Time) -> Option<ProbeReport> {
-        self.news = false;
+        self.unsent = false;
         let own = self.last.filter(|check| !check.remote)?;
         Some(ProbeReport {
             revision: own.newest,
@@ -70,7 +70,7 @@
     /// Returns what the last answered probe showed, whoever sent it, to tell those that hear of
     /// other hosts by this one.
     pub fn latest_report(&mut self, now: Time) -> Option<ProbeReport> {
-        self.news = false;
+        self.unsent = false;
         let check = self.last?;
         Some(ProbeReport {
             revision: check.newest,
@@ -80,8 +80,8 @@
 
     /// Tells whether the other hosts were not told of it yet.
     #[must_use]
-    pub fn has_news(&self) -> bool {
-        self.news
+    pub fn has_unsent(&self) -> bool {
+        self.unsent
     }
 
     fn record_sent(&mut self, number: u64, now: Time) {
@@ -100,15 +100,15 @@
 
 impl View {
     /// Takes in an answered probe.
-    fn learn(&mut self, check: ProbeResult) {
+    fn record_probe(&mut self, check: ProbeResult) {
         self.uptime.answered(check.sent);
-        if self.full_read.is_none() && check.newest <= self.at {
+        if self.full_read.is_none() && check.newest <= self.revision {
             self.mark_fresh(check.sent);
         }
         let probes = &mut self.probes;
         if probes.last.is_none_or(|last| last.sent < check.sent) {
             probes.last = Some(check);
-            probes.news = !check.remote;
+            probes.unsent = !check.remote;
         }
     }
 
@@ -116,7 +116,8 @@
     /// store answered a probe that was sent after it.
     fn is_overdue(&self, check: ProbeResult) -> bool {
         let older = self.pending.is_some_and(|asked| asked.sent < check.sent);
-        (older && self.full_read.is_some()) || ((older || self.passive) && check.newest > self.at)
+        (older && self.full_read.is_some())
+            || ((older || self.passive) && check.newest > self.revision)
     }
 }
 
@@ -165,7 +166,7 @@
     if view.probes.last.is_some_and(|last| last.sent >= check.sent) {
         return;
     }
-    view.learn(check);
+    view.record_probe(check);
     drop_missing(core, out);
     let spread = core.rng.random_range(Duration::ZERO..MAX_CHECK_JITTER);
     check_pending_call(core, check, spread, out);
@@ -196,7 +197,7 @@
 
 /// Takes in what a probe of this host showed.
 fn handle_result(core: &mut Core, check: ProbeResult, out: &mut Effects) {
-    core.relay.view.learn(check);
+    core.relay.view.record_probe(check);
     drop_missing(core, out);
     let view = &mut core.relay.view;
     if view.failures > 0 && view.pending.is_none() && !view.refused {
@@ -268,7 +269,7 @@
     let fields = vec![
         ("call", call.into()),
         ("after_ms", in_ms(core.now.since(asked.sent))),
-        ("at", view.at.to_string().into()),
+        ("at", view.revision.to_string().into()),
         ("newest", check.newest.to_string().into()),
         ("probed_ms", in_ms(core.now.since(check.sent))),
     ];
--- a/src/core/request/attempt.rs
+++ b/src/core/request/attempt.rs
@@ -20,11 +20,11 @@
     }
     let print = request.print;
     let chosen = if let Some(mut need) = need(request) {
-        killer::narrow(core, &mut need, print);
-        route::engine(core, &need)
+        killer::restrict_engines(core, &mut need, print);
+        route::choose_engine(core, &need)
     } else {
         let (service, avoid) = (request.class.clone(), request.avoid.clone());
-        route::instance(core, &service, &avoid).map(Choice::whole)
+        route::choose_instance(core, &service, &avoid).map(Choice::whole)
     };
     let Some(choice) = chosen else {
         let request = &core.requests.arena[key];
@@ -68,7 +68,7 @@
     let queued = load::queued(core, filler);
     let (prompt, output) = match &core.requests.arena[key].want {
         Want::Model(want) => {
-            let output = load::expected(core, backend, want.output);
+            let output = load::expected_tokens(core, backend, want.output);
             (u64::from(want.prompt), output)
         }
         Want::Service(_) => (0, 0),
@@ -135,10 +135,10 @@
     }
     load::sent(core, filler, prompt, out);
     if let Some(prefill) = choice.prefill {
-        core.fleet.sent(prefill, prompt, 0);
-        core.fleet.sent(backend, 0, output);
+        core.fleet.add_work(prefill, prompt, 0);
+        core.fleet.add_work(backend, 0, output);
     } else {
-        core.fleet.sent(backend, prompt, output);
+        core.fleet.add_work(backend, prompt, output);
     }
     core.traces.keep(core.requests.arena[key].record.clone());
 }
@@ -151,7 +151,7 @@
         if let Some(prefill) = attempt.prefill.take() {
             core.fleet.works(prefill);
             core.fleet
-                .ended(prefill, std::mem::take(&mut attempt.prompt), 0);
+                .remove_work(prefill, std::mem::take(&mut attempt.prompt), 0);
             let (sent, ahead) = (attempt.sent, attempt.ahead);
             load::filled(core, prefill, sent, ahead);
         }
@@ -249,7 +249,7 @@
     let record = entry.record.attempts.last();
     let tokens = record.map_or(0, |record| u64::from(record.tokens));
     let most = entry.model().map_or(0, |want| want.output);
-    load::decoded(core, backend, span, tokens, most);
+    load::learn_decode(core, backend, span, tokens, most);
     close_attempt(core, key, "whole", Ran::Yes);
     out.push(Effect::Finish(request));
     end(core, request, "answered", Ran::Yes, out);
--- a/src/core/request/end.rs
+++ b/src/core/request/end.rs
@@ -69,11 +69,11 @@
         return;
     };
     if let Some(prefill) = attempt.prefill {
-        core.fleet.ended(prefill, attempt.prompt, 0);
-        core.fleet.ended(attempt.backend, 0, attempt.output);
+        core.fleet.remove_work(prefill, attempt.prompt, 0);
+        core.fleet.remove_work(attempt.backend, 0, attempt.output);
     } else {
         core.fleet
-            .ended(attempt.backend, attempt.prompt, attempt.output);
+            .remove_work(attempt.backend, attempt.prompt, attempt.output);
     }
     let request = &mut core.requests.arena[attempt.request];
     request.attempt = None;
--- a/src/core/request/lost.rs
+++ b/src/core/request/lost.rs
@@ -82,7 +82,7 @@
     entry.resumes = 0;
     entry.lost = None;
     if died {
-        killer::suspect(core, request, backend, out);
+        killer::report_crash(core, request, backend, out);
     }
     let pause = match how {
         Break::Refused | Break::Forgotten if !died => Duration::ZERO,
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -70,14 +70,14 @@
 
 /// What the decision remembers between calls.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Memory {
-    seen: Option<Time>,
+pub struct DecisionState {
+    last_seen: Option<Time>,
     short: Work,
     long: Work,
     /// Role that looked worth taking on, and since when.
-    wish: Option<(Role, Time)>,
+    candidate: Option<(Role, Time)>,
     /// Role last taken on, and when.
-    last: Option<(Role, Time)>,
+    last_change: Option<(Role, Time)>,
 }
 
 /// Engine seconds asked for a second.
@@ -89,7 +89,7 @@
 
 impl Work {
     /// Returns the average after `part` of the way from here to `other`.
-    fn towards(self, other: Self, part: f64) -> Self {
+    fn interpolate(self, other: Self, part: f64) -> Self {
         Self {
             prefill: self.prefill + part * (other.prefill - self.prefill),
             decode: self.decode + part * (other.decode - self.decode),
@@ -124,7 +124,7 @@
 
 /// Returns the change worth making now, if any; called about once a second by a pool's holder.
 #[must_use]
-pub fn decide(view: &View<'_>, memory: &mut Memory) -> Option<Change> {
+pub fn decide(view: &View<'_>, memory: &mut DecisionState) -> Option<Change> {
     if !view.settings.split {
         return None;
     }
@@ -134,31 +134,31 @@
         return None;
     }
     let speeds = speeds(view);
-    if let Some(change) = part(view, work, speeds) {
+    if let Some(change) = split_engine(view, work, speeds) {
         return Some(change);
     }
     let best = [Role::Prefill, Role::Decode]
         .into_iter()
-        .filter_map(|role| worth(view, work, speeds, role))
+        .filter_map(|role| evaluate(view, work, speeds, role))
         .max_by(|one, other| one.0.total_cmp(&other.0));
     let Some((_, change)) = best else {
-        memory.wish = None;
+        memory.candidate = None;
         return None;
     };
-    let since = match memory.wish {
+    let since = match memory.candidate {
         Some((role, since)) if role == change.role => since,
         _ => view.now,
     };
-    memory.wish = Some((change.role, since));
+    memory.candidate = Some((change.role, since));
     let passed = |at: Time| view.now.since(at).as_secs_f64();
-    let back = memory
-        .last
-        .is_some_and(|(role, at)| role != change.role && passed(at) < rest(view.settings));
+    let back = memory.last_change.is_some_and(|(role, at)| {
+        role != change.role && passed(at) < reversal_cooldown(view.settings)
+    });
     if back || passed(since) < MIN_STABLE_S {
         return None;
     }
-    memory.wish = None;
-    memory.last = Some((change.role, view.now));
+    memory.candidate = None;
+    memory.last_change = Some((change.role, view.now));
     Some(change)
 }
 
@@ -166,28 +166,28 @@
 ///
 /// A deployment that weighs goodput takes a change back soon where it was wrong; one that weighs
 /// changes rather waits whether the mix swings back.
-fn rest(settings: &PoolSettings) -> f64 {
+fn reversal_cooldown(settings: &PoolSettings) -> f64 {
     let change = settings.change;
     REVERSAL_COOLDOWN_S * change
         / (change + COOLDOWN_CHANGE_COST_S * settings.goodput).max(f64::EPSILON)
 }
 
 /// Takes in the demand of the last second, and returns the forecast.
-fn learn(view: &View<'_>, memory: &mut Memory) -> Work {
+fn learn(view: &View<'_>, memory: &mut DecisionState) -> Work {
     let now = Work {
         prefill: view.prompt / view.settings.prefill,
         decode: view.output / view.settings.decode,
     };
-    let Some(seen) = memory.seen.replace(view.now) else {
+    let Some(seen) = memory.last_seen.replace(view.now) else {
         memory.short = now;
         memory.long = now;
         return now;
     };
     let passed = view.now.since(seen).as_secs_f64();
     let part = |over: f64| 1.0 - (-passed / over).exp();
-    memory.short = memory.short.towards(now, part(SHORT_AVERAGE_S));
-    memory.long = memory.long.towards(now, part(LONG_AVERAGE_S));
-    let ahead = memory.short.towards(
+    memory.short = memory.short.interpolate(now, part(SHORT_AVERAGE_S));
+    memory.long = memory.long.interpolate(now, part(LONG_AVERAGE_S));
+    let ahead = memory.short.interpolate(
         memory.long,
         -FORECAST_S / (LONG_AVERAGE_S - SHORT_AVERAGE_S),
     );
@@ -211,8 +211,8 @@
 }
 
 /// Gives an engine that does both the role that is shorter of engines: a split pool has none.
-fn part(view: &View<'_>, work: Work, speeds: Work) -> Option<Change> {
-    let engine = idlest(view, Role::Both)?;
+fn split_engine(view: &View<'_>, work: Work, speeds: Work) -> Option<Change> {
+    let engine = least_loaded(view, Role::Both)?;
     let prefill = (work.prefill + f64::EPSILON) / (speeds.prefill + f64::EPSILON);
     let decode = (work.decode + f64::EPSILON) / (speeds.decode + f64::EPSILON);
     let role = if prefill > decode {
@@ -228,13 +228,13 @@
 
 /// Returns what it is worth that one more engine takes on a role, and which; `None` where it is
 /// not worth a change.
-fn worth(view: &View<'_>, work: Work, speeds: Work, role: Role) -> Option<(f64, Change)> {
+fn evaluate(view: &View<'_>, work: Work, speeds: Work, role: Role) -> Option<(f64, Change)> {
     let (from, count) = match role {
         Role::Prefill => (Role::Decode, speeds.decode),
         Role::Decode => (Role::Prefill, speeds.prefill),
         Role::Both => return None,
     };
-    let engine = idlest(view, from)?;
+    let engine = least_loaded(view, from)?;
     if count <= engine.speed {
         return None;
     }
@@ -266,7 +266,7 @@
 ///
 /// The failure domain with the most engines of the role gives one up, so that the loss of a
 /// failure domain takes no role from the pool.
-fn idlest<'a>(view: &View<'a>, role: Role) -> Option<&'a Engine> {
+fn least_loaded<'a>(view: &View<'a>, role: Role) -> Option<&'a Engine> {
     let of_role = || {
         let engines = view.engines.iter();
         engines.filter(move |engine| engine.serving && engine.role == role)
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -12,7 +12,7 @@
 use super::event::Role;
 use super::fleet::Fleet;
 use super::key::BackendKey;
-use super::load::{free, gap, mix, pace, wait};
+use super::load::{free_streams, gap, mix, pace, wait};
 use super::{Core, Time};
 use crate::settings::PoolSettings;
 
@@ -74,16 +74,16 @@
     /// The engines.
     pub choice: Choice,
     /// Seconds until the prompt is worked through.
-    pub first: f64,
+    pub first_token: f64,
     /// Seconds between tokens; infinite where no stream is free.
-    pub between: f64,
+    pub token_gap: f64,
     /// Streams that the engine can still take.
     pub free: f64,
 }
 
 /// Returns the engine, or the two engines, for a request; `None` where none takes work.
 #[must_use]
-pub fn engine(core: &mut Core, need: &Need) -> Option<Choice> {
+pub fn choose_engine(core: &mut Core, need: &Need) -> Option<Choice> {
     offer(core, need).map(|offer| offer.choice)
 }
 
@@ -105,16 +105,16 @@
         };
         scan.offer(rng)
     });
-    offers.min_by(|one, other| one.first.total_cmp(&other.first))
+    offers.min_by(|one, other| one.first_token.total_cmp(&other.first_token))
 }
 
 /// Returns the one of `keys` that prompts with this first piece go to, so that its cache has it.
 #[must_use]
-pub fn home(core: &Core, need: &Need, keys: &[BackendKey]) -> Option<BackendKey> {
+pub fn prefix_engine(core: &Core, need: &Need, keys: &[BackendKey]) -> Option<BackendKey> {
     if need.prefix == 0 {
         return None;
     }
-    let weight = |key: &BackendKey| mix(need.prefix ^ u64::from(core.fleet.arena[*key].seed));
+    let weight = |key: &BackendKey| mix(need.prefix ^ u64::from(core.fleet.arena[*key].name_hash));
     keys.iter().copied().max_by_key(weight)
 }
 
@@ -133,7 +133,7 @@
 
 impl Scan<'_> {
     fn offer(&self, rng: &mut SmallRng) -> Option<Offer> {
-        let home = self.home();
+        let home = self.prefix_engine();
         let (mut both, mut prefill, mut decode) = (None, None, None);
         let count = self.engines.len();
         for at in 0..count.min(MAX_SAMPLED_ENGINES) {
@@ -157,7 +157,7 @@
             })
         });
         match (whole, split) {
-            (Some(whole), Some(split)) if split.first < whole.first => Some(split),
+            (Some(whole), Some(split)) if split.first_token < whole.first_token => Some(split),
             (whole, split) => whole.or(split),
         }
     }
@@ -165,7 +165,7 @@
     /// Weighs one engine for the part of the request that its role does.
     fn weigh(&self, key: BackendKey, home: Best, rng: &mut SmallRng, best: [&mut Best; 3]) {
         let engine = &self.fleet.arena[key];
-        if !engine.takes(self.now) || self.need.avoid.contains(&key) {
+        if !engine.is_available(self.now) || self.need.avoid.contains(&key) {
             return;
         }
         let [both, prefill, decode] = best;
@@ -190,7 +190,7 @@
                 // Each engine's draw is distributed so that it wins with a probability in
                 // proportion to its free streams: hosts that believe the same late report
                 // then share the work out as it says, and do not all go to one engine.
-                let free = free(engine, self.settings);
+                let free = free_streams(engine, self.settings);
                 let draw = -(1.0 - rng.random::<f64>()).ln();
                 let last = if free < FREE_STREAM_MARGIN {
                     FULL_ENGINE_PENALTY
@@ -206,17 +206,17 @@
     }
 
     /// Returns the engine that prompts with this first piece go to, so that its cache has it.
-    fn home(&self) -> Best {
+    fn prefix_engine(&self) -> Best {
         if self.need.prefix == 0 {
             return None;
         }
         let mut best: Option<(u64, BackendKey)> = None;
         for &key in self.engines {
             let engine = &self.fleet.arena[key];
-            if engine.role == Role::Decode || !engine.takes(self.now) {
+            if engine.role == Role::Decode || !engine.is_available(self.now) {
                 continue;
             }
-            let weight = mix(self.need.prefix ^ u64::from(engine.seed));
+            let weight = mix(self.need.prefix ^ u64::from(engine.name_hash));
             if best.is_none_or(|(most, _)| weight > most) {
                 best = Some((weight, key));
             }
@@ -230,9 +230,9 @@
         let engine = &self.fleet.arena[choice.engine];
         Offer {
             choice,
-            first: wait(fill, self.settings, self.now) + prompt,
-            between: gap(engine, self.settings),
-            free: free(engine, self.settings),
+            first_token: wait(fill, self.settings, self.now) + prompt,
+            token_gap: gap(engine, self.settings),
+            free: free_streams(engine, self.settings),
         }
     }
 }
@@ -242,12 +242,12 @@
 
 /// Returns the instance for a service call: the one with the fewest calls of this host.
 #[must_use]
-pub fn instance(core: &mut Core, service: &str, avoid: &[BackendKey]) -> Option<BackendKey> {
+pub fn choose_instance(core: &mut Core, service: &str, avoid: &[BackendKey]) -> Option<BackendKey> {
     let instances = core.fleet.services.get(service)?;
     let ready: Vec<BackendKey> = instances
         .iter()
         .copied()
-        .filter(|key| core.fleet.arena[*key].takes(core.now) && !avoid.contains(key))
+        .filter(|key| core.fleet.arena[*key].is_available(core.now) && !avoid.contains(key))
         .collect();
     let fewest = ready
         .iter()
--- a/src/core/tests/order.rs
+++ b/src/core/tests/order.rs
@@ -8,10 +8,10 @@
 use super::{LEASE, World};
 use crate::core::effect::{Action, Effect, Order};
 use crate::core::event::{Entry, EntryKind, Event, FleetEvent, Ordered, Probe, Report, Role};
-use crate::core::fleet::Standing;
+use crate::core::fleet::ServingState;
 use crate::core::key::PoolKey;
 use crate::core::order::hold;
-use crate::core::role::{Change, Memory, View};
+use crate::core::role::{Change, DecisionState, View};
 use crate::core::{Time, member};
 use crate::settings::Fencing;
 
@@ -66,7 +66,7 @@
 }
 
 /// Wishes another role for one engine after the other.
-fn alternate(view: &View<'_>, _memory: &mut Memory) -> Option<Change> {
+fn alternate(view: &View<'_>, _memory: &mut DecisionState) -> Option<Change> {
     let at = usize::try_from(view.now.millis() / 5_000).expect("a short test");
     let engine = &view.engines[at % view.engines.len()];
     let wish = if (at / view.engines.len()).is_multiple_of(2) {
@@ -81,7 +81,7 @@
 }
 
 /// Wishes every engine for prompts only.
-fn all_prefill(view: &View<'_>, _memory: &mut Memory) -> Option<Change> {
+fn all_prefill(view: &View<'_>, _memory: &mut DecisionState) -> Option<Change> {
     let engine = view.engines.iter().find(|one| one.role == Role::Both)?;
     Some(Change {
         engine: engine.key,
@@ -89,7 +89,7 @@
     })
 }
 
-fn never(_view: &View<'_>, _memory: &mut Memory) -> Option<Change> {
+fn never(_view: &View<'_>, _memory: &mut DecisionState) -> Option<Change> {
     None
 }
 
@@ -312,10 +312,10 @@
         let Some(key) = one.core.fleet.find(&name(engine)) else {
             return false;
         };
-        if !one.core.fleet.arena[key].takes(now) || self.engines[engine].next.is_some() {
+        if !one.core.fleet.arena[key].is_available(now) || self.engines[engine].next.is_some() {
             return false;
         }
-        one.core.fleet.sent(key, 10, 10);
+        one.core.fleet.add_work(key, 10, 10);
         let life = one.life;
         self.streams.push(Stream {
             host,
@@ -339,7 +339,7 @@
             if host.life == stream.life
                 && let Some(key) = host.core.fleet.find(&name(stream.engine))
             {
-                host.core.fleet.ended(key, 10, 10);
+                host.core.fleet.remove_work(key, 10, 10);
             }
         }
     }
@@ -412,7 +412,7 @@
         let fleet = &self.world.hosts[host].core.fleet;
         fleet
             .find(&name(engine))
-            .is_some_and(|key| fleet.arena[key].routed == Standing::Withdrawn)
+            .is_some_and(|key| fleet.arena[key].routed == ServingState::Withdrawn)
     }
 }
 
--- a/src/core/tests/role.rs
+++ b/src/core/tests/role.rs
@@ -3,7 +3,7 @@
 use crate::core::Time;
 use crate::core::event::Role;
 use crate::core::key::BackendKey;
-use crate::core::role::{Change, Engine, Memory, View, decide};
+use crate::core::role::{Change, DecisionState, Engine, View, decide};
 use crate::settings::PoolSettings;
 use slotmap::SlotMap;
 
@@ -18,7 +18,7 @@
 struct Pool {
     settings: PoolSettings,
     engines: Vec<Engine>,
-    memory: Memory,
+    memory: DecisionState,
 }
 
 impl Pool {
@@ -39,7 +39,7 @@
         Self {
             settings,
             engines: (0..9).map(engine).collect(),
-            memory: Memory::default(),
+            memory: DecisionState::default(),
         }
     }
 
--- a/src/core/tests/route.rs
+++ b/src/core/tests/route.rs
@@ -43,7 +43,7 @@
 fn told(core: &mut Core, engine: &str) {
     let key = core.fleet.find(engine).expect("a listed engine");
     let sent = Sent {
-        engine: core.fleet.arena[key].seed,
+        engine: core.fleet.arena[key].name_hash,
         prompt: MUCH,
     };
     load::told(core, sent);
@@ -57,7 +57,7 @@
     let busy = core.fleet.find("engine-1");
     told(&mut core, "engine-1");
     for _ in 0..50 {
-        let choice = route::engine(&mut core, &need()).expect("an engine");
+        let choice = route::choose_engine(&mut core, &need()).expect("an engine");
         assert_ne!(Some(choice.engine), busy);
     }
 }
@@ -70,10 +70,10 @@
     let keys = ["engine-0", "engine-1"].map(|name| core.fleet.find(name).expect("listed"));
     core.fleet.arena[keys[0]].role = Role::Prefill;
     core.fleet.arena[keys[1]].role = Role::Decode;
-    let choice = route::engine(&mut core, &need()).expect("two engines");
+    let choice = route::choose_engine(&mut core, &need()).expect("two engines");
     assert_eq!((choice.prefill, choice.engine), (Some(keys[0]), keys[1]));
     core.fleet.arena[keys[1]].role = Role::Prefill;
-    assert_eq!(route::engine(&mut core, &need()), None);
+    assert_eq!(route::choose_engine(&mut core, &need()), None);
 }
 
 /// Every engine is busy: the caller is told at once when to come back. Callers of many requests
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -205,7 +205,7 @@
         node.store.calls()
     };
     node.meters.store(&calls);
-    if let Some(current) = node.look(|core| core.relay.view.current()) {
+    if let Some(current) = node.look(|core| core.relay.view.fresh_at()) {
         node.meters.view_age(super::timer::now().since(current));
     }
     if relay {
