--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -14,9 +14,9 @@
 ///
 /// The reckoning misses what is on its way from other hosts, so that a request which is taken
 /// at the very bound often comes late.
-const MAX_WAIT_RATIO: f64 = 0.65;
+const MAX_WAIT_FRACTION: f64 = 0.65;
 /// The same for a request that comes when it was told to come back.
-const DUE_MAX_WAIT_RATIO: f64 = 0.9;
+const DUE_MAX_WAIT_FRACTION: f64 = 0.9;
 /// Slots of a second over which refused callers are spread.
 const RETRY_SLOTS: u64 = 8;
 /// Times that a refused caller asks, the first one counted.
@@ -40,9 +40,9 @@
     };
     let second = core.wall() / 1000;
     let (patience, margin) = if is_due(print, second) {
-        (DUE_MAX_WAIT_RATIO, 0.0)
+        (DUE_MAX_WAIT_FRACTION, 0.0)
     } else {
-        (MAX_WAIT_RATIO, FREE_STREAM_MARGIN)
+        (MAX_WAIT_FRACTION, FREE_STREAM_MARGIN)
     };
     // A prompt that takes longer than wanted even at an idle engine is not refused for it.
     let alone = f64::from(need.prompt) / settings.prefill;
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -84,7 +84,7 @@
     /// Streams of other hosts there, as far as they told.
     pub others: BTreeMap<HostKey, u32>,
     /// Streams of this host there when the last report was read.
-    pub told: u32,
+    pub reported_streams: u32,
     /// Low half of the hash of the name.
     pub name_hash: u32,
     /// Failures since the last success.
@@ -281,7 +281,7 @@
                 let backend = &mut core.fleet.arena[key];
                 backend.report = Some((core.now, report));
                 if backend.others.is_empty() {
-                    backend.told = backend.streams;
+                    backend.reported_streams = backend.streams;
                 }
             }
         }
@@ -371,7 +371,7 @@
 ///
 /// Only the peer that called a back end leaving may call it back: another that never knew of it
 /// does not name it either.
-pub fn told(core: &mut Core, from: HostKey, listing: &Listing, out: &mut Effects) {
+pub fn receive_listing(core: &mut Core, from: HostKey, listing: &Listing, out: &mut Effects) {
     let own = core.fleet.read_at;
     let own = own.map_or(u128::MAX, |read| core.now.since(read).as_millis());
     if u128::from(listing.age) >= own {
@@ -441,7 +441,7 @@
         pace: 0.0,
         measured: load::Measured::default(),
         others: BTreeMap::new(),
-        told: 0,
+        reported_streams: 0,
         name_hash,
         fails: 0,
         retry_at: Time::default(),
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -18,7 +18,7 @@
 ///
 /// Reports lag, so that a busy engine can look idle to every host at once. A backlog of prompts
 /// is gone within a second or so, whatever a report of it says.
-const REPORT_HALF_LIFE_S: f64 = 0.5;
+const REPORT_HALF_LIFE_SECS: f64 = 0.5;
 /// Streams that each other host has begun at an engine since it told, for each that this one has:
 /// callers reach all hosts alike.
 const PEER_STREAM_GROWTH: f64 = 1.0;
@@ -27,29 +27,29 @@
 /// Free streams below which an engine counts as busy.
 const MIN_FREE_STREAMS: f64 = 8.0;
 /// Part of the wanted time between tokens up to which streams are given to an engine.
-const MAX_GAP_RATIO: f64 = 0.9;
+const MAX_GAP_FRACTION: f64 = 0.9;
 /// Seconds of an engine's work below which a prefill says nothing about its speed: what every
 /// request takes besides hides it.
-const MIN_MEASURED_S: f64 = 0.0625;
+const MIN_MEASURED_SECS: f64 = 0.0625;
 /// Part of the way that the measured pace goes towards each measurement.
 const PACE_WEIGHT: f64 = 0.1;
 /// Least pace against the nominal one.
 ///
 /// Low, because settings may call an engine far slower than it is.
-const MIN_PACE_RATIO: f64 = 0.02;
+const MIN_PACE_FRACTION: f64 = 0.02;
 /// Time without a prompt of this host after which an idle engine is tried in spite of all words.
 const UNTRIED_AFTER: Duration = Duration::from_secs(1);
 /// Age up to which a report of an idle engine is believed.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1500);
-/// Part of the way that the measured slowness between tokens goes towards each answer's.
-const SLOWNESS_WEIGHT: f64 = 0.1;
+/// Part of the way that the measured slowdown between tokens goes towards each answer's.
+const SLOWDOWN_WEIGHT: f64 = 0.1;
 /// Part of what is known of answers' lengths that one more answer leaves in force.
 const LENGTH_DECAY: f64 = 0.99;
 /// Time between tokens of an empty batch, as a part of that of a full one.
-const EMPTY_BATCH_GAP_RATIO: f64 = 0.25;
+const EMPTY_BATCH_GAP_FRACTION: f64 = 0.25;
 /// Seconds of an engine's work in prompts sent there after which the other hosts are told: finer
 /// news would cost more than it is worth.
-const MIN_UNSENT_S: f64 = 0.0625;
+const MIN_UNSENT_SECS: f64 = 0.0625;
 /// Peers up to which hosts tell each other what they send: the messages grow with the hosts'
 /// number, and beyond it only reports and measured times speak of other hosts' work.
 const MAX_SHARING_PEERS: usize = 12;
@@ -65,7 +65,7 @@
     /// Prompt tokens of this host that the others were not told of yet.
     unsent: u64,
     /// Time between tokens against that of an engine of nominal speed; 0 before the first.
-    slowness: f64,
+    slowdown: f64,
 }
 
 /// Returns the seconds until an engine gets to a new prompt, by this host's reckoning.
@@ -84,7 +84,7 @@
         return known;
     };
     let age = now.since(*read).as_secs_f64() + f64::from(report.age) / 1000.0;
-    let worth = 0.5_f64.powf(age / REPORT_HALF_LIFE_S);
+    let worth = 0.5_f64.powf(age / REPORT_HALF_LIFE_SECS);
     known + worth * (report.prefill as f64 - known).max(0.0)
 }
 
@@ -137,7 +137,7 @@
     engine.measured.sent = now;
     engine.measured.unsent += prompt;
     let untold = engine.measured.unsent as f64 * nominal;
-    if untold < MIN_UNSENT_S || core.members.count() > MAX_SHARING_PEERS {
+    if untold < MIN_UNSENT_SECS || core.members.count() > MAX_SHARING_PEERS {
         return;
     }
     let prompt = std::mem::take(&mut engine.measured.unsent);
@@ -152,7 +152,7 @@
 }
 
 /// Takes in what another host sent to an engine.
-pub fn told(core: &mut Core, sent: Sent) {
+pub fn receive_sent(core: &mut Core, sent: Sent) {
     let engines = core.fleet.arena.iter();
     let engine = engines
         .filter(|(_, engine)| engine.name_hash == sent.engine)
@@ -171,7 +171,7 @@
     }
     core.fleet.streams_sent_at = core.now;
     for engine in core.fleet.arena.values_mut() {
-        engine.told = engine.streams;
+        engine.reported_streams = engine.streams;
     }
     let engines = core.fleet.pools.iter().flat_map(|pool| &pool.engines);
     let streams: Vec<(u32, u32)> = engines
@@ -225,23 +225,24 @@
     if streams > slots {
         return f64::INFINITY;
     }
-    slowness(engine) * nominal_gap(streams, settings)
+    slowdown(engine) * nominal_gap(streams, settings)
 }
 
 /// Returns the streams that an engine can take before its time between tokens is too long.
 #[must_use]
 pub fn free_streams(engine: &Backend, settings: &PoolSettings) -> f64 {
     let slots = settings.slots as f64;
-    let slowness = slowness(engine);
+    let slowdown = slowdown(engine);
     let full = slots / settings.decode;
-    let wanted = settings.between.as_secs_f64() * MAX_GAP_RATIO / slowness;
-    let most = slots * (wanted / full - EMPTY_BATCH_GAP_RATIO) / (1.0 - EMPTY_BATCH_GAP_RATIO);
+    let wanted = settings.between.as_secs_f64() * MAX_GAP_FRACTION / slowdown;
+    let most =
+        slots * (wanted / full - EMPTY_BATCH_GAP_FRACTION) / (1.0 - EMPTY_BATCH_GAP_FRACTION);
     most.min(slots) - streams(engine)
 }
 
-fn slowness(engine: &Backend) -> f64 {
-    if engine.measured.slowness > 0.0 {
-        engine.measured.slowness
+fn slowdown(engine: &Backend) -> f64 {
+    if engine.measured.slowdown > 0.0 {
+        engine.measured.slowdown
     } else {
         1.0
     }
@@ -251,14 +252,14 @@
 fn nominal_gap(streams: f64, settings: &PoolSettings) -> f64 {
     let slots = settings.slots as f64;
     slots / settings.decode
-        * (EMPTY_BATCH_GAP_RATIO + (1.0 - EMPTY_BATCH_GAP_RATIO) * streams / slots)
+        * (EMPTY_BATCH_GAP_FRACTION + (1.0 - EMPTY_BATCH_GAP_FRACTION) * streams / slots)
 }
 
 /// Returns the streams of all hosts at an engine, by its report and this host's own count.
 fn streams(engine: &Backend) -> f64 {
     let own = f64::from(engine.streams);
     if !engine.others.is_empty() {
-        let growth = own - f64::from(engine.told);
+        let growth = own - f64::from(engine.reported_streams);
         let grown = PEER_STREAM_GROWTH * growth.max(0.0) * engine.others.len() as f64;
         return own + grown + f64::from(engine.others.values().sum::<u32>());
     }
@@ -266,7 +267,7 @@
         return own;
     };
     let reported = f64::from(report.running + report.waiting);
-    let others = (reported - f64::from(engine.told)).max(0.0);
+    let others = (reported - f64::from(engine.reported_streams)).max(0.0);
     own + others
 }
 
@@ -288,7 +289,7 @@
     let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
         return;
     };
-    if (ahead as f64) * nominal < MIN_MEASURED_S {
+    if (ahead as f64) * nominal < MIN_MEASURED_SECS {
         return;
     }
     let engine = &mut core.fleet.arena[key];
@@ -298,7 +299,7 @@
         nominal
     };
     let seen = now.since(sent).as_secs_f64() / ahead as f64;
-    engine.pace = (before + PACE_WEIGHT * (seen - before)).max(nominal * MIN_PACE_RATIO);
+    engine.pace = (before + PACE_WEIGHT * (seen - before)).max(nominal * MIN_PACE_FRACTION);
 }
 
 /// Returns the tokens that an answer is likely to have whose caller allows this many.
@@ -330,9 +331,9 @@
     }) else {
         return;
     };
-    let slowness = &mut core.fleet.arena[key].measured.slowness;
-    let before = if *slowness > 0.0 { *slowness } else { 1.0 };
-    *slowness = before + SLOWNESS_WEIGHT * (seen / nominal - before);
+    let slowdown = &mut core.fleet.arena[key].measured.slowdown;
+    let before = if *slowdown > 0.0 { *slowdown } else { 1.0 };
+    *slowdown = before + SLOWDOWN_WEIGHT * (seen / nominal - before);
 }
 
 fn settings(core: &Core, key: BackendKey) -> Option<&PoolSettings> {
--- a/src/core/member/beat.rs
+++ b/src/core/member/beat.rs
@@ -5,7 +5,7 @@
 use crate::core::effect::Effect;
 use crate::core::key::HostKey;
 use crate::core::message::{Beat, Message, View};
-use crate::core::{Core, Effects, config, killer, once, share};
+use crate::core::{Core, Effects, config, once, poison, share};
 
 /// Time between two beats to a peer.
 ///
@@ -68,7 +68,7 @@
     peer.beat = beat.clone();
     share::heard(core, from, beat);
     if first {
-        killer::sync_new_host(core, from, out);
+        poison::sync_new_host(core, from, out);
     }
     if stopping {
         once::moved(core, out);
--- a/src/core/member/inbox.rs
+++ b/src/core/member/inbox.rs
@@ -3,7 +3,7 @@
 use super::beat;
 use crate::core::key::HostKey;
 use crate::core::message::Message;
-use crate::core::{Core, Effects, config, fleet, killer, load, once, order, share, trace};
+use crate::core::{Core, Effects, config, fleet, load, once, order, poison, share, trace};
 
 /// Hands a message to the part it is for.
 pub(super) fn message_from(core: &mut Core, from: HostKey, message: Message, out: &mut Effects) {
@@ -33,10 +33,10 @@
             uses,
         } => config::told(core, revision, &plans, &uses, out),
         Message::Confirm(confirm) => order::confirmed(core, from, &confirm, out),
-        Message::Listing(listing) => fleet::told(core, from, &listing, out),
+        Message::Listing(listing) => fleet::receive_listing(core, from, &listing, out),
         Message::Demand(demand) => order::demanded(core, from, &demand),
-        Message::Sent(sent) => load::told(core, sent),
+        Message::Sent(sent) => load::receive_sent(core, sent),
         Message::Running(streams) => load::receive_streams(core, from, &streams),
-        Message::Suspect(suspect) => killer::told(core, suspect),
+        Message::Suspect(suspect) => poison::receive(core, suspect),
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -10,12 +10,12 @@
 pub mod event;
 pub mod fleet;
 pub mod key;
-pub mod killer;
 pub mod load;
 pub mod member;
 pub mod message;
 pub mod once;
 pub mod order;
+pub mod poison;
 pub mod relay;
 pub mod request;
 pub mod role;
@@ -65,7 +65,7 @@
     /// Orders to engines.
     pub orders: order::Orders,
     /// Requests that engines died of.
-    pub killers: killer::Killers,
+    pub poison_requests: poison::PoisonRequests,
     /// What became of requests.
     pub traces: trace::Traces,
     /// Planned stop of this host.
@@ -95,7 +95,7 @@
             requests: request::Requests::default(),
             shares: share::Shares::default(),
             once: once::Once::new(incarnation),
-            killers: killer::Killers::default(),
+            poison_requests: poison::PoisonRequests::default(),
             stop: stop::Stop::default(),
             relay: relay::Relay::default(),
         }
--- a/src/core/killer.rs
+++ b/src/core/poison.rs
@@ -26,14 +26,14 @@
 /// Time a suspicion lasts.
 const SUSPICION_TTL: Duration = Duration::from_mins(10);
 /// Fingerprints kept; the oldest are forgotten first.
-const MAX_CASES: usize = 4096;
+const MAX_RECORDS: usize = 4096;
 /// Suspicions told to a host that is new, the latest ones.
 const MAX_SYNCED_SUSPECTS: usize = 512;
 /// Reports of an engine's death within this time, by the hosts' clocks, are of the same death.
 const SAME_CRASH_MS: u64 = 5_000;
 /// Most of the wanted time to the first token that copies of a request wait for the engines that
 /// the first of them may have gone to; past it they spread over all.
-const MAX_WAIT_RATIO: f64 = 0.5;
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
 /// One engine lost while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,12 +47,12 @@
 
 /// What is known of one fingerprint.
 #[derive(Debug, Clone, Default)]
-struct Case {
+struct CrashRecord {
     crashes: Vec<Crash>,
     request: Box<str>,
 }
 
-impl Case {
+impl CrashRecord {
     /// Returns the time of the last death.
     fn last(&self) -> u64 {
         self.crashes.iter().map(|death| death.at).max().unwrap_or(0)
@@ -61,18 +61,18 @@
 
 /// Fingerprints under suspicion.
 #[derive(Debug, Default)]
-pub struct Killers {
-    cases: BTreeMap<Print, Case>,
+pub struct PoisonRequests {
+    records: BTreeMap<Print, CrashRecord>,
     /// Engine and time of deaths with a suspect that the engine had not begun to answer.
     unanswered_crashes: BTreeMap<Box<str>, Vec<u64>>,
 }
 
-impl Killers {
-    /// Returns the case of a fingerprint, unless it is too old to count.
-    fn case(&self, print: Print, wall: u64) -> Option<&Case> {
-        let case = self.cases.get(&print)?;
-        let age = Duration::from_millis(wall.saturating_sub(case.last()));
-        (age < SUSPICION_TTL).then_some(case)
+impl PoisonRequests {
+    /// Returns the record of a fingerprint, unless it is too old to count.
+    fn record(&self, print: Print, wall: u64) -> Option<&CrashRecord> {
+        let record = self.records.get(&print)?;
+        let age = Duration::from_millis(wall.saturating_sub(record.last()));
+        (age < SUSPICION_TTL).then_some(record)
     }
 
     /// Returns whether a death counts against the request.
@@ -84,7 +84,7 @@
 
     /// Returns the deaths that count against a fingerprint.
     fn counted(&self, print: Print, wall: u64) -> Vec<&Crash> {
-        let deaths = self.case(print, wall).map(|case| case.crashes.iter());
+        let deaths = self.record(print, wall).map(|record| record.crashes.iter());
         let deaths = deaths.into_iter().flatten();
         deaths.filter(|death| self.counts(death)).collect()
     }
@@ -98,17 +98,17 @@
 /// may be tried again.
 pub fn check(core: &Core, print: Print) -> Result<(), Refusal> {
     let wall = core.wall();
-    let Some(case) = core.killers.case(print, wall) else {
+    let Some(record) = core.poison_requests.record(print, wall) else {
         return Ok(());
     };
-    let count = core.killers.counted(print, wall).len();
+    let count = core.poison_requests.counted(print, wall).len();
     if count < MAX_CRASHED_ENGINES {
         return Ok(());
     }
-    let age = Duration::from_millis(wall.saturating_sub(case.last()));
+    let age = Duration::from_millis(wall.saturating_sub(record.last()));
     let detail = format!(
         "{count} engines died while running this request, last as {}",
-        case.request
+        record.request
     );
     Err(Refusal::new(Kind::EngineKiller, detail)
         .ran(crate::error::Ran::No)
@@ -123,7 +123,7 @@
 pub fn restrict_engines(core: &Core, need: &mut Need, print: Print) {
     let takers = available_engines(core, need);
     let dead: BTreeSet<Box<str>> = {
-        let deaths = core.killers.counted(print, core.wall());
+        let deaths = core.poison_requests.counted(print, core.wall());
         deaths.iter().map(|death| death.engine.clone()).collect()
     };
     let mut allowed = BTreeSet::new();
@@ -160,7 +160,7 @@
         .chain(others)
         .take(MAX_CRASHED_ENGINES)
         .collect();
-    let busy = |key: &BackendKey| load::busy(core, *key, MAX_WAIT_RATIO);
+    let busy = |key: &BackendKey| load::busy(core, *key, MAX_WAIT_FRACTION);
     if two.iter().all(busy) {
         keys.to_vec()
     } else {
@@ -199,24 +199,24 @@
         let message = Message::Suspect(suspect.clone());
         out.push(Effect::Send { to, message });
     }
-    told(core, suspect);
+    receive(core, suspect);
 }
 
 /// Tells a host that is new what this one knows: it would run each suspect once more otherwise.
 pub fn sync_new_host(core: &Core, to: HostKey, out: &mut Effects) {
     let wall = core.wall();
-    let killers = &core.killers;
-    let cases = killers.cases.keys();
-    let cases = cases.filter_map(|print| Some((*print, killers.case(*print, wall)?)));
-    let suspects = cases.flat_map(|(print, case)| {
+    let requests = &core.poison_requests;
+    let records = requests.records.keys();
+    let records = records.filter_map(|print| Some((*print, requests.record(*print, wall)?)));
+    let suspects = records.flat_map(|(print, record)| {
         let suspect = move |death: &Crash| Suspect {
             print,
             engine: death.engine.clone(),
             at: death.at,
-            request: case.request.clone(),
+            request: record.request.clone(),
             answering: death.answering,
         };
-        case.crashes.iter().map(suspect)
+        record.crashes.iter().map(suspect)
     });
     let mut suspects: Vec<Suspect> = suspects.collect();
     suspects.sort_by_key(|suspect| std::cmp::Reverse(suspect.at));
@@ -228,12 +228,12 @@
 }
 
 /// Takes in a suspicion, own or a peer's.
-pub fn told(core: &mut Core, suspect: Suspect) {
+pub fn receive(core: &mut Core, suspect: Suspect) {
     // A clock that runs ahead must not make a suspicion last longer.
     let at = suspect.at.min(core.wall());
-    let killers = &mut core.killers;
+    let requests = &mut core.poison_requests;
     if !suspect.answering {
-        let times = killers
+        let times = requests
             .unanswered_crashes
             .entry(suspect.engine.clone())
             .or_default();
@@ -242,34 +242,37 @@
             times.push(at);
         }
     }
-    let case = killers.cases.entry(suspect.print).or_default();
-    let known = case
+    let record = requests.records.entry(suspect.print).or_default();
+    let known = record
         .crashes
         .iter_mut()
         .find(|death| death.engine == suspect.engine && death.at.abs_diff(at) < SAME_CRASH_MS);
     if let Some(death) = known {
         death.answering &= suspect.answering;
     } else {
-        case.crashes.push(Crash {
+        record.crashes.push(Crash {
             engine: suspect.engine,
             at,
             answering: suspect.answering,
         });
     }
-    case.request = suspect.request;
-    forget(killers);
+    record.request = suspect.request;
+    evict_oldest(requests);
 }
 
-/// Forgets the oldest cases where there are too many.
-fn forget(killers: &mut Killers) {
-    if killers.cases.len() > MAX_CASES {
-        let oldest = killers.cases.iter().min_by_key(|(_, case)| case.last());
+/// Forgets the oldest records where there are too many.
+fn evict_oldest(requests: &mut PoisonRequests) {
+    if requests.records.len() > MAX_RECORDS {
+        let oldest = requests
+            .records
+            .iter()
+            .min_by_key(|(_, record)| record.last());
         if let Some(print) = oldest.map(|(print, _)| *print) {
-            killers.cases.remove(&print);
+            requests.records.remove(&print);
         }
     }
-    if killers.unanswered_crashes.len() > MAX_CASES {
-        killers.unanswered_crashes.pop_first();
+    if requests.unanswered_crashes.len() > MAX_RECORDS {
+        requests.unanswered_crashes.pop_first();
     }
 }
 
--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -235,7 +235,7 @@
     /// Returns the milliseconds that a request is expected to lose by being sent there in vain.
     #[must_use]
     pub fn failure_cost(&self) -> f64 {
-        self.error_rate / (1.0 - self.error_rate).max(MIN_SUCCESS_RATIO) * FAILED_SEND_COST_MS
+        self.error_rate / (1.0 - self.error_rate).max(MIN_SUCCESS_FRACTION) * FAILED_SEND_COST_MS
     }
 
     /// Notes whether a KV cache that was read there could be taken.
@@ -248,7 +248,7 @@
     /// this long: what cannot be taken over is read again elsewhere.
     #[must_use]
     pub fn kv_loss_cost(&self, millis: f64) -> f64 {
-        self.kv_loss_rate / (1.0 - self.kv_loss_rate).max(MIN_SUCCESS_RATIO)
+        self.kv_loss_rate / (1.0 - self.kv_loss_rate).max(MIN_SUCCESS_FRACTION)
             * (FAILED_SEND_COST_MS + millis)
     }
 
@@ -269,7 +269,7 @@
 /// Milliseconds that a request sent in vain loses, and a repeat with it.
 const FAILED_SEND_COST_MS: f64 = 150.0;
 /// Least part that succeeds, for the purpose of the risk.
-const MIN_SUCCESS_RATIO: f64 = 0.1;
+const MIN_SUCCESS_FRACTION: f64 = 0.1;
 /// Weight of the newest request in the part that fails; ten requests make it known.
 const ERROR_WEIGHT: f64 = 0.1;
 
--- a/src/core/relay/view/mod.rs
+++ b/src/core/relay/view/mod.rs
@@ -49,7 +49,7 @@
     (Duration::from_millis(150), Duration::from_millis(1200));
 /// Age of the view up to which a host that is told of changes watches for none itself: a probe and the
 /// message that tells of it come well within it, and with a watch it stays under a second.
-const MAX_PASSIVE_AGE: Duration = Duration::from_millis(900);
+const MAX_STANDBY_AGE: Duration = Duration::from_millis(900);
 /// Time after its start in which a host expects to hear from the one that watches.
 const STARTUP_GRACE: Duration = Duration::from_millis(600);
 /// Longest pause after a first failure; doubled with each that follows.
@@ -104,7 +104,7 @@
     /// Whether the store itself turned the last one away.
     refused: bool,
     /// Whether this host watches for nothing, as another one tells it of changes.
-    passive: bool,
+    standby: bool,
     /// Host from which changes are learned, or [`STORE_SOURCE`].
     source: Option<Box<str>>,
     /// Changes learned lately, for hosts near by.
@@ -128,7 +128,7 @@
     /// Whether this host watches the store itself and knows what it holds.
     #[must_use]
     pub fn watches(&self, now: Time) -> bool {
-        !self.passive && self.full_read.is_none() && self.is_fresh(now)
+        !self.standby && self.full_read.is_none() && self.is_fresh(now)
     }
 
     /// Returns the latest moment as of which all that the store held was known here.
@@ -194,7 +194,7 @@
     fn reset(&mut self) -> Option<u64> {
         self.ended_eras += 1;
         self.revision = 0;
-        self.passive = false;
+        self.standby = false;
         self.failures = 0;
         self.refused = false;
         self.probes = probe::Probes::default();
@@ -222,7 +222,7 @@
 /// Asks for the next page, or for changes.
 fn request_next(core: &mut Core, out: &mut Effects) {
     let view = &mut core.relay.view;
-    view.passive = false;
+    view.standby = false;
     let number = view.next_number();
     view.last_call = number;
     view.pending = Some(PendingCall {
@@ -244,7 +244,7 @@
 /// Goes on after the pause that followed call `last`, unless that was cut short.
 pub fn resume(core: &mut Core, last: u64, out: &mut Effects) {
     let view = &core.relay.view;
-    if view.pending.is_none() && view.last_call == last && !view.passive {
+    if view.pending.is_none() && view.last_call == last && !view.standby {
         continue_reading(core, out);
     }
 }
@@ -254,7 +254,7 @@
     let view = &core.relay.view;
     let fresh = view
         .fresh_at
-        .is_some_and(|at| core.now.since(at) <= MAX_PASSIVE_AGE);
+        .is_some_and(|at| core.now.since(at) <= MAX_STANDBY_AGE);
     let begins = core.now.since(view.started) <= STARTUP_GRACE && gossip::has_predecessor(core);
     fresh && (begins || !gossip::represents_domain(core))
 }
@@ -262,7 +262,7 @@
 /// Asks for the next page, or for changes unless another host tells of them.
 fn continue_reading(core: &mut Core, out: &mut Effects) {
     if core.relay.view.full_read.is_none() && receives_changes(core) {
-        core.relay.view.passive = true;
+        core.relay.view.standby = true;
     } else {
         request_next(core, out);
     }
@@ -270,7 +270,7 @@
 
 /// Watches again if this host is no longer told of changes.
 pub fn resume_watch(core: &mut Core, out: &mut Effects) {
-    if core.relay.view.passive && !receives_changes(core) {
+    if core.relay.view.standby && !receives_changes(core) {
         request_next(core, out);
     }
 }
@@ -289,7 +289,7 @@
         return;
     }
     if passage.after > view.revision {
-        if view.passive {
+        if view.standby {
             request_next(core, out);
         }
         return;
@@ -300,7 +300,7 @@
     let new: Vec<StoreChange> = events.filter(|event| event.revision > at).collect();
     view.revision = passage.at;
     if view.full_read.is_none() {
-        view.passive = true;
+        view.standby = true;
         if let Some(asked) = view.pending.take() {
             // It would bring the same once more.
             out.push(Effect::Relay(RelayEffect::Unask(asked.number)));
--- a/src/core/relay/view/probe.rs
+++ b/src/core/relay/view/probe.rs
@@ -117,7 +117,7 @@
     fn is_overdue(&self, check: ProbeResult) -> bool {
         let older = self.pending.is_some_and(|asked| asked.sent < check.sent);
         (older && self.full_read.is_some())
-            || ((older || self.passive) && check.newest > self.revision)
+            || ((older || self.standby) && check.newest > self.revision)
     }
 }
 
@@ -242,7 +242,7 @@
     if silent {
         view.probes.pending.retain(|_, sent| *sent >= check.sent);
     }
-    if view.passive && view.is_overdue(check) {
+    if view.standby && view.is_overdue(check) {
         // What the other host should have passed on is asked for.
         request_next(core, out);
         return;
--- a/src/core/request/arrive.rs
+++ b/src/core/request/arrive.rs
@@ -5,7 +5,7 @@
 use super::super::effect::{Effect, Refusal};
 use super::super::event::{Arrival, Timer, Want};
 use super::super::key::RequestKey;
-use super::super::{Core, Effects, admit, killer, member, once, share};
+use super::super::{Core, Effects, admit, member, once, poison, share};
 use super::attempt::{dispatch, need};
 use super::end::refuse;
 use super::{Heard, Phase, RETRY_MOST, RETRY_SHARE, Request};
@@ -91,7 +91,7 @@
     allowed(core, key)?;
     let request = &core.requests.arena[key];
     let print = request.print;
-    killer::check(core, print)?;
+    poison::check(core, print)?;
     if let Some(need) = need(request) {
         admit::check(core, &need, print)?;
     }
--- a/src/core/request/attempt.rs
+++ b/src/core/request/attempt.rs
@@ -4,7 +4,7 @@
 use super::super::event::{Break, Stored, Timer, Want};
 use super::super::key::{AttemptKey, RequestKey};
 use super::super::route::{self, Choice, Need};
-use super::super::{Core, Effects, killer, load, once, trace};
+use super::super::{Core, Effects, load, once, poison, trace};
 use super::end::{close_attempt, end, give_up, reply};
 use super::lost::broke;
 use super::{Attempt, Flow, Heard, Phase, Request, millis};
@@ -13,14 +13,14 @@
 /// Sends a request to a back end.
 pub fn dispatch(core: &mut Core, key: RequestKey, out: &mut Effects) {
     let request = &core.requests.arena[key];
-    if let Err(refusal) = killer::check(core, request.print) {
+    if let Err(refusal) = poison::check(core, request.print) {
         let ran = request.ran();
         give_up(core, key, refusal.ran(ran), out);
         return;
     }
     let print = request.print;
     let chosen = if let Some(mut need) = need(request) {
-        killer::restrict_engines(core, &mut need, print);
+        poison::restrict_engines(core, &mut need, print);
         route::choose_engine(core, &need)
     } else {
         let (service, avoid) = (request.class.clone(), request.avoid.clone());
--- a/src/core/request/lost.rs
+++ b/src/core/request/lost.rs
@@ -6,7 +6,7 @@
 use super::super::event::{Break, Timer, Want};
 use super::super::key::{AttemptKey, BackendKey, RequestKey};
 use super::super::route::Choice;
-use super::super::{Core, Effects, killer};
+use super::super::{Core, Effects, poison};
 use super::attempt::{attempt, dispatch};
 use super::end::{close_attempt, give_up, refuse};
 use super::{Flow, Phase, millis, note};
@@ -82,7 +82,7 @@
     entry.resumes = 0;
     entry.lost = None;
     if died {
-        killer::report_crash(core, request, backend, out);
+        poison::report_crash(core, request, backend, out);
     }
     let pause = match how {
         Break::Refused | Break::Forgotten if !died => Duration::ZERO,
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -45,26 +45,26 @@
 ///
 /// Longer than a change takes, so that a swing which would be over before the engine is back is
 /// not followed.
-const SHORT_AVERAGE_S: f64 = 12.0;
+const SHORT_AVERAGE_SECS: f64 = 12.0;
 /// Seconds over which demand is averaged to see its trend.
-const LONG_AVERAGE_S: f64 = 45.0;
+const LONG_AVERAGE_SECS: f64 = 45.0;
 /// Seconds ahead for which demand is forecast: about what a change takes with its drain.
-const FORECAST_S: f64 = 8.0;
+const FORECAST_SECS: f64 = 8.0;
 /// Seconds over which what a change saves is counted.
-const SAVINGS_HORIZON_S: f64 = 60.0;
+const SAVINGS_HORIZON_SECS: f64 = 60.0;
 /// Seconds that an engine is away for a change, its drain counted.
-const CHANGE_DOWNTIME_S: f64 = 10.0;
+const CHANGE_DOWNTIME_SECS: f64 = 10.0;
 /// Part of the prefill engines' time above which prompts begin to wait too long.
 const MAX_PREFILL_UTILIZATION: f64 = 0.9;
 /// Part of the decode engines' streams above which answers begin to wait.
 const MAX_DECODE_UTILIZATION: f64 = 0.95;
 /// Seconds for which a change must have looked worth making.
-const MIN_STABLE_S: f64 = 7.0;
+const MIN_STABLE_SECS: f64 = 7.0;
 /// Seconds after a change during which none is made in the other direction, where only the
 /// weight of changes counts; less, the more goodput weighs.
-const REVERSAL_COOLDOWN_S: f64 = 60.0;
+const REVERSAL_COOLDOWN_SECS: f64 = 60.0;
 /// What a change costs in goodput, in engine seconds, as far as that rest is concerned.
-const COOLDOWN_CHANGE_COST_S: f64 = 5.0;
+const COOLDOWN_CHANGE_COST_SECS: f64 = 5.0;
 /// Engines of a pool for each of which one may be away at a time.
 const ENGINES_PER_CHANGE: usize = 20;
 
@@ -154,7 +154,7 @@
     let back = memory.last_change.is_some_and(|(role, at)| {
         role != change.role && passed(at) < reversal_cooldown(view.settings)
     });
-    if back || passed(since) < MIN_STABLE_S {
+    if back || passed(since) < MIN_STABLE_SECS {
         return None;
     }
     memory.candidate = None;
@@ -168,8 +168,8 @@
 /// changes rather waits whether the mix swings back.
 fn reversal_cooldown(settings: &PoolSettings) -> f64 {
     let change = settings.change;
-    REVERSAL_COOLDOWN_S * change
-        / (change + COOLDOWN_CHANGE_COST_S * settings.goodput).max(f64::EPSILON)
+    REVERSAL_COOLDOWN_SECS * change
+        / (change + COOLDOWN_CHANGE_COST_SECS * settings.goodput).max(f64::EPSILON)
 }
 
 /// Takes in the demand of the last second, and returns the forecast.
@@ -185,11 +185,11 @@
     };
     let passed = view.now.since(seen).as_secs_f64();
     let part = |over: f64| 1.0 - (-passed / over).exp();
-    memory.short = memory.short.interpolate(now, part(SHORT_AVERAGE_S));
-    memory.long = memory.long.interpolate(now, part(LONG_AVERAGE_S));
+    memory.short = memory.short.interpolate(now, part(SHORT_AVERAGE_SECS));
+    memory.long = memory.long.interpolate(now, part(LONG_AVERAGE_SECS));
     let ahead = memory.short.interpolate(
         memory.long,
-        -FORECAST_S / (LONG_AVERAGE_S - SHORT_AVERAGE_S),
+        -FORECAST_SECS / (LONG_AVERAGE_SECS - SHORT_AVERAGE_SECS),
     );
     Work {
         prefill: ahead.prefill.max(0.0),
@@ -252,8 +252,8 @@
         }
     }
     let now = work.lost(speeds);
-    let saved = (now - work.lost(with)) * SAVINGS_HORIZON_S;
-    let spent = (work.lost(without) - now) * CHANGE_DOWNTIME_S;
+    let saved = (now - work.lost(with)) * SAVINGS_HORIZON_SECS;
+    let spent = (work.lost(without) - now) * CHANGE_DOWNTIME_SECS;
     let worth = (saved - spent) * view.settings.goodput - view.settings.change;
     let change = Change {
         engine: engine.key,
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -22,7 +22,7 @@
 const FULL_ENGINE_PENALTY: f64 = 1e6;
 /// Random part of the cost in seconds, so that hosts that know the same do not all choose the
 /// same engine.
-const MAX_JITTER_S: f64 = 0.02;
+const MAX_JITTER_SECS: f64 = 0.02;
 /// Least weight of an engine that looks full, against one with that many free streams.
 ///
 /// The report may be old, and every host that believes it would leave the engine idle.
@@ -31,7 +31,7 @@
 const MAX_SAMPLED_ENGINES: usize = 48;
 /// Part of a prompt's first piece that the engine chosen by the piece's hash will have in its
 /// cache, by expectation.
-const PREFIX_HIT_RATIO: f64 = 0.8;
+const PREFIX_HIT_FRACTION: f64 = 0.8;
 
 /// What a request needs, as far as the choice is concerned.
 #[derive(Debug, Clone)]
@@ -174,10 +174,10 @@
         } else {
             CROSS_DOMAIN_LATENCY.as_secs_f64()
         };
-        let noise = MAX_JITTER_S * rng.random::<f64>() + near;
+        let noise = MAX_JITTER_SECS * rng.random::<f64>() + near;
         let fill = || {
             let saved = match home {
-                Some((_, home)) if home == key => PREFIX_HIT_RATIO * self.settings.piece as f64,
+                Some((_, home)) if home == key => PREFIX_HIT_FRACTION * self.settings.piece as f64,
                 _ => 0.0,
             };
             let prompt = (f64::from(self.need.prompt) - saved).max(0.0);
--- a/src/core/tests/killer.rs
+++ b/src/core/tests/killer.rs
@@ -4,7 +4,7 @@
 
 use super::super::event::Print;
 use super::super::message::Suspect;
-use super::super::{Core, Effects, Event, Time, event::Timer, killer};
+use super::super::{Core, Effects, Event, Time, event::Timer, poison};
 use super::{EPOCH, settings};
 use crate::error::Kind;
 
@@ -26,7 +26,7 @@
             request: "r".into(),
             answering,
         };
-        killer::told(&mut core, suspect);
+        poison::receive(&mut core, suspect);
     }
     let seconds = Time::default().after(Duration::from_secs(end));
     core.reduce(seconds, Event::Timer(Timer::Shares), &mut Effects::new());
@@ -39,7 +39,7 @@
         #[test]
         fn $name() {
             let core = core_told(&$reports, $end);
-            let kind = killer::check(&core, $print).map_err(|refusal| refusal.kind);
+            let kind = poison::check(&core, $print).map_err(|refusal| refusal.kind);
             assert_eq!(kind, if $refused { Err(Kind::EngineKiller) } else { Ok(()) });
         }
     )*};
--- a/src/core/tests/route.rs
+++ b/src/core/tests/route.rs
@@ -46,7 +46,7 @@
         engine: core.fleet.arena[key].name_hash,
         prompt: MUCH,
     };
-    load::told(core, sent);
+    load::receive_sent(core, sent);
 }
 
 /// Another host has just sent much to an engine whose report still says idle. Whoever believed
