--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -90,7 +90,7 @@
 fn count_refused_demand(core: &mut Core, engine: BackendKey, need: &Need) {
     let output = load::expected_tokens(core, engine, need.output);
     let pool = core.fleet.arena[engine].pool.clone();
-    let taken = core.fleet.taken.entry(pool).or_default();
+    let taken = core.fleet.unsent_demand.entry(pool).or_default();
     taken.0 += u64::from(need.prompt) / ATTEMPTS_PER_REQUEST;
     taken.1 += output / ATTEMPTS_PER_REQUEST;
 }
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -88,7 +88,7 @@
     /// Low half of the hash of the name.
     pub name_hash: u32,
     /// Failures since the last success.
-    pub fails: u32,
+    pub failures: u32,
     /// It gets no new work before this time.
     pub retry_at: Time,
 }
@@ -122,13 +122,13 @@
     /// Back ends that the list called leaving or no longer named.
     leaving_backends: BTreeSet<Box<str>>,
     /// When that set last changed.
-    changed: Time,
+    leaving_changed: Time,
     /// Which peer said that a back end is leaving, where this host's own list does not say so.
     leaving_by_peer: BTreeMap<Box<str>, HostKey>,
     /// When the other hosts were last told of this host's streams.
     pub streams_sent_at: Time,
     /// Prompt and output tokens sent to each pool since its holder was last told.
-    pub taken: BTreeMap<Box<str>, (u64, u64)>,
+    pub unsent_demand: BTreeMap<Box<str>, (u64, u64)>,
 }
 
 impl Fleet {
@@ -151,10 +151,10 @@
             leaving_hosts: BTreeSet::new(),
             read_at: None,
             leaving_backends: BTreeSet::new(),
-            changed: Time::default(),
+            leaving_changed: Time::default(),
             leaving_by_peer: BTreeMap::new(),
             streams_sent_at: Time::default(),
-            taken: BTreeMap::new(),
+            unsent_demand: BTreeMap::new(),
         }
     }
 
@@ -185,7 +185,7 @@
             backend.prefill += prompt;
             backend.decode += output;
             if backend.kind == EntryKind::Engine {
-                let taken = self.taken.entry(backend.pool.clone()).or_default();
+                let taken = self.unsent_demand.entry(backend.pool.clone()).or_default();
                 taken.0 += prompt;
                 taken.1 += output;
             }
@@ -202,17 +202,17 @@
     }
 
     /// Notes that a back end answered.
-    pub fn works(&mut self, key: BackendKey) {
+    pub fn record_success(&mut self, key: BackendKey) {
         if let Some(backend) = self.arena.get_mut(key) {
-            backend.fails = 0;
+            backend.failures = 0;
         }
     }
 
     /// Notes that a back end failed: it gets no new work for a while.
-    pub fn failed(&mut self, key: BackendKey, now: Time) {
+    pub fn record_failure(&mut self, key: BackendKey, now: Time) {
         if let Some(backend) = self.arena.get_mut(key) {
-            let factor = 2_u32.saturating_pow(backend.fails.min(8));
-            backend.fails += 1;
+            let factor = 2_u32.saturating_pow(backend.failures.min(8));
+            backend.failures += 1;
             backend.retry_at = now.after((INITIAL_BACKOFF * factor).min(MAX_BACKOFF));
         }
     }
@@ -321,14 +321,14 @@
             fleet.leaving_backends.remove(&entry.name)
         };
         if changed {
-            fleet.changed = now;
+            fleet.leaving_changed = now;
         }
         apply_entry(fleet, entry, out);
     }
     for name in gone {
         let key = fleet.by_name[&name];
         if fleet.leaving_backends.insert(name.clone()) {
-            fleet.changed = now;
+            fleet.leaving_changed = now;
         }
         if fleet.arena[key].streams == 0 {
             fleet.by_name.remove(&name);
@@ -347,7 +347,7 @@
     let fleet = &mut core.fleet;
     let Some(read) = fleet
         .read_at
-        .filter(|_| now.since(fleet.changed) < LEAVING_NOTICE_TIME)
+        .filter(|_| now.since(fleet.leaving_changed) < LEAVING_NOTICE_TIME)
     else {
         return;
     };
@@ -443,7 +443,7 @@
         others: BTreeMap::new(),
         reported_streams: 0,
         name_hash,
-        fails: 0,
+        failures: 0,
         retry_at: Time::default(),
     });
     fleet.by_name.insert(name, key);
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -59,9 +59,9 @@
 pub struct Measured {
     /// Prompt tokens waiting there at a time, of all hosts as far as they told.
     queued_tokens: f64,
-    at: Time,
+    queued_at: Time,
     /// When this host last sent a prompt there.
-    sent: Time,
+    last_sent: Time,
     /// Prompt tokens of this host that the others were not told of yet.
     unsent: u64,
     /// Time between tokens against that of an engine of nominal speed; 0 before the first.
@@ -77,7 +77,7 @@
 /// Returns the prompt tokens waiting at an engine: what hosts sent, less what it has worked
 /// through since, and what its report adds.
 fn backlog(engine: &Backend, settings: &PoolSettings, now: Time) -> f64 {
-    let passed = now.since(engine.measured.at).as_secs_f64();
+    let passed = now.since(engine.measured.queued_at).as_secs_f64();
     let left = engine.measured.queued_tokens - passed / pace(engine, settings);
     let known = left.max(engine.prefill as f64);
     let Some((read, report)) = &engine.report else {
@@ -122,19 +122,19 @@
         let age = core.now.since(*read) + Duration::from_millis(u64::from(report.age));
         report.waiting == 0 && age <= MAX_REPORT_AGE
     };
-    let unused = core.now.since(engine.measured.sent) >= UNTRIED_AFTER;
+    let unused = core.now.since(engine.measured.last_sent) >= UNTRIED_AFTER;
     unused && engine.streams == 0 && engine.report.as_ref().is_some_and(idle)
 }
 
 /// Counts a prompt that this host sends to an engine, and tells the others.
-pub fn sent(core: &mut Core, key: BackendKey, prompt: u64, out: &mut Effects) {
-    queue(core, key, prompt);
+pub fn record_sent(core: &mut Core, key: BackendKey, prompt: u64, out: &mut Effects) {
+    enqueue(core, key, prompt);
     let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
         return;
     };
     let now = core.now;
     let engine = &mut core.fleet.arena[key];
-    engine.measured.sent = now;
+    engine.measured.last_sent = now;
     engine.measured.unsent += prompt;
     let untold = engine.measured.unsent as f64 * nominal;
     if untold < MIN_UNSENT_SECS || core.members.count() > MAX_SHARING_PEERS {
@@ -159,7 +159,7 @@
         .map(|(key, _)| key)
         .next();
     if let Some(key) = engine {
-        queue(core, key, u64::from(sent.prompt));
+        enqueue(core, key, u64::from(sent.prompt));
     }
 }
 
@@ -197,23 +197,23 @@
 }
 
 /// Forgets what a host told that is gone.
-pub fn forget(core: &mut Core, host: HostKey) {
+pub fn forget_host(core: &mut Core, host: HostKey) {
     for engine in core.fleet.arena.values_mut() {
         engine.others.remove(&host);
     }
 }
 
 /// Adds a prompt to what waits at an engine.
-fn queue(core: &mut Core, key: BackendKey, prompt: u64) {
+fn enqueue(core: &mut Core, key: BackendKey, prompt: u64) {
     let now = core.now;
     let Some(pace) = settings(core, key).map(|settings| pace(&core.fleet.arena[key], settings))
     else {
         return;
     };
     let measured = &mut core.fleet.arena[key].measured;
-    let passed = now.since(measured.at).as_secs_f64();
+    let passed = now.since(measured.queued_at).as_secs_f64();
     measured.queued_tokens = (measured.queued_tokens - passed / pace).max(0.0) + prompt as f64;
-    measured.at = now;
+    measured.queued_at = now;
 }
 
 /// Returns the seconds between tokens at an engine that gets one more stream; infinite where it
@@ -284,7 +284,7 @@
 
 /// Learns from a prompt that has been worked through: `ahead` tokens, its own among them, were
 /// to be worked through from `sent` on.
-pub fn filled(core: &mut Core, key: BackendKey, sent: Time, ahead: u64) {
+pub fn learn_prefill(core: &mut Core, key: BackendKey, sent: Time, ahead: u64) {
     let now = core.now;
     let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
         return;
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -417,7 +417,7 @@
         if let Some(member) = core.members.arena.remove(key) {
             share::left(core, &member);
         }
-        load::forget(core, key);
+        load::forget_host(core, key);
         order::left(core, name);
         let text = format!("host {name} left");
         out.push(log_event(log::Level::Info, "host.left", text));
--- a/src/core/order/mod.rs
+++ b/src/core/order/mod.rs
@@ -271,7 +271,7 @@
         return;
     }
     core.orders.told = core.now;
-    let taken = std::mem::take(&mut core.fleet.taken);
+    let taken = std::mem::take(&mut core.fleet.unsent_demand);
     for pool in core.orders.pools() {
         if !core.fleet.pools[usize::from(pool.0)].settings.split {
             continue;
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -207,7 +207,7 @@
     call.attempt = Some(attempt);
     if choice.work.tokens > 0 || matches!(choice.task, Task::Prefill) {
         let parts = call.prompt.as_ref().map(|prompt| &prompt.parts);
-        core.relay.peers.sent(parts, instance.short);
+        core.relay.peers.sent(parts, instance.short_hash);
     }
     note(
         out,
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -233,7 +233,7 @@
     }
     let work = Work {
         calls: 1,
-        fill: 0,
+        fill_rate: 0,
         tokens: way.tokens,
     };
     let task = match way.stage {
--- a/src/core/relay/gossip/gather.rs
+++ b/src/core/relay/gossip/gather.rs
@@ -52,7 +52,7 @@
     let peers = &mut core.relay.peers;
     let all = peers.domains.get(&core.settings.host.domain).copied();
     if let Some(all) = all.filter(|all| peers.arena[*all].heard.take().is_some()) {
-        core.relay.instances.told(all, &[]);
+        core.relay.instances.set_reported_work(all, &[]);
     }
 }
 
@@ -124,7 +124,7 @@
     let loads = core.relay.instances.arena.values();
     let loads = loads
         .filter(|instance| instance.work() != Work::default())
-        .map(|instance| load_report(instance.short, instance.work()))
+        .map(|instance| load_report(instance.short_hash, instance.work()))
         .collect();
     let peers = &mut core.relay.peers;
     peers.answered = Some(core.now);
@@ -143,7 +143,7 @@
 pub(super) fn heard(core: &mut Core, key: HostKey, message: &Gossip) {
     let peer = &mut core.relay.peers.arena[key];
     peer.reports = message.kind != GossipKind::Farewell;
-    core.relay.instances.told(key, &message.loads);
+    core.relay.instances.set_reported_work(key, &message.loads);
 }
 
 /// Takes in totals, if their sender sums up for this host.
@@ -186,7 +186,7 @@
     peers.arena[all].heard = Some(now);
     peers.reporting = included.len();
     peers.down.hear(&[], &[]);
-    core.relay.instances.told(all, &others);
+    core.relay.instances.set_reported_work(all, &others);
 }
 
 /// Says that another host sums up for this one, and takes leave of the one before.
@@ -203,7 +203,7 @@
         // Totals hold what was heard from other failure domains.
         let domains: Vec<HostKey> = core.relay.peers.domains.values().copied().collect();
         for domain in domains {
-            core.relay.instances.told(domain, &[]);
+            core.relay.instances.set_reported_work(domain, &[]);
         }
     }
     // The new one is told all at once.
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -126,7 +126,7 @@
     let loads = core.relay.instances.arena.values();
     loads
         .filter(|instance| instance.own != Work::default())
-        .map(|instance| load_report(instance.short, instance.own))
+        .map(|instance| load_report(instance.short_hash, instance.own))
         .collect()
 }
 
@@ -285,7 +285,7 @@
     let loads = instances.filter_map(|instance| {
         let others = instance.others.iter().filter(|(key, _)| near(key));
         let sum = others.fold(instance.own, |sum, (_, work)| sum.plus(*work));
-        (sum != Work::default()).then(|| load_report(instance.short, sum))
+        (sum != Work::default()).then(|| load_report(instance.short_hash, sum))
     });
     loads.collect()
 }
@@ -294,7 +294,7 @@
     LoadReport {
         instance,
         calls: work.calls,
-        fill: u32::try_from(work.fill).unwrap_or(u32::MAX),
+        fill: u32::try_from(work.fill_rate).unwrap_or(u32::MAX),
         tokens: u32::try_from(work.tokens).unwrap_or(u32::MAX),
     }
 }
@@ -316,7 +316,7 @@
         let peer = &mut core.relay.peers.arena[key];
         peer.heard = None;
         peer.reports = false;
-        core.relay.instances.told(key, &[]);
+        core.relay.instances.set_reported_work(key, &[]);
     }
 }
 
@@ -379,7 +379,7 @@
         }
         GossipKind::Totals(included) => gather::totals(core, key, &message.loads, included, out),
         _ if summed_up => {}
-        _ => core.relay.instances.told(key, &message.loads),
+        _ => core.relay.instances.set_reported_work(key, &message.loads),
     }
     note_parts(core, &message.parts);
     if matches!(message.kind, GossipKind::Domain(_)) {
--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -40,7 +40,7 @@
     /// Id of this start of it.
     pub id: Box<str>,
     /// Short hash of the id, by which hosts name it to each other.
-    pub short: u32,
+    pub short_hash: u32,
     /// Service it belongs to.
     pub service: Box<str>,
     /// Where it listens.
@@ -97,7 +97,7 @@
     /// Requests.
     pub calls: u32,
     /// Tokens that were put into its memory lately, a second.
-    pub fill: u64,
+    pub fill_rate: u64,
     /// Prompt tokens to be prefilled.
     pub tokens: u64,
 }
@@ -108,7 +108,7 @@
     pub fn plus(self, other: Self) -> Self {
         Self {
             calls: self.calls + other.calls,
-            fill: self.fill + other.fill,
+            fill_rate: self.fill_rate + other.fill_rate,
             tokens: self.tokens + other.tokens,
         }
     }
@@ -118,7 +118,7 @@
     pub fn minus(self, other: Self) -> Self {
         Self {
             calls: self.calls.saturating_sub(other.calls),
-            fill: self.fill.saturating_sub(other.fill),
+            fill_rate: self.fill_rate.saturating_sub(other.fill_rate),
             tokens: self.tokens.saturating_sub(other.tokens),
         }
     }
@@ -128,7 +128,7 @@
     fn from(message: LoadReport) -> Self {
         Self {
             calls: message.calls,
-            fill: message.fill.into(),
+            fill_rate: message.fill.into(),
             tokens: message.tokens.into(),
         }
     }
@@ -137,7 +137,7 @@
 impl Instance {
     fn new(entry: Entry) -> Self {
         Self {
-            short: short_hash(&entry.id),
+            short_hash: short_hash(&entry.id),
             id: entry.id,
             service: entry.service,
             addr: entry.addr,
@@ -188,7 +188,7 @@
     }
 
     /// Notes that tokens are put into its memory.
-    pub fn fill(&mut self, tokens: u64, now: Time) {
+    pub fn add_fill(&mut self, tokens: u64, now: Time) {
         self.update_fill_rate(now);
         self.recent_fill.0 += tokens as f64;
     }
@@ -205,7 +205,7 @@
             reason = "a sum of tokens, never below zero"
         )]
         let units = (rate / FILL_RATE_STEP as f64) as u64;
-        self.own.fill = units * FILL_RATE_STEP;
+        self.own.fill_rate = units * FILL_RATE_STEP;
     }
 
     /// Notes that it could not be reached or broke off: it gets no new work for a while.
@@ -450,7 +450,7 @@
         if restarted {
             instance.limit = Limit::since(now);
         }
-        let short = instance.short;
+        let short = instance.short_hash;
         let key = self.arena.insert(instance);
         self.by_id.insert(id, key);
         self.by_hash.insert(short, key);
@@ -480,7 +480,7 @@
     fn remove(&mut self, key: BackendKey) {
         if let Some(instance) = self.arena.remove(key) {
             self.by_id.remove(&instance.id);
-            self.by_hash.remove(&instance.short);
+            self.by_hash.remove(&instance.short_hash);
             if let Some(list) = self.by_service.get_mut(&instance.service) {
                 list.retain(|other| *other != key);
             }
@@ -488,7 +488,7 @@
     }
 
     /// Takes in a host's whole unfinished work.
-    pub fn told(&mut self, host: HostKey, loads: &[LoadReport]) {
+    pub fn set_reported_work(&mut self, host: HostKey, loads: &[LoadReport]) {
         for key in self.reported.remove(&host).unwrap_or_default() {
             if let Some(instance) = self.arena.get_mut(key)
                 && let Some(old) = instance.others.remove(&host)
--- a/src/core/relay/killer.rs
+++ b/src/core/relay/killer.rs
@@ -86,7 +86,7 @@
     let call = &core.relay.calls[call];
     let message = CrashReport {
         print: call.print,
-        instance: instance.short,
+        instance: instance.short_hash,
     };
     note(
         out,
--- a/src/core/relay/limit.rs
+++ b/src/core/relay/limit.rs
@@ -38,7 +38,7 @@
     /// As of when that is known.
     known_at: Time,
     /// When this host learned of the last change.
-    changed: Option<Time>,
+    changed_at: Option<Time>,
     /// Whether the last answer named one that cannot be read.
     unreadable: bool,
     /// This host's part, in requests a second.
@@ -107,7 +107,7 @@
     }
 
     /// Takes in what holds as of a time; returns whether it is a change.
-    fn learn(&mut self, rate: Option<f64>, known: Time, now: Time) -> bool {
+    fn update(&mut self, rate: Option<f64>, known: Time, now: Time) -> bool {
         let begins = self.rate.is_none() && rate.is_some();
         // Answers overtake each other: one that was sent before the limit was named does not end it. And hosts
         // that return each other's reports would make them ever newer.
@@ -124,7 +124,7 @@
             return false;
         }
         self.rate = rate;
-        self.changed = Some(now);
+        self.changed_at = Some(now);
         if begins {
             self.tokens = 0.0;
             self.refilled_at = now;
@@ -135,7 +135,7 @@
 
     fn report(&self, instance: u32, now: Time) -> Option<LimitReport> {
         let ended = self
-            .changed
+            .changed_at
             .is_some_and(|at| now.since(at) < ENDED_REPORT_TIME);
         (self.rate.is_some() || ended).then(|| LimitReport {
             instance,
@@ -165,8 +165,8 @@
     }
     instance.limit.unreadable = unreadable;
     let changed = match limit {
-        NamedLimit::None => instance.limit.learn(None, sent, now),
-        NamedLimit::Rate(rate) => instance.limit.learn(Some(rate), now, now),
+        NamedLimit::None => instance.limit.update(None, sent, now),
+        NamedLimit::Rate(rate) => instance.limit.update(Some(rate), now, now),
         NamedLimit::Unreadable => false,
     };
     if changed {
@@ -182,7 +182,7 @@
             continue;
         };
         let limit = &mut core.relay.instances.arena[key].limit;
-        if limit.learn(report.rate, now.before(report.age), now) {
+        if limit.update(report.rate, now.before(report.age), now) {
             apply_change(core, key, from, out);
         }
     }
@@ -194,8 +194,8 @@
     let instances = core.relay.instances.arena.values();
     let mut reports: Vec<(Option<Time>, LimitReport)> = instances
         .filter_map(|instance| {
-            let report = instance.limit.report(instance.short, core.now)?;
-            Some((instance.limit.changed, report))
+            let report = instance.limit.report(instance.short_hash, core.now)?;
+            Some((instance.limit.changed_at, report))
         })
         .collect();
     reports.sort_by_key(|(changed, _)| std::cmp::Reverse(*changed));
@@ -207,7 +207,7 @@
 #[must_use]
 pub fn changed_since(core: &Core, time: Time) -> bool {
     let mut instances = core.relay.instances.arena.values();
-    instances.any(|instance| instance.limit.changed.is_some_and(|at| at > time))
+    instances.any(|instance| instance.limit.changed_at.is_some_and(|at| at > time))
 }
 
 /// Works this host's parts out anew, after hosts joined or left.
@@ -238,8 +238,8 @@
     let peers = &core.relay.peers;
     let hosts = peers.hosts() as f64;
     let sharing = rate.ceil().clamp(1.0, hosts);
-    let own = rank(short_hash(&core.settings.host.name), instance.short);
-    let ranks = peers.shorts().map(|other| rank(other, instance.short));
+    let own = rank(short_hash(&core.settings.host.name), instance.short_hash);
+    let ranks = peers.shorts().map(|other| rank(other, instance.short_hash));
     let ahead = ranks.filter(|other| *other > own).count();
     if (ahead as f64) < sharing {
         rate.max(MIN_REQUESTS_PER_SECOND) / sharing
--- a/src/core/relay/parts.rs
+++ b/src/core/relay/parts.rs
@@ -181,7 +181,7 @@
 /// Notes what a prompt adds to an engine's memory, and which of its shared parts it then holds.
 pub fn put(instance: &mut Instance, prompt: &Prompt, now: Time, after: Duration) {
     let output = prompt.hint.unwrap_or(0).min(prompt.output);
-    instance.fill(unread(instance, prompt) + output, now);
+    instance.add_fill(unread(instance, prompt) + output, now);
     remember(instance, prompt, now, after);
 }
 
@@ -193,7 +193,7 @@
 /// its engine read what was expected to be there, and everyone behind it wait; one that is held and
 /// taken for dropped costs a copy of nothing.
 pub fn forget(instance: &mut Instance, memory: u64, now: Time) {
-    let fill = instance.work().fill as f64;
+    let fill = instance.work().fill_rate as f64;
     if fill > 0.0 {
         let life = memory as f64 / fill;
         instance
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -362,7 +362,7 @@
 fn remove(core: &mut Core, name: &str, out: &mut Effects) {
     core.relay.peers.lapsed.remove(name);
     if let Some(key) = core.relay.peers.names.remove(name) {
-        core.relay.instances.told(key, &[]);
+        core.relay.instances.set_reported_work(key, &[]);
         core.relay.peers.arena.remove(key);
         limit::update_shares(core);
         note(
--- a/src/core/relay/tests/config.rs
+++ b/src/core/relay/tests/config.rs
@@ -85,7 +85,7 @@
 /// Entries lapse while the store is away, though their backend servers are well, and are back
 /// within about two seconds; what is still missing then is gone.
 #[test]
-fn entries_missing_after_an_outage_are_believed_for_two_seconds() {
+fn entries_missing_after_an_outage_are_used_for_two_seconds() {
     let mut site = Site::new();
     site.register(vec![plain("a")]);
     site.changed(Changes {
@@ -102,7 +102,7 @@
 /// A backend server starts again under its old id. It knows nothing of before: prompt parts
 /// counted as held there would be read unplanned.
 #[test]
-fn a_restart_under_the_same_id_forgets_what_it_held() {
+fn a_restart_under_the_same_id_drops_the_held_parts() {
     let mut site = Site::new();
     site.register(vec![
         engine("p", Stage::Prefill),
@@ -121,7 +121,7 @@
 
 /// Another instance answers at an address that was used again. The old one is not asked any more.
 #[test]
-fn an_address_used_by_another_is_left() {
+fn an_address_reused_by_another_instance_gets_no_requests() {
     let mut site = Site::new();
     site.register(vec![plain("a"), plain("b")]);
     let mut misplaced = None;
--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -215,7 +215,7 @@
 
 /// The host that follows the store for a failure domain is killed as the store comes back.
 #[test]
-fn a_restore_is_known_without_the_host_that_follows() {
+fn a_restore_is_known_without_the_watcher() {
     for hosts in DOMAIN_SIZES {
         let mut domain = Domain::of(hosts);
         domain.pass(3000);
@@ -253,7 +253,7 @@
 
 /// Guards against all hosts calling the store at the same moment: not more in five seconds than after an outage of it.
 #[test]
-fn a_restore_is_no_stampede() {
+fn a_restore_causes_no_burst_of_calls() {
     let calls = |restore: bool| {
         let mut domain = Domain::of(40);
         domain.pass(4000);
--- a/src/core/relay/tests/limit.rs
+++ b/src/core/relay/tests/limit.rs
@@ -222,7 +222,7 @@
 /// A third of all datagrams is lost, and a host is killed and another frozen meanwhile. Guards against parts
 /// that add up to more than the limit where hosts do not know the same.
 #[test]
-fn trouble_among_hosts_keeps_a_limit() {
+fn hosts_keep_to_a_limit_despite_loss_kill_and_freeze() {
     for rate in [1.2, 2.3, 6.0] {
         let mut load = Load::new(9, 10);
         load.domain.loses = 3;
--- a/src/core/relay/tests/view/mod.rs
+++ b/src/core/relay/tests/view/mod.rs
@@ -1,7 +1,7 @@
 //! How a host keeps up with a store that falls silent, turns calls away, is slow or loses answers.
 
-mod passed;
 mod probes;
+mod replicated;
 
 use super::*;
 use crate::core::relay::event::{Ask, StoreAnswer};
--- a/src/core/relay/tests/view/probes.rs
+++ b/src/core/relay/tests/view/probes.rs
@@ -53,7 +53,7 @@
 
 /// The host that probed falls silent, or its messages do not arrive. The others probe themselves.
 #[test]
-fn a_host_that_hears_of_no_probe_sends_its_own() {
+fn a_host_that_receives_no_probe_result_sends_its_own_probe() {
     let mut run = beside_another();
     hear(&mut run, 1, 5);
     miss_a_change(&mut run);
@@ -61,7 +61,7 @@
 
 /// A host tells what its own probe showed, once it has; what it heard from another it keeps.
 #[test]
-fn a_probe_is_told_by_the_host_that_sent_it() {
+fn a_probe_result_is_sent_by_the_host_that_probed() {
     let mut run = beside_another();
     let told = |out: &Effects| {
         let words = out.iter().filter_map(|effect| match effect {
--- a/src/core/relay/tests/view/passed.rs
+++ b/src/core/relay/tests/view/replicated.rs
@@ -38,7 +38,7 @@
 
 /// The host that watches is killed, and what changes next is passed on by nobody.
 #[test]
-fn a_killed_follower_hides_no_change() {
+fn a_killed_watcher_hides_no_change() {
     for hosts in DOMAIN_SIZES {
         let mut domain = settled(hosts);
         domain.hosts[0] = None;
@@ -58,7 +58,7 @@
 
 /// The store answers all hosts but the one that watches: it goes on telling of an old view.
 #[test]
-fn a_follower_cut_from_the_store_hides_no_change() {
+fn a_watcher_cut_from_the_store_hides_no_change() {
     for hosts in DOMAIN_SIZES {
         let mut domain = settled(hosts);
         domain.store.unreachable.insert(0);
@@ -75,7 +75,7 @@
 /// The store answers all hosts but the one that watches. Guards against that one acting on an old view for as long,
 /// though its neighbours know better.
 #[test]
-fn a_follower_cut_from_the_store_learns_of_changes_by_others() {
+fn a_watcher_cut_from_the_store_learns_of_changes_by_others() {
     let mut domain = settled(5);
     domain.store.unreachable.insert(0);
     domain.pass(3000);
@@ -100,7 +100,7 @@
 
 /// The host that watches stands still for two seconds, and wakes with an old view.
 #[test]
-fn a_frozen_follower_takes_no_one_back() {
+fn a_frozen_watcher_reverts_no_host() {
     for hosts in DOMAIN_SIZES {
         let mut domain = settled(hosts);
         let frozen = domain.hosts[0].take();
@@ -123,7 +123,7 @@
 
 /// A third of all datagrams is lost: a change may miss a host in each message that carries it.
 #[test]
-fn lost_words_hide_no_change() {
+fn lost_messages_hide_no_change() {
     for hosts in DOMAIN_SIZES {
         let mut domain = settled(hosts);
         domain.loses = 3;
@@ -137,7 +137,7 @@
 
 /// The host that watches reaches the store and not its neighbours.
 #[test]
-fn hosts_that_the_follower_does_not_reach_watch_themselves() {
+fn hosts_that_the_watcher_does_not_reach_watch_themselves() {
     for hosts in DOMAIN_SIZES {
         let mut domain = settled(hosts);
         domain.cuts = (1..hosts).map(|host| (0, host)).collect();
@@ -149,7 +149,7 @@
 
 /// The store falls silent for a while: what changed meanwhile is known a second after its return.
 #[test]
-fn a_silent_store_hides_no_change_from_hosts_that_rest() {
+fn a_silent_store_hides_no_change_from_standby_hosts() {
     for hosts in DOMAIN_SIZES {
         for silence in [300, 1000, 4000] {
             let mut domain = settled(hosts);
@@ -169,7 +169,7 @@
 
 /// All hosts start at once: each reads everything, and few of them watch.
 #[test]
-fn hosts_that_start_at_once_ask_little() {
+fn hosts_that_start_together_make_few_calls() {
     for hosts in DOMAIN_SIZES {
         let mut domain = Domain::of(hosts);
         for _ in 0..20 {
@@ -228,7 +228,7 @@
 /// A message that was overtaken, or that repeats what is known, takes nothing back; one that leaves a gap
 /// is not applied.
 #[test]
-fn passed_changes_are_applied_once_and_in_order() {
+fn replicated_changes_are_applied_once_and_in_order() {
     let (mut run, at) = resting();
     let passage = |after: i64, to: i64| ReplicatedChanges {
         after,
@@ -249,7 +249,7 @@
 /// A server's entry is removed and written again. Told once more of both, a host must not take the
 /// server for gone.
 #[test]
-fn changes_told_twice_remove_no_server() {
+fn changes_received_twice_remove_no_server() {
     let (mut run, at) = resting();
     let gone = StoreChange {
         revision: at + 1,
--- a/src/core/request/attempt.rs
+++ b/src/core/request/attempt.rs
@@ -133,7 +133,7 @@
             });
         }
     }
-    load::sent(core, filler, prompt, out);
+    load::record_sent(core, filler, prompt, out);
     if let Some(prefill) = choice.prefill {
         core.fleet.add_work(prefill, prompt, 0);
         core.fleet.add_work(backend, 0, output);
@@ -147,13 +147,13 @@
     if let Some(attempt) = core.requests.attempts.get_mut(attempt) {
         attempt.last = core.now;
         attempt.flow = Flow::Open;
-        core.fleet.works(attempt.backend);
+        core.fleet.record_success(attempt.backend);
         if let Some(prefill) = attempt.prefill.take() {
-            core.fleet.works(prefill);
+            core.fleet.record_success(prefill);
             core.fleet
                 .remove_work(prefill, std::mem::take(&mut attempt.prompt), 0);
             let (sent, ahead) = (attempt.sent, attempt.ahead);
-            load::filled(core, prefill, sent, ahead);
+            load::learn_prefill(core, prefill, sent, ahead);
         }
     }
 }
@@ -226,7 +226,7 @@
     if let Some((backend, sent, ahead, prompt)) = filled
         && prompt > 0
     {
-        load::filled(core, backend, sent, ahead);
+        load::learn_prefill(core, backend, sent, ahead);
     }
 }
 
@@ -244,7 +244,7 @@
         return;
     }
     let (backend, span) = (attempt.backend, core.now.since(attempt.first));
-    core.fleet.works(backend);
+    core.fleet.record_success(backend);
     let entry = &core.requests.arena[request];
     let record = entry.record.attempts.last();
     let tokens = record.map_or(0, |record| u64::from(record.tokens));
@@ -260,7 +260,7 @@
         return;
     };
     let request = attempt.request;
-    core.fleet.works(attempt.backend);
+    core.fleet.record_success(attempt.backend);
     close_attempt(core, key, "whole", Ran::Yes);
     if core.requests.arena[request].repeat {
         reply(core, request, result, None, out);
--- a/src/core/request/lost.rs
+++ b/src/core/request/lost.rs
@@ -45,7 +45,7 @@
     close_attempt(core, key, detail, ran);
     let entry = &mut core.requests.arena[request];
     if matches!(entry.want, Want::Service(_)) {
-        core.fleet.failed(backend, core.now);
+        core.fleet.record_failure(backend, core.now);
         service_broke(core, request, backend, ran, how, detail, out);
         return;
     }
@@ -66,9 +66,9 @@
         return;
     }
     if how == Break::Forgotten {
-        core.fleet.works(backend);
+        core.fleet.record_success(backend);
     } else {
-        core.fleet.failed(backend, core.now);
+        core.fleet.record_failure(backend, core.now);
     }
     let entry = &mut core.requests.arena[request];
     // It closed this stream and now neither answers nor knows it: it died while running it. After
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -128,7 +128,7 @@
     if !view.settings.split {
         return None;
     }
-    let work = learn(view, memory);
+    let work = update_forecast(view, memory);
     let away = view.engines.iter().filter(|engine| !engine.serving);
     if away.count() > view.engines.len() / ENGINES_PER_CHANGE {
         return None;
@@ -173,7 +173,7 @@
 }
 
 /// Takes in the demand of the last second, and returns the forecast.
-fn learn(view: &View<'_>, memory: &mut DecisionState) -> Work {
+fn update_forecast(view: &View<'_>, memory: &mut DecisionState) -> Work {
     let now = Work {
         prefill: view.prompt / view.settings.prefill,
         decode: view.output / view.settings.decode,
--- a/src/core/tests/request.rs
+++ b/src/core/tests/request.rs
@@ -211,7 +211,7 @@
     bench.broke(open.attempt, Break::Rejected);
     assert_eq!(bench.refused(), Some(Kind::Malformed));
     let engines = bench.core.fleet.arena.values();
-    assert!(engines.into_iter().all(|engine| engine.fails == 0));
+    assert!(engines.into_iter().all(|engine| engine.failures == 0));
 }
 
 /// Two engines die while they run the request; the third is spared, and the counts of work at
--- a/src/core/tests/route.rs
+++ b/src/core/tests/route.rs
@@ -117,6 +117,6 @@
     report(&mut core, 0, Time::from_millis(3000));
     assert!(!refused(&mut core), "it is idle");
     let key = core.fleet.find("engine-0").expect("a listed engine");
-    load::sent(&mut core, key, 100, &mut Effects::new());
+    load::record_sent(&mut core, key, 100, &mut Effects::new());
     assert!(refused(&mut core), "it was tried just now");
 }
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -100,7 +100,7 @@
                 "listed": format!("{:?}", backend.listed).to_lowercase(),
                 "routed": format!("{:?}", backend.routed).to_lowercase(),
                 "streams": backend.streams,
-                "fails": backend.fails,
+                "fails": backend.failures,
             })
         })
         .collect();
