--- a/src/core/relay/view/era.rs
+++ b/src/core/relay/view/era.rs
@@ -1,8 +1,8 @@
-//! Eras of the store: one ends each time that it comes back from an older copy.
+//! Eras of the store. An era ends each time the store is restored from an older copy.
 //!
-//! What was written since the copy is lost then, leases too, and revisions are given out again: a revision or a lease
-//! means something in its own era only. All that this host knows of the store by revision belongs to one era, and is
-//! read anew when the next one is seen.
+//! A restore loses everything written since the copy, leases included, and the store assigns the same revisions again:
+//! a revision or a lease is valid only in its own era. Everything that this host holds by revision belongs to one era,
+//! and is read again when a later era is seen.
 
 use std::time::Duration;
 
@@ -14,27 +14,26 @@
 use crate::core::effect::Effect;
 use crate::core::{Core, Effects};
 
-/// Longest time, drawn at random, after which a host that another one told of an era reads every key: all are told at
-/// the same moment.
+/// Upper bound of the random delay after which a host that learned of an era from another host reads every key: all
+/// hosts receive that message at the same moment.
 const MAX_READ_JITTER: Duration = Duration::from_millis(300);
-/// The same for its registration, whose calls write.
+/// Upper bound of the random delay after which a host registers again in a new era; these calls write to the store.
 const MAX_REGISTER_JITTER: Duration = Duration::from_millis(700);
-/// Bits of a fencing number that hold a revision; those above hold the era.
+/// Bits of a fencing number that hold the revision; the bits above hold the era.
 const REVISION_BITS: u32 = 40;
 
-/// Name in the log for an answer of the store as the source of an era.
+/// Source in the log of an era that an answer of the store named.
 pub const STORE_SOURCE: &str = "store";
 
-/// Returns the fencing number of an authority that was taken at a revision of an era: it grows with both, the era
-/// first.
+/// Returns the fencing number of an authority acquired at a revision of an era, ordered by era and then by revision.
 ///
-/// JSON numbers are exact to 2^53 at some readers, which leaves 8,000 eras.
+/// Some readers hold JSON numbers exactly up to 2^53 only, which leaves room for 8,000 eras.
 #[must_use]
 pub fn fence(era: u64, revision: i64) -> u64 {
     (era << REVISION_BITS) | u64::try_from(revision).unwrap_or(0)
 }
 
-/// Takes in the era that an answer of the store or another host named; 0 where it named none.
+/// Handles the era named by an answer of the store or by another host; 0 if none was named.
 pub fn observe(core: &mut Core, era: u64, source: &str, out: &mut Effects) {
     let before = core.relay.view.era;
     if era <= before {
@@ -53,16 +52,16 @@
     note(out, log::Level::Warn, "store.era", fields);
     split::forget(core, out);
     peers::forget_lease(core);
-    let asked = core.relay.view.reset();
-    if let Some(number) = asked {
+    let pending = core.relay.view.reset();
+    if let Some(number) = pending {
         out.push(Effect::Relay(RelayEffect::Unask(number)));
     }
     if source == STORE_SOURCE {
         request_next(core, out);
     } else {
-        let spread = core.rng.random_range(Duration::ZERO..MAX_READ_JITTER);
-        pause(core, spread, out);
+        let jitter = core.rng.random_range(Duration::ZERO..MAX_READ_JITTER);
+        pause(core, jitter, out);
     }
-    let spread = core.rng.random_range(Duration::ZERO..MAX_REGISTER_JITTER);
-    wake(core, spread, RelayTimer::RegisterAgain, out);
+    let jitter = core.rng.random_range(Duration::ZERO..MAX_REGISTER_JITTER);
+    wake(core, jitter, RelayTimer::RegisterAgain, out);
 }
--- a/src/core/relay/view/history.rs
+++ b/src/core/relay/view/history.rs
@@ -1,34 +1,35 @@
-//! Changes of the store that this host learned lately, to be passed on to hosts near by.
+//! Recent changes of the store, to be replicated to other hosts.
 
 use std::collections::VecDeque;
 
 use super::super::event::{ReplicatedChanges, StoreChange};
 
-/// Words in which a change is passed on: datagrams are lost now and then.
+/// Messages in which each change is sent, since datagrams are lost.
 const SENDS_PER_CHANGE: u8 = 3;
-/// Most bytes of keys and values in one message. What is more is read from the store by each host.
+/// Maximum bytes of keys and values in one message. Hosts read from the store what no longer fits.
 const MAX_HISTORY_BYTES: usize = 24 * 1024;
 
-/// Changes that follow each other without a gap.
+/// Consecutive changes without a gap.
 #[derive(Debug, Default)]
 pub struct History {
     /// Revision before the first change.
     after: i64,
-    /// Changes, and in how many messages each was passed on.
+    /// Changes, and the number of messages in which each was sent.
     events: VecDeque<(StoreChange, u8)>,
+    /// Whether changes were appended since the last message.
     unsent: bool,
 }
 
 impl History {
-    /// Begins anew at a revision up to which everything was read.
-    pub fn reset(&mut self, at: i64) {
+    /// Clears the history after a read of everything up to a revision.
+    pub fn reset(&mut self, revision: i64) {
         *self = Self {
-            after: at,
+            after: revision,
             ..Self::default()
         };
     }
 
-    /// Adds changes that follow those known.
+    /// Appends changes that directly follow the known ones.
     pub fn append(&mut self, events: impl IntoIterator<Item = StoreChange>) {
         self.unsent = true;
         self.events
@@ -42,32 +43,32 @@
         }
     }
 
-    /// Tells whether changes were learned since the last message.
+    /// Whether changes were appended since the last message.
     #[must_use]
     pub fn has_unsent(&self) -> bool {
         self.unsent
     }
 
-    /// Returns what the next message passes on, where all changes up to a revision are known.
-    pub fn next_batch(&mut self, at: i64) -> ReplicatedChanges {
+    /// Returns the changes for the next message; all changes up to `revision` are known.
+    pub fn next_batch(&mut self, revision: i64) -> ReplicatedChanges {
         self.unsent = false;
-        while let Some((event, times)) = self.events.front()
-            && *times >= SENDS_PER_CHANGE
+        while let Some((event, sends)) = self.events.front()
+            && *sends >= SENDS_PER_CHANGE
         {
             self.after = event.revision;
             self.events.pop_front();
         }
         if self.events.is_empty() {
-            self.after = at;
+            self.after = revision;
         }
-        let events = self.events.iter_mut().map(|(event, times)| {
-            *times += 1;
+        let events = self.events.iter_mut().map(|(event, sends)| {
+            *sends += 1;
             event.clone()
         });
         ReplicatedChanges {
             events: events.collect(),
             after: self.after,
-            at,
+            at: revision,
         }
     }
 }
--- a/src/core/relay/view/mod.rs
+++ b/src/core/relay/view/mod.rs
@@ -1,17 +1,16 @@
-//! What this host knows of the store, and how it notices that it fell behind.
+//! This host's view of the store, and the detection of a stale view.
 //!
-//! Every key is read once, page by page, and then changes are watched. A watch that brings nothing
-//! looks like a store in which nothing happens, though it may have been lost: a store that fell
-//! silent takes calls and never answers them, and their connections live on, also after it answers
-//! again. Callers then meet an old configuration, and requests go to servers that have left, for as
-//! long as the watch may wait.
+//! The host reads every key once, page by page, and then watches for changes. A watch without an answer looks the same
+//! whether nothing changes or the call was lost: a store that hangs accepts calls and never answers them, and their
+//! connections stay open even after it answers again. Until the watch times out, callers then get an old configuration,
+//! and requests go to servers that have left.
 //!
-//! One host of a failure domain watches for all: what it learns goes on with its messages, and the others
-//! rest while they are told in time. See [`history`] and [`passed`].
+//! One host of a failure domain is its watcher: it replicates changes with its gossip, and the other hosts are on
+//! standby while they receive them in time. See [`history`] and [`apply_replicated`].
 //!
-//! Probes tell a lost watch from a store in which nothing happens. Each asks for the store's newest revision, at a tenth of the price of
-//! a read. What was asked before an answered probe and stays without an answer is given up, and
-//! every key is read anew, within a second of the store's return whichever call was lost.
+//! Probes distinguish a lost watch from an idle store. Each asks for the store's newest revision, at a tenth of the
+//! cost of a read. A call that was sent before an answered probe and stays unanswered is abandoned, and every key is
+//! read again: within a second of the store's return, whichever call was lost.
 
 pub mod era;
 mod history;
@@ -33,133 +32,132 @@
 use crate::core::time::Time;
 use crate::core::{Core, Effects};
 
-/// Age of the view beyond which the store is taken for away, and a path without a route here for
-/// one that may be new.
+/// Age of the view beyond which the store counts as unavailable, and a path without a route as possibly new.
 const STALE_AFTER: Duration = Duration::from_millis(1500);
-/// Time a watch waits for a change.
+/// Time after which the store answers a watch even without a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two watches that brought something, for each host of the deployment.
+/// Pause after a watch that returned changes, for each host that watches.
 ///
-/// Each change ends the watch of every host: without a pause, 80 hosts that register call 80 times
-/// each, and so with every change after. What comes within the pause comes with one call.
+/// Each change ends the watch of every host: without a pause, 80 hosts that register make 80 calls each, and one more
+/// each with every later change. All changes within the pause are returned by one call.
 const WATCH_PAUSE_PER_HOST: Duration = Duration::from_millis(12);
-/// Bounds of that time. The upper one and a call stay under the two seconds after which a server that
-/// leaves must get no new work.
+/// Bounds of that pause. The upper bound plus one call is less than the two seconds after which a leaving server must
+/// get no new work.
 const WATCH_PAUSE_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(150), Duration::from_millis(1200));
-/// Age of the view up to which a host that is told of changes watches for none itself: a probe and the
-/// message that tells of it come well within it, and with a watch it stays under a second.
+/// Age of the view up to which a standby host does not watch itself. A probe and the message with its result arrive
+/// well within it, and with a watch in addition the age stays under a second.
 const MAX_STANDBY_AGE: Duration = Duration::from_millis(900);
-/// Time after its start in which a host expects to hear from the one that watches.
+/// Time after its start in which a host waits for messages from the watcher.
 const STARTUP_GRACE: Duration = Duration::from_millis(600);
-/// Longest pause after a first failure; doubled with each that follows.
+/// Maximum pause after the first failure; doubled with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Bound of that pause: all hosts lose the store at the same moment, and pauses drawn at random up
-/// to this bound spread their return over it.
+/// Upper bound of that pause. All hosts lose the store at the same moment; random pauses up to this bound spread their
+/// next calls.
 const MAX_BACKOFF: Duration = Duration::from_millis(900);
 
-/// Name in the log for the store as the source of what is known.
+/// Source in the log of changes that were read from the store.
 const STORE_SOURCE: &str = "store";
 
-/// A call in hand.
+/// A call to the store that awaits its answer.
 #[derive(Debug, Clone, Copy)]
 struct PendingCall {
     number: u64,
     sent: Time,
 }
 
-/// What a whole read brought so far.
+/// The pages of a full read that have arrived so far.
 #[derive(Debug, Default)]
 struct FullRead {
-    /// Revision of the first page, and when it was asked for: what changed since comes by the watch.
+    /// Revision of the first page, and when it was requested; the watch returns later changes.
     first: Option<(i64, Time)>,
     /// Last key of the last page.
     after: Option<Box<str>>,
     changes: Changes,
 }
 
-/// How this host follows the store.
+/// This host's view of the store.
 #[derive(Debug, Default)]
 pub struct View {
-    /// Era of the store to which all revisions here belong; 0 while none was named.
+    /// Era of the store to which all revisions here belong; 0 until one is named.
     pub(super) era: u64,
-    /// Eras that ended since this host's start.
+    /// Number of eras that ended since this host's start.
     ended_eras: u32,
-    /// Revision up to which everything is known.
+    /// Revision up to which all changes are known.
     revision: i64,
-    /// Pages of a whole read; `None` while changes are watched.
+    /// A full read in progress; `None` while changes are watched.
     full_read: Option<FullRead>,
-    /// The page or the watch in hand; none in a pause.
+    /// The page or watch that awaits its answer; `None` during a pause.
     pending: Option<PendingCall>,
-    /// Number of the last page or watch.
+    /// Number of the last page or watch call.
     last_call: u64,
-    /// Number of the last call, probes included.
+    /// Number of the last call of any kind, probes included.
     number: u64,
-    /// Probes, by which a lost call is noticed.
+    /// Probes, which detect lost calls.
     pub(super) probes: probe::Probes,
-    /// For how long the store has answered, as this host and others know.
+    /// How long the store has answered, by this host's calls and the reports of others.
     pub(super) uptime: uptime::Uptime,
-    /// Pages and watches that failed in a row.
+    /// Consecutive failed pages and watches.
     failures: u32,
-    /// Whether the store itself turned the last one away.
+    /// Whether the last of them was rejected by the store or did not reach it.
     refused: bool,
-    /// Whether this host watches for nothing, as another one tells it of changes.
+    /// Whether this host does not watch because the watcher sends it the changes.
     standby: bool,
-    /// Host from which changes are learned, or [`STORE_SOURCE`].
+    /// Host from which changes are received, or [`STORE_SOURCE`].
     source: Option<Box<str>>,
-    /// Changes learned lately, for hosts near by.
+    /// Recent changes, to be sent to other hosts.
     pub(super) history: history::History,
-    /// Latest moment as of which all that the store held was known here.
+    /// Latest time as of which this host knew the whole content of the store.
     fresh_at: Option<Time>,
     started: Time,
-    /// What the log was last told of the store.
+    /// Availability of the store as last logged.
     logged: Option<LoggedState>,
 }
 
-/// What the log was told of the store.
+/// Availability of the store as logged.
 #[derive(Debug, Clone, Copy)]
 struct LoggedState {
     up: bool,
-    /// [`View::current`] at that time.
+    /// [`View::fresh_at`] at that time.
     fresh_at: Option<Time>,
 }
 
 impl View {
-    /// Whether this host watches the store itself and knows what it holds.
+    /// Whether this host watches the store itself and its view is fresh.
     #[must_use]
     pub fn watches(&self, now: Time) -> bool {
         !self.standby && self.full_read.is_none() && self.is_fresh(now)
     }
 
-    /// Returns the latest moment as of which all that the store held was known here.
+    /// Returns the latest time as of which this host knew the whole content of the store.
     #[must_use]
     pub fn fresh_at(&self) -> Option<Time> {
         self.fresh_at
     }
 
-    /// Returns the number of the page or the watch in hand.
+    /// Returns the number of the page or watch that awaits its answer.
     #[cfg(test)]
     pub(super) fn asked_number(&self) -> Option<u64> {
-        self.pending.map(|asked| asked.number)
+        self.pending.map(|call| call.number)
     }
 
-    /// Tells whether what is not known here does not exist, but for the last moments.
+    /// Whether the view is recent enough that an unknown key can be taken as absent from the store.
     #[must_use]
     pub fn is_fresh(&self, now: Time) -> bool {
         self.fresh_at.is_some_and(|at| now.since(at) <= STALE_AFTER)
     }
 
-    /// Takes in that all that the store held at a moment is known.
+    /// Records that the whole content of the store at a time is known.
     pub(super) fn mark_fresh(&mut self, at: Time) {
         self.fresh_at = self.fresh_at.max(Some(at));
     }
 
-    /// Returns the changes that the next message passes on.
+    /// Returns the changes to send with the next message.
     pub(super) fn take_changes(&mut self) -> ReplicatedChanges {
         self.history.next_batch(self.revision)
     }
 
-    /// Says in the log from whom this host learns of changes, where that is another than before.
+    /// Logs from which source this host receives changes, when the source differs from the previous one.
     fn set_source(&mut self, source: &str, out: &mut Effects) {
         if self.source.as_deref() == Some(source) {
             return;
@@ -178,19 +176,19 @@
         self.number
     }
 
-    /// Returns the era of the store to which all that is known belongs; 0 while none was named.
+    /// Returns the era of the store to which the view belongs; 0 until one is named.
     #[must_use]
     pub fn era(&self) -> u64 {
         self.era
     }
 
-    /// Returns how many eras ended since this host's start.
+    /// Returns the number of eras that ended since this host's start.
     #[must_use]
     pub fn ended_eras(&self) -> u32 {
         self.ended_eras
     }
 
-    /// Forgets all that belongs to an era that ended; returns the number of the call in hand.
+    /// Drops everything that belongs to an ended era; returns the number of the pending call.
     fn reset(&mut self) -> Option<u64> {
         self.ended_eras += 1;
         self.revision = 0;
@@ -201,16 +199,16 @@
         self.uptime = uptime::Uptime::default();
         self.history.reset(0);
         self.start_full_read();
-        self.pending.take().map(|asked| asked.number)
+        self.pending.take().map(|call| call.number)
     }
 
-    /// Forgets what was read or watched: every key is read next.
+    /// Discards reads and watches; every key is read next.
     fn start_full_read(&mut self) {
         self.full_read = Some(FullRead::default());
     }
 }
 
-/// Begins to follow the store.
+/// Starts to read and watch the store.
 pub fn start(core: &mut Core, out: &mut Effects) {
     let view = &mut core.relay.view;
     view.started = core.now;
@@ -219,7 +217,7 @@
     probe::start(core, out);
 }
 
-/// Asks for the next page, or for changes.
+/// Requests the next page, or watches for changes after a full read.
 fn request_next(core: &mut Core, out: &mut Effects) {
     let view = &mut core.relay.view;
     view.standby = false;
@@ -241,7 +239,7 @@
     out.push(Effect::Relay(RelayEffect::Ask { number, ask }));
 }
 
-/// Goes on after the pause that followed call `last`, unless that was cut short.
+/// Continues after the pause that followed call `last`, unless the pause was cut short.
 pub fn resume(core: &mut Core, last: u64, out: &mut Effects) {
     let view = &core.relay.view;
     if view.pending.is_none() && view.last_call == last && !view.standby {
@@ -249,17 +247,17 @@
     }
 }
 
-/// Tells whether another host tells this one of changes, and did so lately or is about to.
+/// Whether the watcher sends changes to this host, and did so recently or is expected to soon.
 fn receives_changes(core: &Core) -> bool {
     let view = &core.relay.view;
     let fresh = view
         .fresh_at
         .is_some_and(|at| core.now.since(at) <= MAX_STANDBY_AGE);
-    let begins = core.now.since(view.started) <= STARTUP_GRACE && gossip::has_predecessor(core);
-    fresh && (begins || !gossip::represents_domain(core))
+    let starting = core.now.since(view.started) <= STARTUP_GRACE && gossip::has_predecessor(core);
+    fresh && (starting || !gossip::represents_domain(core))
 }
 
-/// Asks for the next page, or for changes unless another host tells of them.
+/// Requests the next page, or watches for changes unless the watcher sends them.
 fn continue_reading(core: &mut Core, out: &mut Effects) {
     if core.relay.view.full_read.is_none() && receives_changes(core) {
         core.relay.view.standby = true;
@@ -268,16 +266,16 @@
     }
 }
 
-/// Watches again if this host is no longer told of changes.
+/// Watches again if this host is on standby and no longer receives changes.
 pub fn resume_watch(core: &mut Core, out: &mut Effects) {
     if core.relay.view.standby && !receives_changes(core) {
         request_next(core, out);
     }
 }
 
-/// Takes in changes that another host passed on.
+/// Applies changes received from another host.
 ///
-/// Changes that begin after what is known here would leave a gap: the store is asked for those.
+/// Changes that start after the known revision would leave a gap; this host then reads them from the store.
 pub fn apply_replicated(
     core: &mut Core,
     from: &str,
@@ -294,16 +292,16 @@
         }
         return;
     }
-    let at = view.revision;
+    let known = view.revision;
     view.set_source(from, out);
     let events = passage.events.into_iter();
-    let new: Vec<StoreChange> = events.filter(|event| event.revision > at).collect();
+    let new: Vec<StoreChange> = events.filter(|event| event.revision > known).collect();
     view.revision = passage.at;
     if view.full_read.is_none() {
         view.standby = true;
-        if let Some(asked) = view.pending.take() {
-            // It would bring the same once more.
-            out.push(Effect::Relay(RelayEffect::Unask(asked.number)));
+        if let Some(call) = view.pending.take() {
+            // The watch would return the same changes.
+            out.push(Effect::Relay(RelayEffect::Unask(call.number)));
         }
     }
     let changes: Vec<Changes> = new.iter().map(|event| event.changes.clone()).collect();
@@ -313,16 +311,16 @@
     }
 }
 
-fn pause(core: &Core, time: Duration, out: &mut Effects) {
+fn pause(core: &Core, delay: Duration, out: &mut Effects) {
     wake(
         core,
-        time,
+        delay,
         RelayTimer::Follow(core.relay.view.last_call),
         out,
     );
 }
 
-/// Returns the pause between two watches for so many hosts.
+/// Returns the pause between two watches for this number of watching hosts.
 pub(super) fn watch_pause(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
     WATCH_PAUSE_PER_HOST
@@ -330,18 +328,18 @@
         .clamp(WATCH_PAUSE_BOUNDS.0, WATCH_PAUSE_BOUNDS.1)
 }
 
-/// Takes in an answer of the store, or that there is none.
+/// Handles an answer of the store, or its failure.
 pub fn answered(core: &mut Core, number: u64, answer: StoreAnswer, out: &mut Effects) {
     if probe::answered(core, number, &answer, out) {
         return;
     }
     let view = &mut core.relay.view;
-    let Some(asked) = view.pending.take_if(|asked| asked.number == number) else {
-        // It was given up.
+    let Some(call) = view.pending.take_if(|call| call.number == number) else {
+        // The call was abandoned.
         return;
     };
     match answer {
-        StoreAnswer::Page { at, changes, after } => add_page(core, asked, at, changes, after, out),
+        StoreAnswer::Page { at, changes, after } => add_page(core, call, at, changes, after, out),
         StoreAnswer::Changes {
             at,
             changes,
@@ -351,9 +349,9 @@
                 view.set_source(STORE_SOURCE, out);
                 view.history.append(events);
             }
-            handle_changes(core, asked, at, changes, out);
+            handle_changes(core, call, at, changes, out);
         }
-        // Only probes ask for the newest revision: as an answer to anything else it says nothing.
+        // Only probes ask for the newest revision; it is no valid answer to a page or a watch.
         StoreAnswer::Compacted | StoreAnswer::Newest(_) => {
             view.start_full_read();
             retry(core, out);
@@ -366,21 +364,21 @@
     }
 }
 
-/// Asks again after a while.
+/// Schedules the next call after a backoff.
 fn retry(core: &mut Core, out: &mut Effects) {
     let view = &mut core.relay.view;
-    let most = INITIAL_BACKOFF.saturating_mul(1 << view.failures.min(8));
+    let max = INITIAL_BACKOFF.saturating_mul(1 << view.failures.min(8));
     view.failures += 1;
-    let time = most
+    let delay = max
         .min(MAX_BACKOFF)
         .mul_f64(core.rng.random_range(0.3..1.0));
-    pause(core, time, out);
+    pause(core, delay, out);
 }
 
-/// Takes in a page of all keys, and begins to watch after the last one.
+/// Adds a page of a full read, and starts to watch after the last one.
 fn add_page(
     core: &mut Core,
-    asked: PendingCall,
+    call: PendingCall,
     at: i64,
     changes: Changes,
     after: Option<Box<str>>,
@@ -388,7 +386,7 @@
 ) {
     let view = &mut core.relay.view;
     let mut pages = view.full_read.take().unwrap_or_default();
-    let (first, since) = *pages.first.get_or_insert((at, asked.sent));
+    let (first, since) = *pages.first.get_or_insert((at, call.sent));
     pages.changes.extend(changes);
     if after.is_some() {
         pages.after = after;
@@ -410,15 +408,15 @@
     continue_reading(core, out);
 }
 
-/// Takes in what changed, and goes on watching.
+/// Applies the changes that a watch returned, and watches again.
 fn handle_changes(
     core: &mut Core,
-    asked: PendingCall,
+    call: PendingCall,
     at: i64,
     changes: Changes,
     out: &mut Effects,
 ) {
-    // Where one host watches for a failure domain, there are as many as domains.
+    // With one watcher in each failure domain, as many hosts watch as there are domains.
     let hosts = if gossip::represents_domain(core) {
         core.relay.peers.domains.len() + 1
     } else {
@@ -426,63 +424,63 @@
     };
     let view = &mut core.relay.view;
     view.probes.losses = 0;
-    view.mark_fresh(asked.sent);
-    let news = at > view.revision;
+    view.mark_fresh(call.sent);
+    let advanced = at > view.revision;
     view.revision = view.revision.max(at);
     super::changed(core, changes, out);
-    if news {
+    if advanced {
         pause(core, watch_pause(hosts), out);
     } else {
         continue_reading(core, out);
     }
 }
 
-/// Takes in for how long the store has answered, as another host knows.
+/// Handles another host's report of how long the store has answered.
 pub fn uptime_reported(core: &mut Core, report: UptimeReport, out: &mut Effects) {
     core.relay.view.uptime.reported(report, core.now);
     drop_missing(core, out);
 }
 
-/// Takes backend servers without an entry for gone, once the store has been up for as long as lapsed entries
-/// take to come back.
+/// Drops backend servers without an entry once the store has been up for as long as expired entries take to be
+/// written again.
 fn drop_missing(core: &mut Core, out: &mut Effects) {
     if core.relay.view.uptime.length() < instance::MISSING_GRACE {
         return;
     }
     let era = core.relay.view.era;
-    let beliefs = core.relay.instances.drop_missing(era, core.now);
-    super::note_beliefs(beliefs, out);
+    let state_changes = core.relay.instances.drop_missing(era, core.now);
+    super::note_beliefs(state_changes, out);
     peers::drop_unlisted(core, out);
 }
 
-/// Says when the store is taken for away, and when it is back.
+/// Logs when the store becomes unavailable and when it is available again.
 fn log_availability(core: &mut Core, out: &mut Effects) {
     let now = core.now;
     let view = &mut core.relay.view;
     let up = view.is_fresh(now);
-    let same = view.logged.is_some_and(|said| said.up == up);
+    let same = view.logged.is_some_and(|logged| logged.up == up);
     if same || (!up && now.since(view.started) <= STALE_AFTER) {
         return;
     }
-    // When it is back: how long this host had to act on what it knew before.
-    let heard = match view.logged {
-        Some(said) if up => said.fresh_at,
+    // When the store is back: how long this host had to act on its old view.
+    let fresh_at = match view.logged {
+        Some(logged) if up => logged.fresh_at,
         _ => view.fresh_at,
     };
     view.logged = Some(LoggedState {
         up,
         fresh_at: view.fresh_at,
     });
-    let heard = heard.map_or_else(|| "never".into(), |heard| in_ms(now.since(heard)));
+    let fresh_at = fresh_at.map_or_else(|| "never".into(), |fresh_at| in_ms(now.since(fresh_at)));
     let (level, name) = if up {
         (log::Level::Info, "store.up")
     } else {
         (log::Level::Warn, "store.down")
     };
-    note(out, level, name, vec![("heard_ms", heard)]);
+    note(out, level, name, vec![("heard_ms", fresh_at)]);
 }
 
-/// Returns whole milliseconds, for the log.
+/// Formats whole milliseconds for the log.
 fn in_ms(span: Duration) -> Box<str> {
     span.as_millis().to_string().into()
 }
--- a/src/core/relay/view/probe.rs
+++ b/src/core/relay/view/probe.rs
@@ -1,4 +1,4 @@
-//! Probes of the store's newest revision, and the calls that they show to be lost.
+//! Probes of the store's newest revision, and the detection of lost calls by them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,73 +12,74 @@
 use crate::core::time::Time;
 use crate::core::{Core, Effects};
 
-/// Bounds of the time between two probes, drawn anew each time so that hosts do not ask together.
+/// Bounds of the random time between two probes; it is drawn for each probe, so that hosts do not probe in step.
 ///
-/// The upper one, [`LOST_CALL_GRACE`] and [`MAX_CHECK_JITTER`] together stay under the second within which a host must
-/// know what it missed.
+/// The sum of the upper bound, [`LOST_CALL_GRACE`] and [`MAX_CHECK_JITTER`] is less than the second within which a
+/// host must learn of changes that it missed.
 const PROBE_INTERVAL_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(400), Duration::from_millis(650));
-/// Hosts of a failure domain that probe in one round, on average, beside its representative,
-/// while none is answered: that one may be the only host that does not reach the store.
+/// Average number of hosts of a failure domain that probe in one round in addition to its representative, while no
+/// probe is answered: the representative may be the only host that does not reach the store.
 const PROBERS_PER_ROUND: f64 = 3.0;
-/// Time that a call has, beside two of the probe's own, after a later probe was answered.
+/// Time that a call has for its answer after a later probe was answered, in addition to twice the time which the probe
+/// itself took.
 const LOST_CALL_GRACE: Duration = Duration::from_millis(200);
-/// Longest time beyond it, drawn at random, where another host's probe shows it: that one is told to
-/// many at the same moment.
+/// Upper bound of the random time added to that grace after a probe of another host, whose result reaches many hosts
+/// at the same moment.
 const MAX_CHECK_JITTER: Duration = Duration::from_millis(100);
-/// Doublings of [`LOST_CALL_GRACE`], one for each call given up in a row: a page that takes long over a slow
-/// link would otherwise be given up for ever.
+/// Maximum doublings of [`LOST_CALL_GRACE`], one for each consecutive abandoned call. Without them a page that takes
+/// long over a slow link would be abandoned each time and never be read.
 const MAX_GRACE_DOUBLINGS: u32 = 4;
-/// Probes without an answer that are remembered.
+/// Maximum number of unanswered probes that are kept.
 const MAX_PENDING_PROBES: usize = 8;
 
-/// An answered probe, against which older calls are held.
+/// An answered probe. Older calls are checked against it.
 #[derive(Debug, Clone, Copy)]
 struct ProbeResult {
     sent: Time,
     newest: i64,
-    /// Whether another host sent it: then nothing follows for the probes of this one.
+    /// Whether another host sent it; it then says nothing about this host's own probes.
     remote: bool,
 }
 
-/// Probes of this host and of those near by.
+/// Probes of this host and of the other hosts of its failure domain.
 #[derive(Debug, Default)]
 pub struct Probes {
-    /// Those without an answer, by number, and when they were sent.
+    /// When this host's unanswered probes were sent, by call number.
     pending: BTreeMap<u64, Time>,
-    /// The last answered one, of this host or of another one.
+    /// The last answered probe, of this host or of another.
     last: Option<ProbeResult>,
-    /// Whether it is this host's own, and the others were not told.
+    /// Whether it is this host's own and its result was not yet sent to the others.
     unsent: bool,
-    /// What the call in hand is held against, and when its grace is over.
+    /// The probe result that the pending call is checked against, and when the call's grace ends.
     check: Option<(ProbeResult, Time)>,
-    /// Pages and watches given up in a row.
+    /// Consecutive abandoned pages and watches.
     pub(super) losses: u32,
 }
 
 impl Probes {
-    /// Returns what this host's own last answered probe showed, to tell the other hosts.
+    /// Returns the result of the last answered probe for the other hosts, if this host sent that probe.
     pub fn own_report(&mut self, now: Time) -> Option<ProbeReport> {
         self.unsent = false;
-        let own = self.last.filter(|check| !check.remote)?;
+        let own = self.last.filter(|result| !result.remote)?;
         Some(ProbeReport {
             revision: own.newest,
             age: now.since(own.sent),
         })
     }
 
-    /// Returns what the last answered probe showed, whoever sent it, to tell those that hear of
-    /// other hosts by this one.
+    /// Returns the result of the last answered probe of any host, for the hosts that receive other hosts' reports
+    /// through this one.
     pub fn latest_report(&mut self, now: Time) -> Option<ProbeReport> {
         self.unsent = false;
-        let check = self.last?;
+        let result = self.last?;
         Some(ProbeReport {
-            revision: check.newest,
-            age: now.since(check.sent),
+            revision: result.newest,
+            age: now.since(result.sent),
         })
     }
 
-    /// Tells whether the other hosts were not told of it yet.
+    /// Whether the last result was not yet sent to the other hosts.
     #[must_use]
     pub fn has_unsent(&self) -> bool {
         self.unsent
@@ -91,42 +92,42 @@
         }
     }
 
-    /// Tells whether a probe was lost that was sent before an answered one.
-    fn lost_before(&self, check: ProbeResult) -> bool {
+    /// Whether this host lost a probe that it sent before an answered one of its own.
+    fn lost_before(&self, result: ProbeResult) -> bool {
         let first = self.pending.first_key_value();
-        !check.remote && first.is_some_and(|(_, sent)| *sent < check.sent)
+        !result.remote && first.is_some_and(|(_, sent)| *sent < result.sent)
     }
 }
 
 impl View {
-    /// Takes in an answered probe.
-    fn record_probe(&mut self, check: ProbeResult) {
-        self.uptime.answered(check.sent);
-        if self.full_read.is_none() && check.newest <= self.revision {
-            self.mark_fresh(check.sent);
+    /// Records an answered probe.
+    fn record_probe(&mut self, result: ProbeResult) {
+        self.uptime.answered(result.sent);
+        if self.full_read.is_none() && result.newest <= self.revision {
+            self.mark_fresh(result.sent);
         }
         let probes = &mut self.probes;
-        if probes.last.is_none_or(|last| last.sent < check.sent) {
-            probes.last = Some(check);
-            probes.unsent = !check.remote;
+        if probes.last.is_none_or(|last| last.sent < result.sent) {
+            probes.last = Some(result);
+            probes.unsent = !result.remote;
         }
     }
 
-    /// Tells whether the page or watch in hand should have brought something by now, since the
-    /// store answered a probe that was sent after it.
-    fn is_overdue(&self, check: ProbeResult) -> bool {
-        let older = self.pending.is_some_and(|asked| asked.sent < check.sent);
+    /// Whether the pending page or watch should have been answered by now, because the store answered a probe that was
+    /// sent after it; on standby, whether the watcher should have sent changes.
+    fn is_overdue(&self, result: ProbeResult) -> bool {
+        let older = self.pending.is_some_and(|call| call.sent < result.sent);
         (older && self.full_read.is_some())
-            || ((older || self.standby) && check.newest > self.revision)
+            || ((older || self.standby) && result.newest > self.revision)
     }
 }
 
-/// Begins to probe.
+/// Starts to probe.
 pub fn start(core: &mut Core, out: &mut Effects) {
     schedule_probe(core, Duration::ZERO, out);
 }
 
-/// Asks for the time of the next probe, where so much of it has passed.
+/// Schedules the next probe; `passed` is the part of the interval that is already over.
 fn schedule_probe(core: &mut Core, passed: Duration, out: &mut Effects) {
     let after = core
         .rng
@@ -134,17 +135,17 @@
     wake(core, after.saturating_sub(passed), RelayTimer::Probe, out);
 }
 
-/// Asks for the store's newest revision, unless a host near by just did, and says whether the store
-/// is up. One answered probe serves a whole failure domain.
+/// Probes the store unless another host of the failure domain just did, and logs whether the store is available. One
+/// answered probe serves the whole failure domain.
 pub fn probe(core: &mut Core, out: &mut Effects) {
-    let near = gossip::live_neighbours(core) + 1;
+    let hosts = gossip::live_neighbours(core) + 1;
     let represents_domain = gossip::represents_domain(core);
     let view = &mut core.relay.view;
-    let ago = view.probes.last.map(|check| core.now.since(check.sent));
-    if let Some(ago) = ago.filter(|ago| *ago < PROBE_INTERVAL_BOUNDS.0) {
-        schedule_probe(core, ago, out);
+    let since_last = view.probes.last.map(|result| core.now.since(result.sent));
+    if let Some(passed) = since_last.filter(|passed| *passed < PROBE_INTERVAL_BOUNDS.0) {
+        schedule_probe(core, passed, out);
     } else {
-        if represents_domain || core.rng.random::<f64>() * f64::from(near) < PROBERS_PER_ROUND {
+        if represents_domain || core.rng.random::<f64>() * f64::from(hosts) < PROBERS_PER_ROUND {
             let number = view.next_number();
             view.probes.record_sent(number, core.now);
             let ask = Ask::Probe;
@@ -155,25 +156,29 @@
     log_availability(core, out);
 }
 
-/// Takes in what a probe of another host of this failure domain showed.
-pub fn reported(core: &mut Core, newest: ProbeReport, out: &mut Effects) {
-    let check = ProbeResult {
-        sent: core.now.before(newest.age),
-        newest: newest.revision,
+/// Handles the result of a probe of another host of this failure domain.
+pub fn reported(core: &mut Core, report: ProbeReport, out: &mut Effects) {
+    let result = ProbeResult {
+        sent: core.now.before(report.age),
+        newest: report.revision,
         remote: true,
     };
     let view = &mut core.relay.view;
-    if view.probes.last.is_some_and(|last| last.sent >= check.sent) {
+    if view
+        .probes
+        .last
+        .is_some_and(|last| last.sent >= result.sent)
+    {
         return;
     }
-    view.record_probe(check);
+    view.record_probe(result);
     drop_missing(core, out);
-    let spread = core.rng.random_range(Duration::ZERO..MAX_CHECK_JITTER);
-    check_pending_call(core, check, spread, out);
+    let jitter = core.rng.random_range(Duration::ZERO..MAX_CHECK_JITTER);
+    check_pending_call(core, result, jitter, out);
     log_availability(core, out);
 }
 
-/// Takes in the answer to a probe, or that there is none; tells whether it belongs to one.
+/// Handles the answer to a probe or its failure; returns whether the call was a probe.
 pub fn answered(core: &mut Core, number: u64, answer: &StoreAnswer, out: &mut Effects) -> bool {
     let view = &mut core.relay.view;
     let Some(sent) = view.probes.pending.remove(&number) else {
@@ -181,76 +186,76 @@
     };
     match answer {
         StoreAnswer::Newest(newest) => {
-            let check = ProbeResult {
+            let result = ProbeResult {
                 sent,
                 newest: *newest,
                 remote: false,
             };
-            handle_result(core, check, out);
+            handle_result(core, result, out);
         }
-        // Nothing was lost: the store answers, or no call reaches it.
+        // No call was lost: the store rejected it, or was not reached.
         StoreAnswer::Failed { refused: true } => {}
         _ => view.probes.record_sent(number, sent),
     }
     true
 }
 
-/// Takes in what a probe of this host showed.
-fn handle_result(core: &mut Core, check: ProbeResult, out: &mut Effects) {
-    core.relay.view.record_probe(check);
+/// Handles the result of a probe of this host.
+fn handle_result(core: &mut Core, result: ProbeResult, out: &mut Effects) {
+    core.relay.view.record_probe(result);
     drop_missing(core, out);
     let view = &mut core.relay.view;
     if view.failures > 0 && view.pending.is_none() && !view.refused {
-        // The store answers again: the rest of the pause is saved.
+        // The store answers again: the rest of the pause is skipped.
         request_next(core, out);
     } else {
-        let took = core.now.since(check.sent);
-        check_pending_call(core, check, took * 2, out);
+        let took = core.now.since(result.sent);
+        check_pending_call(core, result, took * 2, out);
     }
     log_availability(core, out);
 }
 
-/// Looks whether older calls were lost, where a probe raises the doubt, so long after their grace.
+/// Schedules a check of the pending call if a probe suggests that it was lost, `extra` after its grace.
 ///
-/// The check that is due first counts: one probe may be slow for its connection's sake alone.
-fn check_pending_call(core: &mut Core, check: ProbeResult, more: Duration, out: &mut Effects) {
+/// The check that is due first is kept: a single probe may be slow only because of its connection.
+fn check_pending_call(core: &mut Core, result: ProbeResult, extra: Duration, out: &mut Effects) {
     let view = &mut core.relay.view;
-    if !view.probes.lost_before(check) && !view.is_overdue(check) {
+    if !view.probes.lost_before(result) && !view.is_overdue(result) {
         return;
     }
-    let grace = LOST_CALL_GRACE.saturating_mul(1 << view.probes.losses) + more;
+    let grace = LOST_CALL_GRACE.saturating_mul(1 << view.probes.losses) + extra;
     let due = core.now.after(grace);
     if view.probes.check.is_none_or(|(_, before)| due < before) {
-        view.probes.check = Some((check, due));
+        view.probes.check = Some((result, due));
         wake(core, grace, RelayTimer::Overdue, out);
     }
 }
 
-/// Gives the page or the watch in hand up if it still owes what a later probe showed, or if a probe
-/// beside it was lost: then the store was silent, and it may wait on a connection that stays so.
+/// Abandons the pending page or watch if it still has not returned the revision that a later probe showed, or if a
+/// probe sent beside it was lost: the store was then unresponsive, and the call may wait on a connection that stays so.
 pub fn overdue(core: &mut Core, out: &mut Effects) {
     let view = &mut core.relay.view;
-    let Some((check, due)) = view.probes.check.take() else {
+    let Some((result, due)) = view.probes.check.take() else {
         return;
     };
     if due > core.now {
-        view.probes.check = Some((check, due));
+        view.probes.check = Some((result, due));
         wake(core, due.since(core.now), RelayTimer::Overdue, out);
         return;
     }
-    let silent = view.probes.lost_before(check);
-    if silent {
-        view.probes.pending.retain(|_, sent| *sent >= check.sent);
+    let unresponsive = view.probes.lost_before(result);
+    if unresponsive {
+        view.probes.pending.retain(|_, sent| *sent >= result.sent);
     }
-    if view.standby && view.is_overdue(check) {
-        // What the other host should have passed on is asked for.
+    if view.standby && view.is_overdue(result) {
+        // Reads the changes that the watcher should have sent.
         request_next(core, out);
         return;
     }
-    let older = view.pending.filter(|asked| asked.sent < check.sent);
-    match older.filter(|_| silent || view.is_overdue(check)) {
-        Some(asked) => abandon(core, asked, check, out),
-        // A later probe may have raised a doubt of its own meanwhile.
+    let older = view.pending.filter(|call| call.sent < result.sent);
+    match older.filter(|_| unresponsive || view.is_overdue(result)) {
+        Some(pending) => abandon(core, pending, result, out),
+        // A later probe may suggest a lost call as well.
         None => {
             if let Some(last) = view.probes.last {
                 check_pending_call(core, last, Duration::ZERO, out);
@@ -259,8 +264,8 @@
     }
 }
 
-/// Gives a page or a watch up as lost, and reads every key anew.
-fn abandon(core: &mut Core, asked: PendingCall, check: ProbeResult, out: &mut Effects) {
+/// Abandons a page or a watch as lost, and reads every key again.
+fn abandon(core: &mut Core, pending: PendingCall, result: ProbeResult, out: &mut Effects) {
     let view = &mut core.relay.view;
     let call = match view.full_read {
         Some(_) => "range",
@@ -268,14 +273,14 @@
     };
     let fields = vec![
         ("call", call.into()),
-        ("after_ms", in_ms(core.now.since(asked.sent))),
+        ("after_ms", in_ms(core.now.since(pending.sent))),
         ("at", view.revision.to_string().into()),
-        ("newest", check.newest.to_string().into()),
-        ("probed_ms", in_ms(core.now.since(check.sent))),
+        ("newest", result.newest.to_string().into()),
+        ("probed_ms", in_ms(core.now.since(result.sent))),
     ];
     view.probes.losses = (view.probes.losses + 1).min(MAX_GRACE_DOUBLINGS);
     view.start_full_read();
     note(out, log::Level::Warn, "store.call_lost", fields);
-    out.push(Effect::Relay(RelayEffect::Unask(asked.number)));
+    out.push(Effect::Relay(RelayEffect::Unask(pending.number)));
     request_next(core, out);
 }
--- a/src/core/relay/view/uptime.rs
+++ b/src/core/relay/view/uptime.rs
@@ -1,32 +1,32 @@
-//! The time for which the store has answered without a break, as far as is known.
+//! The time for which the store is known to have answered without interruption.
 //!
-//! A host that was cut off from the store cannot tell by itself whether the store was away. What other hosts
-//! report shows it.
+//! A host that was cut off from the store cannot determine by itself whether the store was unavailable. The reports of
+//! other hosts show it.
 
 use std::time::Duration;
 
 use super::super::event::UptimeReport;
 use crate::core::time::Time;
 
-/// Longest time between two answered calls without a break: that between two probes of a failure domain, and
-/// one lost probe.
+/// Longest time between two answered calls of one uninterrupted span: the time between two probes of a failure domain
+/// with one lost probe between them.
 pub const MAX_GAP: Duration = Duration::from_millis(1500);
 
-/// Span in which the store answered, with no gap over [`MAX_GAP`].
+/// Span in which the store answered with no gap longer than [`MAX_GAP`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Span {
     since: Time,
     until: Time,
 }
 
-/// The latest such span that is known.
+/// The latest known span in which the store answered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Uptime {
     span: Option<Span>,
 }
 
 impl Uptime {
-    /// Takes in that the store answered a call made at a time.
+    /// Records that the store answered a call made at a time.
     pub fn answered(&mut self, at: Time) {
         self.merge(Span {
             since: at,
@@ -34,7 +34,7 @@
         });
     }
 
-    /// Takes in what another host reports.
+    /// Merges the report of another host.
     pub fn reported(&mut self, report: UptimeReport, now: Time) {
         let until = now.before(report.age);
         self.merge(Span {
@@ -43,7 +43,7 @@
         });
     }
 
-    /// Returns what other hosts are to know.
+    /// Returns the span for the other hosts.
     #[must_use]
     pub fn report(&self, now: Time) -> Option<UptimeReport> {
         self.span.map(|span| UptimeReport {
