--- a/src/core/relay/limit.rs
+++ b/src/core/relay/limit.rs
@@ -1,8 +1,8 @@
-//! Limits that backend servers name: the requests a second that they take from all hosts together.
+//! Rate limits that backend servers name in their answers: requests per second from all hosts together.
 //!
-//! Hosts do not ask each other before they send. Each limited server is shared by a few hosts, by rendezvous
-//! hashing of their names, and each of these takes an equal part of the rate; all others send it nothing. A
-//! part for every host would let all of them send one request in the same moment.
+//! Hosts do not coordinate before they send. Rendezvous hashing of the host names assigns each limited server to a few
+//! hosts, each of which gets an equal share of the rate; all others send it nothing. With a share for every host, all
+//! of them could send one request at the same moment.
 
 use std::time::Duration;
 
@@ -13,43 +13,43 @@
 use super::instance::{Instance, short_hash};
 use super::note;
 
-/// Least requests a second that are sent to a limited server: without one now and then, nobody learns that a
-/// limit of zero has ended.
+/// Minimum requests per second that are sent to a limited server: without any request, no host would learn that a limit
+/// of zero has ended.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
-/// Time since a limit was last named after which its server is preferred more and more, until an answer shows whether
-/// it still holds.
+/// Time since a limit was last named after which its server is increasingly preferred, until an answer shows whether
+/// the limit still holds.
 const RECHECK_AFTER: Duration = Duration::from_secs(2);
-/// Milliseconds of delay that are borne for that, for each second beyond that time.
+/// Milliseconds of expected delay that are accepted for that, for each second beyond that time.
 const RECHECK_MS_PER_SECOND: f64 = 50.0;
-/// Time for which a host may save up its part, where that is more than one request.
+/// Time for which a host's share accumulates as a burst, if that is more than one request.
 const BURST_WINDOW: Duration = Duration::from_millis(250);
-/// Time by which reports of hosts may be misplaced against each other on their way.
+/// Maximum error of a report's age: reports of different hosts may arrive out of order by this much.
 const MAX_REPORT_SKEW: Duration = Duration::from_millis(200);
 /// Time for which the end of a limit is reported to other hosts.
 const ENDED_REPORT_TIME: Duration = Duration::from_secs(3);
-/// Limits in one datagram, the latest first.
+/// Maximum number of limits in one datagram; the most recently changed are sent.
 const MAX_REPORTS: usize = 32;
 
-/// What is known of one backend server's limit, and this host's part of it.
+/// The limit of one backend server, and this host's share of it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Limit {
-    /// Requests a second from all hosts together.
+    /// Requests per second from all hosts together.
     rate: Option<f64>,
-    /// As of when that is known.
+    /// Time as of which the rate is known.
     known_at: Time,
     /// When this host learned of the last change.
     changed_at: Option<Time>,
-    /// Whether the last answer named one that cannot be read.
+    /// Whether the last answer named a limit that cannot be parsed.
     unreadable: bool,
-    /// This host's part, in requests a second.
+    /// This host's share, in requests per second.
     share: f64,
-    /// Requests that this host may send, as of `filled`.
+    /// Requests that this host may send, as of `refilled_at`.
     tokens: f64,
     refilled_at: Time,
 }
 
 impl Limit {
-    /// Returns what is known of a server that started at a time: older reports concern the one before it.
+    /// Returns the limit of a server that started at a time; older reports refer to the server before its restart.
     #[must_use]
     pub fn since(start: Time) -> Self {
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns the requests a second that all hosts together may send; `None` where there is no limit.
+    /// Returns the requests per second that all hosts together may send; `None` without a limit.
     #[must_use]
     pub fn rate(&self) -> Option<f64> {
         self.rate
@@ -70,14 +70,14 @@
         self.rate.is_none() || self.available(now) >= 1.0
     }
 
-    /// Returns the time until this host may send a request; `None` where it has no part.
+    /// Returns the time until this host may send a request; `None` without a share.
     #[must_use]
     pub fn wait(&self, now: Time) -> Option<Duration> {
         let missing = (1.0 - self.available(now)).max(0.0);
         (self.share > 0.0).then(|| super::span(missing / self.share * 1000.0))
     }
 
-    /// Returns the milliseconds of delay that are borne to learn whether the limit still holds.
+    /// Returns the milliseconds of expected delay that are accepted to learn whether the limit still holds.
     #[must_use]
     pub fn recheck_bonus(&self, now: Time) -> f64 {
         let overdue = now.since(self.known_at).saturating_sub(RECHECK_AFTER);
@@ -85,7 +85,7 @@
             .map_or(0.0, |_| overdue.as_secs_f64() * RECHECK_MS_PER_SECOND)
     }
 
-    /// Counts a request that is sent.
+    /// Counts a sent request.
     pub fn spend(&mut self, now: Time) {
         if self.rate.is_some() {
             self.tokens = self.available(now) - 1.0;
@@ -95,23 +95,23 @@
 
     fn available(&self, now: Time) -> f64 {
         let gained = self.share * now.since(self.refilled_at).as_secs_f64();
-        let most = (self.share * BURST_WINDOW.as_secs_f64()).max(1.0);
-        (self.tokens + gained).min(most)
+        let max = (self.share * BURST_WINDOW.as_secs_f64()).max(1.0);
+        (self.tokens + gained).min(max)
     }
 
-    /// Sets this host's part from now on.
+    /// Sets this host's share from now on.
     fn set_share(&mut self, share: f64, now: Time) {
         self.tokens = self.available(now);
         self.refilled_at = now;
         self.share = share;
     }
 
-    /// Takes in what holds as of a time; returns whether it is a change.
+    /// Updates the rate as known at a time; returns whether it changed.
     fn update(&mut self, rate: Option<f64>, known: Time, now: Time) -> bool {
-        let begins = self.rate.is_none() && rate.is_some();
-        // Answers overtake each other: one that was sent before the limit was named does not end it. And hosts
+        let starting = self.rate.is_none() && rate.is_some();
+        // Answers may arrive out of order: one sent before the limit was named does not end it. Without the skew, hosts
         // that return each other's reports would make them ever newer.
-        let since = if begins {
+        let since = if starting {
             self.known_at
         } else {
             self.known_at.after(MAX_REPORT_SKEW)
@@ -125,7 +125,7 @@
         }
         self.rate = rate;
         self.changed_at = Some(now);
-        if begins {
+        if starting {
             self.tokens = 0.0;
             self.refilled_at = now;
             self.share = 0.0;
@@ -145,7 +145,7 @@
     }
 }
 
-/// Takes in what an answer names.
+/// Handles the limit that an answer names.
 pub fn observe(core: &mut Core, attempt: AttemptKey, limit: NamedLimit, out: &mut Effects) {
     let Some((backend, sent)) = core
         .relay
@@ -174,7 +174,7 @@
     }
 }
 
-/// Takes in limits that another host knows of.
+/// Handles limits reported by another host.
 pub fn reported(core: &mut Core, from: &str, reports: &[LimitReport], out: &mut Effects) {
     let now = core.now;
     for report in reports {
@@ -188,7 +188,7 @@
     }
 }
 
-/// Returns the limits that other hosts are to know, the latest changes first.
+/// Returns the limits to report to other hosts, the latest changes first.
 #[must_use]
 pub fn reports(core: &Core) -> Vec<LimitReport> {
     let instances = core.relay.instances.arena.values();
@@ -203,14 +203,14 @@
     reports.take(MAX_REPORTS).collect()
 }
 
-/// Whether a limit changed after a time.
+/// Whether any limit changed after a time.
 #[must_use]
 pub fn changed_since(core: &Core, time: Time) -> bool {
     let mut instances = core.relay.instances.arena.values();
     instances.any(|instance| instance.limit.changed_at.is_some_and(|at| at > time))
 }
 
-/// Works this host's parts out anew, after hosts joined or left.
+/// Recomputes this host's shares after hosts joined or left.
 pub fn update_shares(core: &mut Core) {
     let instances = core.relay.instances.arena.iter();
     let limited = instances.filter(|(_, instance)| instance.limit.rate.is_some());
@@ -227,10 +227,10 @@
     core.relay.instances.arena[key].limit.set_share(share, now);
 }
 
-/// Returns this host's part of a server's rate, in requests a second.
+/// Returns this host's share of a server's rate, in requests per second.
 ///
-/// As many hosts share it as requests a second are allowed, so that the one request that each may have saved
-/// up is no more than a second's.
+/// As many hosts share it as requests per second are allowed. The one request that each of them may have accumulated
+/// then adds up to no more than the requests of one second.
 fn share(core: &Core, instance: &Instance) -> f64 {
     let Some(rate) = instance.limit.rate else {
         return 0.0;
@@ -248,9 +248,9 @@
     }
 }
 
-/// Returns the weight of a host for a server: the hosts of the highest share it.
+/// Returns the rendezvous weight of a host for a server: the hosts with the highest weights share it.
 fn rank(host: u32, instance: u32) -> u64 {
-    // The finalizer of splitmix64, which spreads neighbouring inputs evenly.
+    // The finalizer of splitmix64, which distributes similar inputs evenly.
     let mut mixed = u64::from(host) << 32 | u64::from(instance);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/core/relay/tests/config.rs
+++ b/src/core/relay/tests/config.rs
@@ -1,11 +1,11 @@
-//! Configuration and backend servers as the store tells of them.
+//! Configuration and backend servers as read from the store.
 
 use super::*;
 
-/// A host has just started and knows no configuration. Called unknown, a path that the operator
-/// offers would be given up by its caller for good.
+/// A host has just started and has no configuration yet. Guards against answering that a configured path is unknown,
+/// after which its caller would not retry.
 #[test]
-fn without_a_configuration_nothing_is_called_unknown() {
+fn no_path_is_unknown_without_a_configuration() {
     let mut site = Site::blank();
     site.arrive(call("/once/x"));
     let (status, ran, retry) = site.refused().expect("an answer");
@@ -15,23 +15,23 @@
 }
 
 #[test]
-fn a_path_without_a_route_is_unknown_while_the_store_is_followed() {
+fn a_path_without_a_route_is_unknown_while_the_view_is_fresh() {
     let mut site = Site::new();
     site.arrive(call("/none/x"));
     assert_eq!(site.refused().map(|(status, ..)| status), Some(404));
 }
 
-/// The store has turned this host away for a while. A route may have been added meanwhile.
+/// The store has not answered this host for a while, and a route may have been added since.
 #[test]
-fn a_path_without_a_route_may_be_new_while_the_store_is_away() {
+fn a_path_without_a_route_may_be_new_while_the_store_is_unavailable() {
     let mut site = Site::new();
     site.pass(3000);
     site.arrive(call("/none/x"));
     assert_eq!(site.refused().map(|(status, ..)| status), Some(503));
 }
 
-/// A read that was answered late brings an older version. In force, it would send requests where
-/// the operator no longer wants them.
+/// A delayed read returns an older version. Guards against putting it in force, which would send requests along routes
+/// that the operator has removed.
 #[test]
 fn an_older_version_never_comes_back() {
     let mut site = Site::new();
@@ -67,7 +67,7 @@
     assert!((70..130).contains(&count), "{count} of 400");
 }
 
-/// A backend server reports that it is about to end. Sent on, work would be cut with it.
+/// A backend server reports that it is shutting down. Guards against new work there, which would be cut off.
 #[test]
 fn a_leaving_backend_server_gets_nothing_more() {
     let mut site = Site::new();
@@ -82,8 +82,8 @@
     }
 }
 
-/// Entries lapse while the store is away, though their backend servers are well, and are back
-/// within about two seconds; what is still missing then is gone.
+/// Entries expire while the store is unavailable although their backend servers are healthy, and are written again
+/// within about two seconds. Servers whose entries are still missing then get no requests.
 #[test]
 fn entries_missing_after_an_outage_are_used_for_two_seconds() {
     let mut site = Site::new();
@@ -99,8 +99,8 @@
     assert!(site.sent().is_none());
 }
 
-/// A backend server starts again under its old id. It knows nothing of before: prompt parts
-/// counted as held there would be read unplanned.
+/// A backend server restarts under its old id and has lost its KV cache. Guards against counting prefix blocks as held
+/// there, which it would have to prefill in addition to the planned work.
 #[test]
 fn a_restart_under_the_same_id_drops_the_held_parts() {
     let mut site = Site::new();
@@ -119,7 +119,7 @@
     assert!(site.core.relay.instances.arena[key].blocks.is_empty());
 }
 
-/// Another instance answers at an address that was used again. The old one is not asked any more.
+/// Another instance answers at a reused address. Guards against further requests to the old instance.
 #[test]
 fn an_address_reused_by_another_instance_gets_no_requests() {
     let mut site = Site::new();
--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy, as hosts see it.
+//! Hosts after the store is restored from an older copy.
 
 use super::domain::Domain;
 use super::*;
@@ -8,7 +8,7 @@
 use crate::core::relay::{RelayJob, RelayTimer};
 use crate::store::TxnReply;
 
-/// Time after a host first sees an era within which it has read everything anew and is registered again.
+/// Time within which a host that sees a new era has read every key again and is registered again.
 const MAX_CATCH_UP_MS: u64 = 1000;
 
 fn asks(out: &Effects) -> Vec<Ask> {
@@ -26,16 +26,16 @@
     grants.count()
 }
 
-/// Returns a host that knows an era of the store.
-fn known() -> Site {
+/// Returns a host that has seen an era of the store.
+fn in_era() -> Site {
     let mut site = Site::new();
     site.event(RelayEvent::Era(1));
     site
 }
 
-/// Returns such a host beside another one.
-fn known_beside_another() -> Site {
-    let mut site = known();
+/// Returns such a host that also knows another host.
+fn in_era_beside_another() -> Site {
+    let mut site = in_era();
     site.key(
         "hosts/host-0",
         Some(r#"{"addr":"127.0.0.1:9","domain":"z"}"#),
@@ -44,10 +44,10 @@
     site
 }
 
-/// Guards against a host that goes on with a view, a watch and a registration of an era that ended.
+/// Guards against a host that keeps a view, a watch and a registration of an ended era.
 #[test]
 fn a_host_reads_and_registers_anew_in_a_new_era() {
-    let mut site = known();
+    let mut site = in_era();
     site.event(RelayEvent::Era(2));
     assert_eq!(asks(&site.out), [Ask::Page { after: None }]);
     assert!(site.did(|effect| matches!(effect, RelayEffect::Unask(_))));
@@ -55,10 +55,10 @@
     assert_eq!(grants(&out), 1);
 }
 
-/// The first era that a host sees, one that it knows, and one that ended change nothing.
+/// The first era that a host sees, the current one and an earlier one change nothing.
 #[test]
 fn only_a_later_era_is_news() {
-    let mut site = known();
+    let mut site = in_era();
     for era in [1, 0, 1] {
         site.event(RelayEvent::Era(era));
         assert!(asks(&site.out).is_empty(), "era {era}");
@@ -68,27 +68,27 @@
     assert!(asks(&site.out).is_empty());
 }
 
-/// A host's first call is answered in the first era that it sees. Guards against dropping the answer, and a
-/// registration that waits for the next renewal.
+/// The first call of a host is answered in the first era that it sees. Guards against dropping that answer, which
+/// would delay the registration until the next renewal.
 #[test]
 fn the_first_era_drops_no_answer() {
     let mut site = Site::blank();
-    let asked = site.out.iter().find_map(|effect| match effect {
+    let lease_job = site.out.iter().find_map(|effect| match effect {
         Effect::Grant { job, .. } => Some(*job),
         _ => None,
     });
-    let asked = asked.expect("a lease is asked for");
+    let lease_job = lease_job.expect("a lease request");
     site.event(RelayEvent::Era(3));
-    site.reply(asked, StoreResult::Lease(5));
+    site.reply(lease_job, StoreResult::Lease(5));
     let written = |effect: &Effect| matches!(effect, Effect::Txn { .. });
     assert!(site.out.iter().any(written));
 }
 
-/// An answer that was lost in an outage comes after the store's return. Guards against an authority that stands on a
-/// lease of an ended era.
+/// An answer delayed by an outage arrives after the store's return. Guards against an authority that relies on a lease
+/// of an ended era.
 #[test]
 fn an_answer_of_an_ended_era_gives_no_authority() {
-    let mut site = known();
+    let mut site = in_era();
     let lease = RelayJob::AuthorityLease(Time::from_millis(site.now));
     site.reply(Job::Relay(lease, 0), StoreResult::Lease(9));
     site.event(RelayEvent::Era(2));
@@ -105,7 +105,7 @@
         _ => false,
     });
     assert!(!taken);
-    // Nothing is renewed that the store does not know.
+    // No lease is renewed that the store has lost.
     site.apply(Event::Timer(Timer::Relay(RelayTimer::Authority)));
     assert!(
         site.out
@@ -130,7 +130,7 @@
 }
 
 /// Returns a message of another host in an era.
-fn word(number: u64, era: u64, at: i64) -> Gossip {
+fn gossip(number: u64, era: u64, at: i64) -> Gossip {
     let change = StoreChange {
         revision: at,
         changes: Changes {
@@ -157,13 +157,13 @@
     }
 }
 
-/// Two hosts are in different eras for a moment. Guards against taking one's view for the other's: its revisions are
-/// those of other changes.
+/// Two hosts are in different eras for a moment. Guards against adopting a view of another era, where the same
+/// revisions belong to other changes.
 #[test]
 fn a_view_of_another_era_is_not_taken_over() {
-    let mut site = known_beside_another();
+    let mut site = in_era_beside_another();
     site.event(RelayEvent::Era(2));
-    site.event(RelayEvent::Gossiped(Box::new(word(1, 1, 50))));
+    site.event(RelayEvent::Gossiped(Box::new(gossip(1, 1, 50))));
     let version = site
         .core
         .relay
@@ -174,22 +174,22 @@
     assert_eq!(site.core.relay.view.uptime.length(), Duration::ZERO);
 }
 
-/// Guards against a host that goes on in an ended era because it asks the store for nothing itself.
+/// Guards against a host that stays in an ended era because it makes no calls to the store itself.
 #[test]
 fn a_host_learns_of_an_era_from_another_one() {
-    let mut site = known_beside_another();
-    site.event(RelayEvent::Gossiped(Box::new(word(1, 2, 5))));
+    let mut site = in_era_beside_another();
+    site.event(RelayEvent::Gossiped(Box::new(gossip(1, 2, 5))));
     assert_eq!(site.core.relay.view.era(), 2);
     let out = site.pass(MAX_CATCH_UP_MS);
     assert!(asks(&out).contains(&Ask::Page { after: None }));
     assert_eq!(grants(&out), 1);
 }
 
-/// Sizes of a failure domain where each host tells all, and where they report to one.
+/// Sizes of a failure domain in which each host sends to all others, and in which hosts report to an aggregator.
 const DOMAIN_SIZES: [usize; 2] = [5, 30];
 
-/// The store comes back from an older copy, twice in a row. Guards against hosts that keep what was lost, or wait for
-/// revisions that were given out again.
+/// The store is restored from an older copy twice in a row. Guards against hosts that keep lost changes, or that wait
+/// for revisions which the store assigns again.
 #[test]
 fn all_hosts_know_what_the_store_holds_after_restores() {
     for hosts in DOMAIN_SIZES {
@@ -201,7 +201,7 @@
         for copy in [20, 15] {
             domain.restore(copy);
             domain.pass(200);
-            // The operator writes again; the last version is newer than any before.
+            // The operator writes again; the last version is newer than all before.
             domain.store.revision = domain.store.revision.max(45);
             let took = domain.change(&[]);
             assert!(
@@ -213,7 +213,7 @@
     }
 }
 
-/// The host that follows the store for a failure domain is killed as the store comes back.
+/// The watcher of a failure domain is killed as the store is restored.
 #[test]
 fn a_restore_is_known_without_the_watcher() {
     for hosts in DOMAIN_SIZES {
@@ -231,7 +231,7 @@
     }
 }
 
-/// Entries that the copy lacks are written again within two seconds. Guards against dropping their servers meanwhile.
+/// Entries missing from the copy are written again within two seconds. Guards against dropping their servers meanwhile.
 #[test]
 fn servers_that_the_copy_lacks_are_used_until_they_are_written_again() {
     let mut domain = Domain::of(3);
@@ -251,7 +251,8 @@
     }
 }
 
-/// Guards against all hosts calling the store at the same moment: not more in five seconds than after an outage of it.
+/// Guards against all hosts calling the store at the same moment: within five seconds of a restore they make no more
+/// calls than after an outage, apart from the registrations.
 #[test]
 fn a_restore_causes_no_burst_of_calls() {
     let calls = |restore: bool| {
@@ -270,7 +271,8 @@
         domain.store.asked.iter().sum::<u32>() + domain.store.registrations - before
     };
     let (restore, outage) = (calls(true), calls(false));
-    // A registration is a lease and a write for each host; the harness grants no lease, so that it is one here.
+    // A registration is a lease and a write for each host. The harness grants no lease, so that it counts as one
+    // call here.
     assert!(
         restore <= outage + 40 * 2,
         "{restore} after a restore, {outage} after an outage"
--- a/src/core/relay/tests/limit.rs
+++ b/src/core/relay/tests/limit.rs
@@ -1,16 +1,16 @@
-//! Hosts before servers that name limits.
+//! Hosts that send to backend servers with rate limits.
 
 use super::domain::Domain;
 use super::*;
 use crate::core::relay::event::NamedLimit;
 
-/// Time after its first answer that names a limit from which on a host's requests count.
+/// Time after a host's first answer with a limit from which on its requests are counted.
 const LIMIT_GRACE_MS: u64 = 500;
-/// Time after a server first named a limit from which on windows are judged.
+/// Time after a server first named a limit from which on windows are checked.
 const WARM_UP_MS: u64 = 3000;
 /// Length of a window.
 const WINDOW_MS: u64 = 4000;
-/// Milliseconds that a server takes to answer.
+/// Response time of a server.
 const RESPONSE_MS: u64 = 20;
 
 /// Returns the requests allowed in a window.
@@ -18,32 +18,32 @@
     1.5 * rate * 4.0 + 5.0
 }
 
-/// Hosts with callers, and what reached each server.
+/// Hosts under load, and the requests that reached each server.
 struct Load {
     domain: Domain,
-    /// Requests a second at each host.
-    each: u64,
-    /// What each server names in its answers.
+    /// Requests per second at each host.
+    host_rate: u64,
+    /// Limit that each server names in its answers.
     named: BTreeMap<Box<str>, NamedLimit>,
-    /// Answers due: when, host, attempt and server.
+    /// Pending answers: due time, host, attempt and server.
     due: Vec<(u64, usize, AttemptKey, Box<str>)>,
-    /// When a host was first told a limit, by host and server.
-    told: BTreeMap<(usize, Box<str>), u64>,
-    /// Requests that reached each server: when, and from which host.
+    /// Time of the first answer with a limit, by host and server.
+    learned: BTreeMap<(usize, Box<str>), u64>,
+    /// Requests that reached each server: time and host.
     arrived: BTreeMap<Box<str>, Vec<(u64, usize)>>,
     refused: usize,
 }
 
 impl Load {
-    fn new(hosts: usize, each: u64) -> Self {
+    fn new(hosts: usize, host_rate: u64) -> Self {
         let mut domain = Domain::of(hosts);
         domain.pass(2000);
         Self {
             domain,
-            each,
+            host_rate,
             named: BTreeMap::new(),
             due: Vec::new(),
-            told: BTreeMap::new(),
+            learned: BTreeMap::new(),
             arrived: BTreeMap::new(),
             refused: 0,
         }
@@ -53,15 +53,15 @@
         self.named.insert(server.into(), NamedLimit::Rate(rate));
     }
 
-    /// Lets time pass under load.
+    /// Advances the time under load.
     fn pass(&mut self, millis: u64) {
-        let every = 1000 / self.each;
+        let interval = 1000 / self.host_rate;
         for _ in 0..millis {
             self.domain.pass(1);
             let now = self.domain.now;
             for host in 0..self.domain.hosts.len() {
-                let turn = host as u64 * every / self.domain.hosts.len() as u64;
-                if now % every == turn && self.domain.hosts[host].is_some() {
+                let offset = host as u64 * interval / self.domain.hosts.len() as u64;
+                if now % interval == offset && self.domain.hosts[host].is_some() {
                     self.request(host);
                 }
             }
@@ -92,7 +92,7 @@
         for (_, host, attempt, server) in ready {
             let limit = self.named.get(&server).copied().unwrap_or_default();
             if matches!(limit, NamedLimit::Rate(_)) {
-                self.told.entry((host, server)).or_insert(now);
+                self.learned.entry((host, server)).or_insert(now);
             }
             let Some(site) = self.domain.hosts[host].as_mut() else {
                 continue;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns how many hosts take a server for limited.
+    /// Returns the number of hosts that regard a server as limited.
     fn limited(&self, server: &str) -> usize {
         let sites = self.domain.hosts.iter().flatten();
         let limited = sites.filter(|site| {
@@ -116,22 +116,22 @@
         limited.count()
     }
 
-    /// Returns the most requests that reached a server in one judged window, from hosts that knew of its limit.
-    fn most(&self, server: &str) -> usize {
-        let told = |host: usize| self.told.get(&(host, server.into()));
-        let first = self.told.iter().filter(|((_, of), _)| **of == *server);
+    /// Returns the maximum number of requests that reached a server in one checked window from hosts that knew its limit.
+    fn max_in_window(&self, server: &str) -> usize {
+        let learned = |host: usize| self.learned.get(&(host, server.into()));
+        let first = self.learned.iter().filter(|((_, of), _)| **of == *server);
         let Some(first) = first.map(|(_, at)| *at).min() else {
             return 0;
         };
         let all = self.arrived.get(server).into_iter().flatten();
         let known: Vec<u64> = all
             .filter(|(at, host)| {
-                told(*host).is_some_and(|told| at - told.min(at) >= LIMIT_GRACE_MS)
+                learned(*host).is_some_and(|learned| at - learned.min(at) >= LIMIT_GRACE_MS)
             })
             .map(|(at, _)| *at)
             .collect();
-        let judged = known.iter().filter(|at| **at >= first + WARM_UP_MS);
-        judged
+        let checked = known.iter().filter(|at| **at >= first + WARM_UP_MS);
+        checked
             .map(|end| {
                 let window = known
                     .iter()
@@ -142,20 +142,20 @@
             .unwrap_or(0)
     }
 
-    /// Asserts that a server got no more than it allows, and returns how many it got in all.
+    /// Asserts that a server got no more requests than it allows in any checked window.
     fn assert_kept(&self, server: &str, rate: f64) {
-        let most = self.most(server);
+        let max = self.max_in_window(server);
         let hosts = self.domain.hosts.len();
         assert!(
-            most as f64 <= allowed(rate),
-            "{most} from {hosts} hosts at a limit of {rate}, allowed {}",
+            max as f64 <= allowed(rate),
+            "{max} from {hosts} hosts at a limit of {rate}, allowed {}",
             allowed(rate)
         );
     }
 }
 
-/// A server in need names the requests a second that it takes from all hosts together. Guards against hosts
-/// that do not keep to it, or each for itself alone.
+/// An overloaded server names the requests per second that it accepts from all hosts together. Guards against hosts
+/// that exceed this limit, or that each use all of it.
 #[test]
 fn hosts_together_keep_to_a_limit() {
     for hosts in [1, 8, 40] {
@@ -178,10 +178,10 @@
     load.assert_kept("r", 1.2);
 }
 
-/// All servers of a service name limits. Guards against requests that wait for a place nobody will have: what
-/// cannot be sent is refused at once as not run, with a time to come back.
+/// All servers of a service name limits. Guards against requests that wait although no server will accept them: they
+/// are refused immediately as not run, with a time to retry after.
 #[test]
-fn what_no_limit_admits_is_refused_at_once() {
+fn requests_that_no_limit_admits_are_refused_immediately() {
     let mut load = Load::new(8, 10);
     for server in ["p", "q", "r"] {
         load.name(server, 2.0);
@@ -204,7 +204,7 @@
     }
 }
 
-/// Guards against a limit that outlasts the need: once the server names none, it binds no host.
+/// Guards against a limit that is kept after the server stops naming it.
 #[test]
 fn a_limit_that_ended_binds_no_host() {
     for limit in [0.0, 1.2, 6.0] {
@@ -213,14 +213,14 @@
         load.pass(6000);
         assert_eq!(load.limited("r"), 8, "at {limit}");
         load.named.clear();
-        // One request in ten seconds learns that a limit of zero has ended.
+        // One request in ten seconds is enough to learn that a limit of zero has ended.
         load.pass(if limit == 0.0 { 11_000 } else { 4000 });
         assert_eq!(load.limited("r"), 0, "at {limit}");
     }
 }
 
-/// A third of all datagrams is lost, and a host is killed and another frozen meanwhile. Guards against parts
-/// that add up to more than the limit where hosts do not know the same.
+/// A third of all datagrams is lost, one host is killed and another is frozen. Guards against shares that add up to
+/// more than the limit while hosts have different views.
 #[test]
 fn hosts_keep_to_a_limit_despite_loss_kill_and_freeze() {
     for rate in [1.2, 2.3, 6.0] {
@@ -238,8 +238,8 @@
     }
 }
 
-/// Hosts join one after the other while a server is limited. Guards against each new host taking a part before
-/// it knows of the limit or of the other hosts.
+/// Hosts join one after the other while a server is limited. Guards against a new host that takes a share before it
+/// knows the limit or the other hosts.
 #[test]
 fn hosts_that_start_keep_to_a_limit() {
     let mut load = Load::new(9, 10);
@@ -272,8 +272,8 @@
     instances.arena[key].limit.rate()
 }
 
-/// An answer that the server gave before it was in need comes after one that names the limit. Guards against
-/// taking that for the limit's end.
+/// An answer sent before the server was overloaded arrives after one that names the limit. Guards against treating it
+/// as the end of the limit.
 #[test]
 fn an_older_answer_ends_no_limit() {
     let (mut site, first) = alone();
@@ -293,7 +293,7 @@
     assert_eq!(rate(&site), Some(2.0));
 }
 
-/// Guards against a limit that holds on after the server that named it started again.
+/// Guards against a limit that is kept after the server that named it restarted.
 #[test]
 fn a_restart_ends_a_limit() {
     let (mut site, sent) = alone();
@@ -311,7 +311,7 @@
     assert_eq!(rate(&site), None);
 }
 
-/// Guards against a value that is no number beginning, changing or ending a limit.
+/// Guards against a value that is not a number starting, changing or ending a limit.
 #[test]
 fn an_unreadable_limit_changes_nothing() {
     let (mut site, sent) = alone();
--- a/src/core/relay/tests/view/mod.rs
+++ b/src/core/relay/tests/view/mod.rs
@@ -1,4 +1,4 @@
-//! How a host keeps up with a store that falls silent, turns calls away, is slow or loses answers.
+//! A host's view of a store that hangs, rejects calls, is slow or loses answers.
 
 mod probes;
 mod replicated;
@@ -7,57 +7,57 @@
 use crate::core::relay::event::{Ask, StoreAnswer};
 use crate::core::relay::view::watch_pause;
 
-/// Time after the store's return within which a host must know what changed meanwhile.
+/// Time after the store's return within which a host must know all changes.
 const MAX_CATCH_UP_MS: u64 = 1000;
 /// Time between two steps of a run.
 const STEP_MS: u64 = 10;
 
-/// What the store does with calls.
+/// How the store handles calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mood {
+enum StoreMode {
     Answers,
-    /// It takes calls and never answers them; those that wait are not answered either.
-    Silent,
-    /// The same, but a watch that waited before is answered later.
+    /// It accepts calls and never answers them; pending calls are lost too.
+    Hangs,
+    /// The same, but a watch that was pending before is answered later.
     Paused,
-    /// It turns every call away.
-    Refuses,
-    /// Nothing reaches it, and connections are tried again as a kernel does.
+    /// It rejects every call.
+    Rejects,
+    /// No packet reaches it, and connection attempts are repeated as by a kernel.
     Cut,
 }
 
-/// Times after which a kernel repeats the first packet of a connection.
+/// Times after which a kernel sends the first packet of a connection again.
 const SYN_RETRY_MS: [u64; 3] = [1000, 3000, 7000];
-/// Time that a page's or a probe's connection may take.
+/// Connect timeout of a page or a probe.
 const CONNECT_TIMEOUT_MS: u64 = 1500;
 
-/// A store in virtual time, with a configuration whose version is the only thing that changes.
+/// A store in virtual time; only the version of its configuration changes.
 struct Store {
-    mood: Mood,
+    mode: StoreMode,
     revision: i64,
-    /// Calls in hand: what was asked, and when the answer is due.
+    /// Pending calls, and when their answers are due.
     calls: BTreeMap<u64, (Ask, u64)>,
-    /// Time that an answer takes.
-    takes: u64,
-    /// Time that a page takes beyond that.
+    /// Response time.
+    response_ms: u64,
+    /// Additional response time of a page.
     page: u64,
-    /// Pages of a whole read.
+    /// Pages of a full read.
     pages: usize,
-    /// Pages, watches and probes asked for.
+    /// Number of page, watch and probe calls.
     asked: (u32, u32, u32),
-    /// Revisions by which the answers to probes are behind.
+    /// Revisions by which the answers to probes lag behind.
     behind: i64,
-    /// Calls whose connection is not made yet, and when they were made.
+    /// Calls whose connection is not established yet, and when they were made.
     connecting: BTreeMap<u64, (Ask, u64)>,
 }
 
 impl Store {
     fn new() -> Self {
         Self {
-            mood: Mood::Answers,
+            mode: StoreMode::Answers,
             revision: 10,
             calls: BTreeMap::new(),
-            takes: STEP_MS,
+            response_ms: STEP_MS,
             page: 0,
             pages: 1,
             asked: (0, 0, 0),
@@ -78,22 +78,22 @@
     }
 
     fn take(&mut self, number: u64, ask: &Ask, now: u64) {
-        let (count, takes) = match ask {
-            Ask::Page { .. } => (&mut self.asked.0, self.takes + self.page),
-            Ask::Watch { .. } => (&mut self.asked.1, self.takes),
-            Ask::Probe => (&mut self.asked.2, self.takes),
+        let (count, response_ms) = match ask {
+            Ask::Page { .. } => (&mut self.asked.0, self.response_ms + self.page),
+            Ask::Watch { .. } => (&mut self.asked.1, self.response_ms),
+            Ask::Probe => (&mut self.asked.2, self.response_ms),
         };
         *count += 1;
-        if self.mood == Mood::Cut {
+        if self.mode == StoreMode::Cut {
             self.connecting.insert(number, (ask.clone(), now));
-        } else if !matches!(self.mood, Mood::Silent | Mood::Paused) {
-            self.calls.insert(number, (ask.clone(), now + takes));
+        } else if !matches!(self.mode, StoreMode::Hangs | StoreMode::Paused) {
+            self.calls.insert(number, (ask.clone(), now + response_ms));
         }
     }
 
-    /// Returns the answer to a call that is due, if there is one by now.
+    /// Returns the answer to a due call, if there is one yet.
     fn answer(&self, ask: &Ask, due: u64, now: u64) -> Option<StoreAnswer> {
-        if self.mood == Mood::Refuses {
+        if self.mode == StoreMode::Rejects {
             return Some(StoreAnswer::Failed { refused: true });
         }
         Some(match ask {
@@ -125,8 +125,8 @@
         })
     }
 
-    /// Returns the calls whose connection is given up.
-    fn unconnected(&mut self, now: u64) -> Vec<u64> {
+    /// Removes and returns the calls whose connect timeout is over.
+    fn take_timed_out(&mut self, now: u64) -> Vec<u64> {
         let late = |ask: &Ask, at: u64| {
             !matches!(ask, Ask::Watch { .. }) && now >= at + CONNECT_TIMEOUT_MS
         };
@@ -137,41 +137,41 @@
         late
     }
 
-    /// Has the calls reach the store whose first packet is repeated now.
+    /// Delivers the calls whose first packet is sent again now.
     fn connect(&mut self, now: u64) {
         let repeats = |at: u64| SYN_RETRY_MS.iter().any(|after| at + after == now);
         let (ready, later): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.connecting)
             .into_iter()
             .partition(|(_, (_, at))| repeats(*at));
         self.connecting = later;
-        let takes = self.takes;
+        let response_ms = self.response_ms;
         self.calls.extend(
             ready
                 .into_iter()
-                .map(|(number, (ask, _))| (number, (ask, now + takes))),
+                .map(|(number, (ask, _))| (number, (ask, now + response_ms))),
         );
     }
 
-    fn turn(&mut self, mood: Mood) {
-        if mood == Mood::Cut {
+    fn set_mode(&mut self, mode: StoreMode) {
+        if mode == StoreMode::Cut {
             self.calls.clear();
         }
-        if mood == Mood::Silent {
+        if mode == StoreMode::Hangs {
             self.calls.clear();
         }
-        if mood == Mood::Paused {
+        if mode == StoreMode::Paused {
             self.calls
                 .retain(|_, (ask, _)| matches!(ask, Ask::Watch { .. }));
         }
-        self.mood = mood;
+        self.mode = mode;
     }
 }
 
-/// A host, a store, and the calls that the host gave up as lost.
+/// A host, a store, and the number of calls that the host abandoned.
 struct Run {
     site: Site,
     store: Store,
-    given_up: u32,
+    abandoned: u32,
 }
 
 impl Run {
@@ -180,14 +180,14 @@
         let mut run = Self {
             site,
             store,
-            given_up: 0,
+            abandoned: 0,
         };
         let first = run.site.out.clone();
-        run.carry(&first);
+        run.dispatch(&first);
         run
     }
 
-    fn carry(&mut self, effects: &Effects) {
+    fn dispatch(&mut self, effects: &Effects) {
         for effect in effects {
             match effect {
                 Effect::Relay(RelayEffect::Ask { number, ask }) => {
@@ -196,7 +196,7 @@
                 Effect::Relay(RelayEffect::Unask(number)) => {
                     self.store.calls.remove(number);
                     self.store.connecting.remove(number);
-                    self.given_up += 1;
+                    self.abandoned += 1;
                 }
                 _ => {}
             }
@@ -205,15 +205,18 @@
 
     fn step(&mut self) {
         let out = self.site.pass(STEP_MS);
-        self.carry(&out);
+        self.dispatch(&out);
         let now = self.site.now;
-        for number in self.store.unconnected(now) {
+        for number in self.store.take_timed_out(now) {
             let answer = StoreAnswer::Failed { refused: true };
             self.site.event(RelayEvent::Store { number, answer });
             let out = self.site.out.clone();
-            self.carry(&out);
+            self.dispatch(&out);
         }
-        if matches!(self.store.mood, Mood::Silent | Mood::Paused | Mood::Cut) {
+        if matches!(
+            self.store.mode,
+            StoreMode::Hangs | StoreMode::Paused | StoreMode::Cut
+        ) {
             return;
         }
         self.store.connect(now);
@@ -226,7 +229,7 @@
             self.store.calls.remove(&number);
             self.site.event(RelayEvent::Store { number, answer });
             let out = self.site.out.clone();
-            self.carry(&out);
+            self.dispatch(&out);
         }
     }
 
@@ -246,100 +249,100 @@
         let start = self.site.now;
         while !self.knows() {
             self.step();
-            assert!(self.site.now < start + 60_000, "it is never known");
+            assert!(self.site.now < start + 60_000, "the change is never known");
         }
         self.site.now - start
     }
 }
 
-/// Lengths of a silence: shorter and longer than the time between probes, than the bound of a call
-/// and than the wait of a watch.
+/// Lengths of an outage: shorter and longer than the probe interval, than the timeout of a call and than the timeout
+/// of a watch.
 const OUTAGE_MS: [u64; 8] = [50, 300, 650, 1000, 2200, 5000, 12_000, 24_000];
-/// Moments at which it begins, against the host's own calls.
+/// Number of start times of the outage, relative to the host's own calls.
 const START_OFFSETS: u64 = 40;
 
-/// Has the store in a mood at any moment and for any time, with a change in it, and checks when the
-/// host knows the change.
-fn any_moment(mood: Mood, pages: usize, before: u64) {
+/// Puts the store in a mode at various times and for various lengths, with a change meanwhile, and checks when the host
+/// knows the change.
+fn check_outages(mode: StoreMode, pages: usize, before: u64) {
     for length in OUTAGE_MS {
-        for moment in 0..START_OFFSETS {
+        for offset in 0..START_OFFSETS {
             let mut run = Run::start(Store {
                 pages,
                 ..Store::new()
             });
-            run.pass(before + moment * 50);
-            // The host watches again within 150 ms of a change, before the silence or in it.
+            run.pass(before + offset * 50);
+            // The host watches again within 150 ms of a change, before the outage or during it.
             run.store.revision += 1;
-            run.pass(moment % 20 * STEP_MS);
-            run.store.turn(mood);
+            run.pass(offset % 20 * STEP_MS);
+            run.store.set_mode(mode);
             run.pass(length / 2);
             run.store.revision += 1;
             run.pass(length - length / 2);
-            run.store.turn(Mood::Answers);
-            let known = run.until_known();
+            run.store.set_mode(StoreMode::Answers);
+            let took = run.until_known();
             assert!(
-                known <= MAX_CATCH_UP_MS,
-                "{known} ms after {mood:?} of {length} ms at moment {moment}"
+                took <= MAX_CATCH_UP_MS,
+                "{took} ms after {mode:?} of {length} ms at offset {offset}"
             );
-            // And it goes on following.
+            // The host also receives later changes.
             run.pass(3000);
             run.store.revision += 1;
-            let known = run.until_known();
-            assert!(known <= MAX_CATCH_UP_MS, "{known} ms later");
+            let took = run.until_known();
+            assert!(took <= MAX_CATCH_UP_MS, "{took} ms later");
         }
     }
 }
 
-/// Has the store change something in two seconds of silence, and checks when the host knows it.
+/// Makes a change during an outage of two seconds, and checks when the host knows it.
 fn miss_a_change(run: &mut Run) {
-    run.store.turn(Mood::Silent);
+    run.store.set_mode(StoreMode::Hangs);
     run.store.revision += 1;
     run.pass(2000);
-    run.store.turn(Mood::Answers);
-    let known = run.until_known();
-    assert!(known <= MAX_CATCH_UP_MS, "{known} ms");
+    run.store.set_mode(StoreMode::Answers);
+    let took = run.until_known();
+    assert!(took <= MAX_CATCH_UP_MS, "{took} ms");
 }
 
-macro_rules! moments {
-    ($($(#[$story:meta])* $name:ident: $mood:expr, $pages:expr, $before:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() { any_moment($mood, $pages, $before); })*
+macro_rules! outages {
+    ($($(#[$doc:meta])* $name:ident: $mode:expr, $pages:expr, $before:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() { check_outages($mode, $pages, $before); })*
     };
 }
 
-moments! {
-    /// The store takes calls and answers none, while the host waits for changes. What the host waits
-    /// on stays silent also after the store's return: callers met an old configuration for 21 s.
-    a_watch_is_lost_in_a_silence: Mood::Silent, 1, 2000;
-    /// The same, but the watch that waited before is answered: only what is asked in it is lost.
-    a_call_is_sent_into_a_silence: Mood::Paused, 1, 2000;
-    /// The host starts as the store falls silent, in the middle of reading every key.
-    a_page_is_lost_in_a_silence: Mood::Silent, 5, 0;
-    /// The store turns every call away for a while.
-    a_store_turns_calls_away: Mood::Refuses, 1, 2000;
-    /// The host is cut off from the store, and probes whose connection is repeated after the cut are
-    /// answered late: that is no slow store, for which a lost watch is given up seconds later.
-    a_watch_is_lost_in_a_cut: Mood::Cut, 1, 2000;
-    /// The host starts while the store turns every call away.
-    a_store_turns_a_new_host_away: Mood::Refuses, 3, 0;
+outages! {
+    /// The store accepts calls and answers none while a watch is pending, and the watch stays unanswered after the
+    /// store's return. Guards against waiting for that watch, which left callers with an old configuration for 21 s.
+    a_watch_is_lost_in_an_outage: StoreMode::Hangs, 1, 2000;
+    /// The same, but the watch that was pending before is answered: only calls made during the outage are lost.
+    a_call_is_sent_in_an_outage: StoreMode::Paused, 1, 2000;
+    /// The host starts as the store hangs, during its full read.
+    a_page_is_lost_in_an_outage: StoreMode::Hangs, 5, 0;
+    /// The store rejects every call for a while.
+    a_store_rejects_calls: StoreMode::Rejects, 1, 2000;
+    /// The host is cut off from the store, and probes that connect after the cut are answered late. Guards against
+    /// taking the store for slow, which would delay the detection of the lost watch by seconds.
+    a_watch_is_lost_in_a_cut: StoreMode::Cut, 1, 2000;
+    /// The host starts while the store rejects every call.
+    a_store_rejects_a_new_host: StoreMode::Rejects, 3, 0;
 }
 
-/// One connection falls silent for good, and the watch with it; the store answers every other call.
+/// A single connection hangs forever, and the watch with it; the store answers every other call.
 #[test]
 fn a_watch_alone_is_lost() {
-    for moment in 0..START_OFFSETS {
+    for offset in 0..START_OFFSETS {
         let mut run = Run::start(Store::new());
-        run.pass(2000 + moment * 50);
+        run.pass(2000 + offset * 50);
         run.store.calls.retain(|_, (ask, _)| *ask == Ask::Probe);
         run.store.revision += 1;
-        let known = run.until_known();
-        assert!(known <= MAX_CATCH_UP_MS, "{known} ms at moment {moment}");
+        let took = run.until_known();
+        assert!(took <= MAX_CATCH_UP_MS, "{took} ms at offset {offset}");
     }
 }
 
-/// The revision that probes are told is behind what the store holds. A watch lost in a silence is
-/// noticed all the same, by the probes lost beside it.
+/// Probes return a revision that lags behind the store. Guards against missing a watch that was lost in an outage: the
+/// probes lost with it show the loss.
 #[test]
-fn probes_that_are_behind_hide_no_silence() {
+fn lagging_probes_hide_no_outage() {
     let mut run = Run::start(Store {
         behind: 5,
         ..Store::new()
@@ -348,28 +351,28 @@
     miss_a_change(&mut run);
 }
 
-/// The store is fifty times as slow as it should be. Nothing is lost, and hosts that gave calls up
-/// for lost would ask for everything again and again.
+/// The store is fifty times as slow as usual, and no call is lost. Guards against abandoning calls, after which hosts
+/// would read every key again and again.
 #[test]
-fn a_slow_store_is_not_a_silent_one() {
-    for takes in [200, 500, 1200] {
+fn calls_to_a_slow_store_are_not_abandoned() {
+    for response_ms in [200, 500, 1200] {
         let mut run = Run::start(Store {
-            takes,
+            response_ms,
             ..Store::new()
         });
         for _ in 0..20 {
             run.pass(3000);
             run.store.revision += 1;
         }
-        assert_eq!(run.given_up, 0, "at {takes} ms a call");
-        assert_eq!(run.store.asked.0, 1, "at {takes} ms a call");
+        assert_eq!(run.abandoned, 0, "at {response_ms} ms a call");
+        assert_eq!(run.store.asked.0, 1, "at {response_ms} ms a call");
     }
 }
 
-/// Pages come slowly over a narrow link beside probes that are answered at once. Given up each time,
-/// the keys would never be read.
+/// Pages arrive slowly over a narrow link while probes are answered immediately. Guards against abandoning the page
+/// each time, after which the keys would never be read.
 #[test]
-fn a_slow_page_comes_through() {
+fn slow_pages_are_read_eventually() {
     let mut run = Run::start(Store {
         page: 2500,
         pages: 3,
@@ -377,40 +380,39 @@
     });
     run.pass(30_000);
     assert!(run.knows());
-    assert!(run.given_up <= 5, "{} given up", run.given_up);
+    assert!(run.abandoned <= 5, "{} abandoned", run.abandoned);
 }
 
-/// Nothing happens. Watches and probes are all that the store is asked, and a probe costs a tenth.
+/// Nothing changes. The store gets only watches and probes, and a probe costs a tenth of a read.
 #[test]
-fn a_quiet_minute_costs_few_calls() {
+fn an_idle_minute_costs_few_calls() {
     let mut run = Run::start(Store::new());
     run.pass(60_000);
     let (pages, watches, probes) = run.store.asked;
     assert_eq!((pages, watches), (1, 3));
     assert!((92..=150).contains(&probes), "{probes} probes");
-    assert_eq!(run.given_up, 0);
+    assert_eq!(run.abandoned, 0);
 }
 
-/// The store falls silent. After a while the host no longer takes what it knows for all there is: a
-/// path without a route is refused with a time to come back, not called unknown.
+/// The store hangs until the host's view is stale. A path without a route is then refused with a time to retry after,
+/// not answered as unknown.
 #[test]
-fn a_path_without_a_route_may_be_new_in_a_silence() {
+fn a_path_without_a_route_may_be_new_in_an_outage() {
     let mut run = Run::start(Store::new());
     run.pass(5000);
     run.site.arrive(call("/none/x"));
     assert_eq!(run.site.refused().map(|(status, ..)| status), Some(404));
-    run.store.turn(Mood::Silent);
+    run.store.set_mode(StoreMode::Hangs);
     run.pass(2000);
     run.site.arrive(call("/none/x"));
     assert_eq!(run.site.refused().map(|(status, ..)| status), Some(503));
-    run.store.turn(Mood::Answers);
+    run.store.set_mode(StoreMode::Answers);
     run.pass(MAX_CATCH_UP_MS);
     run.site.arrive(call("/none/x"));
     assert_eq!(run.site.refused().map(|(status, ..)| status), Some(404));
 }
 
-/// An answer comes after its call was given up, and after a newer one. It must not undo what is
-/// known since.
+/// An answer arrives after its call was abandoned and after a newer answer. Guards against reverting the view.
 #[test]
 fn a_late_answer_changes_nothing() {
     let mut run = Run::start(Store::new());
@@ -428,10 +430,10 @@
     assert!(run.until_known() <= MAX_CATCH_UP_MS);
 }
 
-/// Every change ends the watch of every host, and the store takes some thousand calls a second from
-/// all of them. Few hosts ask soon; of many, each asks seldom, and all together no more often.
+/// Every change ends the watch of every host, and the store can serve some thousand calls per second in total. The more
+/// hosts there are, the longer each pauses between two watches.
 #[test]
-fn hosts_ask_the_store_less_often_the_more_they_are() {
+fn more_hosts_pause_longer_between_watches() {
     let pause = |hosts| watch_pause(hosts).as_millis();
     assert_eq!(
         [pause(1), pause(9), pause(78), pause(370)],
--- a/src/core/relay/tests/view/probes.rs
+++ b/src/core/relay/tests/view/probes.rs
@@ -1,10 +1,10 @@
-//! How the hosts of a failure domain share their probes of the store.
+//! Probes of the store shared by the hosts of a failure domain.
 
 use super::*;
 use crate::core::relay::event::{Gossip, ProbeReport};
 
-/// Has the host hear that another one's probe, sent so long ago, showed the store's revision.
-fn hear(run: &mut Run, number: u64, age: u64) {
+/// Delivers the result of another host's probe of the given age, which showed the store's revision.
+fn receive(run: &mut Run, number: u64, age: u64) {
     let message = Gossip {
         host: "host-2".into(),
         incarnation: 1,
@@ -17,10 +17,10 @@
     };
     run.site.event(RelayEvent::Gossiped(Box::new(message)));
     let out = run.site.out.clone();
-    run.carry(&out);
+    run.dispatch(&out);
 }
 
-/// Returns a host that knows another one of its failure domain.
+/// Returns a host that knows another host of its failure domain.
 fn beside_another() -> Run {
     let mut run = Run::start(Store::new());
     run.pass(1000);
@@ -30,58 +30,58 @@
     run
 }
 
-/// Another host of the failure domain probes the store and tells of it. This one asks for nothing,
-/// and notices by the other's message that its own watch was lost.
+/// Another host of the failure domain probes the store and sends the results. This host sends no probes, and detects
+/// by the other's message that its own watch was lost.
 #[test]
 fn one_host_probes_for_its_failure_domain() {
     let mut run = beside_another();
     run.pass(1000);
     let before = run.store.asked.2;
     for number in 0..50 {
-        hear(&mut run, number, 5);
+        receive(&mut run, number, 5);
         run.pass(350);
     }
-    assert_eq!(run.store.asked.2, before, "it probes beside the other");
+    assert_eq!(run.store.asked.2, before, "the host sends its own probes");
     assert!(run.site.core.relay.view.is_fresh(run.site.core.now));
     run.store.calls.clear();
     run.store.revision += 1;
-    hear(&mut run, 100, 5);
-    let known = run.until_known();
-    assert!(known < 400, "{known} ms");
-    assert_eq!(run.given_up, 1);
+    receive(&mut run, 100, 5);
+    let took = run.until_known();
+    assert!(took < 400, "{took} ms");
+    assert_eq!(run.abandoned, 1);
 }
 
-/// The host that probed falls silent, or its messages do not arrive. The others probe themselves.
+/// The probing host stops sending, or its messages are lost. The other hosts then probe the store themselves.
 #[test]
 fn a_host_that_receives_no_probe_result_sends_its_own_probe() {
     let mut run = beside_another();
-    hear(&mut run, 1, 5);
+    receive(&mut run, 1, 5);
     miss_a_change(&mut run);
 }
 
-/// A host tells what its own probe showed, once it has; what it heard from another it keeps.
+/// A host sends the result of its own probe, but does not forward a result that it received from another host.
 #[test]
 fn a_probe_result_is_sent_by_the_host_that_probed() {
     let mut run = beside_another();
-    let told = |out: &Effects| {
-        let words = out.iter().filter_map(|effect| match effect {
+    let sent_revision = |out: &Effects| {
+        let reports = out.iter().filter_map(|effect| match effect {
             Effect::Relay(RelayEffect::Publish { message, .. }) => message.newest,
             _ => None,
         });
-        words
+        reports
             .max_by_key(|newest| newest.revision)
             .map(|newest| newest.revision)
     };
     run.pass(1000);
     let out = run.site.pass(600);
-    assert_eq!(told(&out), Some(run.store.revision));
-    hear(&mut run, 2, 0);
+    assert_eq!(sent_revision(&out), Some(run.store.revision));
+    receive(&mut run, 2, 0);
     let out = run.site.pass(300);
-    assert_eq!(told(&out), None);
+    assert_eq!(sent_revision(&out), None);
 }
 
-/// Returns how many probes a host sends in half a minute of a silent store beside so many others.
-fn probes_in_silence(prefix: &str, hosts: u64) -> u32 {
+/// Returns the number of probes that a host sends in half a minute while the store hangs, beside `hosts` others.
+fn probes_in_outage(prefix: &str, hosts: u64) -> u32 {
     let mut run = Run::start(Store::new());
     run.pass(1000);
     let name = |host| format!("{prefix}-{host}");
@@ -90,7 +90,7 @@
         let key = format!("hosts/{}", name(host));
         run.site.key(&key, Some(entry), 3);
     }
-    run.store.turn(Mood::Silent);
+    run.store.set_mode(StoreMode::Hangs);
     let before = run.store.asked.2;
     for number in 0..60 {
         for host in 0..hosts {
@@ -107,15 +107,14 @@
     run.store.asked.2 - before
 }
 
-/// The store is silent for a while before many hosts. They take turns at probing it: all together
-/// would keep it busy when it comes back. The first of them by name probes in every round, so that
-/// none passes without.
+/// The store hangs while many hosts run. Only a few of them probe in each round, since probes of all would load the
+/// store on its return. The first host by name probes in every round, so that no round is without a probe.
 #[test]
-fn many_hosts_take_turns_at_a_silent_store() {
-    let alone = probes_in_silence("host", 0);
+fn many_hosts_share_the_probes_in_an_outage() {
+    let alone = probes_in_outage("host", 0);
     assert!((46..=75).contains(&alone), "{alone}");
-    let first = probes_in_silence("near", 30);
+    let first = probes_in_outage("near", 30);
     assert!((46..=75).contains(&first), "{first}");
-    let other = probes_in_silence("all", 30);
+    let other = probes_in_outage("all", 30);
     assert!((1..=15).contains(&other), "{other}");
 }
--- a/src/core/relay/tests/view/replicated.rs
+++ b/src/core/relay/tests/view/replicated.rs
@@ -1,23 +1,23 @@
-//! How hosts of a failure domain learn from one of them what changes in the store.
+//! Changes of the store that the watcher of a failure domain sends to the other hosts.
 
 use super::*;
 use crate::core::relay::event::{Gossip, ReplicatedChanges, StoreChange};
 use crate::core::relay::tests::domain::Domain;
 
-/// Sizes of a failure domain where each host tells all, and where they report to one.
+/// Sizes of a failure domain in which each host sends to all others, and in which hosts report to an aggregator.
 const DOMAIN_SIZES: [usize; 2] = [5, 30];
 
-/// Returns hosts that know each other and the store for a while.
+/// Returns hosts that have known each other and the store for a while.
 fn settled(hosts: usize) -> Domain {
     let mut domain = Domain::of(hosts);
     domain.pass(3000);
-    // The watches that each began with end with the next change.
+    // The next change ends the watches that the hosts started with.
     domain.change(&[]);
     domain.pass(1500);
     domain
 }
 
-/// Each change ends the watch of every host: calls of the store grow with hosts times changes.
+/// Each change ends the watch of every host. Guards against calls to the store that grow with hosts times changes.
 #[test]
 fn one_host_watches_for_its_failure_domain() {
     for hosts in DOMAIN_SIZES {
@@ -36,7 +36,7 @@
     }
 }
 
-/// The host that watches is killed, and what changes next is passed on by nobody.
+/// The watcher is killed, so that no host sends the next change to the others.
 #[test]
 fn a_killed_watcher_hides_no_change() {
     for hosts in DOMAIN_SIZES {
@@ -50,13 +50,13 @@
         let took = domain.change(&[]);
         assert!(took <= 300, "{took} ms with {hosts} hosts");
         domain.pass(1000);
-        // Another one watches for all.
+        // Another host is the watcher now.
         let asked = domain.store.asked.iter().sum::<u32>() - before;
         assert!(asked <= 3, "{asked} calls with {hosts} hosts");
     }
 }
 
-/// The store answers all hosts but the one that watches: it goes on telling of an old view.
+/// The store answers all hosts except the watcher, which continues to report an old view.
 #[test]
 fn a_watcher_cut_from_the_store_hides_no_change() {
     for hosts in DOMAIN_SIZES {
@@ -65,15 +65,15 @@
         domain.pass(100);
         let took = domain.change(&[0]);
         assert!(took <= MAX_CATCH_UP_MS, "{took} ms with {hosts} hosts");
-        // What the others know reaches no one who watches for them, and they go on by themselves.
+        // The other hosts keep watching the store themselves.
         domain.pass(2000);
         let took = domain.change(&[0]);
         assert!(took <= MAX_CATCH_UP_MS, "{took} ms with {hosts} hosts");
     }
 }
 
-/// The store answers all hosts but the one that watches. Guards against that one acting on an old view for as long,
-/// though its neighbours know better.
+/// The store answers all hosts except the watcher. Guards against the watcher acting on an old view although its
+/// neighbours send it newer changes.
 #[test]
 fn a_watcher_cut_from_the_store_learns_of_changes_by_others() {
     let mut domain = settled(5);
@@ -84,7 +84,7 @@
         assert!(took <= MAX_CATCH_UP_MS, "{took} ms");
         domain.pass(700);
     }
-    // Once it reaches the store again it watches for all.
+    // Once it reaches the store again, it is the watcher again.
     domain.store.unreachable.clear();
     domain.pass(4000);
     let before = domain.store.asked.clone();
@@ -98,7 +98,7 @@
     assert!(asked[1..].iter().all(|asked| *asked == 0), "{asked:?}");
 }
 
-/// The host that watches stands still for two seconds, and wakes with an old view.
+/// The watcher is frozen for two seconds, and resumes with an old view.
 #[test]
 fn a_frozen_watcher_reverts_no_host() {
     for hosts in DOMAIN_SIZES {
@@ -117,11 +117,11 @@
             }
         }
         let took = domain.until_all_know(&[]);
-        assert_eq!(took, 0, "the host that woke never learns");
+        assert_eq!(took, 0, "the resumed host must know the newest version");
     }
 }
 
-/// A third of all datagrams is lost: a change may miss a host in each message that carries it.
+/// A third of all datagrams is lost, so that all messages with a change may miss a host.
 #[test]
 fn lost_messages_hide_no_change() {
     for hosts in DOMAIN_SIZES {
@@ -135,7 +135,7 @@
     }
 }
 
-/// The host that watches reaches the store and not its neighbours.
+/// The watcher reaches the store but not its neighbours.
 #[test]
 fn hosts_that_the_watcher_does_not_reach_watch_themselves() {
     for hosts in DOMAIN_SIZES {
@@ -147,27 +147,27 @@
     }
 }
 
-/// The store falls silent for a while: what changed meanwhile is known a second after its return.
+/// The store hangs for a while. All hosts must know the changes a second after its return.
 #[test]
-fn a_silent_store_hides_no_change_from_standby_hosts() {
+fn an_outage_hides_no_change_from_standby_hosts() {
     for hosts in DOMAIN_SIZES {
-        for silence in [300, 1000, 4000] {
+        for outage_ms in [300, 1000, 4000] {
             let mut domain = settled(hosts);
             domain.store.silent = true;
-            domain.pass(silence / 2);
+            domain.pass(outage_ms / 2);
             domain.store.revision += 1;
-            domain.pass(silence / 2);
+            domain.pass(outage_ms / 2);
             domain.store.silent = false;
             let took = domain.until_all_know(&[]);
             assert!(
                 took <= MAX_CATCH_UP_MS,
-                "{took} ms after {silence} ms with {hosts} hosts"
+                "{took} ms after {outage_ms} ms with {hosts} hosts"
             );
         }
     }
 }
 
-/// All hosts start at once: each reads everything, and few of them watch.
+/// All hosts start at the same time. Each reads every key, and few of them watch.
 #[test]
 fn hosts_that_start_together_make_few_calls() {
     for hosts in DOMAIN_SIZES {
@@ -179,14 +179,14 @@
         domain.until_all_know(&[]);
         for host in 1..hosts {
             let asked = domain.store.asked[host];
-            // One read, and what changed before a host was found that tells of changes, twice at most.
+            // One read, and at most two watches before the host receives changes from the watcher.
             assert!(asked <= 3, "host {host} of {hosts}: {asked}");
         }
     }
 }
 
-/// Returns a host that rests beside one that watches, and the revision that it knows.
-fn resting() -> (Run, i64) {
+/// Returns a host on standby beside a watcher, and the revision that it knows.
+fn on_standby() -> (Run, i64) {
     let mut run = Run::start(Store::new());
     run.pass(1000);
     let entry = r#"{"addr":"10.9.9.9:1","domain":"z"}"#;
@@ -207,7 +207,7 @@
     }
 }
 
-fn hear(run: &mut Run, number: u64, passage: ReplicatedChanges) {
+fn receive(run: &mut Run, number: u64, passage: ReplicatedChanges) {
     let message = Gossip {
         host: "host-0".into(),
         incarnation: 1,
@@ -217,7 +217,7 @@
     };
     run.site.event(RelayEvent::Gossiped(Box::new(message)));
     let out = run.site.out.clone();
-    run.carry(&out);
+    run.dispatch(&out);
 }
 
 fn version(run: &Run) -> u64 {
@@ -225,32 +225,32 @@
     catalog.map_or(0, |catalog| catalog.version)
 }
 
-/// A message that was overtaken, or that repeats what is known, takes nothing back; one that leaves a gap
-/// is not applied.
+/// A message that arrives out of order, or that repeats known changes, reverts nothing; one that leaves a gap is not
+/// applied.
 #[test]
 fn replicated_changes_are_applied_once_and_in_order() {
-    let (mut run, at) = resting();
+    let (mut run, at) = on_standby();
     let passage = |after: i64, to: i64| ReplicatedChanges {
         after,
         at: to,
         events: (after + 1..=to).map(change).collect(),
     };
-    hear(&mut run, 1, passage(at, at + 2));
+    receive(&mut run, 1, passage(at, at + 2));
     assert_eq!(version(&run), u64::try_from(at + 2).expect("positive"));
-    hear(&mut run, 2, passage(at, at + 1));
-    hear(&mut run, 3, passage(at, at + 2));
+    receive(&mut run, 2, passage(at, at + 1));
+    receive(&mut run, 3, passage(at, at + 2));
     assert_eq!(version(&run), u64::try_from(at + 2).expect("positive"));
-    hear(&mut run, 4, passage(at + 3, at + 5));
+    receive(&mut run, 4, passage(at + 3, at + 5));
     assert_eq!(version(&run), u64::try_from(at + 2).expect("positive"));
-    hear(&mut run, 5, passage(at, at + 4));
+    receive(&mut run, 5, passage(at, at + 4));
     assert_eq!(version(&run), u64::try_from(at + 4).expect("positive"));
 }
 
-/// A server's entry is removed and written again. Told once more of both, a host must not take the
-/// server for gone.
+/// A server's entry is removed and written again, and a host receives both changes twice. Guards against dropping the
+/// server.
 #[test]
 fn changes_received_twice_remove_no_server() {
-    let (mut run, at) = resting();
+    let (mut run, at) = on_standby();
     let gone = StoreChange {
         revision: at + 1,
         changes: Changes {
@@ -273,7 +273,7 @@
             at: to,
             events: vec![gone.clone(), back.clone()],
         };
-        hear(&mut run, number, passage);
+        receive(&mut run, number, passage);
         let key = run.site.core.relay.instances.find("s").expect("known");
         assert!(!run.site.core.relay.instances.arena[key].leaving);
     }
