--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -1,4 +1,4 @@
-//! Engines and services: the platform's list, load reports, and this host's own counts.
+//! Engines and services: the platform's list, load reports, and this host's own work there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,27 +13,27 @@
 use super::{Core, Effects, Time, load, order, share};
 use crate::settings::{PoolSettings, Settings};
 
-/// Time between two reads of a back end's load report.
+/// Time between two reads of a backend's load report.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// First time a back end that failed gets no new work; doubled with each failure after it.
+/// Initial backoff after a backend failed; doubled with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest time a back end that failed gets no new work.
+/// Maximum backoff after failures of a backend.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Time peers are told of back ends that are leaving, after the last that began or ceased to.
+/// Time for which peers are sent the leaving backends after that set last changed.
 const LEAVING_NOTICE_TIME: Duration = Duration::from_mins(10);
-/// Most back ends that peers are told of.
+/// Maximum number of backends in such a message.
 const MAX_LEAVING_NAMES: usize = 256;
 
-/// Whether new work goes to a back end.
+/// Whether new work goes to a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ServingState {
-    /// It takes new work.
+    /// It gets new work.
     #[default]
     Serving,
-    /// It is being withdrawn for a change and finishes what it has.
+    /// It is being drained for a change: it finishes its work and gets no new work.
     Withdrawn,
-    /// The platform's list says it is leaving, or no longer names it.
+    /// The platform's list marks it as leaving, or no longer names it.
     Leaving,
 }
 
@@ -46,7 +46,7 @@
     pub settings: PoolSettings,
     /// Its engines, in name order.
     pub engines: Vec<BackendKey>,
-    /// Tokens that answers had and that their callers allowed, older ones counted less.
+    /// Tokens that answers had, and that their callers allowed; both decay with each answer.
     pub answer_tokens: (f64, f64),
 }
 
@@ -59,31 +59,31 @@
     pub kind: EntryKind,
     /// Pool or service it belongs to.
     pub pool: Box<str>,
-    /// Where it listens.
+    /// Address it listens on.
     pub addr: SocketAddr,
     /// Failure domain.
     pub domain: Box<str>,
-    /// What the platform's list says.
+    /// State by the platform's list.
     pub listed: ServingState,
-    /// What the pool's routing state says.
+    /// State by the pool's routing state.
     pub routed: ServingState,
     /// Role by the pool's routing state.
     pub role: Role,
-    /// Streams and calls of this host that run there now.
+    /// Streams and calls of this host that are running there.
     pub streams: u32,
-    /// Prompt tokens this host sent there that have brought no first token yet.
+    /// Prompt tokens that this host sent there and that have produced no first token yet.
     pub prefill: u64,
-    /// Tokens this host's streams there may still generate.
+    /// Tokens that this host's streams there may still generate.
     pub decode: u64,
-    /// Last load report and when it was read.
+    /// Last load report, and when it was read.
     pub report: Option<(Time, Report)>,
-    /// Seconds a prompt token took there, measured over this host's requests; 0 before the first.
+    /// Seconds per prompt token, measured over this host's requests; 0 before the first.
     pub pace: f64,
-    /// What else this host has measured of it.
+    /// Further measurements of this host.
     pub measured: load::Measured,
-    /// Streams of other hosts there, as far as they told.
+    /// Streams of other hosts there, as reported by them.
     pub others: BTreeMap<HostKey, u32>,
-    /// Streams of this host there when the last report was read.
+    /// Streams of this host there when it last sent its own counts, or last read the load report.
     pub reported_streams: u32,
     /// Low half of the hash of the name.
     pub name_hash: u32,
@@ -94,7 +94,7 @@
 }
 
 impl Backend {
-    /// Returns whether new work may go there.
+    /// Whether new work may go there.
     #[must_use]
     pub fn is_available(&self, now: Time) -> bool {
         self.listed == ServingState::Serving
@@ -103,7 +103,7 @@
     }
 }
 
-/// Engines and services as this host knows them.
+/// The engines and services that this host knows.
 #[derive(Debug)]
 pub struct Fleet {
     /// Engines and services.
@@ -115,19 +115,19 @@
     pub services: BTreeMap<Box<str>, Vec<BackendKey>>,
     /// Hosts that the platform's list names.
     pub hosts: BTreeSet<Box<str>>,
-    /// Hosts that the platform's list calls leaving.
+    /// Hosts that the platform's list marks as leaving.
     pub leaving_hosts: BTreeSet<Box<str>>,
     /// When the platform's list was last read.
     pub read_at: Option<Time>,
-    /// Back ends that the list called leaving or no longer named.
+    /// Backends that the list marked as leaving or no longer named.
     leaving_backends: BTreeSet<Box<str>>,
     /// When that set last changed.
     leaving_changed: Time,
-    /// Which peer said that a back end is leaving, where this host's own list does not say so.
+    /// Peer that reported a backend as leaving, for backends that this host's own list does not mark.
     leaving_by_peer: BTreeMap<Box<str>, HostKey>,
-    /// When the other hosts were last told of this host's streams.
+    /// When this host last sent its stream counts to the others.
     pub streams_sent_at: Time,
-    /// Prompt and output tokens sent to each pool since its holder was last told.
+    /// Prompt and output tokens sent to each pool since the last demand report to its holder.
     pub unsent_demand: BTreeMap<Box<str>, (u64, u64)>,
 }
 
@@ -172,27 +172,27 @@
             .filter(move |pool| &*pool.settings.model == model)
     }
 
-    /// Returns the key of a back end.
+    /// Returns the key of a backend.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<BackendKey> {
         self.by_name.get(name).copied()
     }
 
-    /// Counts work sent to a back end.
+    /// Counts work sent to a backend.
     pub fn add_work(&mut self, key: BackendKey, prompt: u64, output: u64) {
         if let Some(backend) = self.arena.get_mut(key) {
             backend.streams += 1;
             backend.prefill += prompt;
             backend.decode += output;
             if backend.kind == EntryKind::Engine {
-                let taken = self.unsent_demand.entry(backend.pool.clone()).or_default();
-                taken.0 += prompt;
-                taken.1 += output;
+                let demand = self.unsent_demand.entry(backend.pool.clone()).or_default();
+                demand.0 += prompt;
+                demand.1 += output;
             }
         }
     }
 
-    /// Counts work that ended at a back end.
+    /// Subtracts work that ended at a backend.
     pub fn remove_work(&mut self, key: BackendKey, prompt: u64, output: u64) {
         if let Some(backend) = self.arena.get_mut(key) {
             backend.streams = backend.streams.saturating_sub(1);
@@ -201,14 +201,14 @@
         }
     }
 
-    /// Notes that a back end answered.
+    /// Records that a backend answered.
     pub fn record_success(&mut self, key: BackendKey) {
         if let Some(backend) = self.arena.get_mut(key) {
             backend.failures = 0;
         }
     }
 
-    /// Notes that a back end failed: it gets no new work for a while.
+    /// Records that a backend failed: it gets no new work for the backoff.
     pub fn record_failure(&mut self, key: BackendKey, now: Time) {
         if let Some(backend) = self.arena.get_mut(key) {
             let factor = 2_u32.saturating_pow(backend.failures.min(8));
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Brings pools and services in line with the arena.
+    /// Rebuilds the members of pools and services from the arena.
     fn regroup(&mut self) {
         for pool in &mut self.pools {
             pool.engines.clear();
@@ -245,7 +245,7 @@
     }
 }
 
-/// Reads the list at once and the reports soon after.
+/// Starts the periodic reads of the list and of the load reports.
 pub fn start(core: &mut Core, out: &mut Effects) {
     timer(core, Timer::Listing, out);
     timer(core, Timer::Reports, out);
@@ -253,7 +253,7 @@
 
 /// Reads the list or the reports.
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
-    let every = if timer == Timer::Listing {
+    let interval = if timer == Timer::Listing {
         out.push(Effect::List);
         send_listing(core, out);
         core.settings.platform.refresh
@@ -267,12 +267,12 @@
         REPORT_INTERVAL
     };
     out.push(Effect::Wake {
-        at: core.now.after(every),
+        at: core.now.after(interval),
         timer,
     });
 }
 
-/// Takes in a list, a report or an order's answer.
+/// Handles a list, a load report, a probe result or an order's result.
 pub fn step(core: &mut Core, event: FleetEvent, out: &mut Effects) {
     match event {
         FleetEvent::Listed(entries) => apply_listing(core, entries, out),
@@ -295,7 +295,7 @@
     }
 }
 
-/// Takes in the platform's list: what it no longer names gets no new work.
+/// Applies the platform's list: backends that it no longer names get no new work.
 fn apply_listing(core: &mut Core, entries: Vec<Entry>, out: &mut Effects) {
     let hosts = entries.iter().filter(|entry| entry.kind == EntryKind::Host);
     share::listed(core, hosts.map(|entry| &*entry.name));
@@ -303,7 +303,7 @@
     let fleet = &mut core.fleet;
     fleet.read_at = Some(now);
     fleet.leaving_by_peer.clear();
-    let mut gone: BTreeSet<Box<str>> = fleet.by_name.keys().cloned().collect();
+    let mut unlisted: BTreeSet<Box<str>> = fleet.by_name.keys().cloned().collect();
     fleet.leaving_hosts.clear();
     fleet.hosts.clear();
     for entry in entries {
@@ -314,7 +314,7 @@
             }
             continue;
         }
-        gone.remove(&entry.name);
+        unlisted.remove(&entry.name);
         let changed = if entry.leaving {
             fleet.leaving_backends.insert(entry.name.clone())
         } else {
@@ -325,7 +325,7 @@
         }
         apply_entry(fleet, entry, out);
     }
-    for name in gone {
+    for name in unlisted {
         let key = fleet.by_name[&name];
         if fleet.leaving_backends.insert(name.clone()) {
             fleet.leaving_changed = now;
@@ -341,7 +341,7 @@
     order::fleet_changed(core, out);
 }
 
-/// Tells peers which back ends are leaving: one of them may be cut off from the list.
+/// Sends the leaving backends to the peers, some of which may be cut off from the list.
 fn send_listing(core: &mut Core, out: &mut Effects) {
     let now = core.now;
     let fleet = &mut core.fleet;
@@ -367,24 +367,24 @@
     }
 }
 
-/// Takes a peer's word on back ends that are leaving, where its list is newer than this host's.
+/// Applies a peer's report of leaving backends if its list is newer than this host's.
 ///
-/// Only the peer that called a back end leaving may call it back: another that never knew of it
-/// does not name it either.
+/// Only the peer that reported a backend as leaving may retract that report: a peer that never knew the backend does
+/// not name it either.
 pub fn receive_listing(core: &mut Core, from: HostKey, listing: &Listing, out: &mut Effects) {
-    let own = core.fleet.read_at;
-    let own = own.map_or(u128::MAX, |read| core.now.since(read).as_millis());
-    if u128::from(listing.age) >= own {
+    let own_read = core.fleet.read_at;
+    let own_age = own_read.map_or(u128::MAX, |read| core.now.since(read).as_millis());
+    if u128::from(listing.age) >= own_age {
         return;
     }
     let fleet = &mut core.fleet;
-    let back: Vec<Box<str>> = fleet
+    let retracted: Vec<Box<str>> = fleet
         .leaving_by_peer
         .iter()
         .filter(|(name, host)| **host == from && !listing.leaving.contains(name))
         .map(|(name, _)| name.clone())
         .collect();
-    for name in back {
+    for name in retracted {
         fleet.leaving_by_peer.remove(&name);
         if let Some(key) = fleet.find(&name) {
             fleet.arena[key].listed = ServingState::Serving;
@@ -395,7 +395,7 @@
             continue;
         };
         if fleet.arena[key].listed != ServingState::Leaving {
-            let text = format!("{name} is leaving by a peer's list");
+            let text = format!("{name} is leaving according to a peer's list");
             out.push(log_event(log::Level::Info, "backend.listed", text));
             fleet.arena[key].listed = ServingState::Leaving;
             fleet.leaving_by_peer.insert(name.clone(), from);
@@ -412,7 +412,10 @@
     if let Some(&key) = fleet.by_name.get(&entry.name) {
         let backend = &mut fleet.arena[key];
         if backend.listed != listed {
-            let text = format!("{} is {listed:?} by the platform's list", entry.name);
+            let text = format!(
+                "{} is {listed:?} according to the platform's list",
+                entry.name
+            );
             out.push(log_event(log::Level::Info, "backend.listed", text));
         }
         backend.listed = listed;
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -1,8 +1,8 @@
-//! What a host knows of the load of engines.
+//! Estimates of the load of engines.
 //!
-//! A host knows its own work at each engine exactly. That of other hosts it knows by what they
-//! tell, as long as they are few enough to tell each other, and otherwise by the engines' reports,
-//! which lag, and by how long its own requests took.
+//! A host knows its own work at each engine exactly. It estimates the work of other hosts from their messages, while
+//! there are few enough hosts to exchange them, and otherwise from the engines' reports, which lag, and from the
+//! duration of its own requests.
 
 use std::time::Duration;
 
@@ -14,68 +14,68 @@
 use super::{Core, Effects, Time};
 use crate::settings::PoolSettings;
 
-/// Age at which what is known of other hosts' work at an engine is worth half, in seconds.
+/// Age at which an engine's report of waiting prompts counts for half.
 ///
-/// Reports lag, so that a busy engine can look idle to every host at once. A backlog of prompts
-/// is gone within a second or so, whatever a report of it says.
+/// Reports lag, so that a busy engine can look idle to every host at the same time. A backlog of prompts is worked off
+/// within about a second, whatever the report says.
 const REPORT_HALF_LIFE_SECS: f64 = 0.5;
-/// Streams that each other host has begun at an engine since it told, for each that this one has:
-/// callers reach all hosts alike.
+/// Streams that each other host is assumed to have started at an engine since its last message, for each that this
+/// host started: all hosts get about as many requests.
 const PEER_STREAM_GROWTH: f64 = 1.0;
-/// Least time between two tellings of streams, most of which last for seconds.
+/// Minimum time between two messages with stream counts; max streams last for seconds.
 const STREAMS_INTERVAL: Duration = Duration::from_millis(900);
 /// Free streams below which an engine counts as busy.
 const MIN_FREE_STREAMS: f64 = 8.0;
-/// Part of the wanted time between tokens up to which streams are given to an engine.
+/// Fraction of the target time between tokens up to which an engine gets streams.
 const MAX_GAP_FRACTION: f64 = 0.9;
-/// Seconds of an engine's work below which a prefill says nothing about its speed: what every
-/// request takes besides hides it.
+/// Seconds of an engine's work below which a prefill is no measurement of its speed, since the fixed overhead of a
+/// request dominates.
 const MIN_MEASURED_SECS: f64 = 0.0625;
-/// Part of the way that the measured pace goes towards each measurement.
+/// Weight of each measurement in the measured pace.
 const PACE_WEIGHT: f64 = 0.1;
-/// Least pace against the nominal one.
+/// Lower bound of the measured pace, as a fraction of the nominal pace.
 ///
-/// Low, because settings may call an engine far slower than it is.
+/// It is low because the settings may describe an engine as far slower than it is.
 const MIN_PACE_FRACTION: f64 = 0.02;
-/// Time without a prompt of this host after which an idle engine is tried in spite of all words.
+/// Time without a prompt of this host after which an idle engine gets one regardless of the other hosts' messages.
 const UNTRIED_AFTER: Duration = Duration::from_secs(1);
-/// Age up to which a report of an idle engine is believed.
+/// Age up to which the report of an idle engine is used.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1500);
-/// Part of the way that the measured slowdown between tokens goes towards each answer's.
+/// Weight of each answer in the measured slowdown between tokens.
 const SLOWDOWN_WEIGHT: f64 = 0.1;
-/// Part of what is known of answers' lengths that one more answer leaves in force.
+/// Factor by which each answer decays the known lengths of earlier answers.
 const LENGTH_DECAY: f64 = 0.99;
-/// Time between tokens of an empty batch, as a part of that of a full one.
+/// Time between tokens of an empty batch, as a fraction of that of a full batch.
 const EMPTY_BATCH_GAP_FRACTION: f64 = 0.25;
-/// Seconds of an engine's work in prompts sent there after which the other hosts are told: finer
-/// news would cost more than it is worth.
+/// Seconds of an engine's work in prompts sent there after which the other hosts get a message. Smaller amounts are
+/// not worth a message.
 const MIN_UNSENT_SECS: f64 = 0.0625;
-/// Peers up to which hosts tell each other what they send: the messages grow with the hosts'
-/// number, and beyond it only reports and measured times speak of other hosts' work.
-const MAX_SHARING_PEERS: usize = 12;
+/// Number of hosts up to which they report to each other what they send. The messages grow with the number of hosts;
+/// beyond it, the work of other hosts is known only by the engines' reports and by measured times.
+const MAX_SHARING_HOSTS: usize = 12;
 
-/// What this host has measured of an engine.
+/// This host's measurements of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Measured {
-    /// Prompt tokens waiting there at a time, of all hosts as far as they told.
+    /// Prompt tokens of this host and of those that report theirs that waited there at `queued_at`.
     queued_tokens: f64,
     queued_at: Time,
     /// When this host last sent a prompt there.
     last_sent: Time,
-    /// Prompt tokens of this host that the others were not told of yet.
+    /// Prompt tokens of this host that were not reported to the others yet.
     unsent: u64,
-    /// Time between tokens against that of an engine of nominal speed; 0 before the first.
+    /// Time between tokens relative to an engine of nominal speed; 0 before the first measurement.
     slowdown: f64,
 }
 
-/// Returns the seconds until an engine gets to a new prompt, by this host's reckoning.
+/// Returns the estimated seconds until an engine starts on a new prompt.
 #[must_use]
 pub fn wait(engine: &Backend, settings: &PoolSettings, now: Time) -> f64 {
     backlog(engine, settings, now) * pace(engine, settings)
 }
 
-/// Returns the prompt tokens waiting at an engine: what hosts sent, less what it has worked
-/// through since, and what its report adds.
+/// Returns the estimated prompt tokens waiting at an engine: those that hosts sent, minus those prefilled since, plus
+/// the excess that its report shows, weighted by the report's age.
 fn backlog(engine: &Backend, settings: &PoolSettings, now: Time) -> f64 {
     let passed = now.since(engine.measured.queued_at).as_secs_f64();
     let left = engine.measured.queued_tokens - passed / pace(engine, settings);
@@ -84,37 +84,36 @@
         return known;
     };
     let age = now.since(*read).as_secs_f64() + f64::from(report.age) / 1000.0;
-    let worth = 0.5_f64.powf(age / REPORT_HALF_LIFE_SECS);
-    known + worth * (report.prefill as f64 - known).max(0.0)
+    let weight = 0.5_f64.powf(age / REPORT_HALF_LIFE_SECS);
+    known + weight * (report.prefill as f64 - known).max(0.0)
 }
 
-/// Returns whether an engine keeps a prompt waiting for more than a part of the wanted time, or
-/// has next to no free stream.
+/// Whether an engine makes a prompt wait for more than a fraction of the target time to the first token, or has almost
+/// no free stream.
 #[must_use]
-pub fn busy(core: &Core, key: BackendKey, patience: f64) -> bool {
+pub fn busy(core: &Core, key: BackendKey, fraction: f64) -> bool {
     let engine = &core.fleet.arena[key];
     settings(core, key).is_some_and(|settings| {
-        let most = settings.first_token.as_secs_f64() * patience;
-        let late = wait(engine, settings, core.now) > most;
+        let max = settings.first_token.as_secs_f64() * fraction;
+        let late = wait(engine, settings, core.now) > max;
         let crowded =
             engine.role != Role::Prefill && free_streams(engine, settings) < MIN_FREE_STREAMS;
         late || crowded
     })
 }
 
-/// Returns the prompt tokens waiting at an engine, by this host's reckoning.
+/// Returns the estimated prompt tokens waiting at an engine.
 #[must_use]
 pub fn queued(core: &Core, key: BackendKey) -> u64 {
     let engine = &core.fleet.arena[key];
     settings(core, key).map_or(0, |settings| to_tokens(backlog(engine, settings, core.now)))
 }
 
-/// Returns whether an engine reports that nothing waits there and this host has sent it nothing
-/// for a while.
+/// Whether an engine reports that nothing waits there and this host has sent it nothing for a while.
 ///
-/// What other hosts tell is reckoned at the pace this host has measured. Where the settings call
-/// an engine far slower than it is, a host that refused every request would never measure it, and
-/// would refuse for ever beside hosts that are served; one request now and then finds out.
+/// The work reported by other hosts is converted at the pace that this host has measured. If the settings describe an
+/// engine as far slower than it is, a host that refuses every request would never measure the engine, and would refuse
+/// forever while other hosts serve theirs. An occasional request measures it.
 #[must_use]
 pub fn is_untried(core: &Core, key: BackendKey) -> bool {
     let engine = &core.fleet.arena[key];
@@ -126,7 +125,7 @@
     unused && engine.streams == 0 && engine.report.as_ref().is_some_and(idle)
 }
 
-/// Counts a prompt that this host sends to an engine, and tells the others.
+/// Counts a prompt that this host sends to an engine, and reports it to the others.
 pub fn record_sent(core: &mut Core, key: BackendKey, prompt: u64, out: &mut Effects) {
     enqueue(core, key, prompt);
     let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
@@ -136,8 +135,8 @@
     let engine = &mut core.fleet.arena[key];
     engine.measured.last_sent = now;
     engine.measured.unsent += prompt;
-    let untold = engine.measured.unsent as f64 * nominal;
-    if untold < MIN_UNSENT_SECS || core.members.count() > MAX_SHARING_PEERS {
+    let unsent = engine.measured.unsent as f64 * nominal;
+    if unsent < MIN_UNSENT_SECS || core.members.count() > MAX_SHARING_HOSTS {
         return;
     }
     let prompt = std::mem::take(&mut engine.measured.unsent);
@@ -151,7 +150,7 @@
     }));
 }
 
-/// Takes in what another host sent to an engine.
+/// Counts prompts that another host sent to an engine.
 pub fn receive_sent(core: &mut Core, sent: Sent) {
     let engines = core.fleet.arena.iter();
     let engine = engines
@@ -163,10 +162,10 @@
     }
 }
 
-/// Tells the other hosts how many streams this host has at each engine.
+/// Sends the number of this host's streams at each engine to the other hosts.
 pub fn send_streams(core: &mut Core, out: &mut Effects) {
     let passed = core.now.since(core.fleet.streams_sent_at);
-    if core.members.count() > MAX_SHARING_PEERS || passed < STREAMS_INTERVAL {
+    if core.members.count() > MAX_SHARING_HOSTS || passed < STREAMS_INTERVAL {
         return;
     }
     core.fleet.streams_sent_at = core.now;
@@ -185,25 +184,25 @@
     }));
 }
 
-/// Takes in how many streams another host has at each engine.
+/// Records the number of streams that another host has at each engine.
 pub fn receive_streams(core: &mut Core, from: HostKey, streams: &[(u32, u32)]) {
     for engine in core.fleet.arena.values_mut() {
-        let told = streams.iter().find(|(seed, _)| *seed == engine.name_hash);
-        // An engine without streams of the sender still has its word: none.
+        let count = streams.iter().find(|(hash, _)| *hash == engine.name_hash);
+        // An engine that the message does not name is recorded with no streams of the sender.
         engine
             .others
-            .insert(from, told.map_or(0, |(_, count)| *count));
+            .insert(from, count.map_or(0, |(_, count)| *count));
     }
 }
 
-/// Forgets what a host told that is gone.
+/// Drops the stream counts of a host that left.
 pub fn forget_host(core: &mut Core, host: HostKey) {
     for engine in core.fleet.arena.values_mut() {
         engine.others.remove(&host);
     }
 }
 
-/// Adds a prompt to what waits at an engine.
+/// Adds a prompt to those waiting at an engine.
 fn enqueue(core: &mut Core, key: BackendKey, prompt: u64) {
     let now = core.now;
     let Some(pace) = settings(core, key).map(|settings| pace(&core.fleet.arena[key], settings))
@@ -216,8 +215,7 @@
     measured.queued_at = now;
 }
 
-/// Returns the seconds between tokens at an engine that gets one more stream; infinite where it
-/// decodes as many as it can.
+/// Returns the seconds between tokens at an engine that gets one more stream; infinite if all its slots are used.
 #[must_use]
 pub fn gap(engine: &Backend, settings: &PoolSettings) -> f64 {
     let streams = streams(engine) + 1.0;
@@ -228,16 +226,15 @@
     slowdown(engine) * nominal_gap(streams, settings)
 }
 
-/// Returns the streams that an engine can take before its time between tokens is too long.
+/// Returns the number of streams that an engine can accept before its time between tokens is too long.
 #[must_use]
 pub fn free_streams(engine: &Backend, settings: &PoolSettings) -> f64 {
     let slots = settings.slots as f64;
     let slowdown = slowdown(engine);
     let full = slots / settings.decode;
     let wanted = settings.between.as_secs_f64() * MAX_GAP_FRACTION / slowdown;
-    let most =
-        slots * (wanted / full - EMPTY_BATCH_GAP_FRACTION) / (1.0 - EMPTY_BATCH_GAP_FRACTION);
-    most.min(slots) - streams(engine)
+    let max = slots * (wanted / full - EMPTY_BATCH_GAP_FRACTION) / (1.0 - EMPTY_BATCH_GAP_FRACTION);
+    max.min(slots) - streams(engine)
 }
 
 fn slowdown(engine: &Backend) -> f64 {
@@ -255,13 +252,14 @@
         * (EMPTY_BATCH_GAP_FRACTION + (1.0 - EMPTY_BATCH_GAP_FRACTION) * streams / slots)
 }
 
-/// Returns the streams of all hosts at an engine, by its report and this host's own count.
+/// Returns the estimated streams of all hosts at an engine, from this host's own count and either the other hosts'
+/// messages or the engine's report.
 fn streams(engine: &Backend) -> f64 {
     let own = f64::from(engine.streams);
     if !engine.others.is_empty() {
         let growth = own - f64::from(engine.reported_streams);
-        let grown = PEER_STREAM_GROWTH * growth.max(0.0) * engine.others.len() as f64;
-        return own + grown + f64::from(engine.others.values().sum::<u32>());
+        let assumed = PEER_STREAM_GROWTH * growth.max(0.0) * engine.others.len() as f64;
+        return own + assumed + f64::from(engine.others.values().sum::<u32>());
     }
     let Some((_, report)) = &engine.report else {
         return own;
@@ -271,8 +269,7 @@
     own + others
 }
 
-/// Returns the seconds that a prompt token takes at an engine, pieces in its cache counted as
-/// tokens that take none.
+/// Returns the seconds per prompt token at an engine; cached blocks count as tokens that take no time.
 #[must_use]
 pub fn pace(engine: &Backend, settings: &PoolSettings) -> f64 {
     if engine.pace > 0.0 {
@@ -282,8 +279,8 @@
     }
 }
 
-/// Learns from a prompt that has been worked through: `ahead` tokens, its own among them, were
-/// to be worked through from `sent` on.
+/// Updates the pace from a finished prefill: from `sent` on, the engine length `ahead` tokens to prefill, the prompt's own
+/// included.
 pub fn learn_prefill(core: &mut Core, key: BackendKey, sent: Time, ahead: u64) {
     let now = core.now;
     let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
@@ -302,24 +299,24 @@
     engine.pace = (before + PACE_WEIGHT * (seen - before)).max(nominal * MIN_PACE_FRACTION);
 }
 
-/// Returns the tokens that an answer is likely to have whose caller allows this many.
+/// Returns the expected tokens of an answer whose caller allows at max `max`.
 #[must_use]
-pub fn expected_tokens(core: &Core, key: BackendKey, most: u32) -> u64 {
+pub fn expected_tokens(core: &Core, key: BackendKey, max: u32) -> u64 {
     let pool = core.fleet.pool(&core.fleet.arena[key].pool);
-    let (had, allowed) = pool.map_or((0.0, 0.0), |pool| {
+    let (length, allowed) = pool.map_or((0.0, 0.0), |pool| {
         core.fleet.pools[usize::from(pool.0)].answer_tokens
     });
-    let part = if allowed > 0.0 { had / allowed } else { 1.0 };
-    to_tokens(f64::from(most) * part)
+    let fraction = if allowed > 0.0 { length / allowed } else { 1.0 };
+    to_tokens(f64::from(max) * fraction)
 }
 
-/// Learns from a whole answer: `tokens` of `most` tokens allowed took `span` from the first to
-/// the last.
-pub fn learn_decode(core: &mut Core, key: BackendKey, span: Duration, tokens: u64, most: u32) {
+/// Updates the slowdown and the length of answers from a complete answer: `tokens` of at max `max` tokens, of which
+/// the last came `span` after the first.
+pub fn learn_decode(core: &mut Core, key: BackendKey, span: Duration, tokens: u64, max: u32) {
     if let Some(pool) = core.fleet.pool(&core.fleet.arena[key].pool) {
-        let (had, allowed) = &mut core.fleet.pools[usize::from(pool.0)].answer_tokens;
-        *had = *had * LENGTH_DECAY + tokens as f64;
-        *allowed = *allowed * LENGTH_DECAY + f64::from(most);
+        let (length, allowed) = &mut core.fleet.pools[usize::from(pool.0)].answer_tokens;
+        *length = *length * LENGTH_DECAY + tokens as f64;
+        *allowed = *allowed * LENGTH_DECAY + f64::from(max);
     }
     if tokens < 2 {
         return;
@@ -350,7 +347,7 @@
     tokens as u64
 }
 
-/// Returns a number that looks random and depends on every bit of `value` (`SplitMix64`).
+/// Returns a pseudo-random number that depends on every bit of `value` (`SplitMix64`).
 #[must_use]
 pub fn mix(value: u64) -> u64 {
     let mut value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/src/core/poison.rs
+++ b/src/core/poison.rs
@@ -1,13 +1,12 @@
-//! Requests that engines died of: refused everywhere once two engines are lost.
+//! Poison requests: requests that crash engines, refused at every host after two crashes.
 //!
-//! An engine that dies takes every request down that it was running, and one of them may be the
-//! cause. Each is a suspect at every host. Those that it had begun to answer are cleared as soon
-//! as there is a suspect of the same death that it had not: engines die when they take a request
-//! up, and the innocent among long answers would otherwise be refused when the one that kills
-//! follows them to their next engine.
+//! A crash ends every request that the engine was running, and any of them may be the cause. Each becomes a suspect at
+//! every host. Suspects that the engine had begun to answer are cleared as soon as the same crash has a suspect that it
+//! had not begun to answer: engines crash when they start on a request. Otherwise, harmless requests with long answers
+//! would be refused when the poison request follows them to their next engine and crashes that one too.
 //!
-//! Requests with the same fingerprint go to the same two engines wherever they arrive, so that
-//! copies sent to several hosts at once cannot take one engine for each host.
+//! Requests with the same fingerprint go to the same two engines from every host, so that copies sent to several hosts
+//! at the same time cannot crash one engine per host.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -21,31 +20,31 @@
 use super::{Core, Effects};
 use crate::error::Kind;
 
-/// Engines that may die while running a request before it is refused.
+/// Number of engines that may crash while running a request before it is refused.
 const MAX_CRASHED_ENGINES: usize = 2;
-/// Time a suspicion lasts.
+/// Time for which a request stays a suspect after its last crash.
 const SUSPICION_TTL: Duration = Duration::from_mins(10);
-/// Fingerprints kept; the oldest are forgotten first.
+/// Maximum number of fingerprints that are kept; the oldest are evicted first.
 const MAX_RECORDS: usize = 4096;
-/// Suspicions told to a host that is new, the latest ones.
+/// Maximum number of suspects that are sent to a new host, the latest first.
 const MAX_SYNCED_SUSPECTS: usize = 512;
-/// Reports of an engine's death within this time, by the hosts' clocks, are of the same death.
+/// Reports of a crash of the same engine within this time, by the hosts' clocks, refer to the same crash.
 const SAME_CRASH_MS: u64 = 5_000;
-/// Most of the wanted time to the first token that copies of a request wait for the engines that
-/// the first of them may have gone to; past it they spread over all.
+/// Fraction of the target time to the first token that requests with the same fingerprint may wait for their two
+/// engines; beyond it they may go to any engine.
 const MAX_WAIT_FRACTION: f64 = 0.5;
 
-/// One engine lost while it ran a request.
+/// A crash of an engine while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Crash {
     engine: Box<str>,
     /// Milliseconds since the Unix epoch.
     at: u64,
-    /// Whether it had begun to answer the request.
+    /// Whether the engine had begun to answer the request.
     answering: bool,
 }
 
-/// What is known of one fingerprint.
+/// The crashes with requests of one fingerprint, and the id of the last such request.
 #[derive(Debug, Clone, Default)]
 struct CrashRecord {
     crashes: Vec<Crash>,
@@ -53,40 +52,42 @@
 }
 
 impl CrashRecord {
-    /// Returns the time of the last death.
+    /// Returns the time of the last crash.
     fn last(&self) -> u64 {
-        self.crashes.iter().map(|death| death.at).max().unwrap_or(0)
+        self.crashes.iter().map(|crash| crash.at).max().unwrap_or(0)
     }
 }
 
-/// Fingerprints under suspicion.
+/// Fingerprints of suspects.
 #[derive(Debug, Default)]
 pub struct PoisonRequests {
     records: BTreeMap<Print, CrashRecord>,
-    /// Engine and time of deaths with a suspect that the engine had not begun to answer.
+    /// Crash times, by engine, of crashes with a suspect that the engine had not begun to answer.
     unanswered_crashes: BTreeMap<Box<str>, Vec<u64>>,
 }
 
 impl PoisonRequests {
-    /// Returns the record of a fingerprint, unless it is too old to count.
-    fn record(&self, print: Print, wall: u64) -> Option<&CrashRecord> {
-        let record = self.records.get(&print)?;
+    /// Returns the record of a fingerprint, unless it has expired.
+    fn record(&self, fingerprint: Print, wall: u64) -> Option<&CrashRecord> {
+        let record = self.records.get(&fingerprint)?;
         let age = Duration::from_millis(wall.saturating_sub(record.last()));
         (age < SUSPICION_TTL).then_some(record)
     }
 
-    /// Returns whether a death counts against the request.
-    fn counts(&self, death: &Crash) -> bool {
-        let taking = self.unanswered_crashes.get(&death.engine);
-        let other = |at: &u64| at.abs_diff(death.at) < SAME_CRASH_MS;
-        !death.answering || !taking.is_some_and(|times| times.iter().any(other))
+    /// Whether a crash counts against the request.
+    fn counts(&self, crash: &Crash) -> bool {
+        let unanswered = self.unanswered_crashes.get(&crash.engine);
+        let other = |at: &u64| at.abs_diff(crash.at) < SAME_CRASH_MS;
+        !crash.answering || !unanswered.is_some_and(|times| times.iter().any(other))
     }
 
-    /// Returns the deaths that count against a fingerprint.
-    fn counted(&self, print: Print, wall: u64) -> Vec<&Crash> {
-        let deaths = self.record(print, wall).map(|record| record.crashes.iter());
-        let deaths = deaths.into_iter().flatten();
-        deaths.filter(|death| self.counts(death)).collect()
+    /// Returns the crashes that count against a fingerprint.
+    fn counted(&self, fingerprint: Print, wall: u64) -> Vec<&Crash> {
+        let crashes = self
+            .record(fingerprint, wall)
+            .map(|record| record.crashes.iter());
+        let crashes = crashes.into_iter().flatten();
+        crashes.filter(|crash| self.counts(crash)).collect()
     }
 }
 
@@ -94,20 +95,20 @@
 ///
 /// # Errors
 ///
-/// Returns [`Kind::EngineKiller`] when engines died of this fingerprint, with the time until it
-/// may be tried again.
-pub fn check(core: &Core, print: Print) -> Result<(), Refusal> {
+/// Returns [`Kind::EngineKiller`] if requests with this fingerprint crashed `MAX_CRASHED_ENGINES` engines, with the
+/// time after which it may be retried.
+pub fn check(core: &Core, fingerprint: Print) -> Result<(), Refusal> {
     let wall = core.wall();
-    let Some(record) = core.poison_requests.record(print, wall) else {
+    let Some(record) = core.poison_requests.record(fingerprint, wall) else {
         return Ok(());
     };
-    let count = core.poison_requests.counted(print, wall).len();
+    let count = core.poison_requests.counted(fingerprint, wall).len();
     if count < MAX_CRASHED_ENGINES {
         return Ok(());
     }
     let age = Duration::from_millis(wall.saturating_sub(record.last()));
     let detail = format!(
-        "{count} engines died while running this request, last as {}",
+        "{count} engines crashed while running this request, last under id {}",
         record.request
     );
     Err(Refusal::new(Kind::EngineKiller, detail)
@@ -115,24 +116,23 @@
         .retry(SUSPICION_TTL.saturating_sub(age)))
 }
 
-/// Adds to `need` the engines that a request with this fingerprint must not go to.
+/// Adds to `need` the engines that a request with this fingerprint must avoid.
 ///
-/// A request of which an engine died goes to one engine, the same from every host. Others go to
-/// one of two as long as these are not busy: the one that has the prompt's prefix and the first
-/// by fingerprint.
-pub fn restrict_engines(core: &Core, need: &mut Need, print: Print) {
-    let takers = available_engines(core, need);
-    let dead: BTreeSet<Box<str>> = {
-        let deaths = core.poison_requests.counted(print, core.wall());
-        deaths.iter().map(|death| death.engine.clone()).collect()
+/// A request that crashed an engine goes to a single engine, the same from every host. Other requests go to one of two
+/// engines while these are not busy: the one with the prompt's prefix and the first one by fingerprint.
+pub fn restrict_engines(core: &Core, need: &mut Need, fingerprint: Print) {
+    let available = available_engines(core, need);
+    let crashed: BTreeSet<Box<str>> = {
+        let crashes = core.poison_requests.counted(fingerprint, core.wall());
+        crashes.iter().map(|crash| crash.engine.clone()).collect()
     };
     let mut allowed = BTreeSet::new();
     for role in [Role::Both, Role::Prefill, Role::Decode] {
         let of_role = |key: &BackendKey| core.fleet.arena[*key].role == role;
-        let mut keys: Vec<BackendKey> = takers.iter().copied().filter(of_role).collect();
-        keys.retain(|key| !dead.contains(&core.fleet.arena[*key].name));
-        keys.sort_by_key(|&key| rank(print, &core.fleet.arena[key].name));
-        if dead.is_empty() {
+        let mut keys: Vec<BackendKey> = available.iter().copied().filter(of_role).collect();
+        keys.retain(|key| !crashed.contains(&core.fleet.arena[*key].name));
+        keys.sort_by_key(|&key| rank(fingerprint, &core.fleet.arena[key].name));
+        if crashed.is_empty() {
             let chosen = engine_pair(core, need, &keys);
             allowed.extend(chosen);
         } else {
@@ -140,7 +140,7 @@
         }
     }
     need.avoid
-        .extend(takers.into_iter().filter(|key| !allowed.contains(key)));
+        .extend(available.into_iter().filter(|key| !allowed.contains(key)));
 }
 
 fn available_engines(core: &Core, need: &Need) -> Vec<BackendKey> {
@@ -151,31 +151,31 @@
         .collect()
 }
 
-/// Returns the two engines for a fingerprint, or all where these are busy.
+/// Returns the two engines for a fingerprint, or all engines if these two are busy.
 fn engine_pair(core: &Core, need: &Need, keys: &[BackendKey]) -> Vec<BackendKey> {
-    let home = route::prefix_engine(core, need, keys);
-    let others = keys.iter().copied().filter(|key| Some(*key) != home);
-    let two: Vec<BackendKey> = home
+    let preferred = route::prefix_engine(core, need, keys);
+    let others = keys.iter().copied().filter(|key| Some(*key) != preferred);
+    let pair: Vec<BackendKey> = preferred
         .into_iter()
         .chain(others)
         .take(MAX_CRASHED_ENGINES)
         .collect();
     let busy = |key: &BackendKey| load::busy(core, *key, MAX_WAIT_FRACTION);
-    if two.iter().all(busy) {
+    if pair.iter().all(busy) {
         keys.to_vec()
     } else {
-        two
+        pair
     }
 }
 
-fn rank(print: Print, engine: &str) -> [u8; 32] {
+fn rank(fingerprint: Print, engine: &str) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(&print.0);
+    hasher.update(&fingerprint.0);
     hasher.update(engine.as_bytes());
     *hasher.finalize().as_bytes()
 }
 
-/// Notes that an engine died while running a request, here and at every peer.
+/// Records that an engine crashed while running a request, here and at every peer.
 pub fn report_crash(core: &mut Core, key: RequestKey, backend: BackendKey, out: &mut Effects) {
     let Some(engine) = core
         .fleet
@@ -193,7 +193,10 @@
         request: request.record.id.clone(),
         answering: request.answering(),
     };
-    let text = format!("{} died while running {}", suspect.engine, suspect.request);
+    let text = format!(
+        "{} crashed while running {}",
+        suspect.engine, suspect.request
+    );
     out.push(log_event(log::Level::Warn, "engine.died", text));
     for to in core.members.peers() {
         let message = Message::Suspect(suspect.clone());
@@ -202,19 +205,20 @@
     receive(core, suspect);
 }
 
-/// Tells a host that is new what this one knows: it would run each suspect once more otherwise.
+/// Sends the known suspects to a new host, which would otherwise run each of them once more.
 pub fn sync_new_host(core: &Core, to: HostKey, out: &mut Effects) {
     let wall = core.wall();
     let requests = &core.poison_requests;
     let records = requests.records.keys();
-    let records = records.filter_map(|print| Some((*print, requests.record(*print, wall)?)));
-    let suspects = records.flat_map(|(print, record)| {
-        let suspect = move |death: &Crash| Suspect {
-            print,
-            engine: death.engine.clone(),
-            at: death.at,
+    let records = records
+        .filter_map(|fingerprint| Some((*fingerprint, requests.record(*fingerprint, wall)?)));
+    let suspects = records.flat_map(|(fingerprint, record)| {
+        let suspect = move |crash: &Crash| Suspect {
+            print: fingerprint,
+            engine: crash.engine.clone(),
+            at: crash.at,
             request: record.request.clone(),
-            answering: death.answering,
+            answering: crash.answering,
         };
         record.crashes.iter().map(suspect)
     });
@@ -227,9 +231,9 @@
     }));
 }
 
-/// Takes in a suspicion, own or a peer's.
+/// Records a suspect reported by this host or by a peer.
 pub fn receive(core: &mut Core, suspect: Suspect) {
-    // A clock that runs ahead must not make a suspicion last longer.
+    // A peer's clock that runs ahead must not extend the suspicion.
     let at = suspect.at.min(core.wall());
     let requests = &mut core.poison_requests;
     if !suspect.answering {
@@ -246,9 +250,9 @@
     let known = record
         .crashes
         .iter_mut()
-        .find(|death| death.engine == suspect.engine && death.at.abs_diff(at) < SAME_CRASH_MS);
-    if let Some(death) = known {
-        death.answering &= suspect.answering;
+        .find(|crash| crash.engine == suspect.engine && crash.at.abs_diff(at) < SAME_CRASH_MS);
+    if let Some(crash) = known {
+        crash.answering &= suspect.answering;
     } else {
         record.crashes.push(Crash {
             engine: suspect.engine,
@@ -260,15 +264,15 @@
     evict_oldest(requests);
 }
 
-/// Forgets the oldest records where there are too many.
+/// Evicts the oldest record if there are too many.
 fn evict_oldest(requests: &mut PoisonRequests) {
     if requests.records.len() > MAX_RECORDS {
         let oldest = requests
             .records
             .iter()
             .min_by_key(|(_, record)| record.last());
-        if let Some(print) = oldest.map(|(print, _)| *print) {
-            requests.records.remove(&print);
+        if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+            requests.records.remove(&fingerprint);
         }
     }
     if requests.unanswered_crashes.len() > MAX_RECORDS {
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -1,32 +1,32 @@
-//! Which engine of a pool should change its role, if any.
+//! Decides which engine of a pool should change its role, if any.
 //!
-//! Demand is what the hosts took in, not what lagging reports say. A change is worth making when
-//! the answers it would save within a horizon outweigh what the engine's absence costs and what
-//! the deployment holds against each change; all are counted in engine seconds.
+//! Demand is the work that hosts accepted, not what lagging reports show. A change is made if the goodput that it saves
+//! within a horizon exceeds the cost of the engine's absence plus the weight that the deployment gives each change. All
+//! are counted in engine seconds.
 
 use super::Time;
 use super::event::Role;
 use super::key::BackendKey;
 use crate::settings::PoolSettings;
 
-/// One engine as the decision sees it.
+/// One engine, as input to the decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// Its key.
     pub key: BackendKey,
     /// Failure domain.
     pub domain: Box<str>,
-    /// Present role.
+    /// Current role.
     pub role: Role,
     /// Whether new work goes there.
     pub serving: bool,
-    /// Streams of all hosts there, as far as hosts have told.
+    /// Streams of all hosts there, as far as hosts reported them.
     pub streams: u32,
-    /// Speed against a nominal engine.
+    /// Speed relative to a nominal engine.
     pub speed: f64,
 }
 
-/// A pool as the decision sees it.
+/// A pool, as input to the decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct View<'a> {
     /// Time of the decision.
@@ -35,52 +35,51 @@
     pub settings: &'a PoolSettings,
     /// Its engines.
     pub engines: &'a [Engine],
-    /// Prompt tokens a second that all hosts took in.
+    /// Prompt tokens per second that all hosts accepted.
     pub prompt: f64,
-    /// Output tokens a second that all hosts took in.
+    /// Output tokens per second that all hosts accepted.
     pub output: f64,
 }
 
-/// Seconds over which demand is averaged.
+/// Time constant of the short-term average of demand.
 ///
-/// Longer than a change takes, so that a swing which would be over before the engine is back is
-/// not followed.
+/// It is longer than a change takes, so that a swing which ends before the engine is back causes no change.
 const SHORT_AVERAGE_SECS: f64 = 12.0;
-/// Seconds over which demand is averaged to see its trend.
+/// Time constant of the long-term average of demand, which gives the trend.
 const LONG_AVERAGE_SECS: f64 = 45.0;
-/// Seconds ahead for which demand is forecast: about what a change takes with its drain.
+/// Time ahead for which demand is forecast: about what a change takes with its drain.
 const FORECAST_SECS: f64 = 8.0;
-/// Seconds over which what a change saves is counted.
+/// Time over which the savings of a change are counted.
 const SAVINGS_HORIZON_SECS: f64 = 60.0;
-/// Seconds that an engine is away for a change, its drain counted.
+/// Time for which an engine is unavailable during a change, its drain included.
 const CHANGE_DOWNTIME_SECS: f64 = 10.0;
-/// Part of the prefill engines' time above which prompts begin to wait too long.
+/// Utilization of the prefill engines above which prompts wait too long.
 const MAX_PREFILL_UTILIZATION: f64 = 0.9;
-/// Part of the decode engines' streams above which answers begin to wait.
+/// Utilization of the decode engines' streams above which answers wait.
 const MAX_DECODE_UTILIZATION: f64 = 0.95;
-/// Seconds for which a change must have looked worth making.
+/// Time for which a change must have been net making before it is made.
 const MIN_STABLE_SECS: f64 = 7.0;
-/// Seconds after a change during which none is made in the other direction, where only the
-/// weight of changes counts; less, the more goodput weighs.
+/// Time after a change during which none is made in the other direction, if only the weight of changes counts. The more
+/// goodput weighs, the shorter it is.
 const REVERSAL_COOLDOWN_SECS: f64 = 60.0;
-/// What a change costs in goodput, in engine seconds, as far as that rest is concerned.
+/// Cost of a change in goodput, in engine seconds, for that time.
 const COOLDOWN_CHANGE_COST_SECS: f64 = 5.0;
-/// Engines of a pool for each of which one may be away at a time.
+/// Number of engines of a pool for each of which one may be unavailable at a time.
 const ENGINES_PER_CHANGE: usize = 20;
 
-/// What the decision remembers between calls.
+/// State of the decision between calls.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct DecisionState {
     last_seen: Option<Time>,
-    short: Work,
-    long: Work,
-    /// Role that looked worth taking on, and since when.
+    short_average: Work,
+    long_average: Work,
+    /// Role for which a change has been net making, and since when.
     candidate: Option<(Role, Time)>,
-    /// Role last taken on, and when.
+    /// Role of the last change, and when it was made.
     last_change: Option<(Role, Time)>,
 }
 
-/// Engine seconds asked for a second.
+/// Engine seconds of work per second.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 struct Work {
     prefill: f64,
@@ -88,16 +87,16 @@
 }
 
 impl Work {
-    /// Returns the average after `part` of the way from here to `other`.
-    fn interpolate(self, other: Self, part: f64) -> Self {
+    /// Interpolates from this to `other` by `fraction`.
+    fn interpolate(self, other: Self, fraction: f64) -> Self {
         Self {
-            prefill: self.prefill + part * (other.prefill - self.prefill),
-            decode: self.decode + part * (other.decode - self.decode),
+            prefill: self.prefill + fraction * (other.prefill - self.prefill),
+            decode: self.decode + fraction * (other.decode - self.decode),
         }
     }
 
-    /// Returns the engine seconds a second whose answers come late or not at all where the
-    /// engines of each role have these speeds in sum.
+    /// Returns the engine seconds per second whose answers are late or missing if the engines of each role have these
+    /// total speeds.
     fn lost(self, speeds: Work) -> f64 {
         let all = self.prefill + self.decode;
         let late = |work: f64, speed: f64| {
@@ -113,7 +112,7 @@
     }
 }
 
-/// A change worth making.
+/// A change net making.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change {
     /// The engine.
@@ -122,19 +121,19 @@
     pub role: Role,
 }
 
-/// Returns the change worth making now, if any; called about once a second by a pool's holder.
+/// Returns the change to make now, if any; called about once a second by a pool's holder.
 #[must_use]
-pub fn decide(view: &View<'_>, memory: &mut DecisionState) -> Option<Change> {
+pub fn decide(view: &View<'_>, state: &mut DecisionState) -> Option<Change> {
     if !view.settings.split {
         return None;
     }
-    let work = update_forecast(view, memory);
-    let away = view.engines.iter().filter(|engine| !engine.serving);
-    if away.count() > view.engines.len() / ENGINES_PER_CHANGE {
+    let work = update_forecast(view, state);
+    let unavailable = view.engines.iter().filter(|engine| !engine.serving);
+    if unavailable.count() > view.engines.len() / ENGINES_PER_CHANGE {
         return None;
     }
     let speeds = speeds(view);
-    if let Some(change) = split_engine(view, work, speeds) {
+    if let Some(change) = assign_role(view, work, speeds) {
         return Some(change);
     }
     let best = [Role::Prefill, Role::Decode]
@@ -142,53 +141,57 @@
         .filter_map(|role| evaluate(view, work, speeds, role))
         .max_by(|one, other| one.0.total_cmp(&other.0));
     let Some((_, change)) = best else {
-        memory.candidate = None;
+        state.candidate = None;
         return None;
     };
-    let since = match memory.candidate {
+    let since = match state.candidate {
         Some((role, since)) if role == change.role => since,
         _ => view.now,
     };
-    memory.candidate = Some((change.role, since));
+    state.candidate = Some((change.role, since));
     let passed = |at: Time| view.now.since(at).as_secs_f64();
-    let back = memory.last_change.is_some_and(|(role, at)| {
+    let reversal = state.last_change.is_some_and(|(role, at)| {
         role != change.role && passed(at) < reversal_cooldown(view.settings)
     });
-    if back || passed(since) < MIN_STABLE_SECS {
+    if reversal || passed(since) < MIN_STABLE_SECS {
         return None;
     }
-    memory.candidate = None;
-    memory.last_change = Some((change.role, view.now));
+    state.candidate = None;
+    state.last_change = Some((change.role, view.now));
     Some(change)
 }
 
 /// Returns the seconds after a change during which none is made in the other direction.
 ///
-/// A deployment that weighs goodput takes a change back soon where it was wrong; one that weighs
-/// changes rather waits whether the mix swings back.
+/// A deployment that weighs goodput reverses a wrong change soon; one that weighs changes waits longer for the mix of
+/// requests to swing back.
 fn reversal_cooldown(settings: &PoolSettings) -> f64 {
     let change = settings.change;
     REVERSAL_COOLDOWN_SECS * change
         / (change + COOLDOWN_CHANGE_COST_SECS * settings.goodput).max(f64::EPSILON)
 }
 
-/// Takes in the demand of the last second, and returns the forecast.
-fn update_forecast(view: &View<'_>, memory: &mut DecisionState) -> Work {
+/// Adds the demand of the last second to the averages, and returns the forecast.
+fn update_forecast(view: &View<'_>, state: &mut DecisionState) -> Work {
     let now = Work {
         prefill: view.prompt / view.settings.prefill,
         decode: view.output / view.settings.decode,
     };
-    let Some(seen) = memory.last_seen.replace(view.now) else {
-        memory.short = now;
-        memory.long = now;
+    let Some(seen) = state.last_seen.replace(view.now) else {
+        state.short_average = now;
+        state.long_average = now;
         return now;
     };
     let passed = view.now.since(seen).as_secs_f64();
-    let part = |over: f64| 1.0 - (-passed / over).exp();
-    memory.short = memory.short.interpolate(now, part(SHORT_AVERAGE_SECS));
-    memory.long = memory.long.interpolate(now, part(LONG_AVERAGE_SECS));
-    let ahead = memory.short.interpolate(
-        memory.long,
+    let weight = |over: f64| 1.0 - (-passed / over).exp();
+    state.short_average = state
+        .short_average
+        .interpolate(now, weight(SHORT_AVERAGE_SECS));
+    state.long_average = state
+        .long_average
+        .interpolate(now, weight(LONG_AVERAGE_SECS));
+    let ahead = state.short_average.interpolate(
+        state.long_average,
         -FORECAST_SECS / (LONG_AVERAGE_SECS - SHORT_AVERAGE_SECS),
     );
     Work {
@@ -197,7 +200,7 @@
     }
 }
 
-/// Returns the speeds of the serving engines of each role in sum.
+/// Returns the total speed of the serving engines of each role.
 fn speeds(view: &View<'_>) -> Work {
     let of = |role: Role| -> f64 {
         let engines = view.engines.iter();
@@ -210,8 +213,8 @@
     }
 }
 
-/// Gives an engine that does both the role that is shorter of engines: a split pool has none.
-fn split_engine(view: &View<'_>, work: Work, speeds: Work) -> Option<Change> {
+/// Assigns an engine with both roles to the role that lacks engines more; a split pool has no engines with both.
+fn assign_role(view: &View<'_>, work: Work, speeds: Work) -> Option<Change> {
     let engine = least_loaded(view, Role::Both)?;
     let prefill = (work.prefill + f64::EPSILON) / (speeds.prefill + f64::EPSILON);
     let decode = (work.decode + f64::EPSILON) / (speeds.decode + f64::EPSILON);
@@ -226,8 +229,7 @@
     })
 }
 
-/// Returns what it is worth that one more engine takes on a role, and which; `None` where it is
-/// not worth a change.
+/// Returns the net benefit of one more engine in a role, and the change; `None` if it is not net a change.
 fn evaluate(view: &View<'_>, work: Work, speeds: Work, role: Role) -> Option<(f64, Change)> {
     let (from, count) = match role {
         Role::Prefill => (Role::Decode, speeds.decode),
@@ -254,18 +256,19 @@
     let now = work.lost(speeds);
     let saved = (now - work.lost(with)) * SAVINGS_HORIZON_SECS;
     let spent = (work.lost(without) - now) * CHANGE_DOWNTIME_SECS;
-    let worth = (saved - spent) * view.settings.goodput - view.settings.change;
+    let net = (saved - spent) * view.settings.goodput - view.settings.change;
     let change = Change {
         engine: engine.key,
         role,
     };
-    (worth > 0.0).then_some((worth, change))
+    (net > 0.0).then_some((net, change))
 }
 
-/// Returns the serving engine of a role with the fewest streams.
+/// Returns the serving engine of a role with the fewest streams, from the failure domain with the most engines of that
+/// role.
 ///
-/// The failure domain with the most engines of the role gives one up, so that the loss of a
-/// failure domain takes no role from the pool.
+/// Engines of a role thereby stay spread over the failure domains, so that the loss of one domain removes no role from
+/// the pool.
 fn least_loaded<'a>(view: &View<'a>, role: Role) -> Option<&'a Engine> {
     let of_role = || {
         let engines = view.engines.iter();
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -1,8 +1,8 @@
-//! Which back end a request goes to.
+//! Chooses the backend of a request.
 //!
-//! A host knows its own work at each engine exactly and that of other hosts only by reports that
-//! lag and by how long its own requests took. Both grow stale, so that the choice weighs them by
-//! age, and no host's choice is that of every other.
+//! A host knows its own work at each engine exactly, and that of other hosts only by reports that lag and by the
+//! duration of its own requests. Both become stale; the choice weights them by age, and has a random part so that hosts
+//! do not all choose the same engine.
 
 use std::time::Duration;
 
@@ -16,49 +16,47 @@
 use super::{Core, Time};
 use crate::settings::PoolSettings;
 
-/// Free streams that an engine must have, since other hosts send to it at the same time.
+/// Minimum free streams of an engine, since other hosts send to it at the same time.
 pub const FREE_STREAM_MARGIN: f64 = 3.0;
-/// Cost that puts an engine that looks full behind every other.
+/// Cost that ranks an engine that looks full behind every other.
 const FULL_ENGINE_PENALTY: f64 = 1e6;
-/// Random part of the cost in seconds, so that hosts that know the same do not all choose the
-/// same engine.
+/// Upper bound of the random part of the cost, so that hosts with the same data do not all choose the same engine.
 const MAX_JITTER_SECS: f64 = 0.02;
-/// Least weight of an engine that looks full, against one with that many free streams.
+/// Minimum weight of an engine that looks full, in free streams.
 ///
-/// The report may be old, and every host that believes it would leave the engine idle.
+/// The report may be old; with a weight of zero, every host that uses the report would leave the engine idle.
 const MIN_FREE_WEIGHT: f64 = 0.25;
-/// Engines that are weighed for one request at most, drawn at random from larger pools.
+/// Maximum number of engines that are compared for one request; larger pools are sampled at random.
 const MAX_SAMPLED_ENGINES: usize = 48;
-/// Part of a prompt's first piece that the engine chosen by the piece's hash will have in its
-/// cache, by expectation.
+/// Expected fraction of a prompt's first block that is cached at the engine chosen by the block's hash.
 const PREFIX_HIT_FRACTION: f64 = 0.8;
 
-/// What a request needs, as far as the choice is concerned.
+/// Properties of a request that determine the choice.
 #[derive(Debug, Clone)]
 pub struct Need {
     /// Model.
     pub model: Box<str>,
     /// Prompt tokens.
     pub prompt: u32,
-    /// Most tokens to generate.
+    /// Maximum tokens to generate.
     pub output: u32,
-    /// Hash of the prompt's first piece; 0 for a prompt shorter than a piece.
+    /// Hash of the prompt's first block; 0 for a prompt shorter than a block.
     pub prefix: u64,
-    /// Back ends not to take again.
+    /// Backends that must not be chosen.
     pub avoid: Vec<BackendKey>,
 }
 
-/// Where a request goes.
+/// The backends chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// Engine that generates the answer, or instance that takes the call.
+    /// Engine that generates the answer, or instance that serves the call.
     pub engine: BackendKey,
-    /// Engine that prefills first, where the pool is split.
+    /// Engine that prefills first, if the pool is split.
     pub prefill: Option<BackendKey>,
 }
 
 impl Choice {
-    /// Returns the choice of one back end for the whole request.
+    /// Returns the choice of one backend for the whole request.
     #[must_use]
     pub fn whole(engine: BackendKey) -> Self {
         Self {
@@ -68,26 +66,26 @@
     }
 }
 
-/// The best engines of one pool for one request, and what they promise.
+/// The best engines of one pool for one request, and the estimates for them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Offer {
     /// The engines.
     pub choice: Choice,
-    /// Seconds until the prompt is worked through.
+    /// Seconds until the prompt is prefilled.
     pub first_token: f64,
-    /// Seconds between tokens; infinite where no stream is free.
+    /// Seconds between tokens; infinite if no stream is free.
     pub token_gap: f64,
-    /// Streams that the engine can still take.
+    /// Streams that the engine can still accept.
     pub free: f64,
 }
 
-/// Returns the engine, or the two engines, for a request; `None` where none takes work.
+/// Returns the engine, or the two engines, for a request; `None` if none accepts work.
 #[must_use]
 pub fn choose_engine(core: &mut Core, need: &Need) -> Option<Choice> {
     offer(core, need).map(|offer| offer.choice)
 }
 
-/// Returns what the engines of the model offer; `None` where none takes work.
+/// Returns the best offer of the engines of the model; `None` if none accepts work.
 #[must_use]
 pub fn offer(core: &mut Core, need: &Need) -> Option<Offer> {
     let Core {
@@ -108,7 +106,7 @@
     offers.min_by(|one, other| one.first_token.total_cmp(&other.first_token))
 }
 
-/// Returns the one of `keys` that prompts with this first piece go to, so that its cache has it.
+/// Returns the engine of `keys` that gets the prompts with this first block, so that the block is in its cache.
 #[must_use]
 pub fn prefix_engine(core: &Core, need: &Need, keys: &[BackendKey]) -> Option<BackendKey> {
     if need.prefix == 0 {
@@ -118,7 +116,7 @@
     keys.iter().copied().max_by_key(weight)
 }
 
-/// One look over a pool.
+/// The search for the best engines of a pool.
 struct Scan<'a> {
     fleet: &'a Fleet,
     settings: &'a PoolSettings,
@@ -133,7 +131,7 @@
 
 impl Scan<'_> {
     fn offer(&self, rng: &mut SmallRng) -> Option<Offer> {
-        let home = self.prefix_engine();
+        let prefix_engine = self.prefix_engine();
         let (mut both, mut prefill, mut decode) = (None, None, None);
         let count = self.engines.len();
         for at in 0..count.min(MAX_SAMPLED_ENGINES) {
@@ -142,16 +140,16 @@
             } else {
                 at
             };
-            self.weigh(
+            self.compare(
                 self.engines[at],
-                home,
+                prefix_engine,
                 rng,
                 [&mut both, &mut prefill, &mut decode],
             );
         }
-        let whole = both.map(|(_, engine)| self.promise(Choice::whole(engine)));
+        let whole = both.map(|(_, engine)| self.estimate(Choice::whole(engine)));
         let split = prefill.zip(decode).map(|((_, prefill), (_, engine))| {
-            self.promise(Choice {
+            self.estimate(Choice {
                 engine,
                 prefill: Some(prefill),
             })
@@ -162,22 +160,30 @@
         }
     }
 
-    /// Weighs one engine for the part of the request that its role does.
-    fn weigh(&self, key: BackendKey, home: Best, rng: &mut SmallRng, best: [&mut Best; 3]) {
+    /// Compares one engine with the best one so far for the part of the request that its role serves.
+    fn compare(
+        &self,
+        key: BackendKey,
+        prefix_engine: Best,
+        rng: &mut SmallRng,
+        best: [&mut Best; 3],
+    ) {
         let engine = &self.fleet.arena[key];
         if !engine.is_available(self.now) || self.need.avoid.contains(&key) {
             return;
         }
         let [both, prefill, decode] = best;
-        let near = if *engine.domain == *self.domain {
+        let crossing = if *engine.domain == *self.domain {
             0.0
         } else {
             CROSS_DOMAIN_LATENCY.as_secs_f64()
         };
-        let noise = MAX_JITTER_SECS * rng.random::<f64>() + near;
+        let noise = MAX_JITTER_SECS * rng.random::<f64>() + crossing;
         let fill = || {
-            let saved = match home {
-                Some((_, home)) if home == key => PREFIX_HIT_FRACTION * self.settings.piece as f64,
+            let saved = match prefix_engine {
+                Some((_, prefix_engine)) if prefix_engine == key => {
+                    PREFIX_HIT_FRACTION * self.settings.piece as f64
+                }
                 _ => 0.0,
             };
             let prompt = (f64::from(self.need.prompt) - saved).max(0.0);
@@ -187,25 +193,25 @@
             Role::Both => (both, fill() + gap(engine, self.settings)),
             Role::Prefill => (prefill, fill()),
             Role::Decode => {
-                // Each engine's draw is distributed so that it wins with a probability in
-                // proportion to its free streams: hosts that believe the same late report
-                // then share the work out as it says, and do not all go to one engine.
+                // The draws are distributed so that each engine wins with a probability in proportion to its free
+                // streams. Hosts with the same late report then spread their requests accordingly, instead of all
+                // choosing one engine.
                 let free = free_streams(engine, self.settings);
                 let draw = -(1.0 - rng.random::<f64>()).ln();
-                let last = if free < FREE_STREAM_MARGIN {
+                let penalty = if free < FREE_STREAM_MARGIN {
                     FULL_ENGINE_PENALTY
                 } else {
                     0.0
                 };
-                (decode, draw / free.max(MIN_FREE_WEIGHT) + last)
+                (decode, draw / free.max(MIN_FREE_WEIGHT) + penalty)
             }
         };
-        if slot.is_none_or(|(least, _)| cost < least) {
+        if slot.is_none_or(|(lowest, _)| cost < lowest) {
             *slot = Some((cost, key));
         }
     }
 
-    /// Returns the engine that prompts with this first piece go to, so that its cache has it.
+    /// Returns the engine that gets the prompts with this first block, so that the block is in its cache.
     fn prefix_engine(&self) -> Best {
         if self.need.prefix == 0 {
             return None;
@@ -217,14 +223,14 @@
                 continue;
             }
             let weight = mix(self.need.prefix ^ u64::from(engine.name_hash));
-            if best.is_none_or(|(most, _)| weight > most) {
+            if best.is_none_or(|(highest, _)| weight > highest) {
                 best = Some((weight, key));
             }
         }
         best.map(|(_, key)| (0.0, key))
     }
 
-    fn promise(&self, choice: Choice) -> Offer {
+    fn estimate(&self, choice: Choice) -> Offer {
         let fill = &self.fleet.arena[choice.prefill.unwrap_or(choice.engine)];
         let prompt = f64::from(self.need.prompt) * pace(fill, self.settings);
         let engine = &self.fleet.arena[choice.engine];
@@ -237,10 +243,10 @@
     }
 }
 
-/// Time a hop to another failure domain takes longer than one within a failure domain.
+/// Additional time of a hop to another failure domain.
 const CROSS_DOMAIN_LATENCY: Duration = Duration::from_micros(1500);
 
-/// Returns the instance for a service call: the one with the fewest calls of this host.
+/// Returns the instance for a service call: one of those with the fewest calls of this host.
 #[must_use]
 pub fn choose_instance(core: &mut Core, service: &str, avoid: &[BackendKey]) -> Option<BackendKey> {
     let instances = core.fleet.services.get(service)?;
