--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -52,7 +52,7 @@
             "the first token would come after {:.2} s; the limit is {bound:.2} s",
             offer.first_token
         )
-    } else if offer.free < margin || offer.token_gap > settings.between.as_secs_f64() {
+    } else if offer.free_streams < margin || offer.token_gap > settings.between.as_secs_f64() {
         "every engine already runs as many streams as it can generate in time".into()
     } else {
         return Ok(());
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -82,7 +82,7 @@
     /// Further measurements of this host.
     pub measured: load::Measured,
     /// Streams of other hosts there, as reported by them.
-    pub others: BTreeMap<HostKey, u32>,
+    pub peer_streams: BTreeMap<HostKey, u32>,
     /// Streams of this host there when it last sent its own counts, or last read the load report.
     pub reported_streams: u32,
     /// Low half of the hash of the name.
@@ -103,7 +103,7 @@
     }
 }
 
-/// The engines and services that this host knows.
+/// The engines and services that are known to this host.
 #[derive(Debug)]
 pub struct Fleet {
     /// Engines and services.
@@ -280,7 +280,7 @@
             if let (Some(key), Some(report)) = (core.fleet.find(&name), report) {
                 let backend = &mut core.fleet.arena[key];
                 backend.report = Some((core.now, report));
-                if backend.others.is_empty() {
+                if backend.peer_streams.is_empty() {
                     backend.reported_streams = backend.streams;
                 }
             }
@@ -443,7 +443,7 @@
         report: None,
         pace: 0.0,
         measured: load::Measured::default(),
-        others: BTreeMap::new(),
+        peer_streams: BTreeMap::new(),
         reported_streams: 0,
         name_hash,
         failures: 0,
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -1,6 +1,6 @@
 //! Estimates of the load of engines.
 //!
-//! A host knows its own work at each engine exactly. It estimates the work of other hosts from their messages, while
+//! A host counts its own work at each engine exactly. It estimates the work of other hosts from their messages, while
 //! there are few enough hosts to exchange them, and otherwise from the engines' reports, which lag, and from the
 //! duration of its own requests.
 
@@ -22,7 +22,7 @@
 /// Streams that each other host is assumed to have started at an engine since its last message, for each that this
 /// host started: all hosts get about as many requests.
 const PEER_STREAM_GROWTH: f64 = 1.0;
-/// Minimum time between two messages with stream counts; max streams last for seconds.
+/// Minimum time between two messages with stream counts; most streams last for seconds.
 const STREAMS_INTERVAL: Duration = Duration::from_millis(900);
 /// Free streams below which an engine counts as busy.
 const MIN_FREE_STREAMS: f64 = 8.0;
@@ -190,7 +190,7 @@
         let count = streams.iter().find(|(hash, _)| *hash == engine.name_hash);
         // An engine that the message does not name is recorded with no streams of the sender.
         engine
-            .others
+            .peer_streams
             .insert(from, count.map_or(0, |(_, count)| *count));
     }
 }
@@ -198,7 +198,7 @@
 /// Drops the stream counts of a host that left.
 pub fn forget_host(core: &mut Core, host: HostKey) {
     for engine in core.fleet.arena.values_mut() {
-        engine.others.remove(&host);
+        engine.peer_streams.remove(&host);
     }
 }
 
@@ -256,10 +256,10 @@
 /// messages or the engine's report.
 fn streams(engine: &Backend) -> f64 {
     let own = f64::from(engine.streams);
-    if !engine.others.is_empty() {
+    if !engine.peer_streams.is_empty() {
         let growth = own - f64::from(engine.reported_streams);
-        let assumed = PEER_STREAM_GROWTH * growth.max(0.0) * engine.others.len() as f64;
-        return own + assumed + f64::from(engine.others.values().sum::<u32>());
+        let assumed = PEER_STREAM_GROWTH * growth.max(0.0) * engine.peer_streams.len() as f64;
+        return own + assumed + f64::from(engine.peer_streams.values().sum::<u32>());
     }
     let Some((_, report)) = &engine.report else {
         return own;
@@ -279,7 +279,7 @@
     }
 }
 
-/// Updates the pace from a finished prefill: from `sent` on, the engine length `ahead` tokens to prefill, the prompt's own
+/// Updates the pace from a finished prefill: from `sent` on, the engine had `ahead` tokens to prefill, the prompt's own
 /// included.
 pub fn learn_prefill(core: &mut Core, key: BackendKey, sent: Time, ahead: u64) {
     let now = core.now;
@@ -299,7 +299,7 @@
     engine.pace = (before + PACE_WEIGHT * (seen - before)).max(nominal * MIN_PACE_FRACTION);
 }
 
-/// Returns the expected tokens of an answer whose caller allows at max `max`.
+/// Returns the expected tokens of an answer whose caller allows at most `max`.
 #[must_use]
 pub fn expected_tokens(core: &Core, key: BackendKey, max: u32) -> u64 {
     let pool = core.fleet.pool(&core.fleet.arena[key].pool);
@@ -310,7 +310,7 @@
     to_tokens(f64::from(max) * fraction)
 }
 
-/// Updates the slowdown and the length of answers from a complete answer: `tokens` of at max `max` tokens, of which
+/// Updates the slowdown and the length of answers from a complete answer: `tokens` of at most `max` tokens, of which
 /// the last came `span` after the first.
 pub fn learn_decode(core: &mut Core, key: BackendKey, span: Duration, tokens: u64, max: u32) {
     if let Some(pool) = core.fleet.pool(&core.fleet.arena[key].pool) {
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -188,7 +188,7 @@
         }
     }
     call.late = choice.late;
-    instance.own = instance.own.plus(choice.work);
+    instance.own_work = instance.own_work.plus(choice.work);
     instance.limit.spend(now);
     if let Some(prompt) = &call.prompt {
         parts::put(instance, prompt, now, span(choice.expected));
@@ -220,7 +220,7 @@
             ("expected_ms", format!("{:.0}", choice.expected).into()),
             ("calls", instance.work().calls.to_string().into()),
             ("tokens", instance.work().tokens.to_string().into()),
-            ("own_tokens", instance.own.tokens.to_string().into()),
+            ("own_tokens", instance.own_work.tokens.to_string().into()),
             ("peer_age_ms", told),
             ("unlisted_ms", unlisted),
             ("reads", choice.work.tokens.to_string().into()),
@@ -287,7 +287,7 @@
 pub(super) fn close(core: &mut Core, key: AttemptKey) -> Option<Attempt> {
     let attempt = core.relay.attempts.remove(key)?;
     if let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) {
-        instance.own = instance.own.minus(attempt.work);
+        instance.own_work = instance.own_work.minus(attempt.work);
     }
     if let Some(call) = core.relay.calls.get_mut(attempt.call)
         && call.attempt == Some(key)
@@ -308,7 +308,7 @@
     };
     attempt.work = attempt.work.minus(done);
     if let Some(instance) = core.relay.instances.arena.get_mut(attempt.backend) {
-        instance.own = instance.own.minus(done);
+        instance.own_work = instance.own_work.minus(done);
     }
 }
 
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -125,8 +125,8 @@
 fn own_loads(core: &Core) -> Vec<LoadReport> {
     let loads = core.relay.instances.arena.values();
     loads
-        .filter(|instance| instance.own != Work::default())
-        .map(|instance| load_report(instance.short_hash, instance.own))
+        .filter(|instance| instance.own_work != Work::default())
+        .map(|instance| load_report(instance.short_hash, instance.own_work))
         .collect()
 }
 
@@ -283,8 +283,8 @@
     };
     let instances = core.relay.instances.arena.values();
     let loads = instances.filter_map(|instance| {
-        let others = instance.others.iter().filter(|(key, _)| near(key));
-        let sum = others.fold(instance.own, |sum, (_, work)| sum.plus(*work));
+        let others = instance.peer_work.iter().filter(|(key, _)| near(key));
+        let sum = others.fold(instance.own_work, |sum, (_, work)| sum.plus(*work));
         (sum != Work::default()).then(|| load_report(instance.short_hash, sum))
     });
     loads.collect()
--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -60,11 +60,11 @@
     /// Whether another instance answered at its address.
     pub addr_reused: bool,
     /// This host's unfinished work there.
-    pub own: Work,
+    pub own_work: Work,
     /// The other hosts' unfinished work there, as reported by them.
-    pub others: BTreeMap<HostKey, Work>,
+    pub peer_work: BTreeMap<HostKey, Work>,
     /// Sum of the other hosts' work.
-    pub others_total: Work,
+    pub peer_total: Work,
     /// Failures since the last success.
     pub failures: u32,
     /// Refusals since the last success.
@@ -148,9 +148,9 @@
             born: entry.born,
             missing_since: None,
             addr_reused: false,
-            own: Work::default(),
-            others: BTreeMap::new(),
-            others_total: Work::default(),
+            own_work: Work::default(),
+            peer_work: BTreeMap::new(),
+            peer_total: Work::default(),
             failures: 0,
             refusals: 0,
             retry_at: Time::default(),
@@ -184,7 +184,7 @@
     /// Returns all known unfinished work there.
     #[must_use]
     pub fn work(&self) -> Work {
-        self.own.plus(self.others_total)
+        self.own_work.plus(self.peer_total)
     }
 
     /// Records tokens put into its memory.
@@ -205,7 +205,7 @@
             reason = "a sum of tokens, never below zero"
         )]
         let units = (rate / FILL_RATE_STEP as f64) as u64;
-        self.own.fill_rate = units * FILL_RATE_STEP;
+        self.own_work.fill_rate = units * FILL_RATE_STEP;
     }
 
     /// Records that it could not be reached or broke off a request; from `UNHEALTHY_FAILURES` on it gets no new work
@@ -240,13 +240,13 @@
     }
 
     /// Records whether a KV cache that was prefilled there could be transferred.
-    pub fn record_kv_transfer(&mut self, taken: bool) {
-        let lost = if taken { 0.0 } else { 1.0 };
+    pub fn record_kv_transfer(&mut self, transferred: bool) {
+        let lost = if transferred { 0.0 } else { 1.0 };
         self.kv_loss_rate += (lost - self.kv_loss_rate) * ERROR_WEIGHT;
     }
 
-    /// Returns the expected cost, in milliseconds, of a prefill there that takes `millis`: a prompt whose KV cache cannot
-    /// be transferred is prefilled again elsewhere.
+    /// Returns the expected cost, in milliseconds, of a prefill there that takes `millis`: a prompt whose KV cache
+    /// cannot be transferred is prefilled again elsewhere.
     #[must_use]
     pub fn kv_loss_cost(&self, millis: f64) -> f64 {
         self.kv_loss_rate / (1.0 - self.kv_loss_rate).max(MIN_SUCCESS_FRACTION)
@@ -464,7 +464,7 @@
             let missed = instance
                 .missing_since
                 .is_some_and(|at| now.since(at) > MISSING_GRACE);
-            (instance.leaving || missed) && instance.own.calls == 0
+            (instance.leaving || missed) && instance.own_work.calls == 0
         };
         // A leaving server is kept while it runs requests of this host.
         let ended: Vec<BackendKey> = self
@@ -492,9 +492,9 @@
     pub fn set_reported_work(&mut self, host: HostKey, loads: &[LoadReport]) {
         for key in self.reported.remove(&host).unwrap_or_default() {
             if let Some(instance) = self.arena.get_mut(key)
-                && let Some(old) = instance.others.remove(&host)
+                && let Some(old) = instance.peer_work.remove(&host)
             {
-                instance.others_total = instance.others_total.minus(old);
+                instance.peer_total = instance.peer_total.minus(old);
             }
         }
         let mut keys = Vec::with_capacity(loads.len());
@@ -502,10 +502,10 @@
             if let Some(key) = self.by_short_hash(load.instance) {
                 let instance = &mut self.arena[key];
                 let work = Work::from(*load);
-                if let Some(previous) = instance.others.insert(host, work) {
-                    instance.others_total = instance.others_total.minus(previous);
+                if let Some(previous) = instance.peer_work.insert(host, work) {
+                    instance.peer_total = instance.peer_total.minus(previous);
                 }
-                instance.others_total = instance.others_total.plus(work);
+                instance.peer_total = instance.peer_total.plus(work);
                 keys.push(key);
             }
         }
--- a/src/core/relay/tests/domain.rs
+++ b/src/core/relay/tests/domain.rs
@@ -353,7 +353,7 @@
         let site = self.hosts[host].as_ref().expect("a host that runs");
         let instances = &site.core.relay.instances;
         let key = instances.find(server).expect("a known server");
-        instances.arena[key].others_total
+        instances.arena[key].peer_total
     }
 
     /// Returns how many milliseconds pass until a host knows of so many requests of others there.
--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -11,12 +11,12 @@
 /// Time within which a host that sees a new era has read every key again and is registered again.
 const MAX_CATCH_UP_MS: u64 = 1000;
 
-fn asks(out: &Effects) -> Vec<Ask> {
-    let asks = out.iter().filter_map(|effect| match effect {
+fn store_calls(out: &Effects) -> Vec<Ask> {
+    let calls = out.iter().filter_map(|effect| match effect {
         Effect::Relay(RelayEffect::Ask { ask, .. }) => Some(ask.clone()),
         _ => None,
     });
-    asks.collect()
+    calls.collect()
 }
 
 fn grants(out: &Effects) -> usize {
@@ -33,7 +33,7 @@
     site
 }
 
-/// Returns such a host that also knows another host.
+/// Returns such a host with a peer.
 fn in_era_beside_another() -> Site {
     let mut site = in_era();
     site.key(
@@ -49,7 +49,7 @@
 fn a_host_reads_and_registers_anew_in_a_new_era() {
     let mut site = in_era();
     site.event(RelayEvent::Era(2));
-    assert_eq!(asks(&site.out), [Ask::Page { after: None }]);
+    assert_eq!(store_calls(&site.out), [Ask::Page { after: None }]);
     assert!(site.did(|effect| matches!(effect, RelayEffect::Unask(_))));
     let out = site.pass(MAX_CATCH_UP_MS);
     assert_eq!(grants(&out), 1);
@@ -61,11 +61,11 @@
     let mut site = in_era();
     for era in [1, 0, 1] {
         site.event(RelayEvent::Era(era));
-        assert!(asks(&site.out).is_empty(), "era {era}");
+        assert!(store_calls(&site.out).is_empty(), "era {era}");
     }
     site.event(RelayEvent::Era(3));
     site.event(RelayEvent::Era(2));
-    assert!(asks(&site.out).is_empty());
+    assert!(store_calls(&site.out).is_empty());
 }
 
 /// The first call of a host is answered in the first era that it sees. Guards against dropping that answer, which
@@ -181,7 +181,7 @@
     site.event(RelayEvent::Gossiped(Box::new(gossip(1, 2, 5))));
     assert_eq!(site.core.relay.view.era(), 2);
     let out = site.pass(MAX_CATCH_UP_MS);
-    assert!(asks(&out).contains(&Ask::Page { after: None }));
+    assert!(store_calls(&out).contains(&Ask::Page { after: None }));
     assert_eq!(grants(&out), 1);
 }
 
--- a/src/core/relay/tests/limit.rs
+++ b/src/core/relay/tests/limit.rs
@@ -116,7 +116,8 @@
         limited.count()
     }
 
-    /// Returns the maximum number of requests that reached a server in one checked window from hosts that knew its limit.
+    /// Returns the maximum number of requests that reached a server in one checked window, from hosts that had received
+    /// its limit.
     fn max_in_window(&self, server: &str) -> usize {
         let learned = |host: usize| self.learned.get(&(host, server.into()));
         let first = self.learned.iter().filter(|((_, of), _)| **of == *server);
@@ -239,7 +240,7 @@
 }
 
 /// Hosts join one after the other while a server is limited. Guards against a new host that takes a share before it
-/// knows the limit or the other hosts.
+/// has received the limit or found the other hosts.
 #[test]
 fn hosts_that_start_keep_to_a_limit() {
     let mut load = Load::new(9, 10);
--- a/src/core/relay/tests/load.rs
+++ b/src/core/relay/tests/load.rs
@@ -100,7 +100,7 @@
     // A host that fell silent counts for nothing after a while.
     site.pass(3000);
     let key = site.core.relay.instances.find("p").expect("known");
-    assert_eq!(site.core.relay.instances.arena[key].others_total.tokens, 0);
+    assert_eq!(site.core.relay.instances.arena[key].peer_total.tokens, 0);
 }
 
 /// A burst of long prompts is more than the engines can read in time. What would come late anyway
--- a/src/core/relay/tests/parts.rs
+++ b/src/core/relay/tests/parts.rs
@@ -79,7 +79,7 @@
         .instances
         .find(&sent.instance)
         .expect("known");
-    let own = site.core.relay.instances.arena[key].own;
+    let own = site.core.relay.instances.arena[key].own_work;
     assert_eq!(own.tokens, OWN, "what is copied is not read");
 }
 
@@ -243,7 +243,7 @@
 fn start(site: &mut Site, running: &mut Running) -> Option<u64> {
     let sent = site.sent()?;
     let key = site.core.relay.instances.find(&sent.instance)?;
-    let waits = site.core.relay.instances.arena[key].own.tokens / 40;
+    let waits = site.core.relay.instances.arena[key].own_work.tokens / 40;
     let tokens = site.core.relay.attempts[sent.attempt].work.tokens;
     running.push((site.now + waits + 60, sent));
     Some(tokens)
--- a/src/core/relay/tests/view/mod.rs
+++ b/src/core/relay/tests/view/mod.rs
@@ -7,7 +7,7 @@
 use crate::core::relay::event::{Ask, StoreAnswer};
 use crate::core::relay::view::watch_pause;
 
-/// Time after the store's return within which a host must know all changes.
+/// Time after the store's return within which a host must have all changes.
 const MAX_CATCH_UP_MS: u64 = 1000;
 /// Time between two steps of a run.
 const STEP_MS: u64 = 10;
@@ -44,7 +44,7 @@
     /// Pages of a full read.
     pages: usize,
     /// Number of page, watch and probe calls.
-    asked: (u32, u32, u32),
+    call_counts: (u32, u32, u32),
     /// Revisions by which the answers to probes lag behind.
     behind: i64,
     /// Calls whose connection is not established yet, and when they were made.
@@ -60,7 +60,7 @@
             response_ms: STEP_MS,
             page: 0,
             pages: 1,
-            asked: (0, 0, 0),
+            call_counts: (0, 0, 0),
             behind: 0,
             connecting: BTreeMap::new(),
         }
@@ -77,11 +77,11 @@
         }
     }
 
-    fn take(&mut self, number: u64, ask: &Ask, now: u64) {
+    fn accept(&mut self, number: u64, ask: &Ask, now: u64) {
         let (count, response_ms) = match ask {
-            Ask::Page { .. } => (&mut self.asked.0, self.response_ms + self.page),
-            Ask::Watch { .. } => (&mut self.asked.1, self.response_ms),
-            Ask::Probe => (&mut self.asked.2, self.response_ms),
+            Ask::Page { .. } => (&mut self.call_counts.0, self.response_ms + self.page),
+            Ask::Watch { .. } => (&mut self.call_counts.1, self.response_ms),
+            Ask::Probe => (&mut self.call_counts.2, self.response_ms),
         };
         *count += 1;
         if self.mode == StoreMode::Cut {
@@ -191,7 +191,7 @@
         for effect in effects {
             match effect {
                 Effect::Relay(RelayEffect::Ask { number, ask }) => {
-                    self.store.take(*number, ask, self.site.now);
+                    self.store.accept(*number, ask, self.site.now);
                 }
                 Effect::Relay(RelayEffect::Unask(number)) => {
                     self.store.calls.remove(number);
@@ -239,15 +239,15 @@
         }
     }
 
-    fn knows(&self) -> bool {
+    fn is_current(&self) -> bool {
         let catalog = self.site.core.relay.catalog.as_ref();
         catalog.is_some_and(|catalog| catalog.version == self.store.version())
     }
 
-    /// Returns the time until the host knows the newest configuration.
-    fn until_known(&mut self) -> u64 {
+    /// Returns the time until the host has the newest configuration.
+    fn until_current(&mut self) -> u64 {
         let start = self.site.now;
-        while !self.knows() {
+        while !self.is_current() {
             self.step();
             assert!(self.site.now < start + 60_000, "the change is never known");
         }
@@ -262,7 +262,7 @@
 const START_OFFSETS: u64 = 40;
 
 /// Puts the store in a mode at various times and for various lengths, with a change meanwhile, and checks when the host
-/// knows the change.
+/// has the change.
 fn check_outages(mode: StoreMode, pages: usize, before: u64) {
     for length in OUTAGE_MS {
         for offset in 0..START_OFFSETS {
@@ -279,7 +279,7 @@
             run.store.revision += 1;
             run.pass(length - length / 2);
             run.store.set_mode(StoreMode::Answers);
-            let took = run.until_known();
+            let took = run.until_current();
             assert!(
                 took <= MAX_CATCH_UP_MS,
                 "{took} ms after {mode:?} of {length} ms at offset {offset}"
@@ -287,19 +287,19 @@
             // The host also receives later changes.
             run.pass(3000);
             run.store.revision += 1;
-            let took = run.until_known();
+            let took = run.until_current();
             assert!(took <= MAX_CATCH_UP_MS, "{took} ms later");
         }
     }
 }
 
-/// Makes a change during an outage of two seconds, and checks when the host knows it.
+/// Makes a change during an outage of two seconds, and checks when the host has it.
 fn miss_a_change(run: &mut Run) {
     run.store.set_mode(StoreMode::Hangs);
     run.store.revision += 1;
     run.pass(2000);
     run.store.set_mode(StoreMode::Answers);
-    let took = run.until_known();
+    let took = run.until_current();
     assert!(took <= MAX_CATCH_UP_MS, "{took} ms");
 }
 
@@ -334,7 +334,7 @@
         run.pass(2000 + offset * 50);
         run.store.calls.retain(|_, (ask, _)| *ask == Ask::Probe);
         run.store.revision += 1;
-        let took = run.until_known();
+        let took = run.until_current();
         assert!(took <= MAX_CATCH_UP_MS, "{took} ms at offset {offset}");
     }
 }
@@ -365,7 +365,7 @@
             run.store.revision += 1;
         }
         assert_eq!(run.abandoned, 0, "at {response_ms} ms a call");
-        assert_eq!(run.store.asked.0, 1, "at {response_ms} ms a call");
+        assert_eq!(run.store.call_counts.0, 1, "at {response_ms} ms a call");
     }
 }
 
@@ -379,7 +379,7 @@
         ..Store::new()
     });
     run.pass(30_000);
-    assert!(run.knows());
+    assert!(run.is_current());
     assert!(run.abandoned <= 5, "{} abandoned", run.abandoned);
 }
 
@@ -388,7 +388,7 @@
 fn an_idle_minute_costs_few_calls() {
     let mut run = Run::start(Store::new());
     run.pass(60_000);
-    let (pages, watches, probes) = run.store.asked;
+    let (pages, watches, probes) = run.store.call_counts;
     assert_eq!((pages, watches), (1, 3));
     assert!((92..=150).contains(&probes), "{probes} probes");
     assert_eq!(run.abandoned, 0);
@@ -427,7 +427,7 @@
         },
     });
     run.store.revision += 1;
-    assert!(run.until_known() <= MAX_CATCH_UP_MS);
+    assert!(run.until_current() <= MAX_CATCH_UP_MS);
 }
 
 /// Every change ends the watch of every host, and the store can serve some thousand calls per second in total. The more
--- a/src/core/relay/tests/view/probes.rs
+++ b/src/core/relay/tests/view/probes.rs
@@ -20,7 +20,7 @@
     run.dispatch(&out);
 }
 
-/// Returns a host that knows another host of its failure domain.
+/// Returns a host with a peer in its failure domain.
 fn beside_another() -> Run {
     let mut run = Run::start(Store::new());
     run.pass(1000);
@@ -36,17 +36,20 @@
 fn one_host_probes_for_its_failure_domain() {
     let mut run = beside_another();
     run.pass(1000);
-    let before = run.store.asked.2;
+    let before = run.store.call_counts.2;
     for number in 0..50 {
         receive(&mut run, number, 5);
         run.pass(350);
     }
-    assert_eq!(run.store.asked.2, before, "the host sends its own probes");
+    assert_eq!(
+        run.store.call_counts.2, before,
+        "the host sends its own probes"
+    );
     assert!(run.site.core.relay.view.is_fresh(run.site.core.now));
     run.store.calls.clear();
     run.store.revision += 1;
     receive(&mut run, 100, 5);
-    let took = run.until_known();
+    let took = run.until_current();
     assert!(took < 400, "{took} ms");
     assert_eq!(run.abandoned, 1);
 }
@@ -91,7 +94,7 @@
         run.site.key(&key, Some(entry), 3);
     }
     run.store.set_mode(StoreMode::Hangs);
-    let before = run.store.asked.2;
+    let before = run.store.call_counts.2;
     for number in 0..60 {
         for host in 0..hosts {
             let message = Gossip {
@@ -104,7 +107,7 @@
         }
         run.pass(500);
     }
-    run.store.asked.2 - before
+    run.store.call_counts.2 - before
 }
 
 /// The store hangs while many hosts run. Only a few of them probe in each round, since probes of all would load the
--- a/src/core/relay/tests/view/replicated.rs
+++ b/src/core/relay/tests/view/replicated.rs
@@ -7,7 +7,7 @@
 /// Sizes of a failure domain in which each host sends to all others, and in which hosts report to an aggregator.
 const DOMAIN_SIZES: [usize; 2] = [5, 30];
 
-/// Returns hosts that have known each other and the store for a while.
+/// Returns hosts after they have discovered each other and read the store.
 fn settled(hosts: usize) -> Domain {
     let mut domain = Domain::of(hosts);
     domain.pass(3000);
@@ -29,10 +29,10 @@
             domain.pass(700);
         }
         let counts = domain.store.asked.iter().zip(&before);
-        let asked: Vec<u32> = counts.map(|(after, before)| after - before).collect();
-        assert!(asked[1..].iter().all(|asked| *asked == 0), "{asked:?}");
-        let asked = asked[0];
-        assert!((10..=11).contains(&asked), "{asked}");
+        let calls: Vec<u32> = counts.map(|(after, before)| after - before).collect();
+        assert!(calls[1..].iter().all(|calls| *calls == 0), "{calls:?}");
+        let calls = calls[0];
+        assert!((10..=11).contains(&calls), "{calls}");
     }
 }
 
@@ -51,8 +51,8 @@
         assert!(took <= 300, "{took} ms with {hosts} hosts");
         domain.pass(1000);
         // Another host is the watcher now.
-        let asked = domain.store.asked.iter().sum::<u32>() - before;
-        assert!(asked <= 3, "{asked} calls with {hosts} hosts");
+        let calls = domain.store.asked.iter().sum::<u32>() - before;
+        assert!(calls <= 3, "{calls} calls with {hosts} hosts");
     }
 }
 
@@ -94,8 +94,8 @@
         domain.pass(700);
     }
     let counts = domain.store.asked.iter().zip(&before);
-    let asked: Vec<u32> = counts.map(|(after, before)| after - before).collect();
-    assert!(asked[1..].iter().all(|asked| *asked == 0), "{asked:?}");
+    let calls: Vec<u32> = counts.map(|(after, before)| after - before).collect();
+    assert!(calls[1..].iter().all(|calls| *calls == 0), "{calls:?}");
 }
 
 /// The watcher is frozen for two seconds, and resumes with an old view.
@@ -147,7 +147,7 @@
     }
 }
 
-/// The store hangs for a while. All hosts must know the changes a second after its return.
+/// The store hangs for a while. All hosts must have the changes a second after its return.
 #[test]
 fn an_outage_hides_no_change_from_standby_hosts() {
     for hosts in DOMAIN_SIZES {
@@ -178,14 +178,14 @@
         }
         domain.until_all_know(&[]);
         for host in 1..hosts {
-            let asked = domain.store.asked[host];
+            let calls = domain.store.asked[host];
             // One read, and at most two watches before the host receives changes from the watcher.
-            assert!(asked <= 3, "host {host} of {hosts}: {asked}");
+            assert!(calls <= 3, "host {host} of {hosts}: {calls}");
         }
     }
 }
 
-/// Returns a host on standby beside a watcher, and the revision that it knows.
+/// Returns a host on standby beside a watcher, and its revision.
 fn on_standby() -> (Run, i64) {
     let mut run = Run::start(Store::new());
     run.pass(1000);
@@ -207,12 +207,12 @@
     }
 }
 
-fn receive(run: &mut Run, number: u64, passage: ReplicatedChanges) {
+fn receive(run: &mut Run, number: u64, batch: ReplicatedChanges) {
     let message = Gossip {
         host: "host-0".into(),
         incarnation: 1,
         number,
-        passage: Some(passage),
+        passage: Some(batch),
         ..Gossip::default()
     };
     run.site.event(RelayEvent::Gossiped(Box::new(message)));
@@ -230,19 +230,19 @@
 #[test]
 fn replicated_changes_are_applied_once_and_in_order() {
     let (mut run, at) = on_standby();
-    let passage = |after: i64, to: i64| ReplicatedChanges {
+    let batch = |after: i64, to: i64| ReplicatedChanges {
         after,
         at: to,
         events: (after + 1..=to).map(change).collect(),
     };
-    receive(&mut run, 1, passage(at, at + 2));
+    receive(&mut run, 1, batch(at, at + 2));
     assert_eq!(version(&run), u64::try_from(at + 2).expect("positive"));
-    receive(&mut run, 2, passage(at, at + 1));
-    receive(&mut run, 3, passage(at, at + 2));
+    receive(&mut run, 2, batch(at, at + 1));
+    receive(&mut run, 3, batch(at, at + 2));
     assert_eq!(version(&run), u64::try_from(at + 2).expect("positive"));
-    receive(&mut run, 4, passage(at + 3, at + 5));
+    receive(&mut run, 4, batch(at + 3, at + 5));
     assert_eq!(version(&run), u64::try_from(at + 2).expect("positive"));
-    receive(&mut run, 5, passage(at, at + 4));
+    receive(&mut run, 5, batch(at, at + 4));
     assert_eq!(version(&run), u64::try_from(at + 4).expect("positive"));
 }
 
@@ -268,12 +268,12 @@
         ..StoreChange::default()
     };
     for (number, to) in [(1, at + 2), (2, at + 3)] {
-        let passage = ReplicatedChanges {
+        let batch = ReplicatedChanges {
             after: at,
             at: to,
             events: vec![gone.clone(), back.clone()],
         };
-        receive(&mut run, number, passage);
+        receive(&mut run, number, batch);
         let key = run.site.core.relay.instances.find("s").expect("known");
         assert!(!run.site.core.relay.instances.arena[key].leaving);
     }
--- a/src/core/relay/view/mod.rs
+++ b/src/core/relay/view/mod.rs
@@ -70,7 +70,7 @@
 #[derive(Debug, Default)]
 struct FullRead {
     /// Revision of the first page, and when it was requested; the watch returns later changes.
-    first: Option<(i64, Time)>,
+    start: Option<(i64, Time)>,
     /// Last key of the last page.
     after: Option<Box<str>>,
     changes: Changes,
@@ -87,7 +87,7 @@
     revision: i64,
     /// A full read in progress; `None` while changes are watched.
     full_read: Option<FullRead>,
-    /// The page or watch that awaits its answer; `None` during a pause.
+    /// The page or watch that awaits its answer; `None` during a pause and on standby.
     pending: Option<PendingCall>,
     /// Number of the last page or watch call.
     last_call: u64,
@@ -107,7 +107,7 @@
     source: Option<Box<str>>,
     /// Recent changes, to be sent to other hosts.
     pub(super) history: history::History,
-    /// Latest time as of which this host knew the whole content of the store.
+    /// Latest time as of which this view held the whole content of the store.
     fresh_at: Option<Time>,
     started: Time,
     /// Availability of the store as last logged.
@@ -129,7 +129,7 @@
         !self.standby && self.full_read.is_none() && self.is_fresh(now)
     }
 
-    /// Returns the latest time as of which this host knew the whole content of the store.
+    /// Returns the latest time as of which this view held the whole content of the store.
     #[must_use]
     pub fn fresh_at(&self) -> Option<Time> {
         self.fresh_at
@@ -147,7 +147,7 @@
         self.fresh_at.is_some_and(|at| now.since(at) <= STALE_AFTER)
     }
 
-    /// Records that the whole content of the store at a time is known.
+    /// Records that the view holds the whole content of the store as of a time.
     pub(super) fn mark_fresh(&mut self, at: Time) {
         self.fresh_at = self.fresh_at.max(Some(at));
     }
@@ -276,17 +276,12 @@
 /// Applies changes received from another host.
 ///
 /// Changes that start after the known revision would leave a gap; this host then reads them from the store.
-pub fn apply_replicated(
-    core: &mut Core,
-    from: &str,
-    passage: ReplicatedChanges,
-    out: &mut Effects,
-) {
+pub fn apply_replicated(core: &mut Core, from: &str, batch: ReplicatedChanges, out: &mut Effects) {
     let view = &mut core.relay.view;
-    if passage.at <= view.revision {
+    if batch.at <= view.revision {
         return;
     }
-    if passage.after > view.revision {
+    if batch.after > view.revision {
         if view.standby {
             request_next(core, out);
         }
@@ -294,9 +289,9 @@
     }
     let known = view.revision;
     view.set_source(from, out);
-    let events = passage.events.into_iter();
+    let events = batch.events.into_iter();
     let new: Vec<StoreChange> = events.filter(|event| event.revision > known).collect();
-    view.revision = passage.at;
+    view.revision = batch.at;
     if view.full_read.is_none() {
         view.standby = true;
         if let Some(call) = view.pending.take() {
@@ -386,7 +381,7 @@
 ) {
     let view = &mut core.relay.view;
     let mut pages = view.full_read.take().unwrap_or_default();
-    let (first, since) = *pages.first.get_or_insert((at, call.sent));
+    let (revision, since) = *pages.start.get_or_insert((at, call.sent));
     pages.changes.extend(changes);
     if after.is_some() {
         pages.after = after;
@@ -396,9 +391,9 @@
     }
     view.failures = 0;
     view.probes.losses = 0;
-    view.revision = first;
+    view.revision = revision;
     view.set_source(STORE_SOURCE, out);
-    view.history.reset(first);
+    view.history.reset(revision);
     view.mark_fresh(since);
     view.uptime.answered(since);
     pages.changes.whole = true;
--- a/src/core/relay/view/probe.rs
+++ b/src/core/relay/view/probe.rs
@@ -48,7 +48,7 @@
     /// When this host's unanswered probes were sent, by call number.
     pending: BTreeMap<u64, Time>,
     /// The last answered probe, of this host or of another.
-    last: Option<ProbeResult>,
+    last_result: Option<ProbeResult>,
     /// Whether it is this host's own and its result was not yet sent to the others.
     unsent: bool,
     /// The probe result that the pending call is checked against, and when the call's grace ends.
@@ -61,7 +61,7 @@
     /// Returns the result of the last answered probe for the other hosts, if this host sent that probe.
     pub fn own_report(&mut self, now: Time) -> Option<ProbeReport> {
         self.unsent = false;
-        let own = self.last.filter(|result| !result.remote)?;
+        let own = self.last_result.filter(|result| !result.remote)?;
         Some(ProbeReport {
             revision: own.newest,
             age: now.since(own.sent),
@@ -72,7 +72,7 @@
     /// through this one.
     pub fn latest_report(&mut self, now: Time) -> Option<ProbeReport> {
         self.unsent = false;
-        let result = self.last?;
+        let result = self.last_result?;
         Some(ProbeReport {
             revision: result.newest,
             age: now.since(result.sent),
@@ -107,8 +107,11 @@
             self.mark_fresh(result.sent);
         }
         let probes = &mut self.probes;
-        if probes.last.is_none_or(|last| last.sent < result.sent) {
-            probes.last = Some(result);
+        if probes
+            .last_result
+            .is_none_or(|last| last.sent < result.sent)
+        {
+            probes.last_result = Some(result);
             probes.unsent = !result.remote;
         }
     }
@@ -141,7 +144,10 @@
     let hosts = gossip::live_neighbours(core) + 1;
     let represents_domain = gossip::represents_domain(core);
     let view = &mut core.relay.view;
-    let since_last = view.probes.last.map(|result| core.now.since(result.sent));
+    let since_last = view
+        .probes
+        .last_result
+        .map(|result| core.now.since(result.sent));
     if let Some(passed) = since_last.filter(|passed| *passed < PROBE_INTERVAL_BOUNDS.0) {
         schedule_probe(core, passed, out);
     } else {
@@ -166,7 +172,7 @@
     let view = &mut core.relay.view;
     if view
         .probes
-        .last
+        .last_result
         .is_some_and(|last| last.sent >= result.sent)
     {
         return;
@@ -257,7 +263,7 @@
         Some(pending) => abandon(core, pending, result, out),
         // A later probe may suggest a lost call as well.
         None => {
-            if let Some(last) = view.probes.last {
+            if let Some(last) = view.probes.last_result {
                 check_pending_call(core, last, Duration::ZERO, out);
             }
         }
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -57,7 +57,7 @@
 const MAX_PREFILL_UTILIZATION: f64 = 0.9;
 /// Utilization of the decode engines' streams above which answers wait.
 const MAX_DECODE_UTILIZATION: f64 = 0.95;
-/// Time for which a change must have been net making before it is made.
+/// Time for which a change must have been worth making before it is made.
 const MIN_STABLE_SECS: f64 = 7.0;
 /// Time after a change during which none is made in the other direction, if only the weight of changes counts. The more
 /// goodput weighs, the shorter it is.
@@ -73,7 +73,7 @@
     last_seen: Option<Time>,
     short_average: Work,
     long_average: Work,
-    /// Role for which a change has been net making, and since when.
+    /// Role for which a change has been worth making, and since when.
     candidate: Option<(Role, Time)>,
     /// Role of the last change, and when it was made.
     last_change: Option<(Role, Time)>,
@@ -112,7 +112,7 @@
     }
 }
 
-/// A change net making.
+/// A change of an engine's role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change {
     /// The engine.
@@ -229,7 +229,7 @@
     })
 }
 
-/// Returns the net benefit of one more engine in a role, and the change; `None` if it is not net a change.
+/// Returns the net benefit of one more engine in a role, and the change; `None` if it is not worth a change.
 fn evaluate(view: &View<'_>, work: Work, speeds: Work, role: Role) -> Option<(f64, Change)> {
     let (from, count) = match role {
         Role::Prefill => (Role::Decode, speeds.decode),
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -1,8 +1,8 @@
 //! Chooses the backend of a request.
 //!
-//! A host knows its own work at each engine exactly, and that of other hosts only by reports that lag and by the
-//! duration of its own requests. Both become stale; the choice weights them by age, and has a random part so that hosts
-//! do not all choose the same engine.
+//! A host counts its own work at each engine exactly, and estimates that of other hosts from reports that lag and from
+//! the duration of its own requests. Both become stale; the choice weights them by age, and has a random part so that
+//! hosts do not all choose the same engine.
 
 use std::time::Duration;
 
@@ -76,7 +76,7 @@
     /// Seconds between tokens; infinite if no stream is free.
     pub token_gap: f64,
     /// Streams that the engine can still accept.
-    pub free: f64,
+    pub free_streams: f64,
 }
 
 /// Returns the engine, or the two engines, for a request; `None` if none accepts work.
@@ -238,7 +238,7 @@
             choice,
             first_token: wait(fill, self.settings, self.now) + prompt,
             token_gap: gap(engine, self.settings),
-            free: free_streams(engine, self.settings),
+            free_streams: free_streams(engine, self.settings),
         }
     }
 }
