--- a/src/core/once/owner.rs
+++ b/src/core/once/owner.rs
@@ -358,7 +358,7 @@
             },
         ) => ask::handle_begun(core, round, state, request, out),
         (None, Message::Recorded { round, durable }) => {
-            ask::handle_recorded(core, round, durable, out)
+            ask::handle_recorded(core, round, durable, out);
         }
         (None, _) => {}
     }
--- a/src/core/order/authority.rs
+++ b/src/core/order/authority.rs
@@ -210,7 +210,7 @@
     match (authority.stage, result) {
         (Stage::Reading, StoreResult::Txn(txn)) => keys_read(core, pool, &txn, out),
         (Stage::Granting, StoreResult::Lease(lease)) if lease != 0 => {
-            write_keys(core, pool, lease, out)
+            write_keys(core, pool, lease, out);
         }
         (Stage::Swapping, StoreResult::Txn(txn)) if txn.succeeded => {
             taken_over(core, pool, txn.revision, out);
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -392,7 +392,7 @@
 }
 
 fn send_refusal(core: &mut Core, key: CallKey, refusal: Refusal, out: &mut Effects) {
-    let (code, ran) = (refusal.kind.answer().code, refusal.ran);
+    let (kind_code, ran) = (refusal.kind.answer().code, refusal.ran);
     note(
         out,
         log::Level::Info,
@@ -401,7 +401,7 @@
             ("id", core.relay.calls[key].id.clone()),
             ("config", config_version(core)),
             ("heard_ms", store_age_ms(core)),
-            ("code", code.into()),
+            ("code", kind_code.into()),
             ("ran", ran.word().into()),
             (
                 "retry_ms",
@@ -411,7 +411,7 @@
         ],
     );
     out.push(Effect::Relay(RelayEffect::Refuse { call: key, refusal }));
-    end(core, key, code, ran, out);
+    end(core, key, kind_code, ran, out);
 }
 
 /// Returns the version of the current configuration, for the log.
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -196,12 +196,12 @@
     crashes: Vec<CrashReport>,
 ) -> Gossip {
     core.relay.peers.sequence += 1;
-    let replicates = match kind {
+    let has_changes = match kind {
         GossipKind::Totals(_) => true,
         GossipKind::Own => replicates_changes(core),
         _ => false,
     };
-    let replicated = replicates.then(|| core.relay.view.take_changes());
+    let replicated = has_changes.then(|| core.relay.view.take_changes());
     let probes = &mut core.relay.view.probes;
     let probe = match kind {
         // Each failure domain probes the store itself.
@@ -384,7 +384,7 @@
             gather::receive_report(core, key, &message);
         }
         GossipKind::Totals(included) => {
-            gather::receive_totals(core, key, &message.loads, included, out)
+            gather::receive_totals(core, key, &message.loads, included, out);
         }
         _ if has_aggregator => {}
         _ => core.relay.instances.set_reported_work(key, &message.loads),
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -239,7 +239,7 @@
         RelayEvent::Prefilled { attempt, handle } => answer::prefilled(core, attempt, handle, out),
         RelayEvent::Answered { attempt, status } => answer::answered(core, attempt, status, out),
         RelayEvent::StreamEvent { attempt, number } => {
-            answer::stream_event(core, attempt, number, out)
+            answer::stream_event(core, attempt, number, out);
         }
         RelayEvent::StreamCompleted(attempt) => answer::stream_completed(core, attempt, out),
         RelayEvent::AttemptFailed {
--- a/src/core/share/borrow.rs
+++ b/src/core/share/borrow.rs
@@ -313,9 +313,9 @@
         if !local.is_some_and(|local| local.may_queue(&quota, wait)) {
             refuse_waiting(core, &loan.plan, wait, out);
         }
-        let lent = loan.requests + loan.tokens + f64::from(loan.running) > 0.0;
+        let granted = loan.requests + loan.tokens + f64::from(loan.running) > 0.0;
         let local = core.shares.local.get(&loan.plan);
-        short |= lent && local.is_some_and(|local| !local.waiting.is_empty());
+        short |= granted && local.is_some_and(|local| !local.waiting.is_empty());
     }
     if short {
         send_borrow(core, from, out);
