--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -21,15 +21,15 @@
 use crate::store::{ListedKind, ListedState};
 
 /// Time a load report may take.
-const LOAD_TIME: Duration = Duration::from_secs(2);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Chunks of one stream that may come before one that is missing.
-const AHEAD: usize = 64;
+const MAX_CHUNKS_AHEAD: usize = 64;
 /// Time a caller may take nothing of an answer that waits for it.
-const CALLER_TIME: Duration = Duration::from_mins(1);
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_mins(1);
 /// Time the kernel goes on trying to deliver an order.
 ///
 /// With the time to connect it stays under [`crate::core::order::MAX_FLIGHT_TIME`].
-const ORDER_LIFE: Duration = Duration::from_secs(2);
+const ORDER_LIFETIME: Duration = Duration::from_secs(2);
 /// Times and limits of an order's call.
 const ORDER_OPTIONS: backend::Options = backend::Options {
     connect: Duration::from_millis(500),
@@ -40,15 +40,15 @@
     reuse: backend::Reuse::Never,
 };
 /// Time a try to connect may take.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Opens a stream and reports it piece by piece until it ends or `ended` closes.
-pub async fn stream(node: Rc<Node>, open: Open, ended: oneshot::Receiver<()>) {
+pub async fn run_stream(node: Rc<Node>, open: Open, ended: oneshot::Receiver<()>) {
     let attempt = open.attempt;
     tokio::select! {
         biased;
         _ = ended => {}
-        event = follow(&node, &open) => {
+        event = follow_stream(&node, &open) => {
             node.attempt_ended(attempt);
             node.apply(Event::Request(event));
         }
@@ -56,18 +56,18 @@
 }
 
 /// Follows a stream to its end, and returns how it ended.
-async fn follow(node: &Rc<Node>, open: &Open) -> RequestEvent {
+async fn follow_stream(node: &Rc<Node>, open: &Open) -> RequestEvent {
     let attempt = open.attempt;
     let Some(prepared) = node.prepared(open.request) else {
-        return broke(attempt, Ran::No, Break::Refused, "the request has ended");
+        return attempt_failed(attempt, Ran::No, Break::Refused, "the request has ended");
     };
     let Prepared::Completion(completion) = &*prepared else {
-        return broke(attempt, Ran::No, Break::Rejected, "not a completion");
+        return attempt_failed(attempt, Ran::No, Break::Rejected, "not a completion");
     };
     // A resumed stream goes on by itself; another engine needs the text delivered so far.
     let (done, tokens) = match open.resume {
         Some(_) => (String::new(), 0),
-        None => (node.text(open.request), open.delivered),
+        None => (node.delivered_text(open.request), open.delivered),
     };
     let body = |kv| completion.body(open.priority, &done, tokens, kv);
     let body = match open.prefill {
@@ -76,11 +76,11 @@
             let done = backend::prefill(&node.backends, source, body(None), &open.label).await;
             match done {
                 Ok(prefilled) => body(Some((source, &prefilled.kv))),
-                Err(err) => return unopened(attempt, &err, open.resume),
+                Err(err) => return open_failed(attempt, &err, open.resume),
             }
         }
     };
-    let path = completion.form.path();
+    let path = completion.endpoint.path();
     let priority = i64::from(open.priority);
     let client = node.client(open.addr, open.resume);
     let opened = backend::open(
@@ -94,43 +94,47 @@
     );
     let mut stream = match opened.await {
         Ok(stream) => stream,
-        Err(err) => return unopened(attempt, &err, open.resume),
+        Err(err) => return open_failed(attempt, &err, open.resume),
     };
     node.apply(Event::Request(RequestEvent::Began(attempt)));
-    let mut order = InOrder::new(open.delivered);
+    let mut order = ReorderBuffer::new(open.delivered);
     loop {
         match stream.next().await {
             Ok(Some(chunk)) => {
-                if !order.put(chunk) {
-                    let detail = format!("tokens from {} on are missing", order.next);
-                    return broke(attempt, Ran::Yes, Break::Cut, &detail);
+                if !order.insert(chunk) {
+                    let detail = format!("tokens from {} on are missing", order.next_offset);
+                    return attempt_failed(attempt, Ran::Yes, Break::Cut, &detail);
                 }
                 while let Some((offset, chunk)) = order.pop() {
                     let tokens = u32::from(!chunk.end);
-                    node.chunk(attempt, offset, tokens, chunk.data);
+                    node.chunk_received(attempt, offset, tokens, chunk.data);
                 }
-                if let Some(event) = room(node, open).await {
+                if let Some(event) = wait_for_caller(node, open).await {
                     return event;
                 }
             }
             Ok(None) => return RequestEvent::Whole(attempt),
-            Err(err) => return broke(attempt, Ran::Yes, Break::Cut, &err.to_string()),
+            Err(err) => return attempt_failed(attempt, Ran::Yes, Break::Cut, &err.to_string()),
         }
     }
 }
 
 /// Waits until the caller has taken enough of what came; returns the event that ends the attempt
 /// where it takes nothing for too long.
-async fn room(node: &Rc<Node>, open: &Open) -> Option<RequestEvent> {
+async fn wait_for_caller(node: &Rc<Node>, open: &Open) -> Option<RequestEvent> {
     let queue = node.queue(open.request)?;
     if !queue.is_full() {
         return None;
     }
     node.apply(Event::Request(RequestEvent::Held(open.attempt)));
     while queue.is_full() {
-        let taken = queue.taken();
-        if timeout(CALLER_TIME, queue.room()).await.is_err() && queue.taken() == taken {
-            queue.close();
+        let taken = queue.consumed();
+        if timeout(CALLER_STALL_TIMEOUT, queue.wait_for_space())
+            .await
+            .is_err()
+            && queue.consumed() == taken
+        {
+            queue.close_connection();
             return Some(RequestEvent::Left(open.request));
         }
     }
@@ -144,43 +148,43 @@
 /// caller would read a scrambled answer; cut at the first gap, it would wait for a new stream
 /// each time.
 #[derive(Debug)]
-pub(super) struct InOrder {
+pub(super) struct ReorderBuffer {
     /// Offset of the next token.
-    next: u64,
+    next_offset: u64,
     ended: bool,
-    ahead: BTreeMap<u64, Chunk>,
+    pending: BTreeMap<u64, Chunk>,
 }
 
-impl InOrder {
+impl ReorderBuffer {
     pub(super) fn new(next: u64) -> Self {
         Self {
-            next,
+            next_offset: next,
             ended: false,
-            ahead: BTreeMap::new(),
+            pending: BTreeMap::new(),
         }
     }
 
     /// Takes a chunk; returns whether there is still room for those that come too early.
-    pub(super) fn put(&mut self, chunk: Chunk) -> bool {
-        let start = start(&chunk);
-        if start >= self.next {
+    pub(super) fn insert(&mut self, chunk: Chunk) -> bool {
+        let start = first_offset(&chunk);
+        if start >= self.next_offset {
             // The end marker starts where the token after it would.
             let place = start * 2 + u64::from(chunk.end);
-            self.ahead.entry(place).or_insert(chunk);
+            self.pending.entry(place).or_insert(chunk);
         }
-        self.ahead.len() <= AHEAD || start == self.next
+        self.pending.len() <= MAX_CHUNKS_AHEAD || start == self.next_offset
     }
 
     /// Returns the next chunk and the offset of its first token, once it is there.
     pub(super) fn pop(&mut self) -> Option<(u64, Chunk)> {
-        let entry = self.ahead.first_entry()?;
-        let offset = start(entry.get());
-        if offset != self.next || self.ended {
+        let entry = self.pending.first_entry()?;
+        let offset = first_offset(entry.get());
+        if offset != self.next_offset || self.ended {
             return None;
         }
         let chunk = entry.remove();
         self.ended = chunk.end;
-        self.next = chunk.offset;
+        self.next_offset = chunk.offset;
         Some((offset, chunk))
     }
 }
@@ -188,11 +192,11 @@
 /// Returns the offset of a chunk's first token.
 ///
 /// An event's id is the offset of the token after it; the last event has none.
-fn start(chunk: &Chunk) -> u64 {
+fn first_offset(chunk: &Chunk) -> u64 {
     chunk.offset.saturating_sub(u64::from(!chunk.end))
 }
 
-fn broke(attempt: AttemptKey, ran: Ran, end: Break, detail: &str) -> RequestEvent {
+fn attempt_failed(attempt: AttemptKey, ran: Ran, end: Break, detail: &str) -> RequestEvent {
     RequestEvent::Broke {
         attempt,
         ran,
@@ -201,7 +205,7 @@
     }
 }
 
-fn unopened(attempt: AttemptKey, err: &OpenError, resume: Option<u64>) -> RequestEvent {
+fn open_failed(attempt: AttemptKey, err: &OpenError, resume: Option<u64>) -> RequestEvent {
     let ran = err.ran();
     let end = match (err, err.status()) {
         (_, Some(404)) if resume.is_some() => Break::Forgotten,
@@ -214,11 +218,11 @@
         (OpenError::Late, _) => Break::Silent,
         _ => Break::Cut,
     };
-    broke(attempt, ran, end, &err.to_string())
+    attempt_failed(attempt, ran, end, &err.to_string())
 }
 
 /// Calls a service and reports its answer, unless `ended` closes first.
-pub async fn call(
+pub async fn call_service(
     node: Rc<Node>,
     request: RequestKey,
     attempt: AttemptKey,
@@ -248,19 +252,19 @@
         biased;
         _ = ended => return,
         answer = timeout(time, sent) => match answer {
-            Ok(Ok(answer)) => answered(attempt, &answer),
-            Ok(Err(err)) => service_broke(attempt, &err),
-            Err(_late) => broke(attempt, Ran::Unknown, Break::Cut, "no answer in time"),
+            Ok(Ok(answer)) => service_answered(attempt, &answer),
+            Ok(Err(err)) => service_failed(attempt, &err),
+            Err(_late) => attempt_failed(attempt, Ran::Unknown, Break::Cut, "no answer in time"),
         },
     };
     node.attempt_ended(attempt);
     node.apply(Event::Request(event));
 }
 
-fn answered(attempt: AttemptKey, answer: &backend::Answer) -> RequestEvent {
+fn service_answered(attempt: AttemptKey, answer: &backend::Answer) -> RequestEvent {
     if answer.ran == Ran::No {
         let detail = format!("the service refused with {}", answer.status);
-        return broke(attempt, Ran::No, Break::Refused, &detail);
+        return attempt_failed(attempt, Ran::No, Break::Refused, &detail);
     }
     let media = answer
         .headers
@@ -274,17 +278,17 @@
     RequestEvent::Answered { attempt, result }
 }
 
-fn service_broke(attempt: AttemptKey, err: &OpenError) -> RequestEvent {
+fn service_failed(attempt: AttemptKey, err: &OpenError) -> RequestEvent {
     let end = match err.ran() {
         Ran::No => Break::Unreachable,
         Ran::Yes | Ran::Unknown => Break::Cut,
     };
-    broke(attempt, err.ran(), end, &err.to_string())
+    attempt_failed(attempt, err.ran(), end, &err.to_string())
 }
 
 /// Reads the platform's list.
-pub async fn list(node: Rc<Node>) {
-    let list = node.look(|core| core.settings.platform.list);
+pub async fn read_platform_list(node: Rc<Node>) {
+    let list = node.with_core(|core| core.settings.platform.list);
     match node.store.hosts(list).await {
         Ok(listed) => {
             let entries = listed.into_iter().map(|entry| Entry {
@@ -307,15 +311,15 @@
 }
 
 /// Reads an engine's load report.
-pub async fn load(node: Rc<Node>, name: Box<str>, addr: SocketAddr) {
-    let read = timeout(LOAD_TIME, backend::load(&node.backends, addr)).await;
+pub async fn read_load(node: Rc<Node>, name: Box<str>, addr: SocketAddr) {
+    let read = timeout(LOAD_TIMEOUT, backend::load(&node.backends, addr)).await;
     let report = match read {
         Ok(Ok(load)) => Some(Report {
-            running: small(load.running),
-            waiting: small(load.waiting),
+            running: saturating_u32(load.running),
+            waiting: saturating_u32(load.waiting),
             prefill: load.prefill_tokens,
             role: Role::from_word(&load.role).unwrap_or_default(),
-            age: small(load.age_ms),
+            age: saturating_u32(load.age_ms),
             changing: load.changing,
             fence: load.fence_seen,
             order: load.order_seen,
@@ -325,13 +329,13 @@
     node.apply(Event::Fleet(FleetEvent::Report { name, report }));
 }
 
-fn small(value: u64) -> u32 {
+fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
 
 /// Tries to connect, to see whether a process listens at an address.
 pub async fn probe(node: Rc<Node>, addr: SocketAddr) {
-    let tried = timeout(PROBE_TIME, tokio::net::TcpStream::connect(addr)).await;
+    let tried = timeout(PROBE_TIMEOUT, tokio::net::TcpStream::connect(addr)).await;
     let probe = match tried {
         Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Probe::Refused,
         _ => Probe::Open,
@@ -340,9 +344,9 @@
 }
 
 /// Gives an order, unless the right to give it has ended.
-pub async fn order(node: Rc<Node>, order: effect::Order) {
+pub async fn send_order(node: Rc<Node>, order: effect::Order) {
     let fresh = backend::Fresh {
-        life: ORDER_LIFE,
+        life: ORDER_LIFETIME,
         gate: |until| timer::now() < Time::from_micros(until),
         until: order.until.micros(),
     };
--- a/src/host/callers.rs
+++ b/src/host/callers.rs
@@ -10,8 +10,8 @@
 use ntex::http::{Method, Request, Response, StatusCode};
 use serde_json::json;
 
-use super::completion::{self, Completion, Delivery, Form};
-use super::node::{Node, Part, Prepared, ServiceCall, Taken};
+use super::completion::{self, Completion, Delivery, Endpoint};
+use super::node::{AcceptedRequest, AnswerPart, Node, Prepared, ServiceCall};
 use super::problem::{self, REQUEST_ID};
 use super::queue;
 use crate::core::Event;
@@ -24,28 +24,33 @@
 use crate::web::{self, HandlerError};
 
 /// Longest idempotency key.
-const KEY_LIMIT: usize = 255;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 /// Header with the caller's idempotency key.
-const KEY_HEADER: &str = "idempotency-key";
+const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 /// Headers of a service call that are passed on.
-const PASSED: [&str; 4] = ["content-type", "accept", "accept-language", KEY_HEADER];
+const FORWARDED_HEADERS: [&str; 4] = [
+    "content-type",
+    "accept",
+    "accept-language",
+    IDEMPOTENCY_HEADER,
+];
 /// Most bytes read of a body that is not wanted.
-const DISCARD_LIMIT: usize = 64 * 1024;
+const MAX_DISCARD_BYTES: usize = 64 * 1024;
 /// Time a caller has to send a body that is not wanted.
-const DISCARD_TIME: Duration = Duration::from_secs(1);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Prefix of the paths of services.
-const SERVICES: &str = "/services/";
+const SERVICES_PREFIX: &str = "/services/";
 /// Piece size where no pool names one, in tokens.
-const PIECE: usize = 2000;
+const DEFAULT_BLOCK_TOKENS: usize = 2000;
 
 /// Tells the core that the caller left, unless its request has ended.
-struct Presence {
+struct CallerGuard {
     node: Rc<Node>,
     request: RequestKey,
     ended: bool,
 }
 
-impl Drop for Presence {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.ended {
             let left = RequestEvent::Left(self.request);
@@ -55,37 +60,37 @@
 }
 
 /// A request's parts, as they come.
-struct Parts {
-    queue: queue::Parts<Part>,
-    presence: Presence,
+struct AnswerParts {
+    queue: queue::QueueReceiver<AnswerPart>,
+    guard: CallerGuard,
 }
 
-impl Parts {
-    fn new(node: &Rc<Node>, taken: Taken) -> Self {
-        let presence = Presence {
+impl AnswerParts {
+    fn new(node: &Rc<Node>, taken: AcceptedRequest) -> Self {
+        let guard = CallerGuard {
             node: Rc::clone(node),
             request: taken.request,
             ended: false,
         };
         Self {
             queue: taken.parts,
-            presence,
+            guard,
         }
     }
 
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Part> {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<AnswerPart> {
         let part = match self.queue.poll(cx) {
             Poll::Ready(part) => part,
             Poll::Pending => return Poll::Pending,
         };
         // The core ends every request with one of these; a closed channel without one is its fault.
-        let lost = || Part::Refused(Refusal::new(Kind::Internal, "the request was lost"));
+        let lost = || AnswerPart::Refused(Refusal::new(Kind::Internal, "the request was lost"));
         let part = part.unwrap_or_else(lost);
-        self.presence.ended |= !matches!(part, Part::Piece(_));
+        self.guard.ended |= !matches!(part, AnswerPart::Chunk(_));
         Poll::Ready(part)
     }
 
-    async fn next(&mut self) -> Part {
+    async fn next(&mut self) -> AnswerPart {
         std::future::poll_fn(|cx| self.poll(cx)).await
     }
 }
@@ -93,9 +98,9 @@
 /// Serves one request.
 pub async fn handle(node: Rc<Node>, req: Request) -> Response {
     let mut response = route(&node, req).await;
-    if node.look(|core| core.stop.begun()) {
+    if node.with_core(|core| core.stop.begun()) {
         // The next request of this caller is to go to another host.
-        close(&mut response);
+        close_connection(&mut response);
     }
     response
 }
@@ -103,10 +108,10 @@
 async fn route(node: &Rc<Node>, req: Request) -> Response {
     let path = req.path().to_owned();
     match (req.method(), path.as_str()) {
-        (&Method::POST, "/v1/completions") => complete(node, req, Form::Text).await,
-        (&Method::POST, "/v1/chat/completions") => complete(node, req, Form::Chat).await,
+        (&Method::POST, "/v1/completions") => complete(node, req, Endpoint::Text).await,
+        (&Method::POST, "/v1/chat/completions") => complete(node, req, Endpoint::Chat).await,
         (&Method::GET, "/v1/models") => models(node, &req),
-        (_, path) if path.starts_with(SERVICES) => serve(node, req).await,
+        (_, path) if path.starts_with(SERVICES_PREFIX) => call_service(node, req).await,
         _ => refuse(Kind::NotFound, "there is nothing at this path"),
     }
 }
@@ -116,7 +121,7 @@
 }
 
 /// Returns the hash of the caller's key; one that belongs to nobody where it sent none.
-fn caller(req: &Request) -> KeyHash {
+fn caller_key(req: &Request) -> KeyHash {
     let key = header(req, "authorization").and_then(|value| value.strip_prefix("Bearer "));
     key.map_or(KeyHash([0; 32]), |key| KeyHash::of(key.trim()))
 }
@@ -125,12 +130,14 @@
     req.headers().get(name)?.to_str().ok()
 }
 
-fn idem(req: &Request) -> Result<Option<Box<str>>, Response> {
-    let Some(value) = req.headers().get(KEY_HEADER) else {
+fn idempotency_key(req: &Request) -> Result<Option<Box<str>>, Response> {
+    let Some(value) = req.headers().get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
     match std::str::from_utf8(value.as_bytes()) {
-        Ok(key) if !key.is_empty() && key.len() <= KEY_LIMIT => Ok(Some(key.into())),
+        Ok(key) if !key.is_empty() && key.len() <= MAX_IDEMPOTENCY_KEY_BYTES => {
+            Ok(Some(key.into()))
+        }
         _ => {
             let detail = "the Idempotency-Key is empty, longer than 255 bytes or not UTF-8";
             Err(refuse(Kind::Malformed, detail))
@@ -141,9 +148,9 @@
 /// Turns away whoever has no customer's key before its body is read.
 ///
 /// Anyone could have this host read and parse bodies for nothing otherwise.
-async fn known(node: &Rc<Node>, req: &mut Request) -> Result<(), Response> {
-    let caller = caller(req);
-    let refusal = node.look(|core| {
+async fn authenticate(node: &Rc<Node>, req: &mut Request) -> Result<(), Response> {
+    let caller = caller_key(req);
+    let refusal = node.with_core(|core| {
         if core.config.revision() == 0 {
             let detail = "this host has no lists yet";
             Some(Refusal::new(Kind::CutOff, detail))
@@ -156,20 +163,20 @@
     let Some(refusal) = refusal else {
         return Ok(());
     };
-    node.meters.count(&Meter::Ended {
+    node.metrics.record(&Meter::Ended {
         class: "".into(),
         customer: "".into(),
         outcome: refusal.kind.answer().code,
         lasted: Duration::ZERO,
     });
-    web::discard(req, DISCARD_LIMIT, DISCARD_TIME).await;
+    web::discard(req, MAX_DISCARD_BYTES, DISCARD_TIMEOUT).await;
     let mut response = problem::answer(&refusal, "");
-    close(&mut response);
+    close_connection(&mut response);
     Err(response)
 }
 
-async fn body(node: &Rc<Node>, req: &mut Request) -> Result<Bytes, Response> {
-    let (limit, time) = node.look(|core| {
+async fn read_body(node: &Rc<Node>, req: &mut Request) -> Result<Bytes, Response> {
+    let (limit, time) = node.with_core(|core| {
         let limits = &core.settings.limits;
         (limits.body, limits.body_time)
     });
@@ -178,26 +185,26 @@
         .map_err(|status| match status {
             StatusCode::PAYLOAD_TOO_LARGE => {
                 let mut response = refuse(Kind::TooLarge, &format!("the limit is {limit} bytes"));
-                close(&mut response);
+                close_connection(&mut response);
                 response
             }
             StatusCode::REQUEST_TIMEOUT => {
                 let mut response = refuse(Kind::TooSlow, "the body did not arrive in time");
-                close(&mut response);
+                close_connection(&mut response);
                 response
             }
             _ => refuse(Kind::Malformed, "the body was cut short"),
         })
 }
 
-fn close(response: &mut Response) {
+fn close_connection(response: &mut Response) {
     response
         .head_mut()
         .set_connection_type(ntex::http::ConnectionType::Close);
 }
 
 /// Returns the fingerprint of a request: equal targets and bodies have equal ones.
-pub(super) fn print(target: &str, body: &[u8]) -> Print {
+pub(super) fn fingerprint(target: &str, body: &[u8]) -> Print {
     let mut hasher = blake3::Hasher::new();
     hasher.update(target.as_bytes());
     hasher.update(b"\n");
@@ -207,51 +214,52 @@
     Print(print)
 }
 
-async fn complete(node: &Rc<Node>, mut req: Request, form: Form) -> Response {
-    if let Err(response) = known(node, &mut req).await {
+async fn complete(node: &Rc<Node>, mut req: Request, endpoint: Endpoint) -> Response {
+    if let Err(response) = authenticate(node, &mut req).await {
         return response;
     }
-    let idem = match idem(&req) {
+    let idem = match idempotency_key(&req) {
         Ok(idem) => idem,
         Err(response) => return response,
     };
-    let bytes = match body(node, &mut req).await {
+    let bytes = match read_body(node, &mut req).await {
         Ok(bytes) => bytes,
         Err(response) => return response,
     };
     let piece = |model: &str| {
-        node.look(|core| {
+        node.with_core(|core| {
             let pool = core.fleet.serving(model).next();
-            pool.map_or(PIECE, |pool| pool.settings.piece)
+            pool.map_or(DEFAULT_BLOCK_TOKENS, |pool| pool.settings.piece)
         })
     };
-    let (completion, want) = match completion::parse(form, &bytes, piece) {
+    let (completion, want) = match completion::parse(endpoint, &bytes, piece) {
         Ok(parsed) => parsed,
         Err(detail) => return refuse(Kind::Malformed, &detail),
     };
     let arrival = Arrival {
         tag: 0,
-        caller: caller(&req),
+        caller: caller_key(&req),
         want: Want::Model(want),
         idem,
-        print: print(form.path(), &bytes),
+        print: fingerprint(endpoint.path(), &bytes),
     };
     let copy = completion.clone();
-    let Some(taken) = node.take(arrival, Prepared::Completion(copy), req.io().cloned()) else {
+    let Some(taken) = node.accept_request(arrival, Prepared::Completion(copy), req.io().cloned())
+    else {
         return refuse(Kind::Internal, "the request was lost");
     };
     let id = taken.id.clone();
-    let parts = Parts::new(node, taken);
+    let parts = AnswerParts::new(node, taken);
     match completion.delivery {
-        Delivery::Stream => streamed(parts, id).await,
-        Delivery::Whole => collected(parts, &completion, &id).await,
+        Delivery::Stream => stream_answer(parts, id).await,
+        Delivery::Document => collect_answer(parts, &completion, &id).await,
     }
 }
 
-async fn streamed(mut parts: Parts, id: Box<str>) -> Response {
+async fn stream_answer(mut parts: AnswerParts, id: Box<str>) -> Response {
     // The head waits for the first part, so that a refusal has its own status.
     let first = parts.next().await;
-    if let Part::Refused(refusal) = &first {
+    if let AnswerPart::Refused(refusal) = &first {
         return problem::answer(refusal, &id);
     }
     let mut response = Response::build(StatusCode::OK);
@@ -259,7 +267,7 @@
         .content_type("text/event-stream")
         .header("cache-control", "no-store")
         .header(REQUEST_ID, &*id);
-    response.streaming(Events {
+    response.streaming(EventStream {
         parts,
         first: Some(first),
         offset: 0,
@@ -269,15 +277,15 @@
 }
 
 /// A streamed answer as server-sent events.
-struct Events {
-    parts: Parts,
-    first: Option<Part>,
+struct EventStream {
+    parts: AnswerParts,
+    first: Option<AnswerPart>,
     offset: u64,
     id: Box<str>,
     ended: bool,
 }
 
-impl Stream for Events {
+impl Stream for EventStream {
     type Item = Result<ntex::util::Bytes, HandlerError>;
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -294,18 +302,18 @@
         };
         let mut event = Vec::new();
         match part {
-            Part::Piece(data) => {
+            AnswerPart::Chunk(data) => {
                 this.offset += 1;
                 event.extend_from_slice(format!("id: {}\ndata: ", this.offset).as_bytes());
                 event.extend_from_slice(&data);
                 event.extend_from_slice(b"\n\n");
             }
-            Part::Whole | Part::Reply(..) => {
+            AnswerPart::Completed | AnswerPart::Reply(..) => {
                 this.ended = true;
                 event.extend_from_slice(b"data: [DONE]\n\n");
             }
             // Without the end marker no client takes the answer for whole; the event says why.
-            Part::Refused(refusal) => {
+            AnswerPart::Refused(refusal) => {
                 this.ended = true;
                 let document = problem::document(&refusal, &this.id);
                 event.extend_from_slice(format!("event: error\ndata: {document}\n\n").as_bytes());
@@ -315,16 +323,16 @@
     }
 }
 
-async fn collected(mut parts: Parts, completion: &Completion, id: &str) -> Response {
+async fn collect_answer(mut parts: AnswerParts, completion: &Completion, id: &str) -> Response {
     let (mut text, mut last) = (String::new(), Bytes::new());
     loop {
         match parts.next().await {
-            Part::Piece(data) => {
+            AnswerPart::Chunk(data) => {
                 text.push_str(&completion.text_of(&data));
                 last = data;
             }
-            Part::Refused(refusal) => return problem::answer(&refusal, id),
-            Part::Whole | Part::Reply(..) => break,
+            AnswerPart::Refused(refusal) => return problem::answer(&refusal, id),
+            AnswerPart::Completed | AnswerPart::Reply(..) => break,
         }
     }
     Response::build(StatusCode::OK)
@@ -334,8 +342,8 @@
 }
 
 fn models(node: &Rc<Node>, req: &Request) -> Response {
-    let caller = caller(req);
-    let models = node.look(|core| {
+    let caller = caller_key(req);
+    let models = node.with_core(|core| {
         let holder = core.config.index.get(caller)?;
         let allowance = core.config.lists.uses.plans.get(&holder.plan)?;
         let allowed = allowance.models.iter();
@@ -354,15 +362,15 @@
         .body(json!({"object": "list", "data": data}).to_string())
 }
 
-async fn serve(node: &Rc<Node>, mut req: Request) -> Response {
-    if let Err(response) = known(node, &mut req).await {
+async fn call_service(node: &Rc<Node>, mut req: Request) -> Response {
+    if let Err(response) = authenticate(node, &mut req).await {
         return response;
     }
-    let idem = match idem(&req) {
+    let idem = match idempotency_key(&req) {
         Ok(idem) => idem,
         Err(response) => return response,
     };
-    let rest = req.path()[SERVICES.len()..].to_owned();
+    let rest = req.path()[SERVICES_PREFIX.len()..].to_owned();
     let (service, path) = match rest.find('/') {
         Some(at) => (&rest[..at], &rest[at..]),
         None => (&*rest, "/"),
@@ -375,11 +383,11 @@
                       segments, no needless escapes, capitals in escapes and in the method";
         return refuse(Kind::Malformed, detail);
     }
-    let bytes = match body(node, &mut req).await {
+    let bytes = match read_body(node, &mut req).await {
         Ok(bytes) => bytes,
         Err(response) => return response,
     };
-    let headers = PASSED
+    let headers = FORWARDED_HEADERS
         .iter()
         .filter_map(|name| Some(((*name).into(), header(&req, name)?.into())));
     let call = ServiceCall {
@@ -390,8 +398,8 @@
     };
     let arrival = Arrival {
         tag: 0,
-        caller: caller(&req),
-        print: print(&format!("{service} {method} {full}"), &bytes),
+        caller: caller_key(&req),
+        print: fingerprint(&format!("{service} {method} {full}"), &bytes),
         want: Want::Service(ServiceWant {
             service: service.into(),
             method,
@@ -399,22 +407,24 @@
         }),
         idem,
     };
-    let Some(taken) = node.take(arrival, Prepared::Call(call), req.io().cloned()) else {
+    let Some(taken) = node.accept_request(arrival, Prepared::Call(call), req.io().cloned()) else {
         return refuse(Kind::Internal, "the request was lost");
     };
     let id = taken.id.clone();
-    let mut parts = Parts::new(node, taken);
+    let mut parts = AnswerParts::new(node, taken);
     loop {
         match parts.next().await {
-            Part::Reply(result, first) => return replied(&result, first.as_deref(), &id),
-            Part::Refused(refusal) => return problem::answer(&refusal, &id),
-            Part::Piece(_) => {}
-            Part::Whole => return refuse(Kind::Internal, "a service call cannot end so"),
+            AnswerPart::Reply(result, first) => {
+                return service_answer(&result, first.as_deref(), &id);
+            }
+            AnswerPart::Refused(refusal) => return problem::answer(&refusal, &id),
+            AnswerPart::Chunk(_) => {}
+            AnswerPart::Completed => return refuse(Kind::Internal, "a service call cannot end so"),
         }
     }
 }
 
-fn replied(result: &Stored, first: Option<&str>, id: &str) -> Response {
+fn service_answer(result: &Stored, first: Option<&str>, id: &str) -> Response {
     let status = StatusCode::from_u16(result.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     response.header(REQUEST_ID, id);
--- a/src/host/completion.rs
+++ b/src/host/completion.rs
@@ -10,22 +10,22 @@
 use crate::core::event::ModelWant;
 
 /// Bytes taken for one token where the engine's own count is not known yet.
-const TOKEN_BYTES: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 /// Tokens generated when the caller names no bound.
-const DEFAULT_OUTPUT: u32 = 256;
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 /// Most tokens a caller may ask for.
-const MOST_OUTPUT: u64 = 1_000_000;
+const MAX_OUTPUT_TOKENS: u64 = 1_000_000;
 
 /// The fields of a piece that hold its text; read for every token, so nothing is copied that can
 /// be borrowed.
 #[derive(Debug, Default, Deserialize)]
-struct Piece<'a> {
+struct ChunkBody<'a> {
     #[serde(borrow, default)]
-    choices: Vec<PieceChoice<'a>>,
+    choices: Vec<ChunkChoice<'a>>,
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct PieceChoice<'a> {
+struct ChunkChoice<'a> {
     #[serde(borrow, default)]
     text: Option<Cow<'a, str>>,
     #[serde(borrow, default)]
@@ -40,14 +40,14 @@
 
 /// Form of a completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum Endpoint {
     /// `/v1/completions`.
     Text,
     /// `/v1/chat/completions`.
     Chat,
 }
 
-impl Form {
+impl Endpoint {
     /// Returns the path at an engine.
     #[must_use]
     pub fn path(self) -> &'static str {
@@ -64,14 +64,14 @@
     /// As events, while it is generated.
     Stream,
     /// As one document.
-    Whole,
+    Document,
 }
 
 /// A completion that a caller asked for.
 #[derive(Debug, Clone)]
 pub struct Completion {
     /// Form of request and answer.
-    pub form: Form,
+    pub endpoint: Endpoint,
     /// How the caller takes the answer.
     pub delivery: Delivery,
     body: Map<String, Value>,
@@ -83,7 +83,7 @@
 ///
 /// Returns what is wrong with the body, for the caller.
 pub fn parse(
-    form: Form,
+    endpoint: Endpoint,
     bytes: &[u8],
     piece: impl FnOnce(&str) -> usize,
 ) -> Result<(Completion, ModelWant), Box<str>> {
@@ -92,39 +92,39 @@
     let Value::Object(mut body) = body else {
         return Err("the body is not a JSON object".into());
     };
-    let model = text(&body, "model")?;
-    let prompt = match form {
-        Form::Text => text_prompt(&body)?,
-        Form::Chat => chat_prompt(&body)?,
+    let model = text_field(&body, "model")?;
+    let prompt = match endpoint {
+        Endpoint::Text => text_prompt(&body)?,
+        Endpoint::Chat => chat_prompt(&body)?,
     };
     let delivery = match body.get("stream") {
-        None | Some(Value::Null | Value::Bool(false)) => Delivery::Whole,
+        None | Some(Value::Null | Value::Bool(false)) => Delivery::Document,
         Some(Value::Bool(true)) => Delivery::Stream,
         Some(_) => return Err("stream is neither true nor false".into()),
     };
     if body.get("n").is_some_and(|n| *n != json!(1)) {
         return Err("n is not 1; ask for each answer on its own".into());
     }
-    let output = output(&body)?;
+    let output = output_tokens(&body)?;
     body.insert("max_tokens".into(), json!(output));
     body.insert("stream".into(), json!(true));
     body.remove("max_completion_tokens");
-    let tokens = prompt.len().div_ceil(TOKEN_BYTES);
+    let tokens = prompt.len().div_ceil(BYTES_PER_TOKEN);
     let want = ModelWant {
         prompt: u32::try_from(tokens).unwrap_or(u32::MAX),
         output,
-        pieces: pieces(&model, &prompt, piece(&model) * TOKEN_BYTES),
+        pieces: block_hashes(&model, &prompt, piece(&model) * BYTES_PER_TOKEN),
         model,
     };
     let completion = Completion {
-        form,
+        endpoint,
         delivery,
         body,
     };
     Ok((completion, want))
 }
 
-fn text(body: &Map<String, Value>, key: &str) -> Result<Box<str>, Box<str>> {
+fn text_field(body: &Map<String, Value>, key: &str) -> Result<Box<str>, Box<str>> {
     match body.get(key) {
         Some(Value::String(text)) if !text.is_empty() => Ok(text.as_str().into()),
         Some(_) => Err(format!("{key} is not a text").into()),
@@ -161,24 +161,24 @@
     Ok(prompt)
 }
 
-fn output(body: &Map<String, Value>) -> Result<u32, Box<str>> {
+fn output_tokens(body: &Map<String, Value>) -> Result<u32, Box<str>> {
     let given = body
         .get("max_tokens")
         .or_else(|| body.get("max_completion_tokens"));
     match given {
-        None | Some(Value::Null) => Ok(DEFAULT_OUTPUT),
+        None | Some(Value::Null) => Ok(DEFAULT_OUTPUT_TOKENS),
         Some(value) => value
             .as_u64()
-            .filter(|tokens| (1..=MOST_OUTPUT).contains(tokens))
+            .filter(|tokens| (1..=MAX_OUTPUT_TOKENS).contains(tokens))
             .and_then(|tokens| u32::try_from(tokens).ok())
             .ok_or_else(|| {
-                format!("max_tokens is not a whole number from 1 to {MOST_OUTPUT}").into()
+                format!("max_tokens is not a whole number from 1 to {MAX_OUTPUT_TOKENS}").into()
             }),
     }
 }
 
 /// Returns the hash of each whole piece of the prompt, over everything up to its end.
-fn pieces(model: &str, prompt: &str, size: usize) -> Vec<u64> {
+fn block_hashes(model: &str, prompt: &str, size: usize) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     hasher.update(model.as_bytes());
     let whole = prompt.as_bytes().chunks_exact(size.max(1));
@@ -223,11 +223,11 @@
     /// Returns the text in one piece of an answer.
     #[must_use]
     pub fn text_of<'a>(&self, piece: &'a [u8]) -> Cow<'a, str> {
-        let piece: Piece<'a> = serde_json::from_slice(piece).unwrap_or_default();
+        let piece: ChunkBody<'a> = serde_json::from_slice(piece).unwrap_or_default();
         let choice = piece.choices.into_iter().next().unwrap_or_default();
-        let text = match self.form {
-            Form::Text => choice.text,
-            Form::Chat => choice.delta.content,
+        let text = match self.endpoint {
+            Endpoint::Text => choice.text,
+            Endpoint::Chat => choice.delta.content,
         };
         text.unwrap_or_default()
     }
@@ -237,12 +237,12 @@
     pub fn document(&self, id: &str, text: &str, last: &[u8]) -> Value {
         let last: Value = serde_json::from_slice(last).unwrap_or_default();
         let reason = &last["choices"][0]["finish_reason"];
-        let (object, choice) = match self.form {
-            Form::Text => (
+        let (object, choice) = match self.endpoint {
+            Endpoint::Text => (
                 "text_completion",
                 json!({"index": 0, "text": text, "finish_reason": reason}),
             ),
-            Form::Chat => (
+            Endpoint::Chat => (
                 "chat.completion",
                 json!({
                     "index": 0,
--- a/src/host/link.rs
+++ b/src/host/link.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use super::node::Node;
-use super::peers::{self, Codes, PeerError, Side, Wire};
+use super::peers::{self, FramedStream, PeerError, SessionMac, Side};
 use crate::core::Event;
 use crate::core::event::PeerEvent;
 use crate::core::key::HostKey;
@@ -20,20 +20,20 @@
 use crate::wire::Frame;
 
 /// Messages that wait for a connection; more are dropped, as if the network had lost them.
-const QUEUE: usize = 4096;
+const MAX_QUEUED_MESSAGES: usize = 4096;
 /// Time until unacknowledged bytes are given up by the kernel.
 ///
 /// Bytes left in a socket's buffer can be sent again when a partition heals, long after what they
 /// say has stopped being true; the kernel drops them even while this process is suspended.
-const UNACKED: Duration = Duration::from_secs(5);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time between a failure and the next try.
-const RETRY: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 /// A peer's connection; dropping it closes the connection once its queue is empty.
 #[derive(Debug)]
 pub struct Link {
     tx: mpsc::Sender<Message>,
-    again: Rc<Notify>,
+    reconnect_signal: Rc<Notify>,
 }
 
 /// Who is at the other end.
@@ -46,11 +46,19 @@
 impl Link {
     /// Starts the connection's task.
     pub fn start(node: &Rc<Node>, host: HostKey, name: Box<str>, addr: SocketAddr) -> Self {
-        let (tx, rx) = mpsc::channel(QUEUE);
-        let again = Rc::new(Notify::new());
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let reconnect_signal = Rc::new(Notify::new());
         let target = Target { host, name, addr };
-        ntex::rt::spawn(run(Rc::clone(node), target, rx, Rc::clone(&again)));
-        Self { tx, again }
+        ntex::rt::spawn(run(
+            Rc::clone(node),
+            target,
+            rx,
+            Rc::clone(&reconnect_signal),
+        ));
+        Self {
+            tx,
+            reconnect_signal,
+        }
     }
 
     /// Puts a message in the queue.
@@ -62,67 +70,76 @@
 
     /// Closes the connection; the next message opens a new one.
     pub fn reconnect(&self) {
-        self.again.notify_one();
+        self.reconnect_signal.notify_one();
     }
 }
 
-async fn run(node: Rc<Node>, target: Target, mut rx: mpsc::Receiver<Message>, again: Rc<Notify>) {
+async fn run(
+    node: Rc<Node>,
+    target: Target,
+    mut rx: mpsc::Receiver<Message>,
+    reconnect_signal: Rc<Notify>,
+) {
     while let Some(first) = rx.recv().await {
-        let Err(err) = speak(&node, &target, first, &mut rx, &again).await else {
+        let Err(err) = send_messages(&node, &target, first, &mut rx, &reconnect_signal).await
+        else {
             return;
         };
         log::debug!("connection to {}: {err}", target.name);
         // What waited was meant for the moment it was sent.
         while rx.try_recv().is_ok() {}
         node.apply(Event::Peer(PeerEvent::Down(target.host)));
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
 /// Sends messages until the queue closes.
-async fn speak(
+async fn send_messages(
     node: &Rc<Node>,
     target: &Target,
     first: Message,
     rx: &mut mpsc::Receiver<Message>,
-    again: &Notify,
+    reconnect_signal: &Notify,
 ) -> Result<(), PeerError> {
-    let (mut wire, mut codes) = timeout(peers::PROOF_TIME, connect(node, target))
+    let (mut wire, mut mac) = timeout(peers::HANDSHAKE_TIMEOUT, connect(node, target))
         .await
-        .unwrap_or(Err(PeerError::Slow))?;
-    wire.feed(seal(&mut codes, first)).await?;
+        .unwrap_or(Err(PeerError::TimedOut))?;
+    wire.feed(seal(&mut mac, first)).await?;
     loop {
         while let Ok(message) = rx.try_recv() {
-            wire.feed(seal(&mut codes, message)).await?;
+            wire.feed(seal(&mut mac, message)).await?;
         }
         SinkExt::<Bytes>::flush(&mut wire).await?;
         tokio::select! {
             message = rx.recv() => match message {
-                Some(message) => wire.feed(seal(&mut codes, message)).await?,
+                Some(message) => wire.feed(seal(&mut mac, message)).await?,
                 None => return Ok(()),
             },
             // The peer says nothing on this connection; its end is all there is to read.
             _ = wire.next() => return Err(PeerError::Closed),
-            () = again.notified() => return Err(PeerError::Slow),
+            () = reconnect_signal.notified() => return Err(PeerError::TimedOut),
         }
     }
 }
 
-fn seal(codes: &mut Codes, message: Message) -> Bytes {
-    codes.seal(&Frame::Message(message))
+fn seal(mac: &mut SessionMac, message: Message) -> Bytes {
+    mac.seal(&Frame::Message(message))
 }
 
-async fn connect(node: &Rc<Node>, target: &Target) -> Result<(Wire, Codes), PeerError> {
-    let (name, secret) = node.look(|core| {
+async fn connect(
+    node: &Rc<Node>,
+    target: &Target,
+) -> Result<(FramedStream, SessionMac), PeerError> {
+    let (name, secret) = node.with_core(|core| {
         let host = &core.settings.host;
         (host.name.clone(), host.secret.clone())
     });
     let stream = TcpStream::connect(target.addr).await?;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
     let mut wire = peers::frame(stream)?;
-    let (other, codes) = peers::prove(&mut wire, Side::Opener, &name, secret.expose()).await?;
+    let (other, mac) = peers::handshake(&mut wire, Side::Opener, &name, secret.expose()).await?;
     if other != target.name {
-        return Err(PeerError::Unproved);
+        return Err(PeerError::Unauthenticated);
     }
-    Ok((wire, codes))
+    Ok((wire, mac))
 }
--- a/src/host/meters.rs
+++ b/src/host/metrics.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use opentelemetry::KeyValue;
-use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter as Otel, MeterProvider};
+use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter as OtelMeter, MeterProvider};
 use opentelemetry_sdk::error::OTelSdkError;
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
@@ -18,49 +18,49 @@
 ///
 /// Each series stays in memory for the life of the process: thousands of customers must not
 /// become thousands of histograms.
-const NAMED: usize = 32;
+const MAX_NAMED_CUSTOMERS: usize = 32;
 /// Requests after which a customer counts as busy.
-const BUSY: u32 = 50;
+const NAMED_MIN_REQUESTS: u32 = 50;
 /// Customers whose requests are counted to find the busy ones.
-const WATCHED: usize = 1024;
+const MAX_COUNTED_CUSTOMERS: usize = 1024;
 /// Label of all customers without a name of their own.
-const OTHERS: &str = "other";
+const OTHER_CUSTOMERS: &str = "other";
 /// Bounds of the histograms of seconds.
-const BOUNDS: [f64; 16] = [
+const BUCKET_BOUNDS_SECS: [f64; 16] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.049, 0.1, 0.2, 0.4, 0.78, 1.5, 3.0, 6.0, 15.0, 60.0, 300.0,
 ];
 
 /// Every instrument of a host.
 #[derive(Debug)]
-pub struct Meters {
+pub struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
-    first: Histogram<f64>,
-    between: Histogram<f64>,
-    queued: Histogram<f64>,
-    lasted: Histogram<f64>,
-    retried: Counter<u64>,
-    ordered: Counter<u64>,
-    calls: Counter<u64>,
-    age: Gauge<f64>,
-    era: Gauge<u64>,
+    first_token: Histogram<f64>,
+    token_gap: Histogram<f64>,
+    queue_time: Histogram<f64>,
+    request_time: Histogram<f64>,
+    retries: Counter<u64>,
+    orders: Counter<u64>,
+    store_calls: Counter<u64>,
+    view_age: Gauge<f64>,
+    store_era: Gauge<u64>,
     unlisted: Gauge<u64>,
     limited: Gauge<u64>,
-    seen: Cell<Calls>,
-    customers: RefCell<BTreeMap<Box<str>, u32>>,
-    named: RefCell<Vec<Box<str>>>,
+    last_calls: Cell<Calls>,
+    request_counts: RefCell<BTreeMap<Box<str>, u32>>,
+    named_customers: RefCell<Vec<Box<str>>>,
 }
 
-fn seconds(meter: &Otel, name: &'static str, about: &'static str) -> Histogram<f64> {
+fn seconds_histogram(meter: &OtelMeter, name: &'static str, about: &'static str) -> Histogram<f64> {
     meter
         .f64_histogram(name)
         .with_description(about)
         .with_unit("s")
-        .with_boundaries(BOUNDS.to_vec())
+        .with_boundaries(BUCKET_BOUNDS_SECS.to_vec())
         .build()
 }
 
-impl Meters {
+impl Metrics {
     /// Creates the instruments.
     ///
     /// # Errors
@@ -78,23 +78,27 @@
             meter.u64_counter(name).with_description(about).build()
         };
         Ok(Self {
-            first: seconds(&meter, "chiveway_first_token", "Arrival to the first token"),
-            between: seconds(&meter, "chiveway_between_tokens", "Token to token"),
-            queued: seconds(&meter, "chiveway_queued", "Arrival to a back end"),
-            lasted: seconds(
+            first_token: seconds_histogram(
+                &meter,
+                "chiveway_first_token",
+                "Arrival to the first token",
+            ),
+            token_gap: seconds_histogram(&meter, "chiveway_between_tokens", "Token to token"),
+            queue_time: seconds_histogram(&meter, "chiveway_queued", "Arrival to a back end"),
+            request_time: seconds_histogram(
                 &meter,
                 "chiveway_requests",
                 "Arrival to the end, by outcome",
             ),
-            retried: counter("chiveway_retries", "Attempts beyond the first"),
-            ordered: counter("chiveway_orders", "Orders given to engines"),
-            calls: counter("chiveway_store_calls", "Calls of the key-value service"),
-            age: meter
+            retries: counter("chiveway_retries", "Attempts beyond the first"),
+            orders: counter("chiveway_orders", "Orders given to engines"),
+            store_calls: counter("chiveway_store_calls", "Calls of the key-value service"),
+            view_age: meter
                 .f64_gauge("chiveway_store_view_age")
                 .with_description("Time since all that the key-value service held was known")
                 .with_unit("s")
                 .build(),
-            era: meter
+            store_era: meter
                 .u64_gauge("chiveway_store_era")
                 .with_description("Era of the key-value service")
                 .build(),
@@ -108,14 +112,14 @@
                 .build(),
             registry,
             _provider: provider,
-            seen: Cell::default(),
-            customers: RefCell::default(),
-            named: RefCell::default(),
+            last_calls: Cell::default(),
+            request_counts: RefCell::default(),
+            named_customers: RefCell::default(),
         })
     }
 
     /// Counts or times one thing.
-    pub fn count(&self, meter: &Meter) {
+    pub fn record(&self, meter: &Meter) {
         match meter {
             Meter::Ended {
                 class,
@@ -125,55 +129,55 @@
             } => {
                 let labels = [
                     label("class", class),
-                    self.customer(customer),
+                    self.customer_label(customer),
                     KeyValue::new("outcome", *outcome),
                 ];
-                self.lasted.record(lasted.as_secs_f64(), &labels);
+                self.request_time.record(lasted.as_secs_f64(), &labels);
             }
             Meter::First {
                 class,
                 customer,
                 after,
             } => {
-                let labels = [label("class", class), self.customer(customer)];
-                self.first.record(after.as_secs_f64(), &labels);
+                let labels = [label("class", class), self.customer_label(customer)];
+                self.first_token.record(after.as_secs_f64(), &labels);
             }
             Meter::Between { class, gap } => {
-                self.between
+                self.token_gap
                     .record(gap.as_secs_f64(), &[label("class", class)]);
             }
             Meter::Queued { class, after } => {
-                self.queued
+                self.queue_time
                     .record(after.as_secs_f64(), &[label("class", class)]);
             }
-            Meter::Retried { class } => self.retried.add(1, &[label("class", class)]),
-            Meter::Ordered { pool } => self.ordered.add(1, &[label("pool", pool)]),
+            Meter::Retried { class } => self.retries.add(1, &[label("class", class)]),
+            Meter::Ordered { pool } => self.orders.add(1, &[label("pool", pool)]),
         }
     }
 
     /// Returns the customer's own label, or the label of all others.
-    fn customer(&self, customer: &str) -> KeyValue {
-        let mut named = self.named.borrow_mut();
+    fn customer_label(&self, customer: &str) -> KeyValue {
+        let mut named = self.named_customers.borrow_mut();
         if named.iter().any(|name| &**name == customer) {
             return label("customer", customer);
         }
-        if named.len() < NAMED && !customer.is_empty() {
-            let mut customers = self.customers.borrow_mut();
-            if customers.len() >= WATCHED && !customers.contains_key(customer) {
+        if named.len() < MAX_NAMED_CUSTOMERS && !customer.is_empty() {
+            let mut customers = self.request_counts.borrow_mut();
+            if customers.len() >= MAX_COUNTED_CUSTOMERS && !customers.contains_key(customer) {
                 customers.clear();
             }
             let count = customers.entry(customer.into()).or_default();
             *count += 1;
-            if *count >= BUSY {
+            if *count >= NAMED_MIN_REQUESTS {
                 named.push(customer.into());
             }
         }
-        label("customer", OTHERS)
+        label("customer", OTHER_CUSTOMERS)
     }
 
     /// Takes in the counts of calls to the key-value service.
-    pub fn store(&self, now: &Calls) {
-        let seen = self.seen.replace(*now);
+    pub fn record_store_calls(&self, now: &Calls) {
+        let seen = self.last_calls.replace(*now);
         for (kind, now, seen) in [
             ("range", now.range, seen.range),
             ("probe", now.probe, seen.probe),
@@ -186,34 +190,34 @@
             ("refused", now.refused, seen.refused),
             ("unknown", now.unknown, seen.unknown),
         ] {
-            self.calls
+            self.store_calls
                 .add(now.saturating_sub(seen), &[KeyValue::new("kind", kind)]);
         }
     }
 
     /// Takes in how long ago all that the key-value service held was known.
-    pub fn view_age(&self, age: Duration) {
-        self.age.record(age.as_secs_f64(), &[]);
+    pub fn set_view_age(&self, age: Duration) {
+        self.view_age.record(age.as_secs_f64(), &[]);
     }
 
     /// Takes in the era of the key-value service.
-    pub fn store_era(&self, era: u64) {
-        self.era.record(era, &[]);
+    pub fn set_store_era(&self, era: u64) {
+        self.store_era.record(era, &[]);
     }
 
     /// Takes in how many backend servers get work while their entries are missing.
-    pub fn unlisted(&self, servers: u64) {
+    pub fn set_unlisted(&self, servers: u64) {
         self.unlisted.record(servers, &[]);
     }
 
     /// Takes in how many backend servers name a limit.
-    pub fn limited(&self, servers: u64) {
+    pub fn set_limited(&self, servers: u64) {
         self.limited.record(servers, &[]);
     }
 
     /// Returns everything in Prometheus' text form.
     #[must_use]
-    pub fn text(&self) -> Option<String> {
+    pub fn encode(&self) -> Option<String> {
         let mut text = Vec::new();
         TextEncoder::new()
             .encode(&self.registry.gather(), &mut text)
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -6,10 +6,9 @@
 mod backends;
 mod callers;
 mod completion;
-mod keeper;
 mod link;
 mod logs;
-mod meters;
+mod metrics;
 mod node;
 mod operators;
 mod peers;
@@ -17,6 +16,7 @@
 mod queue;
 mod relay;
 mod report;
+mod store;
 #[cfg(test)]
 mod tests;
 mod timer;
@@ -63,7 +63,7 @@
     Client,
     /// The meters cannot be made.
     #[snafu(display("the meters cannot be made"))]
-    Meters,
+    Metrics,
 }
 
 /// A host's open listeners.
@@ -140,10 +140,10 @@
         host.peers = addr;
     }
     let socket = Rc::new(socket);
-    relay::journal::write(&listening(host, relay));
+    relay::event_log::write(&listening_note(host, relay));
     let node = Node::new(settings).await?;
     let (close, closed) = watch::channel(false);
-    node.on_close(close);
+    node.set_close_signal(close);
     let (ended, running) = watch::channel(false);
 
     let handler = Rc::clone(&node);
@@ -179,13 +179,13 @@
         }
     });
     node.apply(Event::Start);
-    finish(&node, &mut stop).await;
+    wait_for_stop(&node, &mut stop).await;
     drop(ended);
     Ok(())
 }
 
 /// Returns the log event that names the listeners.
-fn listening(host: &HostSettings, relay: &RelaySettings) -> Note {
+fn listening_note(host: &HostSettings, relay: &RelaySettings) -> Note {
     let text = |addr: SocketAddr| addr.to_string().into();
     Note {
         level: log::Level::Info,
@@ -202,8 +202,8 @@
 }
 
 /// Waits for the order to stop, and then for the end of the planned stop.
-async fn finish(node: &Rc<Node>, stop: &mut watch::Receiver<bool>) {
-    let exit = node.exited();
+async fn wait_for_stop(node: &Rc<Node>, stop: &mut watch::Receiver<bool>) {
+    let exit = node.wait_for_exit();
     tokio::pin!(exit);
     loop {
         tokio::select! {
@@ -234,7 +234,7 @@
 ) -> Result<(), HostError> {
     let node = Node::new(settings).await?;
     let (close, closed) = watch::channel(false);
-    node.on_close(close);
+    node.set_close_signal(close);
 
     let callers = Rc::clone(&node);
     let serve = web::serve(listeners.callers, web::GRACE, closed, move |req| {
@@ -255,10 +255,10 @@
     ));
     ntex::rt::spawn(peers::accept(Rc::clone(&node), listeners.peers, running));
     ntex::rt::spawn(timer::run(Rc::clone(&node)));
-    ntex::rt::spawn(keeper::watch(Rc::clone(&node)));
+    ntex::rt::spawn(store::watch(Rc::clone(&node)));
     node.apply(Event::Start);
 
-    finish(&node, &mut stop).await;
+    wait_for_stop(&node, &mut stop).await;
     node.flush().await;
     drop(ended);
     Ok(())
--- a/src/host/node.rs
+++ b/src/host/node.rs
@@ -13,11 +13,11 @@
 
 use super::backends;
 use super::completion::Completion;
-use super::keeper;
 use super::link::Link;
-use super::meters::Meters;
-use super::queue::{self, Parts, Queue};
-use super::relay::{self, Ports};
+use super::metrics::Metrics;
+use super::queue::{self, QueueReceiver, QueueSender};
+use super::relay::{self, Adapters};
+use super::store;
 use super::timer::{self, Timers};
 use super::{HostError, logs};
 use crate::backend;
@@ -30,17 +30,17 @@
 use crate::web::CLIENT_IDLE;
 
 /// Time one call to the key-value service may take at one endpoint.
-const STORE_TIME: Duration = Duration::from_secs(2);
+const STORE_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time messages to peers may take to leave at the end of a planned stop.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
+const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 /// What the handler of a request is told.
 #[derive(Debug)]
-pub enum Part {
+pub enum AnswerPart {
     /// The next piece of the answer: one event's data.
-    Piece(Bytes),
+    Chunk(Bytes),
     /// The answer is whole.
-    Whole,
+    Completed,
     /// A service's answer, and the request that ran it where that was an earlier one.
     Reply(Stored, Option<Box<str>>),
     /// There will be no whole answer.
@@ -71,8 +71,8 @@
 
 /// A request whose handler is still there.
 #[derive(Debug)]
-pub struct Live {
-    queue: Queue<Part>,
+pub struct OpenRequest {
+    queue: QueueSender<AnswerPart>,
     /// What it asks of a back end.
     pub prepared: Rc<Prepared>,
     /// Text passed on so far, kept for an engine that must continue.
@@ -81,13 +81,13 @@
 
 /// A request that was taken in.
 #[derive(Debug)]
-pub struct Taken {
+pub struct AcceptedRequest {
     /// Its key.
     pub request: RequestKey,
     /// Its id.
     pub id: Box<str>,
     /// What its handler is told.
-    pub parts: Parts<Part>,
+    pub parts: QueueReceiver<AnswerPart>,
 }
 
 /// A host's core and adapters.
@@ -101,25 +101,25 @@
     /// Client of engines and services.
     pub backends: backend::Client,
     /// Client that opens a connection for each call.
-    fresh: backend::Client,
+    unpooled: backend::Client,
     /// Back ends to which a connection was lost, with the time until which none is reused.
-    wary: RefCell<BTreeMap<SocketAddr, Time>>,
+    no_reuse_until: RefCell<BTreeMap<SocketAddr, Time>>,
     /// Counts and histograms.
-    pub meters: Meters,
-    live: RefCell<SecondaryMap<RequestKey, Live>>,
+    pub metrics: Metrics,
+    open_requests: RefCell<SecondaryMap<RequestKey, OpenRequest>>,
     attempts: RefCell<SecondaryMap<AttemptKey, oneshot::Sender<()>>>,
     /// The request being taken in.
-    arriving: RefCell<Option<Live>>,
+    arriving: RefCell<Option<OpenRequest>>,
     arrived: RefCell<Option<(RequestKey, Box<str>)>>,
     /// The piece whose arrival is being told to the core.
-    piece: RefCell<Option<Bytes>>,
+    current_chunk: RefCell<Option<Bytes>>,
     links: RefCell<SecondaryMap<HostKey, Link>>,
-    asks: RefCell<BTreeMap<AskKey, oneshot::Sender<OperatorAnswer>>>,
-    count: Cell<u64>,
+    operator_queries: RefCell<BTreeMap<AskKey, oneshot::Sender<OperatorAnswer>>>,
+    last_number: Cell<u64>,
     close: RefCell<Option<watch::Sender<bool>>>,
     exit: Notify,
     /// Adapters of relayed requests.
-    pub relay: Ports,
+    pub relay: Adapters,
 }
 
 impl Node {
@@ -134,14 +134,14 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let wall = u64::try_from(wall.as_millis()).unwrap_or(0);
-        let store = Store::new(settings.platform.kv.clone(), STORE_TIME).await;
+        let store = Store::new(settings.platform.kv.clone(), STORE_CALL_TIMEOUT).await;
         let client = backend::Client::new(backend::Options::default()).await;
-        let fresh = backend::Client::new(backend::Options {
+        let unpooled = backend::Client::new(backend::Options {
             reuse: backend::Reuse::Never,
             ..backend::Options::default()
         });
-        let fresh = fresh.await;
-        let meters = Meters::new(&settings).map_err(|_otel| HostError::Meters)?;
+        let unpooled = unpooled.await;
+        let metrics = Metrics::new(&settings).map_err(|_otel| HostError::Metrics)?;
         let epoch = wall.saturating_sub(now.millis());
         let core = Core::new(settings, now, epoch, rand::random());
         Ok(Rc::new(Self {
@@ -149,42 +149,42 @@
             timers: Timers::default(),
             store,
             backends: client.map_err(|_builder| HostError::Client)?,
-            wary: RefCell::default(),
-            fresh: fresh.map_err(|_builder| HostError::Client)?,
-            meters,
-            live: RefCell::default(),
+            no_reuse_until: RefCell::default(),
+            unpooled: unpooled.map_err(|_builder| HostError::Client)?,
+            metrics,
+            open_requests: RefCell::default(),
             attempts: RefCell::default(),
             arriving: RefCell::default(),
             arrived: RefCell::default(),
-            piece: RefCell::default(),
+            current_chunk: RefCell::default(),
             links: RefCell::default(),
-            asks: RefCell::default(),
-            count: Cell::new(0),
+            operator_queries: RefCell::default(),
+            last_number: Cell::new(0),
             close: RefCell::default(),
             exit: Notify::new(),
-            relay: Ports::default(),
+            relay: Adapters::default(),
         }))
     }
 
     /// Looks at the core.
-    pub fn look<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
+    pub fn with_core<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
         look(&self.core.borrow())
     }
 
     /// Sets what a planned stop closes the callers' listener with.
-    pub fn on_close(&self, close: watch::Sender<bool>) {
+    pub fn set_close_signal(&self, close: watch::Sender<bool>) {
         *self.close.borrow_mut() = Some(close);
     }
 
     /// Waits for the end of a planned stop.
-    pub async fn exited(&self) {
+    pub async fn wait_for_exit(&self) {
         self.exit.notified().await;
     }
 
     /// Gives messages to peers time to leave.
     pub async fn flush(&self) {
         self.links.borrow_mut().clear();
-        tokio::time::sleep(FLUSH_TIME).await;
+        tokio::time::sleep(FLUSH_DELAY).await;
     }
 
     /// Feeds one event to the core and carries out its effects.
@@ -194,62 +194,68 @@
             .borrow_mut()
             .reduce(timer::now(), event, &mut effects);
         for effect in effects {
-            self.carry(effect);
+            self.execute(effect);
         }
     }
 
     /// Takes in a request that came on this connection.
-    pub fn take(
+    pub fn accept_request(
         self: &Rc<Self>,
         mut arrival: Arrival,
         prepared: Prepared,
         io: Option<IoRef>,
-    ) -> Option<Taken> {
-        let (queue, parts) = queue::queue(io, |part| matches!(part, Part::Piece(_)));
-        *self.arriving.borrow_mut() = Some(Live {
+    ) -> Option<AcceptedRequest> {
+        let (queue, parts) = queue::channel(io, |part| matches!(part, AnswerPart::Chunk(_)));
+        *self.arriving.borrow_mut() = Some(OpenRequest {
             queue,
             prepared: Rc::new(prepared),
             text: String::new(),
         });
-        arrival.tag = self.number();
+        arrival.tag = self.next_number();
         self.apply(Event::Request(RequestEvent::Arrived(Box::new(arrival))));
         let (request, id) = self.arrived.borrow_mut().take()?;
-        Some(Taken { request, id, parts })
+        Some(AcceptedRequest { request, id, parts })
     }
 
     /// Tells the core that a piece of an answer arrived.
-    pub fn chunk(self: &Rc<Self>, attempt: AttemptKey, offset: u64, tokens: u32, data: Bytes) {
-        *self.piece.borrow_mut() = Some(data);
+    pub fn chunk_received(
+        self: &Rc<Self>,
+        attempt: AttemptKey,
+        offset: u64,
+        tokens: u32,
+        data: Bytes,
+    ) {
+        *self.current_chunk.borrow_mut() = Some(data);
         self.apply(Event::Request(RequestEvent::Chunk {
             attempt,
             offset,
             tokens,
         }));
-        self.piece.borrow_mut().take();
+        self.current_chunk.borrow_mut().take();
     }
 
     /// Puts an operator's question.
-    pub async fn ask(
+    pub async fn operator_query(
         self: &Rc<Self>,
         event: impl FnOnce(AskKey) -> OperatorEvent,
     ) -> Option<OperatorAnswer> {
-        let ask = AskKey(self.number());
+        let ask = AskKey(self.next_number());
         let (tx, rx) = oneshot::channel();
-        self.asks.borrow_mut().insert(ask, tx);
+        self.operator_queries.borrow_mut().insert(ask, tx);
         self.apply(Event::Operator(event(ask)));
         rx.await.ok()
     }
 
-    fn number(&self) -> u64 {
-        let number = self.count.get() + 1;
-        self.count.set(number);
+    fn next_number(&self) -> u64 {
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         number
     }
 
     /// Returns what a request asks of a back end.
     #[must_use]
     pub fn prepared(&self, request: RequestKey) -> Option<Rc<Prepared>> {
-        let live = self.live.borrow();
+        let live = self.open_requests.borrow();
         live.get(request).map(|live| Rc::clone(&live.prepared))
     }
 
@@ -260,14 +266,14 @@
     /// so that none is reused until the pool has dropped all that were idle then.
     pub fn client(&self, addr: SocketAddr, resume: Option<u64>) -> &backend::Client {
         let now = timer::now();
-        let mut wary = self.wary.borrow_mut();
+        let mut no_reuse_until = self.no_reuse_until.borrow_mut();
         if resume.is_some() {
             let idle = Duration::from_secs(CLIENT_IDLE.0.into());
-            wary.insert(addr, now.after(idle));
+            no_reuse_until.insert(addr, now.after(idle));
         }
-        wary.retain(|_, until| *until > now);
-        if wary.contains_key(&addr) {
-            &self.fresh
+        no_reuse_until.retain(|_, until| *until > now);
+        if no_reuse_until.contains_key(&addr) {
+            &self.unpooled
         } else {
             &self.backends
         }
@@ -275,8 +281,8 @@
 
     /// Returns the text passed on so far.
     #[must_use]
-    pub fn text(&self, request: RequestKey) -> String {
-        let live = self.live.borrow();
+    pub fn delivered_text(&self, request: RequestKey) -> String {
+        let live = self.open_requests.borrow();
         live.get(request)
             .map(|live| live.text.clone())
             .unwrap_or_default()
@@ -284,36 +290,38 @@
 
     /// Returns what waits for a request's caller.
     #[must_use]
-    pub fn queue(&self, request: RequestKey) -> Option<Queue<Part>> {
-        let live = self.live.borrow();
+    pub fn queue(&self, request: RequestKey) -> Option<QueueSender<AnswerPart>> {
+        let live = self.open_requests.borrow();
         live.get(request).map(|live| live.queue.clone())
     }
 
-    fn end(&self, request: RequestKey, part: Part) {
-        if let Some(live) = self.live.borrow_mut().remove(request) {
-            live.queue.end(part);
+    fn finish(&self, request: RequestKey, part: AnswerPart) {
+        if let Some(live) = self.open_requests.borrow_mut().remove(request) {
+            live.queue.push_control(part);
         }
     }
 
-    fn carry(self: &Rc<Self>, effect: Effect) {
+    fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Opened { request, id, .. } => {
                 if let Some(live) = self.arriving.borrow_mut().take() {
-                    self.live.borrow_mut().insert(request, live);
+                    self.open_requests.borrow_mut().insert(request, live);
                 }
                 *self.arrived.borrow_mut() = Some((request, id));
             }
-            Effect::Deliver { request } => self.deliver(request),
-            Effect::Finish(request) => self.end(request, Part::Whole),
+            Effect::Deliver { request } => self.deliver_chunk(request),
+            Effect::Finish(request) => self.finish(request, AnswerPart::Completed),
             Effect::Reply {
                 request,
                 result,
                 first,
-            } => self.end(request, Part::Reply(result, first)),
-            Effect::Refuse { request, refusal } => self.end(request, Part::Refused(refusal)),
+            } => self.finish(request, AnswerPart::Reply(result, first)),
+            Effect::Refuse { request, refusal } => {
+                self.finish(request, AnswerPart::Refused(refusal))
+            }
             Effect::Open(open) => {
-                let ended = self.attempt(open.attempt);
-                ntex::rt::spawn(backends::stream(Rc::clone(self), open, ended));
+                let ended = self.start_attempt(open.attempt);
+                ntex::rt::spawn(backends::run_stream(Rc::clone(self), open, ended));
             }
             Effect::Call {
                 request,
@@ -321,38 +329,39 @@
                 addr,
                 timeout,
             } => {
-                let ended = self.attempt(attempt);
-                let call = backends::call(Rc::clone(self), request, attempt, addr, timeout, ended);
+                let ended = self.start_attempt(attempt);
+                let call =
+                    backends::call_service(Rc::clone(self), request, attempt, addr, timeout, ended);
                 ntex::rt::spawn(call);
             }
             Effect::Cancel(attempt) => {
                 self.attempts.borrow_mut().remove(attempt);
             }
-            Effect::Wake { at, timer } => self.timers.wake(at, timer),
-            Effect::Meter(meter) => self.meters.count(&meter),
+            Effect::Wake { at, timer } => self.timers.schedule(at, timer),
+            Effect::Meter(meter) => self.metrics.record(&meter),
             Effect::Log(event) => logs::write(&event),
             Effect::Answer { ask, answer } => {
-                if let Some(tx) = self.asks.borrow_mut().remove(&ask) {
+                if let Some(tx) = self.operator_queries.borrow_mut().remove(&ask) {
                     drop(tx.send(answer));
                 }
             }
             Effect::Close => drop(self.close.borrow_mut().take()),
             Effect::Exit => self.exit.notify_one(),
-            Effect::Note(note) => relay::journal::write(&note),
-            Effect::Relay(effect) => relay::carry(self, effect),
-            other => self.carry_out(other),
+            Effect::Note(note) => relay::event_log::write(&note),
+            Effect::Relay(effect) => relay::execute(self, effect),
+            other => self.execute_external(other),
         }
     }
 
     /// Carries out effects towards peers and the platform.
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn execute_external(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
                 if let Some(link) = self.links.borrow().get(to) {
                     link.send(message);
                 }
             }
-            Effect::Peer { host, name, addr } => self.link(host, name, addr),
+            Effect::Peer { host, name, addr } => self.open_link(host, name, addr),
             Effect::Unpeer(host) => {
                 self.links.borrow_mut().remove(host);
             }
@@ -362,25 +371,25 @@
                 }
             }
             Effect::List => {
-                ntex::rt::spawn(backends::list(Rc::clone(self)));
+                ntex::rt::spawn(backends::read_platform_list(Rc::clone(self)));
             }
             Effect::Load { name, addr } => {
-                ntex::rt::spawn(backends::load(Rc::clone(self), name, addr));
+                ntex::rt::spawn(backends::read_load(Rc::clone(self), name, addr));
             }
             Effect::Probe(addr) => {
                 ntex::rt::spawn(backends::probe(Rc::clone(self), addr));
             }
             Effect::Order(order) => {
-                ntex::rt::spawn(backends::order(Rc::clone(self), order));
+                ntex::rt::spawn(backends::send_order(Rc::clone(self), order));
             }
-            other if self.look(|core| core.settings.relay.is_some()) => {
-                relay::keeper::carry(self, other);
+            other if self.with_core(|core| core.settings.relay.is_some()) => {
+                relay::store::execute(self, other);
             }
-            other => keeper::carry(self, other),
+            other => store::execute(self, other),
         }
     }
 
-    pub(super) fn attempt(&self, attempt: AttemptKey) -> oneshot::Receiver<()> {
+    pub(super) fn start_attempt(&self, attempt: AttemptKey) -> oneshot::Receiver<()> {
         let (tx, rx) = oneshot::channel();
         self.attempts.borrow_mut().insert(attempt, tx);
         rx
@@ -391,21 +400,21 @@
         self.attempts.borrow_mut().remove(attempt);
     }
 
-    fn link(self: &Rc<Self>, host: HostKey, name: Box<str>, addr: SocketAddr) {
+    fn open_link(self: &Rc<Self>, host: HostKey, name: Box<str>, addr: SocketAddr) {
         let link = Link::start(self, host, name, addr);
         self.links.borrow_mut().insert(host, link);
     }
 
-    fn deliver(&self, request: RequestKey) {
-        let Some(data) = self.piece.borrow_mut().take() else {
+    fn deliver_chunk(&self, request: RequestKey) {
+        let Some(data) = self.current_chunk.borrow_mut().take() else {
             return;
         };
-        let mut live = self.live.borrow_mut();
+        let mut live = self.open_requests.borrow_mut();
         if let Some(live) = live.get_mut(request) {
             if let Prepared::Completion(completion) = &*live.prepared {
                 live.text.push_str(&completion.text_of(&data));
             }
-            live.queue.piece(Part::Piece(data));
+            live.queue.push_content(AnswerPart::Chunk(data));
         }
     }
 }
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -16,12 +16,12 @@
 use crate::web;
 
 /// Most bytes of a list.
-const LIST_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
 /// Time an operator has to send a list.
-const LIST_TIME: Duration = Duration::from_secs(30);
+const LIST_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time a caller that is refused has to send the rest of its body.
-const REFUSE_TIME: Duration = Duration::from_secs(2);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Serves one request.
 pub async fn handle(node: Rc<Node>, mut req: Request) -> Response {
@@ -33,32 +33,34 @@
             _ => {}
         }
     }
-    if !admitted(&node, &req) {
-        web::discard(&mut req, LIST_LIMIT, REFUSE_TIME).await;
+    if !is_authorized(&node, &req) {
+        web::discard(&mut req, MAX_LIST_BYTES, DISCARD_TIMEOUT).await;
         let detail = "the operators' key is missing or wrong";
         return problem::answer(&Refusal::new(Kind::BadKey, detail), "");
     }
     let get = req.method() == Method::GET;
     match path.trim_start_matches('/').split_once('/') {
-        Some(("lists", "force")) if get => force(&node, &req),
-        Some(("lists", list)) => match which(list) {
-            Some(which) if get => show(&node, which),
-            Some(which) if req.method() == Method::PUT => apply(&node, req, which).await,
-            _ => nothing(),
+        Some(("lists", "force")) if get => lists_in_force(&node, &req),
+        Some(("lists", list)) => match parse_list_name(list) {
+            Some(which) if get => get_list(&node, which),
+            Some(which) if req.method() == Method::PUT => put_list(&node, req, which).await,
+            _ => not_found(),
         },
         Some(("explain", id)) if get => explain(&node, id).await,
-        None if get && path == "/status" => json_answer(StatusCode::OK, &node.look(report::status)),
+        None if get && path == "/status" => {
+            json_answer(StatusCode::OK, &node.with_core(report::status))
+        }
         None if get && path == "/metrics" => metrics(&node),
-        _ => nothing(),
+        _ => not_found(),
     }
 }
 
-fn nothing() -> Response {
+fn not_found() -> Response {
     let refusal = Refusal::new(Kind::NotFound, "there is nothing at this path");
     problem::answer(&refusal, "")
 }
 
-fn which(list: &str) -> Option<Which> {
+fn parse_list_name(list: &str) -> Option<Which> {
     match list {
         "plans" => Some(Which::Plans),
         "use" => Some(Which::Uses),
@@ -79,22 +81,22 @@
 }
 
 fn ready(node: &Rc<Node>) -> Response {
-    match node.look(report::ready) {
+    match node.with_core(report::ready) {
         Ok(()) => text(StatusCode::OK, "ready\n"),
         Err(why) => text(StatusCode::SERVICE_UNAVAILABLE, &format!("{why}\n")),
     }
 }
 
 /// Checks the operators' key; hashes are compared in constant time.
-fn admitted(node: &Rc<Node>, req: &Request) -> bool {
+fn is_authorized(node: &Rc<Node>, req: &Request) -> bool {
     let key = req.headers().get("authorization");
     let key = key.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
-    let wanted = node.look(|core| core.settings.host.operator_hash);
+    let wanted = node.with_core(|core| core.settings.host.operator_hash);
     key.is_some_and(|key| blake3::hash(key.trim().as_bytes()) == blake3::Hash::from_bytes(wanted))
 }
 
-fn show(node: &Rc<Node>, which: Which) -> Response {
-    let (revision, body) = node.look(|core| {
+fn get_list(node: &Rc<Node>, which: Which) -> Response {
+    let (revision, body) = node.with_core(|core| {
         let lists = &core.config.lists;
         let body = match which {
             Which::Plans => lists.plans.to_string(),
@@ -108,14 +110,14 @@
         .body(body)
 }
 
-async fn apply(node: &Rc<Node>, mut req: Request, list: Which) -> Response {
+async fn put_list(node: &Rc<Node>, mut req: Request, list: Which) -> Response {
     let base = req.headers().get("if-match");
     let base = base.and_then(|value| value.to_str().ok()?.trim_matches('"').parse().ok());
     let Some(base) = base else {
         let detail = "If-Match does not name the revision that was edited";
         return problem::answer(&Refusal::new(Kind::Malformed, detail), "");
     };
-    let bytes = match web::read_body(&mut req, LIST_LIMIT, LIST_TIME).await {
+    let bytes = match web::read_body(&mut req, MAX_LIST_BYTES, LIST_BODY_TIMEOUT).await {
         Ok(bytes) => bytes,
         Err(status) => return text(status, "the list could not be read\n"),
     };
@@ -128,7 +130,9 @@
         text: body.into(),
         base,
     };
-    let answer = node.ask(|ask| OperatorEvent::Apply { ask, edit }).await;
+    let answer = node
+        .operator_query(|ask| OperatorEvent::Apply { ask, edit })
+        .await;
     match answer {
         Some(OperatorAnswer::Accepted(revision)) => {
             json_answer(StatusCode::OK, &json!({"revision": revision}))
@@ -137,7 +141,7 @@
             revision,
             text: theirs,
         }) => {
-            let diff = changes(list, body, &theirs);
+            let diff = conflict_diff(list, body, &theirs);
             json_answer(
                 StatusCode::CONFLICT,
                 &json!({"revision": revision, "diff": diff}),
@@ -158,7 +162,7 @@
 }
 
 /// Returns the lines by which the list in force differs from an operator's edit.
-fn changes(list: Which, mine: &str, theirs: &str) -> String {
+fn conflict_diff(list: Which, mine: &str, theirs: &str) -> String {
     let read = |text: &str| {
         let mut lists = Lists::default();
         match list {
@@ -170,7 +174,7 @@
     diff(&read(mine), &read(theirs)).join("\n")
 }
 
-fn force(node: &Rc<Node>, req: &Request) -> Response {
+fn lists_in_force(node: &Rc<Node>, req: &Request) -> Response {
     let query = req.uri().query().unwrap_or_default();
     let revision = query.strip_prefix("revision=");
     let Some(revision) = revision.and_then(|number| number.parse().ok()) else {
@@ -179,13 +183,15 @@
     };
     json_answer(
         StatusCode::OK,
-        &node.look(|core| report::force(core, revision)),
+        &node.with_core(|core| report::revision_in_force(core, revision)),
     )
 }
 
 async fn explain(node: &Rc<Node>, id: &str) -> Response {
     let id = id.into();
-    let answer = node.ask(|ask| OperatorEvent::Explain { ask, id }).await;
+    let answer = node
+        .operator_query(|ask| OperatorEvent::Explain { ask, id })
+        .await;
     match answer {
         Some(OperatorAnswer::Record(record)) => {
             json_answer(StatusCode::OK, &report::record(&record))
@@ -198,26 +204,27 @@
 }
 
 pub(super) fn metrics(node: &Rc<Node>) -> Response {
-    let relay = node.look(|core| core.settings.relay.is_some());
+    let relay = node.with_core(|core| core.settings.relay.is_some());
     let calls = if relay {
         node.relay.calls.get()
     } else {
         node.store.calls()
     };
-    node.meters.store(&calls);
-    if let Some(current) = node.look(|core| core.relay.view.fresh_at()) {
-        node.meters.view_age(super::timer::now().since(current));
+    node.metrics.record_store_calls(&calls);
+    if let Some(current) = node.with_core(|core| core.relay.view.fresh_at()) {
+        node.metrics
+            .set_view_age(super::timer::now().since(current));
     }
     if relay {
         let now = super::timer::now();
-        node.meters
-            .store_era(node.look(|core| core.relay.view.era()));
-        let unlisted = node.look(|core| core.relay.instances.unlisted(now));
-        node.meters.unlisted(unlisted);
-        let limited = node.look(|core| core.relay.instances.limited());
-        node.meters.limited(limited);
+        node.metrics
+            .set_store_era(node.with_core(|core| core.relay.view.era()));
+        let unlisted = node.with_core(|core| core.relay.instances.unlisted(now));
+        node.metrics.set_unlisted(unlisted);
+        let limited = node.with_core(|core| core.relay.instances.limited());
+        node.metrics.set_limited(limited);
     }
-    match node.meters.text() {
+    match node.metrics.encode() {
         Some(body) => text(StatusCode::OK, &body),
         None => problem::answer(&Refusal::new(Kind::Internal, "the metrics are lost"), ""),
     }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -22,18 +22,18 @@
 use crate::wire::{self, FRAME_LIMIT, Frame, Hello, VERSION, WireError};
 
 /// Most bytes of a frame before the sender has proved who it is.
-const FIRST_LIMIT: usize = 512;
+const MAX_HANDSHAKE_FRAME_BYTES: usize = 512;
 /// Time both sides have to prove who they are.
-pub const PROOF_TIME: Duration = Duration::from_secs(3);
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Silence after which a peer's connection is closed; beats come every second.
-const SILENCE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Bytes of the code before each message.
-const CODE: usize = 16;
+const MAC_BYTES: usize = 16;
 /// Connections that may be proving who they are at once.
-const UNPROVED: usize = 64;
+const MAX_HANDSHAKES: usize = 64;
 
 /// A framed connection.
-pub type Wire = Framed<TcpStream, LengthDelimitedCodec>;
+pub type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// Why a connection to a peer ended.
 #[derive(Debug, Snafu)]
@@ -49,7 +49,7 @@
     Closed,
     /// The other side was too slow.
     #[snafu(display("the other side was silent for too long"))]
-    Slow,
+    TimedOut,
     /// A frame is not understood.
     #[snafu(display("{source}"), context(false))]
     Frame {
@@ -64,64 +64,64 @@
     },
     /// The other side did not prove that it knows the secret, or is not who was expected.
     #[snafu(display("the other side did not prove who it is"))]
-    Unproved,
+    Unauthenticated,
 }
 
 /// Frames a fresh connection, with the small bound that holds before both sides are known.
-pub fn frame(stream: TcpStream) -> std::io::Result<Wire> {
+pub fn frame(stream: TcpStream) -> std::io::Result<FramedStream> {
     stream.set_nodelay(true)?;
     let mut codec = LengthDelimitedCodec::new();
-    codec.set_max_frame_length(FIRST_LIMIT);
+    codec.set_max_frame_length(MAX_HANDSHAKE_FRAME_BYTES);
     Ok(Framed::new(stream, codec))
 }
 
 /// A proved connection's codes.
 #[derive(Debug)]
-pub struct Codes {
+pub struct SessionMac {
     key: [u8; 32],
     count: u64,
 }
 
-impl Codes {
-    fn next(&mut self, bytes: &[u8]) -> [u8; CODE] {
+impl SessionMac {
+    fn next_mac(&mut self, bytes: &[u8]) -> [u8; MAC_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&self.count.to_le_bytes());
         hasher.update(bytes);
         self.count += 1;
-        let mut code = [0; CODE];
-        code.copy_from_slice(&hasher.finalize().as_bytes()[..CODE]);
+        let mut code = [0; MAC_BYTES];
+        code.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
         code
     }
 
     /// Returns a message with its code before it.
     pub fn seal(&mut self, frame: &Frame) -> Bytes {
-        let mut bytes = BytesMut::zeroed(CODE);
+        let mut bytes = BytesMut::zeroed(MAC_BYTES);
         wire::encode(frame, &mut bytes);
-        let code = self.next(&bytes[CODE..]);
-        bytes[..CODE].copy_from_slice(&code);
+        let code = self.next_mac(&bytes[MAC_BYTES..]);
+        bytes[..MAC_BYTES].copy_from_slice(&code);
         bytes.freeze()
     }
 
     /// Checks a message's code and returns the message.
-    fn open(&mut self, mut bytes: BytesMut) -> Result<BytesMut, PeerError> {
-        if bytes.len() < CODE {
-            return Err(PeerError::Unproved);
+    fn verify(&mut self, mut bytes: BytesMut) -> Result<BytesMut, PeerError> {
+        if bytes.len() < MAC_BYTES {
+            return Err(PeerError::Unauthenticated);
         }
-        let code = bytes.split_to(CODE);
+        let code = bytes.split_to(MAC_BYTES);
         // Compares in constant time.
         let given = blake3::Hash::from_bytes(widen(&code));
-        let wanted = blake3::Hash::from_bytes(widen(&self.next(&bytes)));
+        let wanted = blake3::Hash::from_bytes(widen(&self.next_mac(&bytes)));
         if given == wanted {
             Ok(bytes)
         } else {
-            Err(PeerError::Unproved)
+            Err(PeerError::Unauthenticated)
         }
     }
 }
 
 fn widen(code: &[u8]) -> [u8; 32] {
     let mut wide = [0; 32];
-    wide[..CODE].copy_from_slice(code);
+    wide[..MAC_BYTES].copy_from_slice(code);
     wide
 }
 
@@ -142,7 +142,7 @@
     }
 }
 
-fn mac(secret: &str, purpose: &str, opener: &Hello, accepter: &Hello) -> [u8; 32] {
+fn handshake_mac(secret: &str, purpose: &str, opener: &Hello, accepter: &Hello) -> [u8; 32] {
     let key = blake3::derive_key("chiveway peer handshake", secret.as_bytes());
     let mut hasher = blake3::Hasher::new_keyed(&key);
     for part in [
@@ -163,16 +163,16 @@
 /// # Errors
 ///
 /// Returns why the other side is not to be trusted.
-pub async fn prove(
-    wire: &mut Wire,
+pub async fn handshake(
+    wire: &mut FramedStream,
     side: Side,
     name: &str,
     secret: &str,
-) -> Result<(Box<str>, Codes), PeerError> {
+) -> Result<(Box<str>, SessionMac), PeerError> {
     let own = hello(name);
     send(wire, &Frame::Hello(own.clone())).await?;
     let Frame::Hello(other) = receive(wire).await? else {
-        return Err(PeerError::Unproved);
+        return Err(PeerError::Unauthenticated);
     };
     if other.version != VERSION {
         return Err(PeerError::Version {
@@ -184,8 +184,8 @@
         Side::Accepter => (&other, &own),
     };
     let proof = |side| match side {
-        Side::Opener => mac(secret, "opener", opener, accepter),
-        Side::Accepter => mac(secret, "accepter", opener, accepter),
+        Side::Opener => handshake_mac(secret, "opener", opener, accepter),
+        Side::Accepter => handshake_mac(secret, "accepter", opener, accepter),
     };
     let (mine, theirs) = match side {
         Side::Opener => (Side::Opener, Side::Accepter),
@@ -193,32 +193,32 @@
     };
     send(wire, &Frame::Proof(proof(mine))).await?;
     let Frame::Proof(given) = receive(wire).await? else {
-        return Err(PeerError::Unproved);
+        return Err(PeerError::Unauthenticated);
     };
     // Compares in constant time.
     if blake3::Hash::from_bytes(given) != blake3::Hash::from_bytes(proof(theirs)) {
-        return Err(PeerError::Unproved);
+        return Err(PeerError::Unauthenticated);
     }
-    let key = mac(secret, "session", opener, accepter);
+    let key = handshake_mac(secret, "session", opener, accepter);
     wire.codec_mut().set_max_frame_length(FRAME_LIMIT);
-    Ok((other.name, Codes { key, count: 0 }))
+    Ok((other.name, SessionMac { key, count: 0 }))
 }
 
-async fn send(wire: &mut Wire, frame: &Frame) -> Result<(), PeerError> {
+async fn send(wire: &mut FramedStream, frame: &Frame) -> Result<(), PeerError> {
     let mut bytes = BytesMut::new();
     wire::encode(frame, &mut bytes);
     wire.send(bytes.freeze()).await?;
     Ok(())
 }
 
-async fn receive(wire: &mut Wire) -> Result<Frame, PeerError> {
+async fn receive(wire: &mut FramedStream) -> Result<Frame, PeerError> {
     let bytes = wire.next().await.ok_or(PeerError::Closed)??;
     Ok(wire::decode(bytes)?)
 }
 
 /// Accepts connections from peers until `stop` closes.
 pub async fn accept(node: Rc<Node>, listener: TcpListener, mut stop: watch::Receiver<bool>) {
-    let unproved = crate::web::Gauge::default();
+    let handshakes = crate::web::Gauge::default();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -233,22 +233,22 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if unproved.get() >= UNPROVED {
+        if handshakes.get() >= MAX_HANDSHAKES {
             continue;
         }
-        let hold = unproved.hold();
+        let hold = handshakes.hold();
         let (node, stop) = (Rc::clone(&node), stop.clone());
         ntex::rt::spawn(async move {
             if let Err(err) = serve(&node, stream, hold, stop).await {
-                refused(addr, &err);
+                log_refusal(addr, &err);
             }
         });
     }
 }
 
-fn refused(addr: SocketAddr, err: &PeerError) {
+fn log_refusal(addr: SocketAddr, err: &PeerError) {
     match err {
-        PeerError::Unproved | PeerError::Version { .. } | PeerError::Frame { .. } => {
+        PeerError::Unauthenticated | PeerError::Version { .. } | PeerError::Frame { .. } => {
             log::warn!(target: "chiveway::peer.refused", "connection from {addr} refused: {err}");
         }
         _ => log::debug!("connection from {addr} ended: {err}"),
@@ -261,25 +261,25 @@
     hold: crate::web::Hold,
     mut stop: watch::Receiver<bool>,
 ) -> Result<(), PeerError> {
-    let (name, secret) = node.look(|core| {
+    let (name, secret) = node.with_core(|core| {
         let host = &core.settings.host;
         (host.name.clone(), host.secret.clone())
     });
     let mut wire = frame(stream)?;
-    let proof = prove(&mut wire, Side::Accepter, &name, secret.expose());
-    let (from, mut codes) = timeout(PROOF_TIME, proof)
+    let proof = handshake(&mut wire, Side::Accepter, &name, secret.expose());
+    let (from, mut mac) = timeout(HANDSHAKE_TIMEOUT, proof)
         .await
-        .unwrap_or(Err(PeerError::Slow))?;
+        .unwrap_or(Err(PeerError::TimedOut))?;
     drop(hold);
     loop {
         let next = tokio::select! {
-            next = timeout(SILENCE, wire.next()) => next,
+            next = timeout(IDLE_TIMEOUT, wire.next()) => next,
             _ = stop.changed() => return Ok(()),
         };
         let Ok(next) = next else {
-            return Err(PeerError::Slow);
+            return Err(PeerError::TimedOut);
         };
-        let bytes = codes.open(next.ok_or(PeerError::Closed)??)?;
+        let bytes = mac.verify(next.ok_or(PeerError::Closed)??)?;
         if let Frame::Message(message) = wire::decode(bytes)? {
             let from = from.clone();
             node.apply(Event::Peer(PeerEvent::Message { from, message }));
--- a/src/host/problem.rs
+++ b/src/host/problem.rs
@@ -8,7 +8,7 @@
 use crate::error::{problem, whole_secs};
 
 /// Media type of problem documents (RFC 9457).
-pub const MEDIA: &str = "application/problem+json";
+pub const MEDIA_TYPE: &str = "application/problem+json";
 /// Header with a request's id.
 pub const REQUEST_ID: &str = "x-request-id";
 
@@ -17,7 +17,7 @@
     let status = StatusCode::from_u16(refusal.kind.answer().status)
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = Response::build(status);
-    response.content_type(MEDIA);
+    response.content_type(MEDIA_TYPE);
     if !id.is_empty() {
         response.header(REQUEST_ID, id);
     }
--- a/src/host/queue.rs
+++ b/src/host/queue.rs
@@ -7,33 +7,33 @@
 use tokio::sync::{Notify, mpsc};
 
 /// Pieces that wait for a caller before nothing more is read from the engine.
-const MOST: usize = 256;
+const MAX_QUEUED_CHUNKS: usize = 256;
 
 #[derive(Debug)]
 struct Shared {
-    waiting: Cell<usize>,
-    taken: Cell<u64>,
-    room: Notify,
+    queued: Cell<usize>,
+    consumed: Cell<u64>,
+    space_freed: Notify,
     io: Option<IoRef>,
 }
 
 /// The end that fills a queue.
 #[derive(Debug)]
-pub struct Queue<P> {
+pub struct QueueSender<P> {
     tx: mpsc::UnboundedSender<P>,
     shared: Rc<Shared>,
 }
 
 /// The end that a request's handler empties.
 #[derive(Debug)]
-pub struct Parts<P> {
+pub struct QueueReceiver<P> {
     rx: mpsc::UnboundedReceiver<P>,
     shared: Rc<Shared>,
     /// Tells whether a part is a piece of the answer, for which there must be room.
-    counts: fn(&P) -> bool,
+    is_content: fn(&P) -> bool,
 }
 
-impl<P> Clone for Queue<P> {
+impl<P> Clone for QueueSender<P> {
     fn clone(&self) -> Self {
         Self {
             tx: self.tx.clone(),
@@ -44,31 +44,34 @@
 
 /// Creates the queue of a request that came in on this connection; `counts` tells which parts are
 /// pieces of the answer.
-pub fn queue<P>(io: Option<IoRef>, counts: fn(&P) -> bool) -> (Queue<P>, Parts<P>) {
+pub fn channel<P>(
+    io: Option<IoRef>,
+    is_content: fn(&P) -> bool,
+) -> (QueueSender<P>, QueueReceiver<P>) {
     let (tx, rx) = mpsc::unbounded_channel();
     let shared = Rc::new(Shared {
-        waiting: Cell::new(0),
-        taken: Cell::new(0),
-        room: Notify::new(),
+        queued: Cell::new(0),
+        consumed: Cell::new(0),
+        space_freed: Notify::new(),
         io,
     });
-    let parts = Parts {
+    let parts = QueueReceiver {
         rx,
         shared: Rc::clone(&shared),
-        counts,
+        is_content,
     };
-    (Queue { tx, shared }, parts)
+    (QueueSender { tx, shared }, parts)
 }
 
-impl<P> Queue<P> {
+impl<P> QueueSender<P> {
     /// Puts a piece at the end.
-    pub fn piece(&self, part: P) {
-        self.shared.waiting.set(self.shared.waiting.get() + 1);
-        self.end(part);
+    pub fn push_content(&self, part: P) {
+        self.shared.queued.set(self.shared.queued.get() + 1);
+        self.push_control(part);
     }
 
     /// Puts the last part at the end.
-    pub fn end(&self, part: P) {
+    pub fn push_control(&self, part: P) {
         // A handler that is gone tells the core itself.
         drop(self.tx.send(part));
     }
@@ -76,48 +79,48 @@
     /// Returns whether nothing more should be read for this caller.
     #[must_use]
     pub fn is_full(&self) -> bool {
-        self.shared.waiting.get() >= MOST
+        self.shared.queued.get() >= MAX_QUEUED_CHUNKS
     }
 
     /// Returns how many pieces the caller has taken.
     #[must_use]
-    pub fn taken(&self) -> u64 {
-        self.shared.taken.get()
+    pub fn consumed(&self) -> u64 {
+        self.shared.consumed.get()
     }
 
     /// Waits until the caller takes a piece.
-    pub async fn room(&self) {
-        self.shared.room.notified().await;
+    pub async fn wait_for_space(&self) {
+        self.shared.space_freed.notified().await;
     }
 
     /// Closes the caller's connection at once.
-    pub fn close(&self) {
+    pub fn close_connection(&self) {
         if let Some(io) = &self.shared.io {
             io.terminate();
         }
     }
 }
 
-impl<P> Parts<P> {
+impl<P> QueueReceiver<P> {
     /// Takes the next part.
     pub fn poll(&mut self, cx: &mut std::task::Context<'_>) -> std::task::Poll<Option<P>> {
         let part = self.rx.poll_recv(cx);
         if let std::task::Poll::Ready(Some(part)) = &part
-            && (self.counts)(part)
+            && (self.is_content)(part)
         {
             let shared = &self.shared;
-            shared.waiting.set(shared.waiting.get() - 1);
-            shared.taken.set(shared.taken.get() + 1);
-            shared.room.notify_one();
+            shared.queued.set(shared.queued.get() - 1);
+            shared.consumed.set(shared.consumed.get() + 1);
+            shared.space_freed.notify_one();
         }
         part
     }
 }
 
-impl<P> Drop for Parts<P> {
+impl<P> Drop for QueueReceiver<P> {
     fn drop(&mut self) {
         // Nobody takes what is left; whoever waits for room must not wait for ever.
-        self.shared.waiting.set(0);
-        self.shared.room.notify_one();
+        self.shared.queued.set(0);
+        self.shared.space_freed.notify_one();
     }
 }
--- a/src/host/relay/backends.rs
+++ b/src/host/relay/backends.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 use super::events::Splitter;
-use super::{Hand, Head, Prepared, tell, tell_with};
+use super::{EventPayload, Head, Prepared, apply, apply_with};
 use crate::backend::channel::{self, Answer, Call, ChannelError};
 use crate::core::event::Break;
 use crate::core::key::AttemptKey;
@@ -20,26 +20,26 @@
 
 /// Time to make a connection: a hundred times the way between failure domains, and short enough
 /// for another try within the wanted time.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Most bytes of a whole answer.
-const ANSWER: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 /// Most bytes of an answer to a prefill.
-const PREFILLED: usize = 64 * 1024;
+const MAX_CONTROL_ANSWER_BYTES: usize = 64 * 1024;
 /// Time for calls beside the requests.
-const CALL: Duration = Duration::from_secs(2);
+const CONTROL_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time an idle connection is kept where the backend server names none.
-const IDLE: Duration = Duration::from_millis(400);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(400);
 /// Part of the named time that is not used: a request must not cross the close.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
 /// How an attempt ended without a whole answer.
-struct Lost {
+struct AttemptFailure {
     ran: Ran,
     end: Break,
     detail: Box<str>,
 }
 
-impl Lost {
+impl AttemptFailure {
     fn new(ran: Ran, end: Break, detail: impl Into<Box<str>>) -> Self {
         Self {
             ran,
@@ -49,7 +49,7 @@
     }
 }
 
-impl From<ChannelError> for Lost {
+impl From<ChannelError> for AttemptFailure {
     fn from(err: ChannelError) -> Self {
         let end = match err {
             ChannelError::Connect { .. } => Break::Unreachable,
@@ -61,12 +61,12 @@
 }
 
 /// Runs one attempt, until it ends or is called off.
-pub async fn attempt(node: Rc<Node>, out: Outgoing, ended: oneshot::Receiver<()>) {
+pub async fn run_attempt(node: Rc<Node>, out: Outgoing, ended: oneshot::Receiver<()>) {
     tokio::select! {
-        result = run(&node, &out) => {
+        result = exchange(&node, &out) => {
             node.relay.attempt_ended(out.attempt);
             if let Err(lost) = result {
-                tell(&node, RelayEvent::AttemptFailed {
+                apply(&node, RelayEvent::AttemptFailed {
                     attempt: out.attempt,
                     ran: lost.ran,
                     end: lost.end,
@@ -79,7 +79,7 @@
     }
 }
 
-fn call(prepared: &Prepared, out: &Outgoing) -> Call {
+fn build_call(prepared: &Prepared, out: &Outgoing) -> Call {
     let mut headers = prepared.headers.clone();
     let ours = header::encode(out).into_iter();
     headers.extend(ours.map(|(name, value)| (name.into(), value.into_bytes().into())));
@@ -92,12 +92,12 @@
     }
 }
 
-async fn run(node: &Rc<Node>, out: &Outgoing) -> Result<(), Lost> {
+async fn exchange(node: &Rc<Node>, out: &Outgoing) -> Result<(), AttemptFailure> {
     let Some(prepared) = node.relay.prepared(out.call) else {
         return Ok(());
     };
-    let call = call(&prepared, out);
-    let answer = node.relay.channels.send(&call, CONNECT).await?;
+    let call = build_call(&prepared, out);
+    let answer = node.relay.channels.send(&call, CONNECT_TIMEOUT).await?;
     let status = answer.response.status().as_u16();
     let headers = answer.response.headers().iter();
     let headers: Vec<_> = headers
@@ -113,7 +113,7 @@
         _ => false,
     };
     if status != 421 && (reply.refused || echoed) {
-        tell(
+        apply(
             node,
             RelayEvent::Limited {
                 attempt: out.attempt,
@@ -122,66 +122,78 @@
         );
     }
     if reply.refused {
-        keep(node, answer, out, reply.idle).await;
+        drain_and_release(node, answer, out, reply.idle).await;
         let end = if status == 421 {
             Break::Rejected
         } else {
             Break::Refused
         };
-        return Err(Lost::new(Ran::No, end, format!("refused with {status}")));
+        return Err(AttemptFailure::new(
+            Ran::No,
+            end,
+            format!("refused with {status}"),
+        ));
     }
     if !echoed {
         // An answer to an earlier request on this connection.
         let detail = "the answer is not for this request";
-        return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
+        return Err(AttemptFailure::new(Ran::Unknown, Break::Cut, detail));
     }
     if matches!(out.task, Task::Prefill) {
-        return prefilled(node, out, answer, status, reply.idle).await;
+        return read_prefill_answer(node, out, answer, status, reply.idle).await;
     }
     if (200..300).contains(&status) && (!reply.signed || header::is_encoded(&reply.passed)) {
         let detail = "the answer is not the backend server's own";
-        return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
+        return Err(AttemptFailure::new(Ran::Unknown, Break::Cut, detail));
     }
     let head = Head {
         status,
         headers: reply.passed,
     };
     if out.streaming && status == 200 {
-        stream(node, out, answer, &head, reply.idle).await
+        read_stream(node, out, answer, &head, reply.idle).await
     } else {
-        whole(node, out, answer, head, reply.idle).await
+        read_answer(node, out, answer, head, reply.idle).await
     }
 }
 
 /// Keeps the connection of an answer that was read to its end.
-async fn keep(node: &Rc<Node>, mut answer: Answer, out: &Outgoing, idle: Option<Duration>) {
-    if channel::collect(&mut answer, PREFILLED).await.is_ok() {
+async fn drain_and_release(
+    node: &Rc<Node>,
+    mut answer: Answer,
+    out: &Outgoing,
+    idle: Option<Duration>,
+) {
+    if channel::collect(&mut answer, MAX_CONTROL_ANSWER_BYTES)
+        .await
+        .is_ok()
+    {
         release(node, answer, out, idle).await;
     }
 }
 
 async fn release(node: &Rc<Node>, answer: Answer, out: &Outgoing, idle: Option<Duration>) {
-    let idle = idle.map_or(IDLE, |idle| idle.saturating_sub(IDLE_MARGIN));
+    let idle = idle.map_or(DEFAULT_IDLE_TIME, |idle| idle.saturating_sub(IDLE_MARGIN));
     if idle.is_zero() {
         return;
     }
     node.relay.channels.keep(answer, idle, out.max_idle).await;
 }
 
-async fn prefilled(
+async fn read_prefill_answer(
     node: &Rc<Node>,
     out: &Outgoing,
     mut answer: Answer,
     status: u16,
     idle: Option<Duration>,
-) -> Result<(), Lost> {
-    let body = channel::collect(&mut answer, PREFILLED).await?;
+) -> Result<(), AttemptFailure> {
+    let body = channel::collect(&mut answer, MAX_CONTROL_ANSWER_BYTES).await?;
     let handle = engine::prefilled(&body).filter(|_| status == 200);
     let Some(handle) = handle else {
         let detail = format!("answered {status} to a prefill");
-        return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
+        return Err(AttemptFailure::new(Ran::Unknown, Break::Cut, detail));
     };
-    tell(
+    apply(
         node,
         RelayEvent::Prefilled {
             attempt: out.attempt,
@@ -192,18 +204,18 @@
     Ok(())
 }
 
-async fn whole(
+async fn read_answer(
     node: &Rc<Node>,
     out: &Outgoing,
     mut answer: Answer,
     head: Head,
     idle: Option<Duration>,
-) -> Result<(), Lost> {
-    let body = channel::collect(&mut answer, ANSWER).await?;
+) -> Result<(), AttemptFailure> {
+    let body = channel::collect(&mut answer, MAX_ANSWER_BYTES).await?;
     let status = head.status;
-    tell_with(
+    apply_with(
         node,
-        Hand::Answer(head, body),
+        EventPayload::Answer(head, body),
         RelayEvent::Answered {
             attempt: out.attempt,
             status,
@@ -213,44 +225,48 @@
     Ok(())
 }
 
-async fn stream(
+async fn read_stream(
     node: &Rc<Node>,
     out: &Outgoing,
     mut answer: Answer,
     head: &Head,
     idle: Option<Duration>,
-) -> Result<(), Lost> {
+) -> Result<(), AttemptFailure> {
     let mut splitter = Splitter::default();
     while let Some(part) = channel::next(&mut answer).await {
         let part = part?;
         if splitter.push(&part).is_none() {
-            return Err(Lost::new(Ran::Yes, Break::Cut, "an event is too long"));
+            return Err(AttemptFailure::new(
+                Ran::Yes,
+                Break::Cut,
+                "an event is too long",
+            ));
         }
         while let Some(event) = splitter.next() {
-            piece(node, out.attempt, head, event.number, event.data);
+            event_received(node, out.attempt, head, event.number, event.data);
         }
         let Some(queue) = node.relay.queue(out.call) else {
             return Ok(());
         };
         while queue.is_full() {
-            queue.room().await;
+            queue.wait_for_space().await;
         }
     }
     let rest = splitter.rest();
     if !rest.is_empty() {
-        piece(node, out.attempt, head, 0, rest);
+        event_received(node, out.attempt, head, 0, rest);
     }
-    tell(node, RelayEvent::StreamCompleted(out.attempt));
+    apply(node, RelayEvent::StreamCompleted(out.attempt));
     release(node, answer, out, idle).await;
     Ok(())
 }
 
-fn piece(node: &Rc<Node>, attempt: AttemptKey, head: &Head, number: u64, data: Bytes) {
-    let hand = Hand::Piece(head.clone(), data);
-    tell_with(node, hand, RelayEvent::StreamEvent { attempt, number });
+fn event_received(node: &Rc<Node>, attempt: AttemptKey, head: &Head, number: u64, data: Bytes) {
+    let hand = EventPayload::StreamEvent(head.clone(), data);
+    apply_with(node, hand, RelayEvent::StreamEvent { attempt, number });
 }
 
-fn side_call(
+fn control_call(
     addr: SocketAddr,
     method: hyper::Method,
     path: &str,
@@ -272,19 +288,29 @@
 }
 
 /// Gives back a KV cache that will not be used.
-pub async fn free(node: Rc<Node>, instance: Box<str>, addr: SocketAddr, handle: Box<str>) {
+pub async fn free_cache(node: Rc<Node>, instance: Box<str>, addr: SocketAddr, handle: Box<str>) {
     let path = engine::handle_path(&handle);
-    let call = side_call(addr, hyper::Method::DELETE, &path, &instance, Vec::new());
-    if let Err(err) = node.relay.channels.call(&call, CALL, PREFILLED).await {
+    let call = control_call(addr, hyper::Method::DELETE, &path, &instance, Vec::new());
+    if let Err(err) = node
+        .relay
+        .channels
+        .call(&call, CONTROL_CALL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
+        .await
+    {
         log::debug!("a KV cache at {instance} was not given back and will lapse: {err}");
     }
 }
 
 /// Asks an engine for its state.
-pub async fn report(node: Rc<Node>, instance: Box<str>, addr: SocketAddr) {
+pub async fn fetch_report(node: Rc<Node>, instance: Box<str>, addr: SocketAddr) {
     let path = engine::REPORT_PATH;
-    let call = side_call(addr, hyper::Method::GET, path, &instance, Vec::new());
-    let report = match node.relay.channels.call(&call, CALL, PREFILLED).await {
+    let call = control_call(addr, hyper::Method::GET, path, &instance, Vec::new());
+    let report = match node
+        .relay
+        .channels
+        .call(&call, CONTROL_CALL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
+        .await
+    {
         Ok(answer) if answer.status == 200 => engine::report(&answer.body),
         Ok(answer) => {
             let status = answer.status;
@@ -296,12 +322,12 @@
             None
         }
     };
-    tell(&node, RelayEvent::EngineReported { instance, report });
+    apply(&node, RelayEvent::EngineReported { instance, report });
 }
 
 /// Gives an order.
-pub async fn order(node: Rc<Node>, order: StageOrder) {
-    let call = side_call(
+pub async fn send_order(node: Rc<Node>, order: StageOrder) {
+    let call = control_call(
         order.addr,
         hyper::Method::POST,
         engine::ORDER_PATH,
@@ -309,17 +335,22 @@
         engine::order(&order),
     );
     // A process may sleep between the decision and here.
-    let era = node.look(|core| core.relay.view.era());
+    let era = node.with_core(|core| core.relay.view.era());
     let result = if timer::now() >= order.until || era != order.era {
         OrderResult::Unsent
     } else {
-        match node.relay.channels.call(&call, CALL, PREFILLED).await {
+        match node
+            .relay
+            .channels
+            .call(&call, CONTROL_CALL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
+            .await
+        {
             Ok(answer) => engine::order_result(answer.status),
             Err(err) if err.ran() == Ran::No => OrderResult::Unsent,
             Err(_) => OrderResult::Unknown,
         }
     };
-    tell(
+    apply(
         &node,
         RelayEvent::OrderAnswered {
             instance: order.instance,
--- a/src/host/relay/callers.rs
+++ b/src/host/relay/callers.rs
@@ -10,49 +10,49 @@
 use ntex::http::header::{HeaderName, HeaderValue};
 use ntex::http::{ConnectionType, Request, Response, ResponseBuilder, StatusCode};
 
-use super::{Head, Part, Prepared, Taken, take, tell};
+use super::{AcceptedCall, AnswerPart, Head, Prepared, accept_request, apply};
 use crate::core::effect::Refusal;
 use crate::core::key::CallKey;
 use crate::core::relay::event::{Arrival, RelayEvent};
 use crate::error::{Kind, Ran};
-use crate::host::callers::print;
+use crate::host::callers::fingerprint;
 use crate::host::node::Node;
 use crate::host::{problem, queue};
 use crate::platform::header;
 use crate::web::{self, HandlerError};
 
 /// Time a caller has to send its body.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Tells the core that the caller left, unless its request has ended.
-struct Presence {
+struct CallerGuard {
     node: Rc<Node>,
     call: CallKey,
     ended: bool,
 }
 
-impl Drop for Presence {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.ended {
-            tell(&self.node, RelayEvent::CallerLeft(self.call));
+            apply(&self.node, RelayEvent::CallerLeft(self.call));
         }
     }
 }
 
-struct Parts {
-    queue: queue::Parts<Part>,
-    presence: Presence,
+struct AnswerParts {
+    queue: queue::QueueReceiver<AnswerPart>,
+    guard: CallerGuard,
 }
 
-impl Parts {
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Part> {
+impl AnswerParts {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<AnswerPart> {
         let part = match self.queue.poll(cx) {
             Poll::Ready(part) => part,
             Poll::Pending => return Poll::Pending,
         };
         // The core ends every request with one of these; a closed channel without one is its fault.
-        let part = part.unwrap_or(Part::Cut);
-        self.presence.ended |= !matches!(part, Part::Head(_) | Part::Piece(_));
+        let part = part.unwrap_or(AnswerPart::Aborted);
+        self.guard.ended |= !matches!(part, AnswerPart::Head(_) | AnswerPart::Event(_));
         Poll::Ready(part)
     }
 }
@@ -60,7 +60,7 @@
 /// Serves one request.
 pub async fn handle(node: Rc<Node>, req: Request) -> Response {
     let mut response = serve(&node, req).await;
-    if node.look(|core| core.stop.begun()) {
+    if node.with_core(|core| core.stop.begun()) {
         // The next request of this caller is to go to another host.
         response
             .head_mut()
@@ -71,7 +71,7 @@
 
 /// Answers the readiness check.
 pub fn ready(node: &Rc<Node>, req: &Request) -> Response {
-    let state = node.look(|core| {
+    let state = node.with_core(|core| {
         if core.stop.begun() {
             Err("stopping")
         } else {
@@ -97,13 +97,13 @@
     let Some(id) = asked.id else {
         return refused(&Refusal::new(Kind::Malformed, "the request has no id"), "");
     };
-    let limit = node.look(|core| {
+    let limit = node.with_core(|core| {
         let catalog = core.relay.catalog.as_ref();
         catalog.map_or_else(Default::default, |catalog| catalog.limits)
     });
-    let body = match web::read_body(&mut req, limit.max_body, BODY_TIME).await {
+    let body = match web::read_body(&mut req, limit.max_body, BODY_TIMEOUT).await {
         Ok(body) => body,
-        Err(status) => return unread(status, &id),
+        Err(status) => return body_failure(status, &id),
     };
     let Ok(method) = hyper::Method::from_bytes(req.method().as_str().as_bytes()) else {
         return refused(&Refusal::new(Kind::Malformed, "no such method"), &id);
@@ -124,7 +124,7 @@
         prompt: asked.prompt,
         resume: asked.resume,
         bytes: body.len(),
-        fingerprint: print(target, &body),
+        fingerprint: fingerprint(target, &body),
     };
     let prepared = Prepared {
         method,
@@ -132,13 +132,13 @@
         headers: asked.passed,
         body,
     };
-    let Some(taken) = take(node, arrival, prepared, req.io().cloned()) else {
+    let Some(taken) = accept_request(node, arrival, prepared, req.io().cloned()) else {
         return refused(&Refusal::new(Kind::Internal, "the request was lost"), &id);
     };
     answer(node, taken, &id).await
 }
 
-fn unread(status: StatusCode, id: &str) -> Response {
+fn body_failure(status: StatusCode, id: &str) -> Response {
     let (kind, detail) = match status {
         StatusCode::PAYLOAD_TOO_LARGE => (Kind::TooLarge, "the body is too large"),
         StatusCode::REQUEST_TIMEOUT => (Kind::TooSlow, "the body did not arrive in time"),
@@ -151,10 +151,10 @@
     response
 }
 
-async fn answer(node: &Rc<Node>, taken: Taken, id: &str) -> Response {
-    let mut parts = Parts {
+async fn answer(node: &Rc<Node>, taken: AcceptedCall, id: &str) -> Response {
+    let mut parts = AnswerParts {
         queue: taken.parts,
-        presence: Presence {
+        guard: CallerGuard {
             node: Rc::clone(node),
             call: taken.call,
             ended: false,
@@ -162,19 +162,19 @@
     };
     // The head waits for the first part, so that a refusal has its own status.
     match std::future::poll_fn(|cx| parts.poll(cx)).await {
-        Part::Refused(refusal) => refused(&refusal, id),
-        Part::Answer(head, body) => build(head).body(body.to_vec()),
-        Part::Head(head) => build(head).streaming(Events {
+        AnswerPart::Refused(refusal) => refused(&refusal, id),
+        AnswerPart::Answer(head, body) => response_head(head).body(body.to_vec()),
+        AnswerPart::Head(head) => response_head(head).streaming(EventStream {
             parts,
             ended: false,
         }),
-        Part::Piece(_) | Part::Whole | Part::Cut => {
+        AnswerPart::Event(_) | AnswerPart::Completed | AnswerPart::Aborted => {
             refused(&Refusal::new(Kind::Internal, "the answer was lost"), id)
         }
     }
 }
 
-fn build(head: Head) -> ResponseBuilder {
+fn response_head(head: Head) -> ResponseBuilder {
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     for (name, value) in head.headers {
@@ -189,7 +189,7 @@
 
 /// Returns the status of a refusal: what did not run gets a status that promises so, and nothing
 /// else does.
-fn status(refusal: &Refusal) -> u16 {
+fn refusal_status(refusal: &Refusal) -> u16 {
     let own = refusal.kind.answer().status;
     match refusal.ran {
         Ran::No if matches!(own, 400 | 404 | 408 | 413 | 429) => own,
@@ -200,7 +200,7 @@
 }
 
 fn refused(refusal: &Refusal, id: &str) -> Response {
-    let status = StatusCode::from_u16(status(refusal)).unwrap_or(StatusCode::BAD_GATEWAY);
+    let status = StatusCode::from_u16(refusal_status(refusal)).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     response.content_type("application/problem+json");
     if let Some(retry) = refusal.retry {
@@ -210,12 +210,12 @@
 }
 
 /// A streamed answer.
-struct Events {
-    parts: Parts,
+struct EventStream {
+    parts: AnswerParts,
     ended: bool,
 }
 
-impl Stream for Events {
+impl Stream for EventStream {
     type Item = Result<ntex::util::Bytes, HandlerError>;
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -228,8 +228,8 @@
             Poll::Pending => return Poll::Pending,
         };
         match part {
-            Part::Piece(data) => Poll::Ready(Some(Ok(bytes(&data)))),
-            Part::Whole => {
+            AnswerPart::Event(data) => Poll::Ready(Some(Ok(to_ntex_bytes(&data)))),
+            AnswerPart::Completed => {
                 this.ended = true;
                 Poll::Ready(None)
             }
@@ -242,6 +242,6 @@
     }
 }
 
-fn bytes(data: &Bytes) -> ntex::util::Bytes {
+fn to_ntex_bytes(data: &Bytes) -> ntex::util::Bytes {
     ntex::util::Bytes::copy_from_slice(data)
 }
--- a/src/host/relay/datagrams.rs
+++ b/src/host/relay/datagrams.rs
@@ -9,52 +9,52 @@
 use bytes::BytesMut;
 use tokio::net::UdpSocket;
 
-use super::{keeper, tell as tell_core};
+use super::{apply, store};
 use crate::core::relay::event::{Gossip, RelayEvent};
 use crate::host::node::Node;
 use crate::wire;
 
 /// Bytes of the code before each message.
-const CODE: usize = 16;
+const MAC_BYTES: usize = 16;
 /// Most bytes of a datagram that is taken.
-const MOST: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-fn code(secret: &[u8; 32], bytes: &[u8]) -> [u8; CODE] {
-    let mut code = [0; CODE];
-    code.copy_from_slice(&blake3::keyed_hash(secret, bytes).as_bytes()[..CODE]);
+fn mac(secret: &[u8; 32], bytes: &[u8]) -> [u8; MAC_BYTES] {
+    let mut code = [0; MAC_BYTES];
+    code.copy_from_slice(&blake3::keyed_hash(secret, bytes).as_bytes()[..MAC_BYTES]);
     code
 }
 
 /// Returns the bytes of a message with its code before them.
-pub(super) fn sealed(secret: &[u8; 32], message: &Gossip) -> BytesMut {
-    let mut bytes = BytesMut::zeroed(CODE);
+pub(super) fn seal(secret: &[u8; 32], message: &Gossip) -> BytesMut {
+    let mut bytes = BytesMut::zeroed(MAC_BYTES);
     wire::encode_gossip(message, &mut bytes);
-    let code = code(secret, &bytes[CODE..]);
-    bytes[..CODE].copy_from_slice(&code);
+    let code = mac(secret, &bytes[MAC_BYTES..]);
+    bytes[..MAC_BYTES].copy_from_slice(&code);
     bytes
 }
 
 /// Returns the bytes after the code, where it was made with the hosts' secret.
-pub(super) fn proved(secret: Option<[u8; 32]>, bytes: &[u8]) -> Option<&[u8]> {
-    let (given, rest) = bytes.split_at_checked(CODE)?;
-    let wanted = code(&secret?, rest);
+pub(super) fn verify(secret: Option<[u8; 32]>, bytes: &[u8]) -> Option<&[u8]> {
+    let (given, rest) = bytes.split_at_checked(MAC_BYTES)?;
+    let wanted = mac(&secret?, rest);
     // Compares in constant time.
     let widen = |code: &[u8]| {
         let mut wide = [0; 32];
-        wide[..CODE].copy_from_slice(code);
+        wide[..MAC_BYTES].copy_from_slice(code);
         blake3::Hash::from_bytes(wide)
     };
     (widen(given) == widen(&wanted)).then_some(rest)
 }
 
 /// Sends a message to other hosts.
-pub fn tell(node: &Rc<Node>, to: &[SocketAddr], message: &Gossip) {
+pub fn publish(node: &Rc<Node>, to: &[SocketAddr], message: &Gossip) {
     let socket = node.relay.socket.borrow().clone();
     let Some(socket) = socket else { return };
     let Some(secret) = node.relay.secret.get() else {
         return;
     };
-    let bytes = sealed(&secret, message);
+    let bytes = seal(&secret, message);
     for addr in to {
         if let Err(err) = socket.try_send_to(&bytes, *addr) {
             log::debug!("a word to {addr} was not sent: {err}");
@@ -65,7 +65,7 @@
 /// Takes in messages until the process ends.
 pub async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
     *node.relay.socket.borrow_mut() = Some(Rc::clone(&socket));
-    let mut buffer = vec![0; MOST];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -75,7 +75,7 @@
                 continue;
             }
         };
-        let Some(proved) = proved(node.relay.secret.get(), &buffer[..len]) else {
+        let Some(proved) = verify(node.relay.secret.get(), &buffer[..len]) else {
             log::debug!("a word from {from} is not proved");
             continue;
         };
@@ -85,8 +85,8 @@
                     .replicated
                     .iter_mut()
                     .flat_map(|passage| &mut passage.events);
-                events.for_each(keeper::read);
-                tell_core(&node, RelayEvent::Gossiped(Box::new(message)));
+                events.for_each(store::decode_change);
+                apply(&node, RelayEvent::Gossiped(Box::new(message)));
             }
             Err(err) => log::debug!("a word from {from} cannot be read: {err}"),
         }
--- a/src/host/relay/journal.rs
+++ b/src/host/relay/event_log.rs
@@ -9,11 +9,11 @@
 /// Lines a second that are written; more are counted and left out.
 ///
 /// A host takes in some hundred requests in a bad second, with four lines each.
-const MOST: u32 = 1500;
+const MAX_LINES_PER_SEC: u32 = 1500;
 
 thread_local! {
     /// Second in hand, lines written in it, lines left out.
-    static RATE: Cell<(u64, u32, u32)> = const { Cell::new((0, 0, 0)) };
+    static RATE_STATE: Cell<(u64, u32, u32)> = const { Cell::new((0, 0, 0)) };
 }
 
 /// Writes one event.
@@ -23,26 +23,26 @@
     }
     let now = crate::host::timer::now();
     let second = now.millis() / 1000;
-    let (at, lines, lost) = RATE.get();
+    let (at, lines, lost) = RATE_STATE.get();
     if at != second {
-        RATE.set((second, 0, 0));
+        RATE_STATE.set((second, 0, 0));
         if lost > 0 {
-            line(
+            write_line(
                 "log.left_out",
                 now.millis(),
                 &[("lines", lost.to_string().into())],
             );
         }
-    } else if lines >= MOST {
-        RATE.set((second, lines, lost + 1));
+    } else if lines >= MAX_LINES_PER_SEC {
+        RATE_STATE.set((second, lines, lost + 1));
         return;
     }
-    let (at, lines, lost) = RATE.get();
-    RATE.set((at, lines + 1, lost));
-    line(note.name, now.millis(), &note.fields);
+    let (at, lines, lost) = RATE_STATE.get();
+    RATE_STATE.set((at, lines + 1, lost));
+    write_line(note.name, now.millis(), &note.fields);
 }
 
-fn line(name: &str, millis: u64, fields: &[(&'static str, Box<str>)]) {
+fn write_line(name: &str, millis: u64, fields: &[(&'static str, Box<str>)]) {
     let mut object = Map::new();
     object.insert("at_ms".into(), millis.into());
     object.insert("event".into(), name.into());
--- a/src/host/relay/events.rs
+++ b/src/host/relay/events.rs
@@ -3,9 +3,9 @@
 use bytes::{Bytes, BytesMut};
 
 /// Longest event: more without an end is no stream of events.
-const MOST: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 /// Field that numbers an event.
-const ID: &[u8] = b"id:";
+const ID_FIELD: &[u8] = b"id:";
 
 /// One event as it came, its end included.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,36 +24,36 @@
 pub struct Splitter {
     buffer: BytesMut,
     /// Bytes of the buffer in which no end was found.
-    seen: usize,
+    scanned: usize,
 }
 
 impl Splitter {
     /// Adds bytes; `None` where an event is too long.
     pub fn push(&mut self, data: &[u8]) -> Option<()> {
         self.buffer.extend_from_slice(data);
-        (self.buffer.len() <= MOST).then_some(())
+        (self.buffer.len() <= MAX_EVENT_BYTES).then_some(())
     }
 
     /// Takes the next whole event.
     pub fn next(&mut self) -> Option<Event> {
-        let end = self.end()?;
-        self.seen = 0;
+        let end = self.find_end()?;
+        self.scanned = 0;
         let data = self.buffer.split_to(end).freeze();
         Some(Event {
-            number: number(&data),
+            number: event_number(&data),
             data,
         })
     }
 
     /// Takes what is left after the last whole event.
     pub fn rest(&mut self) -> Bytes {
-        self.seen = 0;
+        self.scanned = 0;
         self.buffer.split().freeze()
     }
 
     /// Returns the length of the first event with its empty line.
-    fn end(&mut self) -> Option<usize> {
-        let from = self.seen.saturating_sub(3);
+    fn find_end(&mut self) -> Option<usize> {
+        let from = self.scanned.saturating_sub(3);
         let bytes = &*self.buffer;
         for at in from..bytes.len() {
             let rest = &bytes[at..];
@@ -64,14 +64,14 @@
                 return Some(at + 4);
             }
         }
-        self.seen = bytes.len();
+        self.scanned = bytes.len();
         None
     }
 }
 
-fn number(event: &[u8]) -> u64 {
+fn event_number(event: &[u8]) -> u64 {
     let mut lines = event.split(|byte| *byte == b'\n');
-    let line = lines.find_map(|line| line.strip_prefix(ID));
+    let line = lines.find_map(|line| line.strip_prefix(ID_FIELD));
     line.and_then(|value| std::str::from_utf8(value).ok())
         .and_then(|value| value.trim().parse().ok())
         .unwrap_or(0)
--- a/src/host/relay/mod.rs
+++ b/src/host/relay/mod.rs
@@ -3,9 +3,9 @@
 mod backends;
 pub mod callers;
 pub mod datagrams;
+pub mod event_log;
 mod events;
-pub mod journal;
-pub mod keeper;
+pub mod store;
 #[cfg(test)]
 mod tests;
 
@@ -20,7 +20,7 @@
 use tokio::sync::oneshot;
 
 use super::node::Node;
-use super::queue::{self, Parts, Queue};
+use super::queue::{self, QueueReceiver, QueueSender};
 use crate::backend::channel::Channels;
 use crate::core::Event;
 use crate::core::effect::Refusal;
@@ -53,15 +53,15 @@
 
 /// What the handler of a relayed request is told.
 #[derive(Debug)]
-pub enum Part {
+pub enum AnswerPart {
     /// A stream begins.
     Head(Head),
     /// Bytes of the stream.
-    Piece(Bytes),
+    Event(Bytes),
     /// The stream is whole.
-    Whole,
+    Completed,
     /// The stream cannot be completed and must look cut.
-    Cut,
+    Aborted,
     /// A whole answer.
     Answer(Head, Bytes),
     /// There will be no answer.
@@ -70,75 +70,75 @@
 
 /// What an attempt brought, while the core is told of it.
 #[derive(Debug)]
-enum Hand {
-    Piece(Head, Bytes),
+enum EventPayload {
+    StreamEvent(Head, Bytes),
     Answer(Head, Bytes),
 }
 
 #[derive(Debug)]
-struct Live {
-    queue: Queue<Part>,
+struct OpenCall {
+    queue: QueueSender<AnswerPart>,
     prepared: Rc<Prepared>,
-    begun: Cell<bool>,
+    head_sent: Cell<bool>,
 }
 
 /// A request that was taken in.
 #[derive(Debug)]
-pub struct Taken {
+pub struct AcceptedCall {
     /// Its key.
     pub call: CallKey,
     /// What its handler is told.
-    pub parts: Parts<Part>,
+    pub parts: QueueReceiver<AnswerPart>,
 }
 
 /// State of the adapters.
 #[derive(Debug, Default)]
-pub struct Ports {
+pub struct Adapters {
     /// Connections to backend servers.
     pub channels: Channels,
     /// Connections to the store.
     pub store: Channels,
     /// Calls by which the core follows the store, by number.
-    asks: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
+    store_calls: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
     /// Calls of the store made so far.
     pub calls: Cell<Calls>,
-    live: RefCell<SecondaryMap<CallKey, Live>>,
-    arriving: RefCell<Option<Live>>,
+    open_calls: RefCell<SecondaryMap<CallKey, OpenCall>>,
+    arriving: RefCell<Option<OpenCall>>,
     arrived: Cell<Option<CallKey>>,
     attempts: RefCell<SecondaryMap<AttemptKey, oneshot::Sender<()>>>,
-    hand: RefCell<Option<Hand>>,
+    payload: RefCell<Option<EventPayload>>,
     /// Secret that all hosts share.
     secret: Cell<Option<[u8; 32]>>,
     /// Socket for messages to other hosts.
     pub socket: RefCell<Option<Rc<UdpSocket>>>,
 }
 
-impl Ports {
+impl Adapters {
     fn prepared(&self, call: CallKey) -> Option<Rc<Prepared>> {
-        let live = self.live.borrow();
+        let live = self.open_calls.borrow();
         live.get(call).map(|live| Rc::clone(&live.prepared))
     }
 
-    fn queue(&self, call: CallKey) -> Option<Queue<Part>> {
-        let live = self.live.borrow();
+    fn queue(&self, call: CallKey) -> Option<QueueSender<AnswerPart>> {
+        let live = self.open_calls.borrow();
         live.get(call).map(|live| live.queue.clone())
     }
 
-    fn end(&self, call: CallKey, part: Part) {
-        if let Some(live) = self.live.borrow_mut().remove(call) {
-            live.queue.end(part);
+    fn finish(&self, call: CallKey, part: AnswerPart) {
+        if let Some(live) = self.open_calls.borrow_mut().remove(call) {
+            live.queue.push_control(part);
         }
     }
 
-    fn deliver(&self, call: CallKey) {
-        let Some(Hand::Piece(head, data)) = self.hand.borrow_mut().take() else {
+    fn forward_event(&self, call: CallKey) {
+        let Some(EventPayload::StreamEvent(head, data)) = self.payload.borrow_mut().take() else {
             return;
         };
-        if let Some(live) = self.live.borrow().get(call) {
-            if !live.begun.replace(true) {
-                live.queue.end(Part::Head(head));
+        if let Some(live) = self.open_calls.borrow().get(call) {
+            if !live.head_sent.replace(true) {
+                live.queue.push_control(AnswerPart::Head(head));
             }
-            live.queue.piece(Part::Piece(data));
+            live.queue.push_content(AnswerPart::Event(data));
         }
     }
 
@@ -146,16 +146,16 @@
     ///
     /// The library ends a failed body by writing an answer of its own into it, which no caller
     /// could read; with the connection closed first, nothing more is written.
-    fn cut(&self, call: CallKey) {
+    fn abort_answer(&self, call: CallKey) {
         if let Some(queue) = self.queue(call) {
-            queue.close();
+            queue.close_connection();
         }
-        self.end(call, Part::Cut);
+        self.finish(call, AnswerPart::Aborted);
     }
 
-    fn pass(&self, call: CallKey) {
-        if let Some(Hand::Answer(head, body)) = self.hand.borrow_mut().take() {
-            self.end(call, Part::Answer(head, body));
+    fn forward_answer(&self, call: CallKey) {
+        if let Some(EventPayload::Answer(head, body)) = self.payload.borrow_mut().take() {
+            self.finish(call, AnswerPart::Answer(head, body));
         }
     }
 
@@ -165,78 +165,85 @@
 }
 
 /// Takes in a request that came on this connection.
-pub fn take(
+pub fn accept_request(
     node: &Rc<Node>,
     arrival: Arrival,
     prepared: Prepared,
     io: Option<IoRef>,
-) -> Option<Taken> {
-    let (queue, parts) = queue::queue(io, |part| matches!(part, Part::Piece(_)));
-    *node.relay.arriving.borrow_mut() = Some(Live {
+) -> Option<AcceptedCall> {
+    let (queue, parts) = queue::channel(io, |part| matches!(part, AnswerPart::Event(_)));
+    *node.relay.arriving.borrow_mut() = Some(OpenCall {
         queue,
         prepared: Rc::new(prepared),
-        begun: Cell::new(false),
+        head_sent: Cell::new(false),
     });
-    tell(node, RelayEvent::Arrived(Box::new(arrival)));
+    apply(node, RelayEvent::Arrived(Box::new(arrival)));
     let call = node.relay.arrived.take()?;
-    Some(Taken { call, parts })
+    Some(AcceptedCall { call, parts })
 }
 
 /// Tells the core of an event.
-fn tell(node: &Rc<Node>, event: RelayEvent) {
+fn apply(node: &Rc<Node>, event: RelayEvent) {
     node.apply(Event::Relay(event));
 }
 
 /// Tells the core of an event that something in hand belongs to.
-fn tell_with(node: &Rc<Node>, hand: Hand, event: RelayEvent) {
-    *node.relay.hand.borrow_mut() = Some(hand);
-    tell(node, event);
-    node.relay.hand.borrow_mut().take();
+fn apply_with(node: &Rc<Node>, payload: EventPayload, event: RelayEvent) {
+    *node.relay.payload.borrow_mut() = Some(payload);
+    apply(node, event);
+    node.relay.payload.borrow_mut().take();
 }
 
 /// Carries out an effect.
-pub fn carry(node: &Rc<Node>, effect: RelayEffect) {
-    let ports = &node.relay;
+pub fn execute(node: &Rc<Node>, effect: RelayEffect) {
+    let adapters = &node.relay;
     match effect {
         RelayEffect::Opened(call) => {
-            if let Some(live) = ports.arriving.borrow_mut().take() {
-                ports.live.borrow_mut().insert(call, live);
+            if let Some(live) = adapters.arriving.borrow_mut().take() {
+                adapters.open_calls.borrow_mut().insert(call, live);
             }
-            ports.arrived.set(Some(call));
+            adapters.arrived.set(Some(call));
         }
         RelayEffect::Send(out) => {
             let (tx, rx) = oneshot::channel();
-            ports.attempts.borrow_mut().insert(out.attempt, tx);
-            ntex::rt::spawn(backends::attempt(Rc::clone(node), *out, rx));
+            adapters.attempts.borrow_mut().insert(out.attempt, tx);
+            ntex::rt::spawn(backends::run_attempt(Rc::clone(node), *out, rx));
+        }
+        RelayEffect::Cancel(attempt) => adapters.attempt_ended(attempt),
+        RelayEffect::ForwardEvent(call) => adapters.forward_event(call),
+        RelayEffect::ForwardAnswer(call) => adapters.forward_answer(call),
+        RelayEffect::Finish(call) => adapters.finish(call, AnswerPart::Completed),
+        RelayEffect::AbortAnswer(call) => adapters.abort_answer(call),
+        RelayEffect::Refuse { call, refusal } => {
+            adapters.finish(call, AnswerPart::Refused(refusal))
         }
-        RelayEffect::Cancel(attempt) => ports.attempt_ended(attempt),
-        RelayEffect::ForwardEvent(call) => ports.deliver(call),
-        RelayEffect::ForwardAnswer(call) => ports.pass(call),
-        RelayEffect::Finish(call) => ports.end(call, Part::Whole),
-        RelayEffect::AbortAnswer(call) => ports.cut(call),
-        RelayEffect::Refuse { call, refusal } => ports.end(call, Part::Refused(refusal)),
         RelayEffect::FreeCache {
             instance,
             addr,
             handle,
         } => {
-            ntex::rt::spawn(backends::free(Rc::clone(node), instance, addr, handle));
+            ntex::rt::spawn(backends::free_cache(
+                Rc::clone(node),
+                instance,
+                addr,
+                handle,
+            ));
         }
         RelayEffect::FetchReport { instance, addr } => {
-            ntex::rt::spawn(backends::report(Rc::clone(node), instance, addr));
+            ntex::rt::spawn(backends::fetch_report(Rc::clone(node), instance, addr));
         }
         RelayEffect::Order(order) => {
-            ntex::rt::spawn(backends::order(Rc::clone(node), order));
+            ntex::rt::spawn(backends::send_order(Rc::clone(node), order));
         }
-        RelayEffect::Secret(secret) => ports.secret.set(Some(secret)),
+        RelayEffect::Secret(secret) => adapters.secret.set(Some(secret)),
         RelayEffect::CallStore { number, call: ask } => {
             let (tx, rx) = oneshot::channel();
-            ports.asks.borrow_mut().insert(number, tx);
-            ntex::rt::spawn(keeper::follow(Rc::clone(node), number, ask, rx));
+            adapters.store_calls.borrow_mut().insert(number, tx);
+            ntex::rt::spawn(store::run_store_call(Rc::clone(node), number, ask, rx));
         }
         RelayEffect::CancelStoreCall(number) => {
-            ports.asks.borrow_mut().remove(&number);
+            adapters.store_calls.borrow_mut().remove(&number);
         }
-        RelayEffect::Publish { to, message } => datagrams::tell(node, &to, &message),
+        RelayEffect::Publish { to, message } => datagrams::publish(node, &to, &message),
     }
 }
--- a/src/host/relay/keeper.rs
+++ b/src/host/relay/store.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::{journal, tell};
+use super::{apply, event_log};
 use crate::backend::channel::{Call, ChannelError};
 use crate::core::effect::Note;
 use crate::core::event::{Job, StoreEvent, StoreReply, StoreResult};
@@ -19,15 +19,15 @@
 use crate::store::{Calls, Compare, Op, Sort, Txn};
 
 /// Time one call may take: far above the slowest answer of a store that is of use.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time beyond its wait after which a watch is given up, if nothing showed before that it was lost.
-const SILENT: Duration = Duration::from_millis(1500);
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(1500);
 /// Most bytes of an answer: a page of a megabyte in base64, and its frame.
-const ANSWER: usize = 4 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why the store could not be followed.
 #[derive(Debug, Snafu)]
-enum Trouble {
+enum CallError {
     /// The call failed.
     #[snafu(transparent)]
     Channel {
@@ -45,7 +45,7 @@
     Unreadable,
 }
 
-impl Trouble {
+impl CallError {
     fn ran(&self) -> Ran {
         match self {
             Self::Channel { source } => source.ran(),
@@ -60,13 +60,13 @@
 ///
 /// Without the line nothing tells a store that is away from a call that was lost, and how long a
 /// host held on to it.
-async fn ask(
+async fn call_store(
     node: &Rc<Node>,
     call: store::Call,
     time: Duration,
-) -> Result<(u16, bytes::Bytes), Trouble> {
+) -> Result<(u16, bytes::Bytes), CallError> {
     let sort = call.sort;
-    count(node, |calls| sort.count(calls));
+    update_counts(node, |calls| sort.count(calls));
     let sent = Instant::now();
     let result = send(node, call, time).await;
     let (ran, why) = match &result {
@@ -74,9 +74,9 @@
             (Ran::No, format!("the store answered {status}"))
         }
         Ok(_) => return result,
-        Err(trouble) => (trouble.ran(), trouble.to_string()),
+        Err(err) => (err.ran(), err.to_string()),
     };
-    count(node, |calls| match ran {
+    update_counts(node, |calls| match ran {
         Ran::No => calls.refused += 1,
         Ran::Yes | Ran::Unknown => calls.unknown += 1,
     });
@@ -84,7 +84,7 @@
         // One a host and half a second through an outage: the counter and `store.down` say enough.
         return result;
     }
-    journal::write(&Note {
+    event_log::write(&Note {
         level: log::Level::Info,
         name: "store.call_failed",
         fields: vec![
@@ -96,7 +96,7 @@
     result
 }
 
-fn count(node: &Rc<Node>, change: impl FnOnce(&mut Calls)) {
+fn update_counts(node: &Rc<Node>, change: impl FnOnce(&mut Calls)) {
     let mut calls = node.relay.calls.get();
     change(&mut calls);
     node.relay.calls.set(calls);
@@ -106,10 +106,10 @@
     node: &Rc<Node>,
     call: store::Call,
     time: Duration,
-) -> Result<(u16, bytes::Bytes), Trouble> {
-    let addr = node.look(|core| core.settings.relay.as_ref().map(|relay| relay.store));
+) -> Result<(u16, bytes::Bytes), CallError> {
+    let addr = node.with_core(|core| core.settings.relay.as_ref().map(|relay| relay.store));
     let Some(addr) = addr else {
-        return Err(Trouble::Unreadable);
+        return Err(CallError::Unreadable);
     };
     let mut headers: Vec<(Box<str>, Box<[u8]>)> = Vec::new();
     if !call.body.is_empty() {
@@ -122,23 +122,23 @@
         headers,
         body: call.body.into(),
     };
-    let answer = node.relay.store.call(&call, time, ANSWER).await?;
+    let answer = node.relay.store.call(&call, time, MAX_ANSWER_BYTES).await?;
     if let Some(era) = store::era(&answer.headers) {
-        tell(node, RelayEvent::StoreEra(era));
+        apply(node, RelayEvent::StoreEra(era));
     }
     Ok((answer.status, answer.body))
 }
 
 /// Carries out an effect towards the store.
-pub fn carry(node: &Rc<Node>, effect: Effect) {
+pub fn execute(node: &Rc<Node>, effect: Effect) {
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         let Some((job, result)) = run(&node, effect).await else {
             return;
         };
-        let result = result.unwrap_or_else(|trouble| {
-            log::debug!("a call of the store failed: {trouble}");
-            match trouble.ran() {
+        let result = result.unwrap_or_else(|err| {
+            log::debug!("a call of the store failed: {err}");
+            match err.ran() {
                 Ran::No => StoreResult::Refused,
                 Ran::Yes | Ran::Unknown => StoreResult::Unknown,
             }
@@ -147,14 +147,14 @@
     });
 }
 
-async fn run(node: &Rc<Node>, effect: Effect) -> Option<(Job, Result<StoreResult, Trouble>)> {
+async fn run(node: &Rc<Node>, effect: Effect) -> Option<(Job, Result<StoreResult, CallError>)> {
     match effect {
         Effect::Grant { job, life } => Some((job, grant(node, life).await)),
         Effect::Renew { job, lease } => Some((job, renew(node, lease).await)),
-        Effect::Txn { job, txn } => Some((job, write(node, &own(txn)).await)),
+        Effect::Txn { job, txn } => Some((job, write_txn(node, &prefix_keys(txn)).await)),
         Effect::Revoke(lease) => {
-            if let Err(trouble) = ask(node, store::end(lease), CALL).await {
-                log::debug!("a lease was not given back and will lapse: {trouble}");
+            if let Err(err) = call_store(node, store::end(lease), CALL_TIMEOUT).await {
+                log::debug!("a lease was not given back and will lapse: {err}");
             }
             None
         }
@@ -165,37 +165,37 @@
     }
 }
 
-async fn grant(node: &Rc<Node>, life: Duration) -> Result<StoreResult, Trouble> {
-    match ask(node, store::grant(life), CALL).await? {
+async fn grant(node: &Rc<Node>, life: Duration) -> Result<StoreResult, CallError> {
+    match call_store(node, store::grant(life), CALL_TIMEOUT).await? {
         (200, body) => {
-            let lease = store::lease(&body).ok_or(Trouble::Unreadable)?;
+            let lease = store::lease(&body).ok_or(CallError::Unreadable)?;
             Ok(StoreResult::Lease(lease))
         }
-        (status, _) => Err(Trouble::Status { status }),
+        (status, _) => Err(CallError::Status { status }),
     }
 }
 
-async fn renew(node: &Rc<Node>, lease: i64) -> Result<StoreResult, Trouble> {
-    match ask(node, store::keep(lease), CALL).await? {
+async fn renew(node: &Rc<Node>, lease: i64) -> Result<StoreResult, CallError> {
+    match call_store(node, store::keep(lease), CALL_TIMEOUT).await? {
         (200, _) => Ok(StoreResult::Lease(lease)),
         (404, _) => Ok(StoreResult::Lease(0)),
-        (status, _) => Err(Trouble::Status { status }),
+        (status, _) => Err(CallError::Status { status }),
     }
 }
 
-async fn write(node: &Rc<Node>, txn: &Txn) -> Result<StoreResult, Trouble> {
-    match ask(node, store::txn(txn), CALL).await? {
+async fn write_txn(node: &Rc<Node>, txn: &Txn) -> Result<StoreResult, CallError> {
+    match call_store(node, store::txn(txn), CALL_TIMEOUT).await? {
         (404, _) => Ok(StoreResult::Lease(0)),
         (status @ (200 | 412), body) => {
-            let reply = store::txn_reply(status, &body).ok_or(Trouble::Unreadable)?;
+            let reply = store::txn_reply(status, &body).ok_or(CallError::Unreadable)?;
             Ok(StoreResult::Txn(reply))
         }
-        (status, _) => Err(Trouble::Status { status }),
+        (status, _) => Err(CallError::Status { status }),
     }
 }
 
 /// Puts this program's prefix before every key.
-fn own(mut txn: Txn) -> Txn {
+fn prefix_keys(mut txn: Txn) -> Txn {
     let full = |key: &str| -> Box<str> { format!("{}{key}", platform::OWN).into() };
     for compare in &mut txn.compare {
         match compare {
@@ -215,38 +215,43 @@
 }
 
 /// Makes a call by which the core follows the store; `given_up` closes when it is given up.
-pub async fn follow(node: Rc<Node>, number: u64, ask: StoreCall, given_up: oneshot::Receiver<()>) {
+pub async fn run_store_call(
+    node: Rc<Node>,
+    number: u64,
+    ask: StoreCall,
+    given_up: oneshot::Receiver<()>,
+) {
     let answer = tokio::select! {
-        answer = answer(&node, ask) => answer,
+        answer = fetch_answer(&node, ask) => answer,
         _ = given_up => return,
     };
-    node.relay.asks.borrow_mut().remove(&number);
-    let answer = answer.unwrap_or_else(|trouble| {
+    node.relay.store_calls.borrow_mut().remove(&number);
+    let answer = answer.unwrap_or_else(|err| {
         // What is idle may have broken with it.
         node.relay.store.clear();
         StoreAnswer::Failed {
-            refused: trouble.ran() == Ran::No,
+            refused: err.ran() == Ran::No,
         }
     });
-    tell(&node, RelayEvent::StoreAnswered { number, answer });
+    apply(&node, RelayEvent::StoreAnswered { number, answer });
 }
 
-async fn answer(node: &Rc<Node>, call: StoreCall) -> Result<StoreAnswer, Trouble> {
+async fn fetch_answer(node: &Rc<Node>, call: StoreCall) -> Result<StoreAnswer, CallError> {
     match call {
         StoreCall::Page { after } => page(node, after).await,
         StoreCall::Watch { after, wait } => changes(node, after, wait).await,
         StoreCall::Probe => {
-            let (status, body) = ask(node, store::probe(), CALL).await?;
-            let page = readable(status, || store::page(&body))?;
+            let (status, body) = call_store(node, store::probe(), CALL_TIMEOUT).await?;
+            let page = decode_success(status, || store::page(&body))?;
             Ok(StoreAnswer::Newest(page.range.revision))
         }
     }
 }
 
-async fn page(node: &Rc<Node>, after: Option<Box<str>>) -> Result<StoreAnswer, Trouble> {
+async fn page(node: &Rc<Node>, after: Option<Box<str>>) -> Result<StoreAnswer, CallError> {
     let call = store::range(platform::WATCHED, after.as_deref());
-    let (status, body) = ask(node, call, CALL).await?;
-    let page = readable(status, || store::page(&body))?;
+    let (status, body) = call_store(node, call, CALL_TIMEOUT).await?;
+    let page = decode_success(status, || store::page(&body))?;
     let mut changes = Changes::default();
     for pair in &page.range.pairs {
         platform::sort(&mut changes, &pair.key, Some(&pair.value), pair.modified);
@@ -259,13 +264,13 @@
     })
 }
 
-async fn changes(node: &Rc<Node>, after: i64, wait: Duration) -> Result<StoreAnswer, Trouble> {
+async fn changes(node: &Rc<Node>, after: i64, wait: Duration) -> Result<StoreAnswer, CallError> {
     let call = store::watch(platform::WATCHED, after, wait);
-    let (status, body) = ask(node, call, wait + SILENT).await?;
+    let (status, body) = call_store(node, call, wait + WATCH_TIMEOUT_MARGIN).await?;
     if status == 410 {
         return Ok(StoreAnswer::Compacted);
     }
-    let events = readable(status, || store::events(&body))?;
+    let events = decode_success(status, || store::events(&body))?;
     let mut changes = Changes::default();
     let mut single = Vec::with_capacity(events.changes.len());
     for (key, value, revision) in events.changes {
@@ -276,7 +281,7 @@
             value: value.as_deref().map(Into::into),
             changes: Changes::default(),
         };
-        read(&mut event);
+        decode_change(&mut event);
         single.push(event);
     }
     Ok(StoreAnswer::Changes {
@@ -287,15 +292,15 @@
 }
 
 /// Works out what a change of the store means.
-pub fn read(event: &mut StoreChange) {
+pub fn decode_change(event: &mut StoreChange) {
     let (key, value) = (&event.key, event.value.as_deref());
     platform::sort(&mut event.changes, key, value, event.revision);
 }
 
 /// Returns what a success says.
-fn readable<T>(status: u16, read: impl FnOnce() -> Option<T>) -> Result<T, Trouble> {
+fn decode_success<T>(status: u16, read: impl FnOnce() -> Option<T>) -> Result<T, CallError> {
     if status != 200 {
-        return Err(Trouble::Status { status });
+        return Err(CallError::Status { status });
     }
-    read().ok_or(Trouble::Unreadable)
+    read().ok_or(CallError::Unreadable)
 }
--- a/src/host/relay/tests.rs
+++ b/src/host/relay/tests.rs
@@ -4,12 +4,12 @@
 
 use proptest::prelude::*;
 
-use super::datagrams::{proved, sealed};
+use super::datagrams::{seal, verify};
 use super::events::Splitter;
 use crate::core::relay::event::{Gossip, LimitReport, LoadReport, UptimeReport};
 use crate::wire;
 
-fn word() -> Gossip {
+fn gossip() -> Gossip {
     Gossip {
         host: "host-1".into(),
         incarnation: 7,
@@ -43,23 +43,23 @@
 /// Somebody who is no host reaches the port. Heard, it could have a host refuse its callers for work
 /// that does not exist.
 #[test]
-fn a_word_without_the_secret_is_not_heard() {
-    let bytes = sealed(&[1; 32], &word());
-    let rest = proved(Some([1; 32]), &bytes).expect("proved");
-    assert_eq!(wire::decode_gossip(rest), Ok(word()));
-    assert_eq!(proved(Some([2; 32]), &bytes), None);
-    assert_eq!(proved(None, &bytes), None);
-    assert_eq!(proved(Some([1; 32]), &bytes[..10]), None);
+fn gossip_without_the_secret_is_rejected() {
+    let bytes = seal(&[1; 32], &gossip());
+    let rest = verify(Some([1; 32]), &bytes).expect("proved");
+    assert_eq!(wire::decode_gossip(rest), Ok(gossip()));
+    assert_eq!(verify(Some([2; 32]), &bytes), None);
+    assert_eq!(verify(None, &bytes), None);
+    assert_eq!(verify(Some([1; 32]), &bytes[..10]), None);
     let mut other = bytes.to_vec();
     *other.last_mut().expect("bytes") ^= 1;
-    assert_eq!(proved(Some([1; 32]), &other), None);
+    assert_eq!(verify(Some([1; 32]), &other), None);
 }
 
 proptest! {
     /// Pieces of a stream come cut anywhere. Events must come out whole, in order, byte for byte, and
     /// what is left of one that was broken off must stay back.
     #[test]
-    fn events_come_out_whole(cuts in proptest::collection::vec(1_usize..20, 0..40), crlf: bool) {
+    fn streams_are_split_into_complete_events(cuts in proptest::collection::vec(1_usize..20, 0..40), crlf: bool) {
         let end = if crlf { "\r\n" } else { "\n" };
         let event = |number: u64| format!("id: {number}{end}data: {number}{end}{end}");
         let all: String = (1..=9).map(event).collect();
@@ -86,6 +86,6 @@
     #[test]
     fn any_datagram_is_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = wire::decode_gossip(&bytes);
-        let _ = proved(Some([0; 32]), &bytes);
+        let _ = verify(Some([0; 32]), &bytes);
     }
 }
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -120,7 +120,7 @@
 
 /// Returns on which hosts a revision is in force, as far as this host has heard.
 #[must_use]
-pub fn force(core: &Core, revision: u64) -> Value {
+pub fn revision_in_force(core: &Core, revision: u64) -> Value {
     let members = &core.members;
     let mut hosts = vec![json!({"name": &*members.name, "revision": core.config.revision()})];
     let mut missing = Vec::new();
--- a/src/host/keeper.rs
+++ b/src/host/store.rs
@@ -11,17 +11,17 @@
 use crate::store::{Batch, Compare, Op, Range, Reply, Span, StoreError, Txn};
 
 /// Folder of the watched keys, below the deployment's prefix.
-const FOLDER: &str = "w/";
+const WATCHED_PREFIX: &str = "w/";
 /// Least time before the watch is opened again after a failure.
-const RETRY_LEAST: Duration = Duration::from_millis(200);
+const MIN_WATCH_BACKOFF: Duration = Duration::from_millis(200);
 /// Most time before the watch is opened again.
 ///
 /// All hosts lose the service at the same moment; times drawn at random up to this bound spread
 /// their return over it.
-const RETRY_MOST: Duration = Duration::from_secs(5);
+const MAX_WATCH_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Carries out an effect towards the key-value service.
-pub fn carry(node: &Rc<Node>, effect: Effect) {
+pub fn execute(node: &Rc<Node>, effect: Effect) {
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         let Some((job, result)) = run(&node, effect).await else {
@@ -33,12 +33,12 @@
 }
 
 async fn run(node: &Rc<Node>, effect: Effect) -> Option<(Job, StoreResult)> {
-    let prefix = node.look(|core| core.settings.platform.prefix.clone());
+    let prefix = node.with_core(|core| core.settings.platform.prefix.clone());
     Some(match effect {
         Effect::Read { job, span } => {
             let read = node.store.range(full_span(&prefix, span)).await;
             let read = read.map(|range| StoreResult::Read(bare_range(&prefix, range)));
-            (job, read.unwrap_or_else(|err| failed(&err)))
+            (job, read.unwrap_or_else(|err| failure_result(&err)))
         }
         Effect::Txn { job, txn } => {
             let done = node.store.txn(full_txn(&prefix, txn)).await;
@@ -46,19 +46,19 @@
                 for step in &mut reply.replies {
                     if let Reply::Got(pairs) = step {
                         for pair in pairs {
-                            pair.key = bare(&prefix, &pair.key);
+                            pair.key = bare_key(&prefix, &pair.key);
                         }
                     }
                 }
                 StoreResult::Txn(reply)
             });
-            (job, done.unwrap_or_else(|err| failed(&err)))
+            (job, done.unwrap_or_else(|err| failure_result(&err)))
         }
         Effect::Grant { job, life } => {
             let lease = node.store.grant(life).await;
             (
                 job,
-                lease.map_or_else(|err| failed(&err), StoreResult::Lease),
+                lease.map_or_else(|err| failure_result(&err), StoreResult::Lease),
             )
         }
         Effect::Renew { job, lease } => {
@@ -66,7 +66,7 @@
             let lease = left.map(|left| if left.is_some() { lease } else { 0 });
             (
                 job,
-                lease.map_or_else(|err| failed(&err), StoreResult::Lease),
+                lease.map_or_else(|err| failure_result(&err), StoreResult::Lease),
             )
         }
         Effect::Revoke(lease) => {
@@ -79,31 +79,31 @@
     })
 }
 
-fn failed(err: &StoreError) -> StoreResult {
+fn failure_result(err: &StoreError) -> StoreResult {
     match err.ran() {
         Ran::No => StoreResult::Refused,
         Ran::Yes | Ran::Unknown => StoreResult::Unknown,
     }
 }
 
-fn full(prefix: &str, key: &str) -> Box<str> {
+fn full_key(prefix: &str, key: &str) -> Box<str> {
     format!("{prefix}{key}").into()
 }
 
-fn bare(prefix: &str, key: &str) -> Box<str> {
+fn bare_key(prefix: &str, key: &str) -> Box<str> {
     key.strip_prefix(prefix).unwrap_or(key).into()
 }
 
 fn full_span(prefix: &str, span: Span) -> Span {
     match span {
-        Span::Key(key) => Span::Key(full(prefix, &key)),
-        Span::Prefix(key) => Span::Prefix(full(prefix, &key)),
+        Span::Key(key) => Span::Key(full_key(prefix, &key)),
+        Span::Prefix(key) => Span::Prefix(full_key(prefix, &key)),
     }
 }
 
 fn bare_range(prefix: &str, mut range: Range) -> Range {
     for pair in &mut range.pairs {
-        pair.key = bare(prefix, &pair.key);
+        pair.key = bare_key(prefix, &pair.key);
     }
     range
 }
@@ -111,14 +111,14 @@
 fn full_txn(prefix: &str, txn: Txn) -> Txn {
     let compare = txn.compare.into_iter().map(|compare| match compare {
         Compare::Modified { key, at } => Compare::Modified {
-            key: full(prefix, &key),
+            key: full_key(prefix, &key),
             at,
         },
         Compare::Absent { key } => Compare::Absent {
-            key: full(prefix, &key),
+            key: full_key(prefix, &key),
         },
         Compare::Value { key, is } => Compare::Value {
-            key: full(prefix, &key),
+            key: full_key(prefix, &key),
             is,
         },
     });
@@ -126,7 +126,7 @@
         ops.into_iter()
             .map(|op| match op {
                 Op::Put { key, value, lease } => Op::Put {
-                    key: full(prefix, &key),
+                    key: full_key(prefix, &key),
                     value,
                     lease,
                 },
@@ -144,27 +144,27 @@
 
 /// Keeps one watch open over all watched keys until the process ends.
 pub async fn watch(node: Rc<Node>) {
-    let prefix = node.look(|core| core.settings.platform.prefix.clone());
-    let folder = full(&prefix, FOLDER);
+    let prefix = node.with_core(|core| core.settings.platform.prefix.clone());
+    let folder = full_key(&prefix, WATCHED_PREFIX);
     let mut known = BTreeSet::new();
-    let mut wait = RETRY_LEAST;
+    let mut wait = MIN_WATCH_BACKOFF;
     loop {
-        match follow(&node, &folder, &mut known).await {
+        match run_watch(&node, &folder, &mut known).await {
             // The service answered and the watch ended: it may only have been this connection.
-            Ok(()) => wait = RETRY_LEAST,
+            Ok(()) => wait = MIN_WATCH_BACKOFF,
             Err(err) => {
                 log::debug!("the key-value service: {err}");
                 node.apply(Event::Store(StoreEvent::Health(Health::Down)));
                 let part = rand::random_range(0.5..1.5);
                 tokio::time::sleep(wait.mul_f64(part)).await;
-                wait = (wait * 2).min(RETRY_MOST);
+                wait = (wait * 2).min(MAX_WATCH_BACKOFF);
             }
         }
     }
 }
 
 /// Reads every watched key, then follows their changes; returns when the watch ends.
-async fn follow(
+async fn run_watch(
     node: &Rc<Node>,
     folder: &str,
     known: &mut BTreeSet<Box<str>>,
@@ -175,7 +175,7 @@
     let mut gone = std::mem::take(known);
     let mut pairs = Vec::new();
     for pair in range.pairs {
-        let key = bare(folder, &pair.key);
+        let key = bare_key(folder, &pair.key);
         gone.remove(&key);
         known.insert(key.clone());
         pairs.push(Watched {
@@ -195,7 +195,7 @@
     node.apply(Event::Store(StoreEvent::Watched(pairs)));
     loop {
         match watch.next().await {
-            Ok(batch) => changed(node, folder, known, batch),
+            Ok(batch) => apply_batch(node, folder, known, batch),
             Err(err) => {
                 log::info!(target: "chiveway::store.watch_ended", "the watch ended: {err}");
                 return Ok(());
@@ -204,13 +204,13 @@
     }
 }
 
-fn changed(node: &Rc<Node>, folder: &str, known: &mut BTreeSet<Box<str>>, batch: Batch) {
+fn apply_batch(node: &Rc<Node>, folder: &str, known: &mut BTreeSet<Box<str>>, batch: Batch) {
     node.apply(Event::Store(StoreEvent::Health(Health::Up)));
     if batch.changes.is_empty() {
         return;
     }
     let pairs = batch.changes.into_iter().map(|change| {
-        let key = bare(folder, &change.key);
+        let key = bare_key(folder, &change.key);
         if change.value.is_some() {
             known.insert(key.clone());
         } else {
--- a/src/host/tests.rs
+++ b/src/host/tests.rs
@@ -4,16 +4,16 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-use super::backends::InOrder;
-use super::completion::{Form, parse};
+use super::backends::ReorderBuffer;
+use super::completion::{Endpoint, parse};
 use crate::backend::Chunk;
 
 /// Makes one test of each body: whether it is taken, and what the caller reads where it is not.
 macro_rules! bodies {
-    ($($name:ident: $form:ident, $body:expr => $fault:expr,)*) => {$(
+    ($($name:ident: $endpoint:ident, $body:expr => $fault:expr,)*) => {$(
         #[test]
         fn $name() {
-            let fault = parse(Form::$form, $body.to_string().as_bytes(), |_| 2000).err();
+            let fault = parse(Endpoint::$endpoint, $body.to_string().as_bytes(), |_| 2000).err();
             let wanted: Option<&str> = $fault;
             assert_eq!(fault.as_deref(), wanted);
         }
@@ -30,7 +30,7 @@
         => Some("prompt is not a single text"),
     message_without_text: Chat, json!({"model": "m", "messages": [{"role": "user"}]})
         => Some("a message lacks role or content as a text"),
-    message_that_is_none: Chat, json!({"model": "m", "messages": [3]})
+    message_that_is_no_object: Chat, json!({"model": "m", "messages": [3]})
         => Some("a message lacks role or content as a text"),
     no_tokens: Text, json!({"model": "m", "prompt": "p", "max_tokens": 0})
         => Some("max_tokens is not a whole number from 1 to 1000000"),
@@ -65,15 +65,15 @@
 proptest! {
     #[test]
     fn any_bytes_are_taken_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        for form in [Form::Text, Form::Chat] {
-            let _ = parse(form, &bytes, |_| 2000);
+        for endpoint in [Endpoint::Text, Endpoint::Chat] {
+            let _ = parse(endpoint, &bytes, |_| 2000);
         }
     }
 
     #[test]
     fn any_document_is_taken_or_refused(body in any_json()) {
-        for form in [Form::Text, Form::Chat] {
-            if let Ok((completion, want)) = parse(form, body.to_string().as_bytes(), |_| 0) {
+        for endpoint in [Endpoint::Text, Endpoint::Chat] {
+            if let Ok((completion, want)) = parse(endpoint, body.to_string().as_bytes(), |_| 0) {
                 prop_assert!(!want.model.is_empty() && want.output > 0);
                 let sent = completion.body(0, "", 0, None);
                 prop_assert!(serde_json::from_slice::<serde_json::Value>(&sent).is_ok());
@@ -100,10 +100,10 @@
         }
         sent.push((shuffle[45].0, chunk(first + count, true)));
         sent.sort_by_key(|(place, _)| *place);
-        let mut order = InOrder::new(first);
+        let mut order = ReorderBuffer::new(first);
         let mut passed = Vec::new();
         for (_, chunk) in sent {
-            prop_assert!(order.put(chunk));
+            prop_assert!(order.insert(chunk));
             while let Some((offset, chunk)) = order.pop() {
                 passed.push((offset, chunk.end));
             }
@@ -117,9 +117,9 @@
 /// An engine skips a token and goes on for ever. What comes too early must not pile up.
 #[test]
 fn chunks_ahead_of_a_gap_are_bounded() {
-    let mut order = InOrder::new(0);
+    let mut order = ReorderBuffer::new(0);
     let taken = (2..1000).take_while(|&offset| {
-        order.put(Chunk {
+        order.insert(Chunk {
             offset,
             data: Bytes::new(),
             end: false,
--- a/src/host/timer.rs
+++ b/src/host/timer.rs
@@ -29,30 +29,30 @@
 #[derive(Debug, Default)]
 pub struct Timers {
     queue: RefCell<BTreeMap<(Time, u64), Timer>>,
-    count: Cell<u64>,
-    sooner: Notify,
+    next_id: Cell<u64>,
+    rescheduled: Notify,
 }
 
 impl Timers {
     /// Asks for an event.
-    pub fn wake(&self, at: Time, timer: Timer) {
-        let count = self.count.get();
-        self.count.set(count + 1);
+    pub fn schedule(&self, at: Time, timer: Timer) {
+        let count = self.next_id.get();
+        self.next_id.set(count + 1);
         let mut queue = self.queue.borrow_mut();
         let first = queue.first_key_value().map(|(key, _)| *key);
         queue.insert((at, count), timer);
         if first.is_none_or(|first| at < first.0) {
-            self.sooner.notify_one();
+            self.rescheduled.notify_one();
         }
     }
 
-    fn due(&self, now: Time) -> Option<Timer> {
+    fn pop_due(&self, now: Time) -> Option<Timer> {
         let mut queue = self.queue.borrow_mut();
         let entry = queue.first_entry()?;
         (entry.key().0 <= now).then(|| entry.remove())
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next_at(&self) -> Option<Time> {
         self.queue.borrow().first_key_value().map(|(key, _)| key.0)
     }
 }
@@ -60,10 +60,10 @@
 /// Turns due times into events until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        while let Some(timer) = node.timers.due(now()) {
+        while let Some(timer) = node.timers.pop_due(now()) {
             node.apply(Event::Timer(timer));
         }
-        let next = node.timers.next();
+        let next = node.timers.next_at();
         let wait = async {
             match next {
                 Some(at) => tokio::time::sleep(at.since(now())).await,
@@ -72,7 +72,7 @@
         };
         tokio::select! {
             () = wait => {}
-            () = node.timers.sooner.notified() => {}
+            () = node.timers.rescheduled.notified() => {}
         }
     }
 }
