--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -1,4 +1,4 @@
-//! Engines and services: streams, calls, load reports, orders, and the platform's list.
+//! Adapters for engines and services: streams, calls, load reports, orders, and the platform's list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,17 +20,17 @@
 use crate::error::Ran;
 use crate::store::{ListedKind, ListedState};
 
-/// Time a load report may take.
+/// Time limit for reading a load report.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Chunks of one stream that may come before one that is missing.
+/// Largest number of chunks of one stream that are buffered while an earlier chunk is missing.
 const MAX_CHUNKS_AHEAD: usize = 64;
-/// Time a caller may take nothing of an answer that waits for it.
+/// Time after which a caller that reads nothing of its queued answer is disconnected.
 const CALLER_STALL_TIMEOUT: Duration = Duration::from_mins(1);
-/// Time the kernel goes on trying to deliver an order.
+/// Time for which the kernel retransmits an order.
 ///
-/// With the time to connect it stays under [`crate::core::order::MAX_FLIGHT_TIME`].
+/// Together with the connect timeout it stays below [`crate::core::order::MAX_FLIGHT_TIME`].
 const ORDER_LIFETIME: Duration = Duration::from_secs(2);
-/// Times and limits of an order's call.
+/// Timeouts and limits of the call that sends an order.
 const ORDER_OPTIONS: backend::Options = backend::Options {
     connect: Duration::from_millis(500),
     head: Duration::from_secs(2),
@@ -39,10 +39,10 @@
     limit: 64 * 1024,
     reuse: backend::Reuse::Never,
 };
-/// Time a try to connect may take.
+/// Time limit for a connection attempt of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Opens a stream and reports it piece by piece until it ends or `ended` closes.
+/// Opens a stream and reports each chunk to the core until the stream ends or `ended` closes.
 pub async fn run_stream(node: Rc<Node>, open: Open, ended: oneshot::Receiver<()>) {
     let attempt = open.attempt;
     tokio::select! {
@@ -55,26 +55,36 @@
     }
 }
 
-/// Follows a stream to its end, and returns how it ended.
+/// Reads a stream to its end, and returns the event that reports how it ended.
 async fn follow_stream(node: &Rc<Node>, open: &Open) -> RequestEvent {
     let attempt = open.attempt;
     let Some(prepared) = node.prepared(open.request) else {
-        return attempt_failed(attempt, Ran::No, Break::Refused, "the request has ended");
+        return attempt_failed(
+            attempt,
+            Ran::No,
+            Break::Refused,
+            "the request has already ended",
+        );
     };
     let Prepared::Completion(completion) = &*prepared else {
-        return attempt_failed(attempt, Ran::No, Break::Rejected, "not a completion");
+        return attempt_failed(
+            attempt,
+            Ran::No,
+            Break::Rejected,
+            "the request is not a completion",
+        );
     };
-    // A resumed stream goes on by itself; another engine needs the text delivered so far.
-    let (done, tokens) = match open.resume {
+    // A resumed stream continues at its engine; another engine needs the text delivered so far.
+    let (delivered, tokens) = match open.resume {
         Some(_) => (String::new(), 0),
         None => (node.delivered_text(open.request), open.delivered),
     };
-    let body = |kv| completion.body(open.priority, &done, tokens, kv);
+    let body = |kv| completion.body(open.priority, &delivered, tokens, kv);
     let body = match open.prefill {
         None => body(None),
         Some(source) => {
-            let done = backend::prefill(&node.backends, source, body(None), &open.label).await;
-            match done {
+            let prefilled = backend::prefill(&node.backends, source, body(None), &open.label).await;
+            match prefilled {
                 Ok(prefilled) => body(Some((source, &prefilled.kv))),
                 Err(err) => return open_failed(attempt, &err, open.resume),
             }
@@ -97,15 +107,15 @@
         Err(err) => return open_failed(attempt, &err, open.resume),
     };
     node.apply(Event::Request(RequestEvent::Began(attempt)));
-    let mut order = ReorderBuffer::new(open.delivered);
+    let mut reorder = ReorderBuffer::new(open.delivered);
     loop {
         match stream.next().await {
             Ok(Some(chunk)) => {
-                if !order.insert(chunk) {
-                    let detail = format!("tokens from {} on are missing", order.next_offset);
+                if !reorder.insert(chunk) {
+                    let detail = format!("missing tokens from offset {}", reorder.next_offset);
                     return attempt_failed(attempt, Ran::Yes, Break::Cut, &detail);
                 }
-                while let Some((offset, chunk)) = order.pop() {
+                while let Some((offset, chunk)) = reorder.pop() {
                     let tokens = u32::from(!chunk.end);
                     node.chunk_received(attempt, offset, tokens, chunk.data);
                 }
@@ -119,8 +129,8 @@
     }
 }
 
-/// Waits until the caller has taken enough of what came; returns the event that ends the attempt
-/// where it takes nothing for too long.
+/// Waits until the caller's queue has space; returns the event that ends the request if the caller
+/// reads nothing for too long.
 async fn wait_for_caller(node: &Rc<Node>, open: &Open) -> Option<RequestEvent> {
     let queue = node.queue(open.request)?;
     if !queue.is_full() {
@@ -144,12 +154,11 @@
 
 /// Puts the chunks of one stream into the order of their offsets.
 ///
-/// Chunks overtake each other on their way, and one may come twice. Passed on as they come, the
-/// caller would read a scrambled answer; cut at the first gap, it would wait for a new stream
-/// each time.
+/// Chunks may arrive out of order or twice. Forwarded as they arrive, the answer would be scrambled;
+/// if the stream were cut at the first gap, each gap would cost the caller the wait for a new stream.
 #[derive(Debug)]
 pub(super) struct ReorderBuffer {
-    /// Offset of the next token.
+    /// Offset of the next token to return.
     next_offset: u64,
     ended: bool,
     pending: BTreeMap<u64, Chunk>,
@@ -164,18 +173,19 @@
         }
     }
 
-    /// Takes a chunk; returns whether there is still room for those that come too early.
+    /// Adds a chunk, unless its tokens were returned before; returns false if too many chunks wait
+    /// for a missing one.
     pub(super) fn insert(&mut self, chunk: Chunk) -> bool {
         let start = first_offset(&chunk);
         if start >= self.next_offset {
-            // The end marker starts where the token after it would.
+            // The end marker has the offset of the token that would follow, so it sorts after it.
             let place = start * 2 + u64::from(chunk.end);
             self.pending.entry(place).or_insert(chunk);
         }
         self.pending.len() <= MAX_CHUNKS_AHEAD || start == self.next_offset
     }
 
-    /// Returns the next chunk and the offset of its first token, once it is there.
+    /// Returns the next chunk and the offset of its first token, if it has arrived.
     pub(super) fn pop(&mut self) -> Option<(u64, Chunk)> {
         let entry = self.pending.first_entry()?;
         let offset = first_offset(entry.get());
@@ -191,7 +201,8 @@
 
 /// Returns the offset of a chunk's first token.
 ///
-/// An event's id is the offset of the token after it; the last event has none.
+/// The offset in a chunk, the id of its event, is that of the token after it; the end marker holds no
+/// token.
 fn first_offset(chunk: &Chunk) -> u64 {
     chunk.offset.saturating_sub(u64::from(!chunk.end))
 }
@@ -209,8 +220,8 @@
     let ran = err.ran();
     let end = match (err, err.status()) {
         (_, Some(404)) if resume.is_some() => Break::Forgotten,
-        // Every engine would say the same; tried at each, one bad request would put them all
-        // under suspicion.
+        // Every engine would answer the same: retried elsewhere, one invalid request would make
+        // all engines suspects.
         (_, Some(400 | 413 | 422)) => Break::Rejected,
         (_, Some(status)) if (400..500).contains(&status) && ran != Ran::No => Break::Rejected,
         _ if ran == Ran::No && err.status().is_some() => Break::Refused,
@@ -254,7 +265,7 @@
         answer = timeout(time, sent) => match answer {
             Ok(Ok(answer)) => service_answered(attempt, &answer),
             Ok(Err(err)) => service_failed(attempt, &err),
-            Err(_late) => attempt_failed(attempt, Ran::Unknown, Break::Cut, "no answer in time"),
+            Err(_late) => attempt_failed(attempt, Ran::Unknown, Break::Cut, "the service did not answer in time"),
         },
     };
     node.attempt_ended(attempt);
@@ -263,7 +274,7 @@
 
 fn service_answered(attempt: AttemptKey, answer: &backend::Answer) -> RequestEvent {
     if answer.ran == Ran::No {
-        let detail = format!("the service refused with {}", answer.status);
+        let detail = format!("the service refused the call with status {}", answer.status);
         return attempt_failed(attempt, Ran::No, Break::Refused, &detail);
     }
     let media = answer
@@ -306,7 +317,7 @@
             let entries = entries.collect();
             node.apply(Event::Fleet(FleetEvent::Listed(entries)));
         }
-        Err(err) => log::debug!("the platform's list: {err}"),
+        Err(err) => log::debug!("cannot read the platform's list: {err}"),
     }
 }
 
@@ -333,7 +344,7 @@
     u32::try_from(value).unwrap_or(u32::MAX)
 }
 
-/// Tries to connect, to see whether a process listens at an address.
+/// Opens a connection to find out whether a process listens at an address.
 pub async fn probe(node: Rc<Node>, addr: SocketAddr) {
     let tried = timeout(PROBE_TIMEOUT, tokio::net::TcpStream::connect(addr)).await;
     let probe = match tried {
@@ -343,7 +354,7 @@
     node.apply(Event::Fleet(FleetEvent::Probed { addr, probe }));
 }
 
-/// Gives an order, unless the right to give it has ended.
+/// Sends an order, unless the authority to send it has expired.
 pub async fn send_order(node: Rc<Node>, order: effect::Order) {
     let fresh = backend::Fresh {
         life: ORDER_LIFETIME,
--- a/src/host/callers.rs
+++ b/src/host/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: completions, models and services.
+//! Handler of the callers' listener: completions, models and services.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -23,27 +23,27 @@
 use crate::lists::KeyHash;
 use crate::web::{self, HandlerError};
 
-/// Longest idempotency key.
+/// Largest length of an idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
-/// Header with the caller's idempotency key.
+/// Header that carries the caller's idempotency key.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// Headers of a service call that are passed on.
+/// Headers of a service call that are forwarded to the service.
 const FORWARDED_HEADERS: [&str; 4] = [
     "content-type",
     "accept",
     "accept-language",
     IDEMPOTENCY_HEADER,
 ];
-/// Most bytes read of a body that is not wanted.
+/// Largest number of bytes read of a body that is discarded.
 const MAX_DISCARD_BYTES: usize = 64 * 1024;
-/// Time a caller has to send a body that is not wanted.
+/// Time limit for reading a body that is discarded.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
-/// Prefix of the paths of services.
+/// Path prefix of services.
 const SERVICES_PREFIX: &str = "/services/";
-/// Piece size where no pool names one, in tokens.
+/// Size of prefix blocks for a model that no pool serves.
 const DEFAULT_BLOCK_TOKENS: usize = 2000;
 
-/// Tells the core that the caller left, unless its request has ended.
+/// On drop, reports to the core that the caller left, unless its request has ended.
 struct CallerGuard {
     node: Rc<Node>,
     request: RequestKey,
@@ -53,13 +53,13 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.ended {
-            let left = RequestEvent::Left(self.request);
-            self.node.apply(Event::Request(left));
+            let event = RequestEvent::Left(self.request);
+            self.node.apply(Event::Request(event));
         }
     }
 }
 
-/// A request's parts, as they come.
+/// Receives the messages to a request's handler.
 struct AnswerParts {
     queue: queue::QueueReceiver<AnswerPart>,
     guard: CallerGuard,
@@ -83,8 +83,9 @@
             Poll::Ready(part) => part,
             Poll::Pending => return Poll::Pending,
         };
-        // The core ends every request with one of these; a closed channel without one is its fault.
-        let lost = || AnswerPart::Refused(Refusal::new(Kind::Internal, "the request was lost"));
+        // The core ends every request with a final message; a channel closed without one is a bug.
+        let lost =
+            || AnswerPart::Refused(Refusal::new(Kind::Internal, "the host lost the request"));
         let part = part.unwrap_or_else(lost);
         self.guard.ended |= !matches!(part, AnswerPart::Chunk(_));
         Poll::Ready(part)
@@ -99,7 +100,7 @@
 pub async fn handle(node: Rc<Node>, req: Request) -> Response {
     let mut response = route(&node, req).await;
     if node.with_core(|core| core.stop.begun()) {
-        // The next request of this caller is to go to another host.
+        // Closing the connection makes the caller send its next request to another host.
         close_connection(&mut response);
     }
     response
@@ -112,7 +113,7 @@
         (&Method::POST, "/v1/chat/completions") => complete(node, req, Endpoint::Chat).await,
         (&Method::GET, "/v1/models") => models(node, &req),
         (_, path) if path.starts_with(SERVICES_PREFIX) => call_service(node, req).await,
-        _ => refuse(Kind::NotFound, "there is nothing at this path"),
+        _ => refuse(Kind::NotFound, "no resource at this path"),
     }
 }
 
@@ -120,7 +121,7 @@
     problem::answer(&Refusal::new(kind, detail), "")
 }
 
-/// Returns the hash of the caller's key; one that belongs to nobody where it sent none.
+/// Returns the hash of the caller's key, or a hash that matches no customer if it sent none.
 fn caller_key(req: &Request) -> KeyHash {
     let key = header(req, "authorization").and_then(|value| value.strip_prefix("Bearer "));
     key.map_or(KeyHash([0; 32]), |key| KeyHash::of(key.trim()))
@@ -145,14 +146,14 @@
     }
 }
 
-/// Turns away whoever has no customer's key before its body is read.
+/// Refuses callers without a customer's key before their body is read.
 ///
-/// Anyone could have this host read and parse bodies for nothing otherwise.
+/// Otherwise anyone could make this host read and parse bodies.
 async fn authenticate(node: &Rc<Node>, req: &mut Request) -> Result<(), Response> {
     let caller = caller_key(req);
     let refusal = node.with_core(|core| {
         if core.config.revision() == 0 {
-            let detail = "this host has no lists yet";
+            let detail = "this host has not loaded the lists of customers and plans yet";
             Some(Refusal::new(Kind::CutOff, detail))
         } else if core.config.index.get(caller).is_none() {
             Some(Refusal::new(Kind::BadKey, "no customer has this key"))
@@ -184,16 +185,25 @@
         .await
         .map_err(|status| match status {
             StatusCode::PAYLOAD_TOO_LARGE => {
-                let mut response = refuse(Kind::TooLarge, &format!("the limit is {limit} bytes"));
+                let mut response = refuse(
+                    Kind::TooLarge,
+                    &format!("the body is longer than the limit of {limit} bytes"),
+                );
                 close_connection(&mut response);
                 response
             }
             StatusCode::REQUEST_TIMEOUT => {
-                let mut response = refuse(Kind::TooSlow, "the body did not arrive in time");
+                let mut response = refuse(
+                    Kind::TooSlow,
+                    "the body did not arrive within the time limit",
+                );
                 close_connection(&mut response);
                 response
             }
-            _ => refuse(Kind::Malformed, "the body was cut short"),
+            _ => refuse(
+                Kind::Malformed,
+                "the connection ended before the end of the body",
+            ),
         })
 }
 
@@ -203,15 +213,15 @@
         .set_connection_type(ntex::http::ConnectionType::Close);
 }
 
-/// Returns the fingerprint of a request: equal targets and bodies have equal ones.
+/// Returns the fingerprint of a request: the same for equal targets and bodies.
 pub(super) fn fingerprint(target: &str, body: &[u8]) -> Print {
     let mut hasher = blake3::Hasher::new();
     hasher.update(target.as_bytes());
     hasher.update(b"\n");
     hasher.update(body);
-    let mut print = [0; 16];
-    print.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-    Print(print)
+    let mut first = [0; 16];
+    first.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+    Print(first)
 }
 
 async fn complete(node: &Rc<Node>, mut req: Request, endpoint: Endpoint) -> Response {
@@ -226,13 +236,13 @@
         Ok(bytes) => bytes,
         Err(response) => return response,
     };
-    let piece = |model: &str| {
+    let block_tokens = |model: &str| {
         node.with_core(|core| {
             let pool = core.fleet.serving(model).next();
             pool.map_or(DEFAULT_BLOCK_TOKENS, |pool| pool.settings.piece)
         })
     };
-    let (completion, want) = match completion::parse(endpoint, &bytes, piece) {
+    let (completion, want) = match completion::parse(endpoint, &bytes, block_tokens) {
         Ok(parsed) => parsed,
         Err(detail) => return refuse(Kind::Malformed, &detail),
     };
@@ -246,7 +256,7 @@
     let copy = completion.clone();
     let Some(taken) = node.accept_request(arrival, Prepared::Completion(copy), req.io().cloned())
     else {
-        return refuse(Kind::Internal, "the request was lost");
+        return refuse(Kind::Internal, "the host lost the request");
     };
     let id = taken.id.clone();
     let parts = AnswerParts::new(node, taken);
@@ -257,7 +267,7 @@
 }
 
 async fn stream_answer(mut parts: AnswerParts, id: Box<str>) -> Response {
-    // The head waits for the first part, so that a refusal has its own status.
+    // The response head is sent after the first message, so that a refusal keeps its own status.
     let first = parts.next().await;
     if let AnswerPart::Refused(refusal) = &first {
         return problem::answer(refusal, &id);
@@ -312,7 +322,7 @@
                 this.ended = true;
                 event.extend_from_slice(b"data: [DONE]\n\n");
             }
-            // Without the end marker no client takes the answer for whole; the event says why.
+            // Without the end marker a client treats the answer as incomplete; the event holds the reason.
             AnswerPart::Refused(refusal) => {
                 this.ended = true;
                 let document = problem::document(&refusal, &this.id);
@@ -379,8 +389,8 @@
     let full = query.map_or_else(|| path.to_owned(), |query| format!("{path}?{query}"));
     let method: Box<str> = req.method().as_str().into();
     if !once::is_canonical(&method, path) {
-        let detail = "the method or path is not in its one canonical form: no empty or dot \
-                      segments, no needless escapes, capitals in escapes and in the method";
+        let detail = "the method or path is not in canonical form: no empty or dot segments, \
+                      no unnecessary escapes, upper case in escapes and in the method";
         return refuse(Kind::Malformed, detail);
     }
     let bytes = match read_body(node, &mut req).await {
@@ -408,7 +418,7 @@
         idem,
     };
     let Some(taken) = node.accept_request(arrival, Prepared::Call(call), req.io().cloned()) else {
-        return refuse(Kind::Internal, "the request was lost");
+        return refuse(Kind::Internal, "the host lost the request");
     };
     let id = taken.id.clone();
     let mut parts = AnswerParts::new(node, taken);
@@ -419,7 +429,9 @@
             }
             AnswerPart::Refused(refusal) => return problem::answer(&refusal, &id),
             AnswerPart::Chunk(_) => {}
-            AnswerPart::Completed => return refuse(Kind::Internal, "a service call cannot end so"),
+            AnswerPart::Completed => {
+                return refuse(Kind::Internal, "the service call ended without an answer");
+            }
         }
     }
 }
--- a/src/host/completion.rs
+++ b/src/host/completion.rs
@@ -1,4 +1,4 @@
-//! Completions: what a caller's body asks for, what an engine is sent, what a caller gets back.
+//! Completions: parses callers' bodies, builds bodies for engines and documents for callers.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -9,15 +9,15 @@
 
 use crate::core::event::ModelWant;
 
-/// Bytes taken for one token where the engine's own count is not known yet.
+/// Estimated bytes per token, used until an engine reports its own count.
 const BYTES_PER_TOKEN: usize = 4;
-/// Tokens generated when the caller names no bound.
+/// Token limit of an answer if the caller sets none.
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
-/// Most tokens a caller may ask for.
+/// Largest token limit that a caller may set.
 const MAX_OUTPUT_TOKENS: u64 = 1_000_000;
 
-/// The fields of a piece that hold its text; read for every token, so nothing is copied that can
-/// be borrowed.
+/// The fields of a chunk that hold its text. Parsed for every token, so strings are borrowed where
+/// possible.
 #[derive(Debug, Default, Deserialize)]
 struct ChunkBody<'a> {
     #[serde(borrow, default)]
@@ -38,7 +38,7 @@
     content: Option<Cow<'a, str>>,
 }
 
-/// Form of a completion.
+/// Endpoint of a completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Endpoint {
     /// `/v1/completions`.
@@ -48,7 +48,7 @@
 }
 
 impl Endpoint {
-    /// Returns the path at an engine.
+    /// Returns the request path at an engine.
     #[must_use]
     pub fn path(self) -> &'static str {
         match self {
@@ -58,34 +58,34 @@
     }
 }
 
-/// How the caller takes the answer.
+/// How the answer is delivered to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// As events, while it is generated.
+    /// As server-sent events, while it is generated.
     Stream,
-    /// As one document.
+    /// As one JSON document.
     Document,
 }
 
-/// A completion that a caller asked for.
+/// A caller's request for a completion.
 #[derive(Debug, Clone)]
 pub struct Completion {
-    /// Form of request and answer.
+    /// Endpoint, which decides the format of request and answer.
     pub endpoint: Endpoint,
-    /// How the caller takes the answer.
+    /// How the answer is delivered to the caller.
     pub delivery: Delivery,
     body: Map<String, Value>,
 }
 
-/// Reads a caller's body; `piece` is the size of the engines' prefix pieces in tokens.
+/// Parses a caller's body; `block_tokens` returns the size of a model's prefix blocks in tokens.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the body, for the caller.
+/// Returns a description of what is wrong with the body, for the caller.
 pub fn parse(
     endpoint: Endpoint,
     bytes: &[u8],
-    piece: impl FnOnce(&str) -> usize,
+    block_tokens: impl FnOnce(&str) -> usize,
 ) -> Result<(Completion, ModelWant), Box<str>> {
     let body: Value = serde_json::from_slice(bytes)
         .map_err(|err| format!("the body is not JSON: {err}").into_boxed_str())?;
@@ -100,10 +100,10 @@
     let delivery = match body.get("stream") {
         None | Some(Value::Null | Value::Bool(false)) => Delivery::Document,
         Some(Value::Bool(true)) => Delivery::Stream,
-        Some(_) => return Err("stream is neither true nor false".into()),
+        Some(_) => return Err("stream is not a boolean".into()),
     };
     if body.get("n").is_some_and(|n| *n != json!(1)) {
-        return Err("n is not 1; ask for each answer on its own".into());
+        return Err("n is not 1; send a separate request for each answer".into());
     }
     let output = output_tokens(&body)?;
     body.insert("max_tokens".into(), json!(output));
@@ -113,7 +113,7 @@
     let want = ModelWant {
         prompt: u32::try_from(tokens).unwrap_or(u32::MAX),
         output,
-        pieces: block_hashes(&model, &prompt, piece(&model) * BYTES_PER_TOKEN),
+        pieces: block_hashes(&model, &prompt, block_tokens(&model) * BYTES_PER_TOKEN),
         model,
     };
     let completion = Completion {
@@ -127,7 +127,7 @@
 fn text_field(body: &Map<String, Value>, key: &str) -> Result<Box<str>, Box<str>> {
     match body.get(key) {
         Some(Value::String(text)) if !text.is_empty() => Ok(text.as_str().into()),
-        Some(_) => Err(format!("{key} is not a text").into()),
+        Some(_) => Err(format!("{key} is not a non-empty string").into()),
         None => Err(format!("{key} is missing").into()),
     }
 }
@@ -135,20 +135,20 @@
 fn text_prompt(body: &Map<String, Value>) -> Result<String, Box<str>> {
     match body.get("prompt") {
         Some(Value::String(prompt)) => Ok(prompt.clone()),
-        Some(_) => Err("prompt is not a single text".into()),
+        Some(_) => Err("prompt is not a single string".into()),
         None => Err("prompt is missing".into()),
     }
 }
 
 fn chat_prompt(body: &Map<String, Value>) -> Result<String, Box<str>> {
     let Some(Value::Array(messages)) = body.get("messages") else {
-        return Err("messages is missing or not a list".into());
+        return Err("messages is missing or not an array".into());
     };
     let mut prompt = String::new();
     for message in messages {
         let (Some(role), Some(content)) = (message["role"].as_str(), message["content"].as_str())
         else {
-            return Err("a message lacks role or content as a text".into());
+            return Err("a message has no string role or no string content".into());
         };
         prompt.push_str(role);
         prompt.push_str(": ");
@@ -172,19 +172,20 @@
             .filter(|tokens| (1..=MAX_OUTPUT_TOKENS).contains(tokens))
             .and_then(|tokens| u32::try_from(tokens).ok())
             .ok_or_else(|| {
-                format!("max_tokens is not a whole number from 1 to {MAX_OUTPUT_TOKENS}").into()
+                format!("max_tokens is not an integer from 1 to {MAX_OUTPUT_TOKENS}").into()
             }),
     }
 }
 
-/// Returns the hash of each whole piece of the prompt, over everything up to its end.
+/// Returns a hash for each complete prefix block of the prompt, over the model's name and all bytes up
+/// to the end of the block.
 fn block_hashes(model: &str, prompt: &str, size: usize) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     hasher.update(model.as_bytes());
-    let whole = prompt.as_bytes().chunks_exact(size.max(1));
-    whole
-        .map(|piece| {
-            hasher.update(piece);
+    let blocks = prompt.as_bytes().chunks_exact(size.max(1));
+    blocks
+        .map(|block| {
+            hasher.update(block);
             let mut first = [0; 8];
             first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
             u64::from_le_bytes(first)
@@ -193,13 +194,13 @@
 }
 
 impl Completion {
-    /// Returns the body for an engine that goes on after `tokens` tokens, the text of which is
-    /// `done`; with `kv`, it takes the KV cache of the prompt from there.
+    /// Returns the body for an engine that continues after `tokens` tokens, whose text is
+    /// `delivered`; with `kv`, it fetches the KV cache of the prompt from that address and handle.
     #[must_use]
     pub fn body(
         &self,
         priority: u8,
-        done: &str,
+        delivered: &str,
         tokens: u64,
         kv: Option<(SocketAddr, &str)>,
     ) -> Bytes {
@@ -208,7 +209,7 @@
         if tokens > 0 {
             body.insert(
                 "continue_from".into(),
-                json!({"text": done, "tokens": tokens}),
+                json!({"text": delivered, "tokens": tokens}),
             );
         }
         if let Some((source, handle)) = kv {
@@ -220,11 +221,11 @@
         Value::Object(body).to_string().into()
     }
 
-    /// Returns the text in one piece of an answer.
+    /// Returns the text in one chunk of an answer.
     #[must_use]
-    pub fn text_of<'a>(&self, piece: &'a [u8]) -> Cow<'a, str> {
-        let piece: ChunkBody<'a> = serde_json::from_slice(piece).unwrap_or_default();
-        let choice = piece.choices.into_iter().next().unwrap_or_default();
+    pub fn text_of<'a>(&self, chunk: &'a [u8]) -> Cow<'a, str> {
+        let chunk: ChunkBody<'a> = serde_json::from_slice(chunk).unwrap_or_default();
+        let choice = chunk.choices.into_iter().next().unwrap_or_default();
         let text = match self.endpoint {
             Endpoint::Text => choice.text,
             Endpoint::Chat => choice.delta.content,
@@ -232,7 +233,7 @@
         text.unwrap_or_default()
     }
 
-    /// Makes one document of an answer's text and its last piece.
+    /// Builds one document from the text and the last chunk of an answer.
     #[must_use]
     pub fn document(&self, id: &str, text: &str, last: &[u8]) -> Value {
         let last: Value = serde_json::from_slice(last).unwrap_or_default();
--- a/src/host/link.rs
+++ b/src/host/link.rs
@@ -1,4 +1,4 @@
-//! A connection to a peer: opened at the first message, opened anew when it fails.
+//! Outgoing connection to a peer: opened for the first message, reopened after a failure.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,24 +19,24 @@
 use crate::core::message::Message;
 use crate::wire::Frame;
 
-/// Messages that wait for a connection; more are dropped, as if the network had lost them.
+/// Largest number of messages queued for a connection; more are dropped, as if lost by the network.
 const MAX_QUEUED_MESSAGES: usize = 4096;
-/// Time until unacknowledged bytes are given up by the kernel.
+/// Time after which the kernel closes a connection with unacknowledged bytes.
 ///
-/// Bytes left in a socket's buffer can be sent again when a partition heals, long after what they
-/// say has stopped being true; the kernel drops them even while this process is suspended.
+/// Otherwise bytes in the socket's buffer could be sent after a partition heals, when the messages
+/// are long out of date. The kernel drops them even while this process is suspended.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between a failure and the next try.
+/// Delay between a failure and the next connection attempt.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// A peer's connection; dropping it closes the connection once its queue is empty.
+/// Connection to a peer; dropping it closes the connection once its queue is empty.
 #[derive(Debug)]
 pub struct Link {
     tx: mpsc::Sender<Message>,
     reconnect_signal: Rc<Notify>,
 }
 
-/// Who is at the other end.
+/// The peer to connect to.
 struct Target {
     host: HostKey,
     name: Box<str>,
@@ -61,10 +61,12 @@
         }
     }
 
-    /// Puts a message in the queue.
+    /// Queues a message; drops it if the queue is full.
     pub fn send(&self, message: Message) {
         if self.tx.try_send(message).is_err() {
-            log::debug!("a message to a peer was dropped: its queue is full");
+            log::debug!(
+                "message to a peer dropped: {MAX_QUEUED_MESSAGES} messages are already queued"
+            );
         }
     }
 
@@ -85,8 +87,8 @@
         else {
             return;
         };
-        log::debug!("connection to {}: {err}", target.name);
-        // What waited was meant for the moment it was sent.
+        log::debug!("connection to peer {} failed: {err}", target.name);
+        // Queued messages are out of date by the time of the next connection.
         while rx.try_recv().is_ok() {}
         node.apply(Event::Peer(PeerEvent::Down(target.host)));
         tokio::time::sleep(RECONNECT_DELAY).await;
@@ -115,7 +117,7 @@
                 Some(message) => wire.feed(seal(&mut mac, message)).await?,
                 None => return Ok(()),
             },
-            // The peer says nothing on this connection; its end is all there is to read.
+            // The peer sends no messages on this connection: a read can only return its end.
             _ = wire.next() => return Err(PeerError::Closed),
             () = reconnect_signal.notified() => return Err(PeerError::TimedOut),
         }
--- a/src/host/logs.rs
+++ b/src/host/logs.rs
@@ -1,8 +1,8 @@
-//! Log events of the core, handed to the log.
+//! Writes log events of the core to the process log.
 
 use crate::core::effect::LogEvent;
 
-/// Writes one event; its name is the target.
+/// Writes one event, with its name as the log target.
 pub fn write(event: &LogEvent) {
     let target = format!("chiveway::{}", event.name);
     log::log!(target: &target, event.level, "{}", event.text);
--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts and histograms, by opentelemetry with its Prometheus exporter.
+//! Counters, gauges and histograms, by OpenTelemetry with its Prometheus exporter.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,23 +14,23 @@
 use crate::settings::Settings;
 use crate::store::Calls;
 
-/// Customers with histograms of their own; all others share one.
+/// Largest number of customers with a label value of their own; all others share one.
 ///
-/// Each series stays in memory for the life of the process: thousands of customers must not
-/// become thousands of histograms.
+/// Each series stays in memory for the lifetime of the process, so the number of histograms must not
+/// grow with thousands of customers.
 const MAX_NAMED_CUSTOMERS: usize = 32;
-/// Requests after which a customer counts as busy.
+/// Requests after which a customer gets a label value of its own.
 const NAMED_MIN_REQUESTS: u32 = 50;
-/// Customers whose requests are counted to find the busy ones.
+/// Largest number of customers without a label value whose requests are counted.
 const MAX_COUNTED_CUSTOMERS: usize = 1024;
-/// Label of all customers without a name of their own.
+/// Label value of all customers without one of their own.
 const OTHER_CUSTOMERS: &str = "other";
-/// Bounds of the histograms of seconds.
+/// Bucket bounds of the histograms, in seconds.
 const BUCKET_BOUNDS_SECS: [f64; 16] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.049, 0.1, 0.2, 0.4, 0.78, 1.5, 3.0, 6.0, 15.0, 60.0, 300.0,
 ];
 
-/// Every instrument of a host.
+/// Metric instruments of a host.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -51,10 +51,14 @@
     named_customers: RefCell<Vec<Box<str>>>,
 }
 
-fn seconds_histogram(meter: &OtelMeter, name: &'static str, about: &'static str) -> Histogram<f64> {
+fn seconds_histogram(
+    meter: &OtelMeter,
+    name: &'static str,
+    description: &'static str,
+) -> Histogram<f64> {
     meter
         .f64_histogram(name)
-        .with_description(about)
+        .with_description(description)
         .with_unit("s")
         .with_boundaries(BUCKET_BOUNDS_SECS.to_vec())
         .build()
@@ -65,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the library's error if the exporter cannot be made.
+    /// Returns the library's error if the exporter cannot be created.
     pub fn new(settings: &Settings) -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -73,9 +77,12 @@
             .build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("chiveway");
-        log::debug!("meters of {} are ready", settings.host.name);
-        let counter = |name: &'static str, about: &'static str| {
-            meter.u64_counter(name).with_description(about).build()
+        log::debug!("metrics of host {} created", settings.host.name);
+        let counter = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
         };
         Ok(Self {
             first_token: seconds_histogram(
@@ -118,7 +125,7 @@
         })
     }
 
-    /// Counts or times one thing.
+    /// Records one measurement.
     pub fn record(&self, meter: &Meter) {
         match meter {
             Meter::Ended {
@@ -155,7 +162,7 @@
         }
     }
 
-    /// Returns the customer's own label, or the label of all others.
+    /// Returns the label of a customer: its own, or the one shared by all others.
     fn customer_label(&self, customer: &str) -> KeyValue {
         let mut named = self.named_customers.borrow_mut();
         if named.iter().any(|name| &**name == customer) {
@@ -175,7 +182,7 @@
         label("customer", OTHER_CUSTOMERS)
     }
 
-    /// Takes in the counts of calls to the key-value service.
+    /// Adds the calls to the key-value service made since the last update, from running totals.
     pub fn record_store_calls(&self, now: &Calls) {
         let seen = self.last_calls.replace(*now);
         for (kind, now, seen) in [
@@ -195,27 +202,27 @@
         }
     }
 
-    /// Takes in how long ago all that the key-value service held was known.
+    /// Sets the age of this host's view of the key-value service.
     pub fn set_view_age(&self, age: Duration) {
         self.view_age.record(age.as_secs_f64(), &[]);
     }
 
-    /// Takes in the era of the key-value service.
+    /// Sets the era of the key-value service.
     pub fn set_store_era(&self, era: u64) {
         self.store_era.record(era, &[]);
     }
 
-    /// Takes in how many backend servers get work while their entries are missing.
+    /// Sets the number of backend servers that get work while their entries are missing.
     pub fn set_unlisted(&self, servers: u64) {
         self.unlisted.record(servers, &[]);
     }
 
-    /// Takes in how many backend servers name a limit.
+    /// Sets the number of backend servers that name a limit.
     pub fn set_limited(&self, servers: u64) {
         self.limited.record(servers, &[]);
     }
 
-    /// Returns everything in Prometheus' text form.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn encode(&self) -> Option<String> {
         let mut text = Vec::new();
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,7 +1,7 @@
-//! A running host: the adapters that feed events to the core and carry out its effects.
+//! Host process: the adapters that feed events to the core and execute its effects.
 //!
-//! Everything runs on one thread. A host serves a few dozen requests and a few thousand tokens a
-//! second; one thread does that without locks, and the core is then simply a value.
+//! Everything runs on one thread, so the core is a plain value without locks. One thread is enough
+//! for the load of a host: a few dozen requests and a few thousand tokens per second.
 
 mod backends;
 mod callers;
@@ -40,11 +40,11 @@
 
 pub use node::Node;
 
-/// Time that a relaying host reads its callers' connections after its listener was closed.
+/// Grace period in which a relaying host serves open connections after it closed its listener.
 ///
-/// The balancer has sent the last ones a moment before. Their requests are refused with a time to
-/// come back; callers whose connections are idle find them closed and go to another host by
-/// themselves, with nothing refused.
+/// The load balancer may open connections until just before the close. Requests on them are refused
+/// with a retry time; connections that are idle after the period are closed, and their callers
+/// reconnect to another host without a refusal.
 const RELAY_GRACE: Duration = Duration::from_millis(200);
 
 /// Why a host cannot start.
@@ -53,16 +53,16 @@
     /// A listener cannot be opened.
     #[snafu(display("cannot listen on {addr}; choose a free address in [host]"))]
     Listen {
-        /// Address that was asked for.
+        /// Configured address.
         addr: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The HTTP client cannot be made.
-    #[snafu(display("the HTTP client cannot be made"))]
+    /// The HTTP client cannot be created.
+    #[snafu(display("cannot create the HTTP client"))]
     Client,
-    /// The meters cannot be made.
-    #[snafu(display("the meters cannot be made"))]
+    /// The metrics exporter cannot be created.
+    #[snafu(display("cannot create the metrics exporter"))]
     Metrics,
 }
 
@@ -75,12 +75,12 @@
 }
 
 impl Listeners {
-    /// Opens the listeners that the settings name, and writes the ports that the kernel chose
+    /// Opens the listeners named in the settings, and writes the ports that the kernel chose back
     /// into the settings.
     ///
     /// # Errors
     ///
-    /// Returns the address that cannot be listened on.
+    /// Returns the address that cannot be bound.
     pub async fn open(settings: &mut Settings) -> Result<Self, HostError> {
         let host = &mut settings.host;
         Ok(Self {
@@ -92,7 +92,7 @@
 }
 
 impl Listeners {
-    /// Takes listeners that are open already.
+    /// Uses listeners that are already open.
     #[must_use]
     pub fn from_parts(callers: TcpListener, operators: TcpListener, peers: TcpListener) -> Self {
         Self {
@@ -113,10 +113,10 @@
     Ok(listener)
 }
 
-/// Serves a host that relays requests until a planned stop is complete.
+/// Runs a host that relays requests until a planned stop is complete.
 ///
-/// The stop begins when `stop` turns true or its sender is gone. Settings that come by `reloads`
-/// replace those in force, but for the listeners.
+/// The stop begins when `stop` becomes true or its sender is dropped. Settings received from
+/// `reloads` replace the current ones, except for the addresses of the listeners.
 ///
 /// # Errors
 ///
@@ -201,7 +201,7 @@
     }
 }
 
-/// Waits for the order to stop, and then for the end of the planned stop.
+/// Begins the planned stop when `stop` says so; returns when the core has exited.
 async fn wait_for_stop(node: &Rc<Node>, stop: &mut watch::Receiver<bool>) {
     let exit = node.wait_for_exit();
     tokio::pin!(exit);
@@ -220,9 +220,9 @@
     }
 }
 
-/// Serves until a planned stop is complete.
+/// Runs a host until a planned stop is complete.
 ///
-/// The stop begins when `stop` turns true or its sender is gone.
+/// The stop begins when `stop` becomes true or its sender is dropped.
 ///
 /// # Errors
 ///
--- a/src/host/node.rs
+++ b/src/host/node.rs
@@ -1,4 +1,4 @@
-//! The core with its adapters around it.
+//! The core together with its adapters.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,25 +29,25 @@
 use crate::store::Store;
 use crate::web::CLIENT_IDLE;
 
-/// Time one call to the key-value service may take at one endpoint.
+/// Time limit of one call to one endpoint of the key-value service.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time messages to peers may take to leave at the end of a planned stop.
+/// Time for messages to peers to be sent at the end of a planned stop.
 const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
-/// What the handler of a request is told.
+/// Message to the handler of a request.
 #[derive(Debug)]
 pub enum AnswerPart {
-    /// The next piece of the answer: one event's data.
+    /// Next chunk of the answer: the data of one event.
     Chunk(Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     Completed,
-    /// A service's answer, and the request that ran it where that was an earlier one.
+    /// Answer of a service, and the id of the earlier request that ran the call, if one did.
     Reply(Stored, Option<Box<str>>),
-    /// There will be no whole answer.
+    /// The request ended without a complete answer.
     Refused(Refusal),
 }
 
-/// What a request asks of a back end, as it is to be written.
+/// A request as it is sent to an engine or a service.
 #[derive(Debug)]
 pub enum Prepared {
     /// A completion.
@@ -56,37 +56,37 @@
     Call(ServiceCall),
 }
 
-/// A call to a service, as it is to be written.
+/// A call as it is sent to a service.
 #[derive(Debug, Clone)]
 pub struct ServiceCall {
     /// HTTP method.
     pub method: Box<str>,
     /// Path with query.
     pub path: Box<str>,
-    /// Headers passed on.
+    /// Forwarded headers.
     pub headers: Vec<(Box<str>, Box<str>)>,
     /// Body.
     pub body: Bytes,
 }
 
-/// A request whose handler is still there.
+/// A request that has not ended.
 #[derive(Debug)]
 pub struct OpenRequest {
     queue: QueueSender<AnswerPart>,
-    /// What it asks of a back end.
+    /// Request as it is sent to an engine or a service.
     pub prepared: Rc<Prepared>,
-    /// Text passed on so far, kept for an engine that must continue.
+    /// Text delivered so far, for another engine to continue from.
     pub text: String,
 }
 
-/// A request that was taken in.
+/// A request that the core has opened.
 #[derive(Debug)]
 pub struct AcceptedRequest {
     /// Its key.
     pub request: RequestKey,
     /// Its id.
     pub id: Box<str>,
-    /// What its handler is told.
+    /// Messages to its handler.
     pub parts: QueueReceiver<AnswerPart>,
 }
 
@@ -94,24 +94,24 @@
 #[derive(Debug)]
 pub struct Node {
     core: RefCell<Core>,
-    /// Times that were asked for.
+    /// Pending timers.
     pub timers: Timers,
     /// Client of the key-value service.
     pub store: Store,
     /// Client of engines and services.
     pub backends: backend::Client,
-    /// Client that opens a connection for each call.
+    /// Client without connection reuse.
     unpooled: backend::Client,
-    /// Back ends to which a connection was lost, with the time until which none is reused.
+    /// Engines to which a connection was lost, with the time until which none is reused.
     no_reuse_until: RefCell<BTreeMap<SocketAddr, Time>>,
-    /// Counts and histograms.
+    /// Metric instruments.
     pub metrics: Metrics,
     open_requests: RefCell<SecondaryMap<RequestKey, OpenRequest>>,
     attempts: RefCell<SecondaryMap<AttemptKey, oneshot::Sender<()>>>,
-    /// The request being taken in.
+    /// The request whose arrival the core is processing.
     arriving: RefCell<Option<OpenRequest>>,
     arrived: RefCell<Option<(RequestKey, Box<str>)>>,
-    /// The piece whose arrival is being told to the core.
+    /// The chunk whose arrival the core is processing.
     current_chunk: RefCell<Option<Bytes>>,
     links: RefCell<SecondaryMap<HostKey, Link>>,
     operator_queries: RefCell<BTreeMap<AskKey, oneshot::Sender<OperatorAnswer>>>,
@@ -123,11 +123,11 @@
 }
 
 impl Node {
-    /// Creates the node of a host that has heard nothing yet.
+    /// Creates the node of a host that has received no event yet.
     ///
     /// # Errors
     ///
-    /// Returns which of its parts cannot be made.
+    /// Returns which component cannot be created.
     pub async fn new(settings: Settings) -> Result<Rc<Self>, HostError> {
         let now = timer::now();
         let wall = SystemTime::now()
@@ -166,28 +166,28 @@
         }))
     }
 
-    /// Looks at the core.
-    pub fn with_core<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
-        look(&self.core.borrow())
+    /// Calls `read` with the core.
+    pub fn with_core<T>(&self, read: impl FnOnce(&Core) -> T) -> T {
+        read(&self.core.borrow())
     }
 
-    /// Sets what a planned stop closes the callers' listener with.
+    /// Sets the sender that a planned stop drops to close the callers' listener.
     pub fn set_close_signal(&self, close: watch::Sender<bool>) {
         *self.close.borrow_mut() = Some(close);
     }
 
-    /// Waits for the end of a planned stop.
+    /// Waits until a planned stop is complete.
     pub async fn wait_for_exit(&self) {
         self.exit.notified().await;
     }
 
-    /// Gives messages to peers time to leave.
+    /// Closes the connections to peers and waits for queued messages to be sent.
     pub async fn flush(&self) {
         self.links.borrow_mut().clear();
         tokio::time::sleep(FLUSH_DELAY).await;
     }
 
-    /// Feeds one event to the core and carries out its effects.
+    /// Feeds one event to the core and executes its effects.
     pub fn apply(self: &Rc<Self>, event: Event) {
         let mut effects = Effects::new();
         self.core
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Takes in a request that came on this connection.
+    /// Passes a request received on a connection to the core; `None` if the core did not open it.
     pub fn accept_request(
         self: &Rc<Self>,
         mut arrival: Arrival,
@@ -217,7 +217,7 @@
         Some(AcceptedRequest { request, id, parts })
     }
 
-    /// Tells the core that a piece of an answer arrived.
+    /// Reports a received chunk of an answer to the core.
     pub fn chunk_received(
         self: &Rc<Self>,
         attempt: AttemptKey,
@@ -234,7 +234,7 @@
         self.current_chunk.borrow_mut().take();
     }
 
-    /// Puts an operator's question.
+    /// Sends an operator's query to the core and waits for the answer.
     pub async fn operator_query(
         self: &Rc<Self>,
         event: impl FnOnce(AskKey) -> OperatorEvent,
@@ -252,18 +252,18 @@
         number
     }
 
-    /// Returns what a request asks of a back end.
+    /// Returns a request as it is sent to an engine or a service; `None` if it has ended.
     #[must_use]
     pub fn prepared(&self, request: RequestKey) -> Option<Rc<Prepared>> {
-        let live = self.open_requests.borrow();
-        live.get(request).map(|live| Rc::clone(&live.prepared))
+        let requests = self.open_requests.borrow();
+        requests.get(request).map(|open| Rc::clone(&open.prepared))
     }
 
-    /// Returns the client for a stream at a back end.
+    /// Returns the client for a stream of an engine.
     ///
-    /// Whatever made a connection fall silent may have silenced every one of its time. A resumed
-    /// stream that went out on a kept connection would hang again, and so would the next request;
-    /// so that none is reused until the pool has dropped all that were idle then.
+    /// A fault that makes one connection stop delivering may affect all connections of that time. A
+    /// resumed stream or a new request on a pooled one would hang again, so none is reused until the
+    /// pool has dropped all connections that were idle at the failure.
     pub fn client(&self, addr: SocketAddr, resume: Option<u64>) -> &backend::Client {
         let now = timer::now();
         let mut no_reuse_until = self.no_reuse_until.borrow_mut();
@@ -279,33 +279,34 @@
         }
     }
 
-    /// Returns the text passed on so far.
+    /// Returns the text delivered to the caller so far.
     #[must_use]
     pub fn delivered_text(&self, request: RequestKey) -> String {
-        let live = self.open_requests.borrow();
-        live.get(request)
-            .map(|live| live.text.clone())
+        let requests = self.open_requests.borrow();
+        requests
+            .get(request)
+            .map(|open| open.text.clone())
             .unwrap_or_default()
     }
 
-    /// Returns what waits for a request's caller.
+    /// Returns the queue of a request's answer; `None` if the request has ended.
     #[must_use]
     pub fn queue(&self, request: RequestKey) -> Option<QueueSender<AnswerPart>> {
-        let live = self.open_requests.borrow();
-        live.get(request).map(|live| live.queue.clone())
+        let requests = self.open_requests.borrow();
+        requests.get(request).map(|open| open.queue.clone())
     }
 
     fn finish(&self, request: RequestKey, part: AnswerPart) {
-        if let Some(live) = self.open_requests.borrow_mut().remove(request) {
-            live.queue.push_control(part);
+        if let Some(open) = self.open_requests.borrow_mut().remove(request) {
+            open.queue.push_control(part);
         }
     }
 
     fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Opened { request, id, .. } => {
-                if let Some(live) = self.arriving.borrow_mut().take() {
-                    self.open_requests.borrow_mut().insert(request, live);
+                if let Some(open) = self.arriving.borrow_mut().take() {
+                    self.open_requests.borrow_mut().insert(request, open);
                 }
                 *self.arrived.borrow_mut() = Some((request, id));
             }
@@ -353,7 +354,7 @@
         }
     }
 
-    /// Carries out effects towards peers and the platform.
+    /// Executes effects on peers and the platform.
     fn execute_external(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
@@ -395,7 +396,7 @@
         rx
     }
 
-    /// Forgets an attempt whose task has ended.
+    /// Removes an attempt whose task has ended.
     pub fn attempt_ended(&self, attempt: AttemptKey) {
         self.attempts.borrow_mut().remove(attempt);
     }
@@ -409,12 +410,12 @@
         let Some(data) = self.current_chunk.borrow_mut().take() else {
             return;
         };
-        let mut live = self.open_requests.borrow_mut();
-        if let Some(live) = live.get_mut(request) {
-            if let Prepared::Completion(completion) = &*live.prepared {
-                live.text.push_str(&completion.text_of(&data));
+        let mut requests = self.open_requests.borrow_mut();
+        if let Some(open) = requests.get_mut(request) {
+            if let Prepared::Completion(completion) = &*open.prepared {
+                open.text.push_str(&completion.text_of(&data));
             }
-            live.queue.push_content(AnswerPart::Chunk(data));
+            open.queue.push_content(AnswerPart::Chunk(data));
         }
     }
 }
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: lists, explanations, state, metrics, health.
+//! Handler of the operators' listener: lists, explanations, state, metrics, health.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::lists::{Lists, Plans, Uses, diff};
 use crate::web;
 
-/// Most bytes of a list.
+/// Largest size of a list.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
-/// Time an operator has to send a list.
+/// Time limit for receiving a list from an operator.
 const LIST_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time a caller that is refused has to send the rest of its body.
+/// Time limit for reading the body of a request that is refused.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Serves one request.
@@ -56,7 +56,7 @@
 }
 
 fn not_found() -> Response {
-    let refusal = Refusal::new(Kind::NotFound, "there is nothing at this path");
+    let refusal = Refusal::new(Kind::NotFound, "no resource at this path");
     problem::answer(&refusal, "")
 }
 
@@ -87,12 +87,12 @@
     }
 }
 
-/// Checks the operators' key; hashes are compared in constant time.
+/// Checks the operators' key; the comparison of hashes takes constant time.
 fn is_authorized(node: &Rc<Node>, req: &Request) -> bool {
     let key = req.headers().get("authorization");
     let key = key.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
-    let wanted = node.with_core(|core| core.settings.host.operator_hash);
-    key.is_some_and(|key| blake3::hash(key.trim().as_bytes()) == blake3::Hash::from_bytes(wanted))
+    let expected = node.with_core(|core| core.settings.host.operator_hash);
+    key.is_some_and(|key| blake3::hash(key.trim().as_bytes()) == blake3::Hash::from_bytes(expected))
 }
 
 fn get_list(node: &Rc<Node>, which: Which) -> Response {
@@ -114,12 +114,13 @@
     let base = req.headers().get("if-match");
     let base = base.and_then(|value| value.to_str().ok()?.trim_matches('"').parse().ok());
     let Some(base) = base else {
-        let detail = "If-Match does not name the revision that was edited";
+        let detail =
+            "If-Match is missing or does not hold the revision of the list that was edited";
         return problem::answer(&Refusal::new(Kind::Malformed, detail), "");
     };
     let bytes = match web::read_body(&mut req, MAX_LIST_BYTES, LIST_BODY_TIMEOUT).await {
         Ok(bytes) => bytes,
-        Err(status) => return text(status, "the list could not be read\n"),
+        Err(status) => return text(status, "cannot read the list from the request body\n"),
     };
     let Ok(body) = std::str::from_utf8(&bytes) else {
         let refusal = Refusal::new(Kind::Malformed, "the list is not UTF-8");
@@ -151,17 +152,17 @@
             json_answer(StatusCode::UNPROCESSABLE_ENTITY, &json!({"faults": faults}))
         }
         Some(OperatorAnswer::StoreDown) => {
-            let detail = "the key-value service does not answer; the edit had no effect";
+            let detail = "the key-value service did not answer; the edit had no effect";
             problem::answer(&Refusal::new(Kind::StoreDown, detail), "")
         }
         _ => {
-            let detail = "whether the edit was accepted is not known; get the list and look";
+            let detail = "it is unknown whether the edit was accepted; fetch the list to find out";
             problem::answer(&Refusal::new(Kind::Internal, detail), "")
         }
     }
 }
 
-/// Returns the lines by which the list in force differs from an operator's edit.
+/// Returns the differences between an operator's edit and the list in force, one per line.
 fn conflict_diff(list: Which, mine: &str, theirs: &str) -> String {
     let read = |text: &str| {
         let mut lists = Lists::default();
@@ -178,7 +179,7 @@
     let query = req.uri().query().unwrap_or_default();
     let revision = query.strip_prefix("revision=");
     let Some(revision) = revision.and_then(|number| number.parse().ok()) else {
-        let refusal = Refusal::new(Kind::Malformed, "ask with ?revision=NUMBER");
+        let refusal = Refusal::new(Kind::Malformed, "the query must be ?revision=NUMBER");
         return problem::answer(&refusal, "");
     };
     json_answer(
@@ -199,7 +200,10 @@
         Some(OperatorAnswer::NoRecord { why }) => {
             problem::answer(&Refusal::new(Kind::NotFound, why), "")
         }
-        _ => problem::answer(&Refusal::new(Kind::Internal, "no answer"), ""),
+        _ => problem::answer(
+            &Refusal::new(Kind::Internal, "the host did not answer the query"),
+            "",
+        ),
     }
 }
 
@@ -211,9 +215,9 @@
         node.store.calls()
     };
     node.metrics.record_store_calls(&calls);
-    if let Some(current) = node.with_core(|core| core.relay.view.fresh_at()) {
+    if let Some(fresh_at) = node.with_core(|core| core.relay.view.fresh_at()) {
         node.metrics
-            .set_view_age(super::timer::now().since(current));
+            .set_view_age(super::timer::now().since(fresh_at));
     }
     if relay {
         let now = super::timer::now();
@@ -226,6 +230,9 @@
     }
     match node.metrics.encode() {
         Some(body) => text(StatusCode::OK, &body),
-        None => problem::answer(&Refusal::new(Kind::Internal, "the metrics are lost"), ""),
+        None => problem::answer(
+            &Refusal::new(Kind::Internal, "cannot encode the metrics"),
+            "",
+        ),
     }
 }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -1,8 +1,8 @@
-//! Connections from peers: proof of who they are, then their messages.
+//! Incoming connections from peers: authentication handshake, then messages.
 //!
-//! A connection carries messages one way, from the host that opened it. Both sides prove that
-//! they know the shared secret over both sides' random bytes; each message then carries a code
-//! made with a key of this connection, so that nothing can be put into it from outside.
+//! A connection carries messages one way, from the host that opened it. Each side proves that it
+//! knows the shared secret by a MAC over both sides' nonces. Each message then carries a MAC under a
+//! key of this connection, so that no third party can inject messages.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,53 +21,53 @@
 use crate::core::event::PeerEvent;
 use crate::wire::{self, FRAME_LIMIT, Frame, Hello, VERSION, WireError};
 
-/// Most bytes of a frame before the sender has proved who it is.
+/// Largest frame accepted before the sender is authenticated.
 const MAX_HANDSHAKE_FRAME_BYTES: usize = 512;
-/// Time both sides have to prove who they are.
+/// Time limit for the handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Silence after which a peer's connection is closed; beats come every second.
+/// Time without a message after which a peer's connection is closed; heartbeats come every second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Bytes of the code before each message.
+/// Length of the MAC before each message.
 const MAC_BYTES: usize = 16;
-/// Connections that may be proving who they are at once.
+/// Largest number of concurrent handshakes.
 const MAX_HANDSHAKES: usize = 64;
 
-/// A framed connection.
+/// A connection with length-delimited frames.
 pub type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// Why a connection to a peer ended.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
-    /// The connection broke.
-    #[snafu(display("the connection broke: {source}"), context(false))]
+    /// The connection failed.
+    #[snafu(display("the connection failed: {source}"), context(false))]
     Broken {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The other side closed the connection.
-    #[snafu(display("the other side closed the connection"))]
+    /// The peer closed the connection.
+    #[snafu(display("the peer closed the connection"))]
     Closed,
-    /// The other side was too slow.
-    #[snafu(display("the other side was silent for too long"))]
+    /// The peer did not send in time.
+    #[snafu(display("the peer timed out"))]
     TimedOut,
-    /// A frame is not understood.
+    /// A frame cannot be decoded.
     #[snafu(display("{source}"), context(false))]
     Frame {
-        /// What is wrong with it.
+        /// Decoding error.
         source: WireError,
     },
-    /// The other side speaks another version.
-    #[snafu(display("the other side speaks version {version}"))]
+    /// The peer uses another protocol version.
+    #[snafu(display("the peer uses protocol version {version}, expected {VERSION}"))]
     Version {
-        /// Its version.
+        /// Version of the peer.
         version: u32,
     },
-    /// The other side did not prove that it knows the secret, or is not who was expected.
-    #[snafu(display("the other side did not prove who it is"))]
+    /// The peer did not prove that it knows the secret, or is not the expected host.
+    #[snafu(display("the peer did not prove who it is"))]
     Unauthenticated,
 }
 
-/// Frames a fresh connection, with the small bound that holds before both sides are known.
+/// Wraps a new connection with the frame limit that applies before authentication.
 pub fn frame(stream: TcpStream) -> std::io::Result<FramedStream> {
     stream.set_nodelay(true)?;
     let mut codec = LengthDelimitedCodec::new();
@@ -75,7 +75,7 @@
     Ok(Framed::new(stream, codec))
 }
 
-/// A proved connection's codes.
+/// Computes and verifies the MACs of an authenticated connection.
 #[derive(Debug)]
 pub struct SessionMac {
     key: [u8; 32],
@@ -88,30 +88,30 @@
         hasher.update(&self.count.to_le_bytes());
         hasher.update(bytes);
         self.count += 1;
-        let mut code = [0; MAC_BYTES];
-        code.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
-        code
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
+        mac
     }
 
-    /// Returns a message with its code before it.
+    /// Returns a message prefixed with its MAC.
     pub fn seal(&mut self, frame: &Frame) -> Bytes {
         let mut bytes = BytesMut::zeroed(MAC_BYTES);
         wire::encode(frame, &mut bytes);
-        let code = self.next_mac(&bytes[MAC_BYTES..]);
-        bytes[..MAC_BYTES].copy_from_slice(&code);
+        let mac = self.next_mac(&bytes[MAC_BYTES..]);
+        bytes[..MAC_BYTES].copy_from_slice(&mac);
         bytes.freeze()
     }
 
-    /// Checks a message's code and returns the message.
+    /// Verifies the MAC of a message and returns the message.
     fn verify(&mut self, mut bytes: BytesMut) -> Result<BytesMut, PeerError> {
         if bytes.len() < MAC_BYTES {
             return Err(PeerError::Unauthenticated);
         }
-        let code = bytes.split_to(MAC_BYTES);
-        // Compares in constant time.
-        let given = blake3::Hash::from_bytes(widen(&code));
-        let wanted = blake3::Hash::from_bytes(widen(&self.next_mac(&bytes)));
-        if given == wanted {
+        let mac = bytes.split_to(MAC_BYTES);
+        // The comparison takes constant time.
+        let given = blake3::Hash::from_bytes(widen(&mac));
+        let expected = blake3::Hash::from_bytes(widen(&self.next_mac(&bytes)));
+        if given == expected {
             Ok(bytes)
         } else {
             Err(PeerError::Unauthenticated)
@@ -119,13 +119,13 @@
     }
 }
 
-fn widen(code: &[u8]) -> [u8; 32] {
+fn widen(mac: &[u8]) -> [u8; 32] {
     let mut wide = [0; 32];
-    wide[..MAC_BYTES].copy_from_slice(code);
+    wide[..MAC_BYTES].copy_from_slice(mac);
     wide
 }
 
-/// Side of a connection; each proves something different, so that neither can echo the other.
+/// Side of a connection; the proofs of the sides differ, so that neither can echo the other's proof.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
     /// The side that opened the connection.
@@ -158,11 +158,11 @@
     *hasher.finalize().as_bytes()
 }
 
-/// Proves to the other side who this is and has it do the same; returns its name and the codes.
+/// Authenticates both sides to each other; returns the peer's name and the MAC state.
 ///
 /// # Errors
 ///
-/// Returns why the other side is not to be trusted.
+/// Returns why the peer could not be authenticated.
 pub async fn handshake(
     wire: &mut FramedStream,
     side: Side,
@@ -195,7 +195,7 @@
     let Frame::Proof(given) = receive(wire).await? else {
         return Err(PeerError::Unauthenticated);
     };
-    // Compares in constant time.
+    // The comparison takes constant time.
     if blake3::Hash::from_bytes(given) != blake3::Hash::from_bytes(proof(theirs)) {
         return Err(PeerError::Unauthenticated);
     }
--- a/src/host/problem.rs
+++ b/src/host/problem.rs
@@ -1,4 +1,4 @@
-//! Answers to requests that are not answered in full.
+//! Responses to refused requests, as problem documents.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 /// Media type of problem documents (RFC 9457).
 pub const MEDIA_TYPE: &str = "application/problem+json";
-/// Header with a request's id.
+/// Header that carries a request's id.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Returns the answer for a refusal; `id` is the request's id, empty where it has none.
+/// Returns the response for a refusal; `id` is the request's id, empty if it has none.
 pub fn answer(refusal: &Refusal, id: &str) -> Response {
     let status = StatusCode::from_u16(refusal.kind.answer().status)
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/src/host/queue.rs
+++ b/src/host/queue.rs
@@ -1,4 +1,4 @@
-//! What waits for one caller: bounded, so that a slow caller does not fill the host.
+//! Bounded queue of the answer to one caller, so that a slow caller does not exhaust the host's memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 use ntex::io::IoRef;
 use tokio::sync::{Notify, mpsc};
 
-/// Pieces that wait for a caller before nothing more is read from the engine.
+/// Queued chunks at which the host stops reading from the engine.
 const MAX_QUEUED_CHUNKS: usize = 256;
 
 #[derive(Debug)]
@@ -17,19 +17,19 @@
     io: Option<IoRef>,
 }
 
-/// The end that fills a queue.
+/// Sending end of a queue.
 #[derive(Debug)]
 pub struct QueueSender<P> {
     tx: mpsc::UnboundedSender<P>,
     shared: Rc<Shared>,
 }
 
-/// The end that a request's handler empties.
+/// Receiving end of a queue, read by the request's handler.
 #[derive(Debug)]
 pub struct QueueReceiver<P> {
     rx: mpsc::UnboundedReceiver<P>,
     shared: Rc<Shared>,
-    /// Tells whether a part is a piece of the answer, for which there must be room.
+    /// Whether a message is content of the answer, which counts towards the bound.
     is_content: fn(&P) -> bool,
 }
 
@@ -42,8 +42,8 @@
     }
 }
 
-/// Creates the queue of a request that came in on this connection; `counts` tells which parts are
-/// pieces of the answer.
+/// Creates the queue of a request received on connection `io`; `is_content` returns whether a message
+/// is content of the answer.
 pub fn channel<P>(
     io: Option<IoRef>,
     is_content: fn(&P) -> bool,
@@ -55,45 +55,45 @@
         space_freed: Notify::new(),
         io,
     });
-    let parts = QueueReceiver {
+    let receiver = QueueReceiver {
         rx,
         shared: Rc::clone(&shared),
         is_content,
     };
-    (QueueSender { tx, shared }, parts)
+    (QueueSender { tx, shared }, receiver)
 }
 
 impl<P> QueueSender<P> {
-    /// Puts a piece at the end.
+    /// Appends content of the answer, which counts towards the bound.
     pub fn push_content(&self, part: P) {
         self.shared.queued.set(self.shared.queued.get() + 1);
         self.push_control(part);
     }
 
-    /// Puts the last part at the end.
+    /// Appends a message that does not count towards the bound, such as the last one.
     pub fn push_control(&self, part: P) {
-        // A handler that is gone tells the core itself.
+        // If the handler is gone, it has reported that to the core itself.
         drop(self.tx.send(part));
     }
 
-    /// Returns whether nothing more should be read for this caller.
+    /// Returns whether the host should stop reading for this caller.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.shared.queued.get() >= MAX_QUEUED_CHUNKS
     }
 
-    /// Returns how many pieces the caller has taken.
+    /// Returns the number of content messages that the handler has received.
     #[must_use]
     pub fn consumed(&self) -> u64 {
         self.shared.consumed.get()
     }
 
-    /// Waits until the caller takes a piece.
+    /// Waits until the handler receives content or is dropped.
     pub async fn wait_for_space(&self) {
         self.shared.space_freed.notified().await;
     }
 
-    /// Closes the caller's connection at once.
+    /// Closes the caller's connection immediately.
     pub fn close_connection(&self) {
         if let Some(io) = &self.shared.io {
             io.terminate();
@@ -102,7 +102,7 @@
 }
 
 impl<P> QueueReceiver<P> {
-    /// Takes the next part.
+    /// Receives the next message.
     pub fn poll(&mut self, cx: &mut std::task::Context<'_>) -> std::task::Poll<Option<P>> {
         let part = self.rx.poll_recv(cx);
         if let std::task::Poll::Ready(Some(part)) = &part
@@ -119,7 +119,7 @@
 
 impl<P> Drop for QueueReceiver<P> {
     fn drop(&mut self) {
-        // Nobody takes what is left; whoever waits for room must not wait for ever.
+        // The remaining messages are never received; a sender that waits for space must not hang.
         self.shared.queued.set(0);
         self.shared.space_freed.notify_one();
     }
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -1,4 +1,4 @@
-//! Documents for operators: the record of a request, and the state of the host.
+//! Documents for operators: the record of a request and the state of the host.
 
 use serde_json::{Value, json};
 
@@ -48,7 +48,7 @@
     })
 }
 
-/// Returns whether the balancer may send callers here, and why not.
+/// Returns whether the load balancer may send callers to this host, and if not, the reason.
 pub fn ready(core: &Core) -> Result<(), &'static str> {
     if core.stop.begun() {
         Err("stopping")
@@ -118,7 +118,7 @@
     })
 }
 
-/// Returns on which hosts a revision is in force, as far as this host has heard.
+/// Returns on which hosts a revision is in force, by the last heartbeats received.
 #[must_use]
 pub fn revision_in_force(core: &Core, revision: u64) -> Value {
     let members = &core.members;
--- a/src/host/store.rs
+++ b/src/host/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service: carries out the core's reads and writes, and keeps one watch open.
+//! Adapter for the key-value service: executes the core's reads and writes, and keeps one watch open.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -10,17 +10,16 @@
 use crate::error::Ran;
 use crate::store::{Batch, Compare, Op, Range, Reply, Span, StoreError, Txn};
 
-/// Folder of the watched keys, below the deployment's prefix.
+/// Prefix of the watched keys, after the deployment's prefix.
 const WATCHED_PREFIX: &str = "w/";
-/// Least time before the watch is opened again after a failure.
+/// Initial backoff before the watch is reopened after a failure.
 const MIN_WATCH_BACKOFF: Duration = Duration::from_millis(200);
-/// Most time before the watch is opened again.
+/// Largest backoff before the watch is reopened, before jitter.
 ///
-/// All hosts lose the service at the same moment; times drawn at random up to this bound spread
-/// their return over it.
+/// All hosts lose the service at the same moment; the jitter spreads their reconnects.
 const MAX_WATCH_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Carries out an effect towards the key-value service.
+/// Executes an effect on the key-value service.
 pub fn execute(node: &Rc<Node>, effect: Effect) {
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
@@ -43,8 +42,8 @@
         Effect::Txn { job, txn } => {
             let done = node.store.txn(full_txn(&prefix, txn)).await;
             let done = done.map(|mut reply| {
-                for step in &mut reply.replies {
-                    if let Reply::Got(pairs) = step {
+                for op_reply in &mut reply.replies {
+                    if let Reply::Got(pairs) = op_reply {
                         for pair in pairs {
                             pair.key = bare_key(&prefix, &pair.key);
                         }
@@ -71,7 +70,7 @@
         }
         Effect::Revoke(lease) => {
             if let Err(err) = node.store.revoke(lease).await {
-                log::debug!("a lease was not given back and will lapse: {err}");
+                log::debug!("cannot revoke lease {lease}, it will expire: {err}");
             }
             return None;
         }
@@ -145,47 +144,47 @@
 /// Keeps one watch open over all watched keys until the process ends.
 pub async fn watch(node: Rc<Node>) {
     let prefix = node.with_core(|core| core.settings.platform.prefix.clone());
-    let folder = full_key(&prefix, WATCHED_PREFIX);
-    let mut known = BTreeSet::new();
-    let mut wait = MIN_WATCH_BACKOFF;
+    let watched_prefix = full_key(&prefix, WATCHED_PREFIX);
+    let mut known_keys = BTreeSet::new();
+    let mut backoff = MIN_WATCH_BACKOFF;
     loop {
-        match run_watch(&node, &folder, &mut known).await {
-            // The service answered and the watch ended: it may only have been this connection.
-            Ok(()) => wait = MIN_WATCH_BACKOFF,
+        match run_watch(&node, &watched_prefix, &mut known_keys).await {
+            // The service answered before the watch ended, so only the connection may have failed.
+            Ok(()) => backoff = MIN_WATCH_BACKOFF,
             Err(err) => {
-                log::debug!("the key-value service: {err}");
+                log::debug!("cannot watch the key-value service: {err}");
                 node.apply(Event::Store(StoreEvent::Health(Health::Down)));
-                let part = rand::random_range(0.5..1.5);
-                tokio::time::sleep(wait.mul_f64(part)).await;
-                wait = (wait * 2).min(MAX_WATCH_BACKOFF);
+                let jitter = rand::random_range(0.5..1.5);
+                tokio::time::sleep(backoff.mul_f64(jitter)).await;
+                backoff = (backoff * 2).min(MAX_WATCH_BACKOFF);
             }
         }
     }
 }
 
-/// Reads every watched key, then follows their changes; returns when the watch ends.
+/// Reads all watched keys, then reports their changes until the watch ends.
 async fn run_watch(
     node: &Rc<Node>,
-    folder: &str,
-    known: &mut BTreeSet<Box<str>>,
+    watched_prefix: &str,
+    known_keys: &mut BTreeSet<Box<str>>,
 ) -> Result<(), StoreError> {
-    let span = Span::Prefix(folder.into());
+    let span = Span::Prefix(watched_prefix.into());
     let range = node.store.range(span.clone()).await?;
     let next = range.revision + 1;
-    let mut gone = std::mem::take(known);
+    let mut deleted = std::mem::take(known_keys);
     let mut pairs = Vec::new();
     for pair in range.pairs {
-        let key = bare_key(folder, &pair.key);
-        gone.remove(&key);
-        known.insert(key.clone());
+        let key = bare_key(watched_prefix, &pair.key);
+        deleted.remove(&key);
+        known_keys.insert(key.clone());
         pairs.push(Watched {
             key,
             value: Some(pair.value.to_vec().into()),
             modified: pair.modified,
         });
     }
-    // What vanished while no watch was open is told as well, or it would stay here for ever.
-    pairs.extend(gone.into_iter().map(|key| Watched {
+    // Keys deleted while no watch was open are reported too, or the core would keep them forever.
+    pairs.extend(deleted.into_iter().map(|key| Watched {
         key,
         value: None,
         modified: range.revision,
@@ -195,26 +194,31 @@
     node.apply(Event::Store(StoreEvent::Watched(pairs)));
     loop {
         match watch.next().await {
-            Ok(batch) => apply_batch(node, folder, known, batch),
+            Ok(batch) => apply_batch(node, watched_prefix, known_keys, batch),
             Err(err) => {
-                log::info!(target: "chiveway::store.watch_ended", "the watch ended: {err}");
+                log::info!(target: "chiveway::store.watch_ended", "the watch of the key-value service ended: {err}");
                 return Ok(());
             }
         }
     }
 }
 
-fn apply_batch(node: &Rc<Node>, folder: &str, known: &mut BTreeSet<Box<str>>, batch: Batch) {
+fn apply_batch(
+    node: &Rc<Node>,
+    watched_prefix: &str,
+    known_keys: &mut BTreeSet<Box<str>>,
+    batch: Batch,
+) {
     node.apply(Event::Store(StoreEvent::Health(Health::Up)));
     if batch.changes.is_empty() {
         return;
     }
     let pairs = batch.changes.into_iter().map(|change| {
-        let key = bare_key(folder, &change.key);
+        let key = bare_key(watched_prefix, &change.key);
         if change.value.is_some() {
-            known.insert(key.clone());
+            known_keys.insert(key.clone());
         } else {
-            known.remove(&key);
+            known_keys.remove(&key);
         }
         Watched {
             key,
--- a/src/host/tests.rs
+++ b/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! What callers and engines send, in any shape.
+//! Tests of input from callers and engines, valid and invalid.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -8,14 +8,14 @@
 use super::completion::{Endpoint, parse};
 use crate::backend::Chunk;
 
-/// Makes one test of each body: whether it is taken, and what the caller reads where it is not.
+/// Defines a test for each body: whether it is accepted, and the error that the caller gets if not.
 macro_rules! bodies {
-    ($($name:ident: $endpoint:ident, $body:expr => $fault:expr,)*) => {$(
+    ($($name:ident: $endpoint:ident, $body:expr => $error:expr,)*) => {$(
         #[test]
         fn $name() {
-            let fault = parse(Endpoint::$endpoint, $body.to_string().as_bytes(), |_| 2000).err();
-            let wanted: Option<&str> = $fault;
-            assert_eq!(fault.as_deref(), wanted);
+            let error = parse(Endpoint::$endpoint, $body.to_string().as_bytes(), |_| 2000).err();
+            let expected: Option<&str> = $error;
+            assert_eq!(error.as_deref(), expected);
         }
     )*};
 }
@@ -25,17 +25,17 @@
     chat: Chat, json!({"model": "m", "messages": [{"role": "user", "content": "c"}]}) => None,
     list: Text, json!([]) => Some("the body is not a JSON object"),
     no_model: Text, json!({"prompt": "p"}) => Some("model is missing"),
-    model_of_another_kind: Text, json!({"model": 1, "prompt": "p"}) => Some("model is not a text"),
+    model_of_another_kind: Text, json!({"model": 1, "prompt": "p"}) => Some("model is not a non-empty string"),
     many_prompts: Text, json!({"model": "m", "prompt": ["p"]})
-        => Some("prompt is not a single text"),
+        => Some("prompt is not a single string"),
     message_without_text: Chat, json!({"model": "m", "messages": [{"role": "user"}]})
-        => Some("a message lacks role or content as a text"),
+        => Some("a message has no string role or no string content"),
     message_that_is_no_object: Chat, json!({"model": "m", "messages": [3]})
-        => Some("a message lacks role or content as a text"),
+        => Some("a message has no string role or no string content"),
     no_tokens: Text, json!({"model": "m", "prompt": "p", "max_tokens": 0})
-        => Some("max_tokens is not a whole number from 1 to 1000000"),
+        => Some("max_tokens is not an integer from 1 to 1000000"),
     several_answers: Text, json!({"model": "m", "prompt": "p", "n": 2})
-        => Some("n is not 1; ask for each answer on its own"),
+        => Some("n is not 1; send a separate request for each answer"),
 }
 
 fn any_json() -> impl Strategy<Value = serde_json::Value> {
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Chunks overtake each other, come twice, or come from before the place the stream was
-    /// resumed at. Each is passed on once, in order, and the end last.
+    /// Chunks arrive out of order, twice, or from before the offset at which the stream resumed.
+    /// Each is returned once and in order, with the end marker last.
     #[test]
     fn chunks_come_out_in_order(
         first in 0_u64..5,
@@ -92,39 +92,39 @@
         let chunk = |offset, end| Chunk { offset, data: Bytes::new(), end };
         let mut sent: Vec<(u8, Chunk)> = Vec::new();
         for token in 0..first + count {
-            let (place, twice) = shuffle[usize::try_from(token).unwrap_or(0)];
+            let (place, duplicate) = shuffle[usize::try_from(token).unwrap_or(0)];
             sent.push((place, chunk(token + 1, false)));
-            if twice {
+            if duplicate {
                 sent.push((place / 2, chunk(token + 1, false)));
             }
         }
         sent.push((shuffle[45].0, chunk(first + count, true)));
         sent.sort_by_key(|(place, _)| *place);
-        let mut order = ReorderBuffer::new(first);
-        let mut passed = Vec::new();
+        let mut reorder = ReorderBuffer::new(first);
+        let mut returned = Vec::new();
         for (_, chunk) in sent {
-            prop_assert!(order.insert(chunk));
-            while let Some((offset, chunk)) = order.pop() {
-                passed.push((offset, chunk.end));
+            prop_assert!(reorder.insert(chunk));
+            while let Some((offset, chunk)) = reorder.pop() {
+                returned.push((offset, chunk.end));
             }
         }
-        let mut wanted: Vec<_> = (first..first + count).map(|token| (token, false)).collect();
-        wanted.push((first + count, true));
-        prop_assert_eq!(passed, wanted);
+        let mut expected: Vec<_> = (first..first + count).map(|token| (token, false)).collect();
+        expected.push((first + count, true));
+        prop_assert_eq!(returned, expected);
     }
 }
 
-/// An engine skips a token and goes on for ever. What comes too early must not pile up.
+/// An engine skips a token and keeps sending. The chunks after the gap must not exhaust memory.
 #[test]
 fn chunks_ahead_of_a_gap_are_bounded() {
-    let mut order = ReorderBuffer::new(0);
-    let taken = (2..1000).take_while(|&offset| {
-        order.insert(Chunk {
+    let mut reorder = ReorderBuffer::new(0);
+    let inserted = (2..1000).take_while(|&offset| {
+        reorder.insert(Chunk {
             offset,
             data: Bytes::new(),
             end: false,
         })
     });
-    assert!(taken.count() < 100);
-    assert!(order.pop().is_none());
+    assert!(inserted.count() < 100);
+    assert!(reorder.pop().is_none());
 }
--- a/src/host/timer.rs
+++ b/src/host/timer.rs
@@ -1,6 +1,6 @@
-//! The timer service: parts of the core ask for a time and get an event when it has come.
+//! Timers: the core schedules a time and receives an event when it is due.
 //!
-//! It stands on tokio's timers: the HTTP library's own wheel is coarse.
+//! They use tokio's timers, since the timer wheel of the HTTP library is too coarse.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,10 +13,10 @@
 use crate::core::event::Timer;
 use crate::core::{Event, Time};
 
-/// Reads a clock that keeps running while the machine is suspended.
+/// Reads the boot-time clock, which keeps running while the machine is suspended.
 ///
-/// A lease's holder that slept must find its lease lapsed when it wakes; the ordinary monotonic
-/// clock stands still meanwhile.
+/// After a suspension the holder of a lease must see that the lease has expired; the ordinary
+/// monotonic clock stops while the machine is suspended.
 #[must_use]
 pub fn now() -> Time {
     let now = clock_gettime(ClockId::Boottime);
@@ -25,7 +25,7 @@
     Time::from_micros(secs * 1_000_000 + micros)
 }
 
-/// Times that were asked for.
+/// Pending timers, in order of their time.
 #[derive(Debug, Default)]
 pub struct Timers {
     queue: RefCell<BTreeMap<(Time, u64), Timer>>,
@@ -34,7 +34,7 @@
 }
 
 impl Timers {
-    /// Asks for an event.
+    /// Schedules an event.
     pub fn schedule(&self, at: Time, timer: Timer) {
         let count = self.next_id.get();
         self.next_id.set(count + 1);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Turns due times into events until the process ends.
+/// Feeds due timers to the core until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
         while let Some(timer) = node.timers.pop_due(now()) {
