--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -1,4 +1,4 @@
-//! Engines and services: streams, calls, load reports, orders, and the platform's list.
+//! Adapters for engines and services: streams, calls, load reports, orders and the platform's list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,17 +20,17 @@
 use crate::error::Ran;
 use crate::store::{ListedKind, ListedState};
 
-/// Time a load report may take.
-const LOAD_TIME: Duration = Duration::from_secs(2);
-/// Chunks of one stream that may come before one that is missing.
-const AHEAD: usize = 64;
-/// Time a caller may take nothing of an answer that waits for it.
-const CALLER_TIME: Duration = Duration::from_mins(1);
-/// Time the kernel goes on trying to deliver an order.
+/// Time limit for reading a load report.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest number of chunks of one stream that are buffered while an earlier chunk is missing.
+const MAX_CHUNKS_AHEAD: usize = 64;
+/// Time after which a caller that reads nothing of its queued answer is disconnected.
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_mins(1);
+/// Time for which the kernel retransmits an order.
 ///
-/// With the time to connect it stays under [`crate::core::order::MAX_FLIGHT_TIME`].
-const ORDER_LIFE: Duration = Duration::from_secs(2);
-/// Times and limits of an order's call.
+/// Together with the connect timeout it stays below [`crate::core::order::MAX_FLIGHT_TIME`].
+const ORDER_LIFETIME: Duration = Duration::from_secs(2);
+/// Timeouts and limits of the call that sends an order.
 const ORDER_OPTIONS: backend::Options = backend::Options {
     connect: Duration::from_millis(500),
     head: Duration::from_secs(2),
@@ -39,48 +39,58 @@
     limit: 64 * 1024,
     reuse: backend::Reuse::Never,
 };
-/// Time a try to connect may take.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+/// Time limit for a connection attempt of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Opens a stream and reports it piece by piece until it ends or `ended` closes.
-pub async fn stream(node: Rc<Node>, open: Open, ended: oneshot::Receiver<()>) {
+/// Opens a stream and reports each chunk to the core until the stream ends or `ended` closes.
+pub async fn run_stream(node: Rc<Node>, open: Open, ended: oneshot::Receiver<()>) {
     let attempt = open.attempt;
     tokio::select! {
         biased;
         _ = ended => {}
-        event = follow(&node, &open) => {
+        event = follow_stream(&node, &open) => {
             node.attempt_ended(attempt);
             node.apply(Event::Request(event));
         }
     }
 }
 
-/// Follows a stream to its end, and returns how it ended.
-async fn follow(node: &Rc<Node>, open: &Open) -> RequestEvent {
+/// Reads a stream to its end, and returns the event that reports how it ended.
+async fn follow_stream(node: &Rc<Node>, open: &Open) -> RequestEvent {
     let attempt = open.attempt;
     let Some(prepared) = node.prepared(open.request) else {
-        return broke(attempt, Ran::No, Break::Refused, "the request has ended");
+        return attempt_failed(
+            attempt,
+            Ran::No,
+            Break::Refused,
+            "the request has already ended",
+        );
     };
     let Prepared::Completion(completion) = &*prepared else {
-        return broke(attempt, Ran::No, Break::Rejected, "not a completion");
+        return attempt_failed(
+            attempt,
+            Ran::No,
+            Break::Rejected,
+            "the request is not a completion",
+        );
     };
-    // A resumed stream goes on by itself; another engine needs the text delivered so far.
-    let (done, tokens) = match open.resume {
+    // A resumed stream continues at its engine; another engine needs the text delivered so far.
+    let (delivered, tokens) = match open.resume {
         Some(_) => (String::new(), 0),
-        None => (node.text(open.request), open.delivered),
+        None => (node.delivered_text(open.request), open.delivered),
     };
-    let body = |kv| completion.body(open.priority, &done, tokens, kv);
+    let body = |kv| completion.body(open.priority, &delivered, tokens, kv);
     let body = match open.prefill {
         None => body(None),
         Some(source) => {
-            let done = backend::prefill(&node.backends, source, body(None), &open.label).await;
-            match done {
+            let prefilled = backend::prefill(&node.backends, source, body(None), &open.label).await;
+            match prefilled {
                 Ok(prefilled) => body(Some((source, &prefilled.kv))),
-                Err(err) => return unopened(attempt, &err, open.resume),
+                Err(err) => return open_failed(attempt, &err, open.resume),
             }
         }
     };
-    let path = completion.form.path();
+    let path = completion.endpoint.path();
     let priority = i64::from(open.priority);
     let client = node.client(open.addr, open.resume);
     let opened = backend::open(
@@ -94,43 +104,47 @@
     );
     let mut stream = match opened.await {
         Ok(stream) => stream,
-        Err(err) => return unopened(attempt, &err, open.resume),
+        Err(err) => return open_failed(attempt, &err, open.resume),
     };
     node.apply(Event::Request(RequestEvent::Began(attempt)));
-    let mut order = InOrder::new(open.delivered);
+    let mut reorder = ReorderBuffer::new(open.delivered);
     loop {
         match stream.next().await {
             Ok(Some(chunk)) => {
-                if !order.put(chunk) {
-                    let detail = format!("tokens from {} on are missing", order.next);
-                    return broke(attempt, Ran::Yes, Break::Cut, &detail);
+                if !reorder.insert(chunk) {
+                    let detail = format!("missing tokens from offset {}", reorder.next_offset);
+                    return attempt_failed(attempt, Ran::Yes, Break::Cut, &detail);
                 }
-                while let Some((offset, chunk)) = order.pop() {
+                while let Some((offset, chunk)) = reorder.pop() {
                     let tokens = u32::from(!chunk.end);
-                    node.chunk(attempt, offset, tokens, chunk.data);
+                    node.chunk_received(attempt, offset, tokens, chunk.data);
                 }
-                if let Some(event) = room(node, open).await {
+                if let Some(event) = wait_for_caller(node, open).await {
                     return event;
                 }
             }
             Ok(None) => return RequestEvent::Whole(attempt),
-            Err(err) => return broke(attempt, Ran::Yes, Break::Cut, &err.to_string()),
+            Err(err) => return attempt_failed(attempt, Ran::Yes, Break::Cut, &err.to_string()),
         }
     }
 }
 
-/// Waits until the caller has taken enough of what came; returns the event that ends the attempt
-/// where it takes nothing for too long.
-async fn room(node: &Rc<Node>, open: &Open) -> Option<RequestEvent> {
+/// Waits until the caller's queue has space; returns the event that ends the request if the caller
+/// reads nothing for too long.
+async fn wait_for_caller(node: &Rc<Node>, open: &Open) -> Option<RequestEvent> {
     let queue = node.queue(open.request)?;
     if !queue.is_full() {
         return None;
     }
     node.apply(Event::Request(RequestEvent::Held(open.attempt)));
     while queue.is_full() {
-        let taken = queue.taken();
-        if timeout(CALLER_TIME, queue.room()).await.is_err() && queue.taken() == taken {
-            queue.close();
+        let before = queue.consumed();
+        if timeout(CALLER_STALL_TIMEOUT, queue.wait_for_space())
+            .await
+            .is_err()
+            && queue.consumed() == before
+        {
+            queue.close_connection();
             return Some(RequestEvent::Left(open.request));
         }
     }
@@ -140,59 +154,61 @@
 
 /// Puts the chunks of one stream into the order of their offsets.
 ///
-/// Chunks overtake each other on their way, and one may come twice. Passed on as they come, the
-/// caller would read a scrambled answer; cut at the first gap, it would wait for a new stream
-/// each time.
+/// Chunks may arrive out of order or twice. Forwarded as they arrive, the answer would be
+/// scrambled; if the stream were cut at the first gap, the caller would wait for a new stream at
+/// each gap.
 #[derive(Debug)]
-pub(super) struct InOrder {
-    /// Offset of the next token.
-    next: u64,
+pub(super) struct ReorderBuffer {
+    /// Offset of the next token to return.
+    next_offset: u64,
     ended: bool,
-    ahead: BTreeMap<u64, Chunk>,
+    pending: BTreeMap<u64, Chunk>,
 }
 
-impl InOrder {
+impl ReorderBuffer {
     pub(super) fn new(next: u64) -> Self {
         Self {
-            next,
+            next_offset: next,
             ended: false,
-            ahead: BTreeMap::new(),
+            pending: BTreeMap::new(),
         }
     }
 
-    /// Takes a chunk; returns whether there is still room for those that come too early.
-    pub(super) fn put(&mut self, chunk: Chunk) -> bool {
-        let start = start(&chunk);
-        if start >= self.next {
-            // The end marker starts where the token after it would.
+    /// Adds a chunk, unless its tokens were returned before; returns false if too many chunks wait
+    /// for a missing one.
+    pub(super) fn insert(&mut self, chunk: Chunk) -> bool {
+        let start = first_offset(&chunk);
+        if start >= self.next_offset {
+            // The end marker has the offset of the token that would follow, so it sorts after it.
             let place = start * 2 + u64::from(chunk.end);
-            self.ahead.entry(place).or_insert(chunk);
+            self.pending.entry(place).or_insert(chunk);
         }
-        self.ahead.len() <= AHEAD || start == self.next
+        self.pending.len() <= MAX_CHUNKS_AHEAD || start == self.next_offset
     }
 
-    /// Returns the next chunk and the offset of its first token, once it is there.
+    /// Returns the next chunk and the offset of its first token, if it has arrived.
     pub(super) fn pop(&mut self) -> Option<(u64, Chunk)> {
-        let entry = self.ahead.first_entry()?;
-        let offset = start(entry.get());
-        if offset != self.next || self.ended {
+        let entry = self.pending.first_entry()?;
+        let offset = first_offset(entry.get());
+        if offset != self.next_offset || self.ended {
             return None;
         }
         let chunk = entry.remove();
         self.ended = chunk.end;
-        self.next = chunk.offset;
+        self.next_offset = chunk.offset;
         Some((offset, chunk))
     }
 }
 
 /// Returns the offset of a chunk's first token.
 ///
-/// An event's id is the offset of the token after it; the last event has none.
-fn start(chunk: &Chunk) -> u64 {
+/// The offset in a chunk, the id of its event, is that of the token after it; the end marker holds
+/// no token.
+fn first_offset(chunk: &Chunk) -> u64 {
     chunk.offset.saturating_sub(u64::from(!chunk.end))
 }
 
-fn broke(attempt: AttemptKey, ran: Ran, end: Break, detail: &str) -> RequestEvent {
+fn attempt_failed(attempt: AttemptKey, ran: Ran, end: Break, detail: &str) -> RequestEvent {
     RequestEvent::Broke {
         attempt,
         ran,
@@ -201,12 +217,12 @@
     }
 }
 
-fn unopened(attempt: AttemptKey, err: &OpenError, resume: Option<u64>) -> RequestEvent {
+fn open_failed(attempt: AttemptKey, err: &OpenError, resume: Option<u64>) -> RequestEvent {
     let ran = err.ran();
     let end = match (err, err.status()) {
         (_, Some(404)) if resume.is_some() => Break::Forgotten,
-        // Every engine would say the same; tried at each, one bad request would put them all
-        // under suspicion.
+        // Every engine would answer the same: retried elsewhere, one invalid request would make
+        // all engines suspects.
         (_, Some(400 | 413 | 422)) => Break::Rejected,
         (_, Some(status)) if (400..500).contains(&status) && ran != Ran::No => Break::Rejected,
         _ if ran == Ran::No && err.status().is_some() => Break::Refused,
@@ -214,11 +230,11 @@
         (OpenError::Late, _) => Break::Silent,
         _ => Break::Cut,
     };
-    broke(attempt, ran, end, &err.to_string())
+    attempt_failed(attempt, ran, end, &err.to_string())
 }
 
 /// Calls a service and reports its answer, unless `ended` closes first.
-pub async fn call(
+pub async fn call_service(
     node: Rc<Node>,
     request: RequestKey,
     attempt: AttemptKey,
@@ -248,19 +264,19 @@
         biased;
         _ = ended => return,
         answer = timeout(time, sent) => match answer {
-            Ok(Ok(answer)) => answered(attempt, &answer),
-            Ok(Err(err)) => service_broke(attempt, &err),
-            Err(_late) => broke(attempt, Ran::Unknown, Break::Cut, "no answer in time"),
+            Ok(Ok(answer)) => service_answered(attempt, &answer),
+            Ok(Err(err)) => service_failed(attempt, &err),
+            Err(_late) => attempt_failed(attempt, Ran::Unknown, Break::Cut, "the call timed out"),
         },
     };
     node.attempt_ended(attempt);
     node.apply(Event::Request(event));
 }
 
-fn answered(attempt: AttemptKey, answer: &backend::Answer) -> RequestEvent {
+fn service_answered(attempt: AttemptKey, answer: &backend::Answer) -> RequestEvent {
     if answer.ran == Ran::No {
-        let detail = format!("the service refused with {}", answer.status);
-        return broke(attempt, Ran::No, Break::Refused, &detail);
+        let detail = format!("the service refused the call with status {}", answer.status);
+        return attempt_failed(attempt, Ran::No, Break::Refused, &detail);
     }
     let media = answer
         .headers
@@ -274,17 +290,17 @@
     RequestEvent::Answered { attempt, result }
 }
 
-fn service_broke(attempt: AttemptKey, err: &OpenError) -> RequestEvent {
+fn service_failed(attempt: AttemptKey, err: &OpenError) -> RequestEvent {
     let end = match err.ran() {
         Ran::No => Break::Unreachable,
         Ran::Yes | Ran::Unknown => Break::Cut,
     };
-    broke(attempt, err.ran(), end, &err.to_string())
+    attempt_failed(attempt, err.ran(), end, &err.to_string())
 }
 
 /// Reads the platform's list.
-pub async fn list(node: Rc<Node>) {
-    let list = node.look(|core| core.settings.platform.list);
+pub async fn read_platform_list(node: Rc<Node>) {
+    let list = node.with_core(|core| core.settings.platform.list);
     match node.store.hosts(list).await {
         Ok(listed) => {
             let entries = listed.into_iter().map(|entry| Entry {
@@ -302,20 +318,20 @@
             let entries = entries.collect();
             node.apply(Event::Fleet(FleetEvent::Listed(entries)));
         }
-        Err(err) => log::debug!("the platform's list: {err}"),
+        Err(err) => log::debug!("cannot read the platform's list: {err}"),
     }
 }
 
 /// Reads an engine's load report.
-pub async fn load(node: Rc<Node>, name: Box<str>, addr: SocketAddr) {
-    let read = timeout(LOAD_TIME, backend::load(&node.backends, addr)).await;
+pub async fn read_load(node: Rc<Node>, name: Box<str>, addr: SocketAddr) {
+    let read = timeout(LOAD_TIMEOUT, backend::load(&node.backends, addr)).await;
     let report = match read {
         Ok(Ok(load)) => Some(Report {
-            running: small(load.running),
-            waiting: small(load.waiting),
+            running: saturating_u32(load.running),
+            waiting: saturating_u32(load.waiting),
             prefill: load.prefill_tokens,
             role: Role::from_word(&load.role).unwrap_or_default(),
-            age: small(load.age_ms),
+            age: saturating_u32(load.age_ms),
             changing: load.changing,
             fence: load.fence_seen,
             order: load.order_seen,
@@ -325,13 +341,13 @@
     node.apply(Event::Fleet(FleetEvent::Report { name, report }));
 }
 
-fn small(value: u64) -> u32 {
+fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
 
-/// Tries to connect, to see whether a process listens at an address.
+/// Opens a connection to find out whether a process listens at an address.
 pub async fn probe(node: Rc<Node>, addr: SocketAddr) {
-    let tried = timeout(PROBE_TIME, tokio::net::TcpStream::connect(addr)).await;
+    let tried = timeout(PROBE_TIMEOUT, tokio::net::TcpStream::connect(addr)).await;
     let probe = match tried {
         Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Probe::Refused,
         _ => Probe::Open,
@@ -339,10 +355,10 @@
     node.apply(Event::Fleet(FleetEvent::Probed { addr, probe }));
 }
 
-/// Gives an order, unless the right to give it has ended.
-pub async fn order(node: Rc<Node>, order: effect::Order) {
+/// Sends an order, unless the authority to send it has expired.
+pub async fn send_order(node: Rc<Node>, order: effect::Order) {
     let fresh = backend::Fresh {
-        life: ORDER_LIFE,
+        life: ORDER_LIFETIME,
         gate: |until| timer::now() < Time::from_micros(until),
         until: order.until.micros(),
     };
--- /dev/null
+++ b/src/host/metrics.rs
@@ -0,0 +1,238 @@
+//! Counters, gauges and histograms, by OpenTelemetry with its Prometheus exporter.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use opentelemetry::KeyValue;
+use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter as OtelMeter, MeterProvider};
+use opentelemetry_sdk::error::OTelSdkError;
+use opentelemetry_sdk::metrics::SdkMeterProvider;
+use prometheus::{Encoder, Registry, TextEncoder};
+
+use crate::core::effect::Meter;
+use crate::settings::Settings;
+use crate::store::Calls;
+
+/// Largest number of customers with a label value of their own; all others share one.
+///
+/// Each series stays in memory for the lifetime of the process, so the number of histograms must
+/// not grow with thousands of customers.
+const MAX_NAMED_CUSTOMERS: usize = 32;
+/// Requests after which a customer gets a label value of its own.
+const NAMED_MIN_REQUESTS: u32 = 50;
+/// Largest number of customers without a label value whose requests are counted.
+const MAX_COUNTED_CUSTOMERS: usize = 1024;
+/// Label value of all customers without one of their own.
+const OTHER_CUSTOMERS: &str = "other";
+/// Bucket bounds of the histograms, in seconds.
+const BUCKET_BOUNDS_SECS: [f64; 16] = [
+    0.001, 0.002, 0.005, 0.01, 0.02, 0.049, 0.1, 0.2, 0.4, 0.78, 1.5, 3.0, 6.0, 15.0, 60.0, 300.0,
+];
+
+/// Metric instruments of a host.
+#[derive(Debug)]
+pub struct Metrics {
+    registry: Registry,
+    _provider: SdkMeterProvider,
+    first_token: Histogram<f64>,
+    token_gap: Histogram<f64>,
+    queue_time: Histogram<f64>,
+    request_time: Histogram<f64>,
+    retries: Counter<u64>,
+    orders: Counter<u64>,
+    store_calls: Counter<u64>,
+    view_age: Gauge<f64>,
+    store_era: Gauge<u64>,
+    unlisted: Gauge<u64>,
+    limited: Gauge<u64>,
+    last_calls: Cell<Calls>,
+    request_counts: RefCell<BTreeMap<Box<str>, u32>>,
+    named_customers: RefCell<Vec<Box<str>>>,
+}
+
+fn seconds_histogram(
+    meter: &OtelMeter,
+    name: &'static str,
+    description: &'static str,
+) -> Histogram<f64> {
+    meter
+        .f64_histogram(name)
+        .with_description(description)
+        .with_unit("s")
+        .with_boundaries(BUCKET_BOUNDS_SECS.to_vec())
+        .build()
+}
+
+impl Metrics {
+    /// Creates the instruments.
+    ///
+    /// # Errors
+    ///
+    /// Returns the library's error if the exporter cannot be created.
+    pub fn new(settings: &Settings) -> Result<Self, OTelSdkError> {
+        let registry = Registry::new();
+        let exporter = opentelemetry_prometheus::exporter()
+            .with_registry(registry.clone())
+            .build()?;
+        let provider = SdkMeterProvider::builder().with_reader(exporter).build();
+        let meter = provider.meter("chiveway");
+        log::debug!("metrics of host {} created", settings.host.name);
+        let counter = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
+        };
+        Ok(Self {
+            first_token: seconds_histogram(
+                &meter,
+                "chiveway_first_token",
+                "Arrival to the first token",
+            ),
+            token_gap: seconds_histogram(&meter, "chiveway_between_tokens", "Token to token"),
+            queue_time: seconds_histogram(&meter, "chiveway_queued", "Arrival to a back end"),
+            request_time: seconds_histogram(
+                &meter,
+                "chiveway_requests",
+                "Arrival to the end, by outcome",
+            ),
+            retries: counter("chiveway_retries", "Attempts beyond the first"),
+            orders: counter("chiveway_orders", "Orders given to engines"),
+            store_calls: counter("chiveway_store_calls", "Calls of the key-value service"),
+            view_age: meter
+                .f64_gauge("chiveway_store_view_age")
+                .with_description("Time since all that the key-value service held was known")
+                .with_unit("s")
+                .build(),
+            store_era: meter
+                .u64_gauge("chiveway_store_era")
+                .with_description("Era of the key-value service")
+                .build(),
+            unlisted: meter
+                .u64_gauge("chiveway_backends_unlisted")
+                .with_description("Backend servers that get work while their entries are missing")
+                .build(),
+            limited: meter
+                .u64_gauge("chiveway_backends_limited")
+                .with_description("Backend servers that name a limit")
+                .build(),
+            registry,
+            _provider: provider,
+            last_calls: Cell::default(),
+            request_counts: RefCell::default(),
+            named_customers: RefCell::default(),
+        })
+    }
+
+    /// Records one measurement.
+    pub fn record(&self, meter: &Meter) {
+        match meter {
+            Meter::Ended {
+                class,
+                customer,
+                outcome,
+                lasted,
+            } => {
+                let labels = [
+                    label("class", class),
+                    self.customer_label(customer),
+                    KeyValue::new("outcome", *outcome),
+                ];
+                self.request_time.record(lasted.as_secs_f64(), &labels);
+            }
+            Meter::First {
+                class,
+                customer,
+                after,
+            } => {
+                let labels = [label("class", class), self.customer_label(customer)];
+                self.first_token.record(after.as_secs_f64(), &labels);
+            }
+            Meter::Between { class, gap } => {
+                self.token_gap
+                    .record(gap.as_secs_f64(), &[label("class", class)]);
+            }
+            Meter::Queued { class, after } => {
+                self.queue_time
+                    .record(after.as_secs_f64(), &[label("class", class)]);
+            }
+            Meter::Retried { class } => self.retries.add(1, &[label("class", class)]),
+            Meter::Ordered { pool } => self.orders.add(1, &[label("pool", pool)]),
+        }
+    }
+
+    /// Returns the label of a customer: its own, or the one shared by all others.
+    fn customer_label(&self, customer: &str) -> KeyValue {
+        let mut named = self.named_customers.borrow_mut();
+        if named.iter().any(|name| &**name == customer) {
+            return label("customer", customer);
+        }
+        if named.len() < MAX_NAMED_CUSTOMERS && !customer.is_empty() {
+            let mut customers = self.request_counts.borrow_mut();
+            if customers.len() >= MAX_COUNTED_CUSTOMERS && !customers.contains_key(customer) {
+                customers.clear();
+            }
+            let count = customers.entry(customer.into()).or_default();
+            *count += 1;
+            if *count >= NAMED_MIN_REQUESTS {
+                named.push(customer.into());
+            }
+        }
+        label("customer", OTHER_CUSTOMERS)
+    }
+
+    /// Adds the calls to the key-value service made since the last update, from running totals.
+    pub fn record_store_calls(&self, now: &Calls) {
+        let seen = self.last_calls.replace(*now);
+        for (kind, now, seen) in [
+            ("range", now.range, seen.range),
+            ("probe", now.probe, seen.probe),
+            ("txn", now.txn, seen.txn),
+            ("grant", now.grant, seen.grant),
+            ("keepalive", now.keepalive, seen.keepalive),
+            ("revoke", now.revoke, seen.revoke),
+            ("watch", now.watch, seen.watch),
+            ("hosts", now.hosts, seen.hosts),
+            ("refused", now.refused, seen.refused),
+            ("unknown", now.unknown, seen.unknown),
+        ] {
+            self.store_calls
+                .add(now.saturating_sub(seen), &[KeyValue::new("kind", kind)]);
+        }
+    }
+
+    /// Sets the age of this host's view of the key-value service.
+    pub fn set_view_age(&self, age: Duration) {
+        self.view_age.record(age.as_secs_f64(), &[]);
+    }
+
+    /// Sets the era of the key-value service.
+    pub fn set_store_era(&self, era: u64) {
+        self.store_era.record(era, &[]);
+    }
+
+    /// Sets the number of backend servers that get work while their entries are missing.
+    pub fn set_unlisted(&self, servers: u64) {
+        self.unlisted.record(servers, &[]);
+    }
+
+    /// Sets the number of backend servers that name a rate limit.
+    pub fn set_limited(&self, servers: u64) {
+        self.limited.record(servers, &[]);
+    }
+
+    /// Returns all metrics in the Prometheus text format.
+    #[must_use]
+    pub fn encode(&self) -> Option<String> {
+        let mut text = Vec::new();
+        TextEncoder::new()
+            .encode(&self.registry.gather(), &mut text)
+            .ok()?;
+        String::from_utf8(text).ok()
+    }
+}
+
+fn label(name: &'static str, value: &str) -> KeyValue {
+    KeyValue::new(name, value.to_owned())
+}
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,15 +1,14 @@
-//! A running host: the adapters that feed events to the core and carry out its effects.
+//! Host process: the adapters that feed events to the core and execute its effects.
 //!
-//! Everything runs on one thread. A host serves a few dozen requests and a few thousand tokens a
-//! second; one thread does that without locks, and the core is then simply a value.
+//! Everything runs on one thread, so the core is a plain value without locks. One thread is enough
+//! for the load of a host: a few dozen requests and a few thousand tokens per second.
 
 mod backends;
 mod callers;
 mod completion;
-mod keeper;
 mod link;
 mod logs;
-mod meters;
+mod metrics;
 mod node;
 mod operators;
 mod peers;
@@ -17,6 +16,7 @@
 mod queue;
 mod relay;
 mod report;
+mod store;
 #[cfg(test)]
 mod tests;
 mod timer;
@@ -40,11 +40,11 @@
 
 pub use node::Node;
 
-/// Time that a relaying host reads its callers' connections after its listener was closed.
+/// Grace period in which a relaying host serves open connections after it closed its listener.
 ///
-/// The balancer has sent the last ones a moment before. Their requests are refused with a time to
-/// come back; callers whose connections are idle find them closed and go to another host by
-/// themselves, with nothing refused.
+/// The load balancer may open connections until just before the close. Requests on them are refused
+/// with a retry time; connections that are idle after the period are closed, and their callers
+/// reconnect to another host without a refusal.
 const RELAY_GRACE: Duration = Duration::from_millis(200);
 
 /// Why a host cannot start.
@@ -53,17 +53,17 @@
     /// A listener cannot be opened.
     #[snafu(display("cannot listen on {addr}; choose a free address in [host]"))]
     Listen {
-        /// Address that was asked for.
+        /// Configured address.
         addr: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The HTTP client cannot be made.
-    #[snafu(display("the HTTP client cannot be made"))]
+    /// The HTTP client cannot be created.
+    #[snafu(display("cannot create the HTTP client"))]
     Client,
-    /// The meters cannot be made.
-    #[snafu(display("the meters cannot be made"))]
-    Meters,
+    /// The metrics exporter cannot be created.
+    #[snafu(display("cannot create the metrics exporter"))]
+    Metrics,
 }
 
 /// A host's open listeners.
@@ -75,12 +75,12 @@
 }
 
 impl Listeners {
-    /// Opens the listeners that the settings name, and writes the ports that the kernel chose
+    /// Opens the listeners named in the settings, and writes the ports that the kernel chose back
     /// into the settings.
     ///
     /// # Errors
     ///
-    /// Returns the address that cannot be listened on.
+    /// Returns the address that cannot be bound.
     pub async fn open(settings: &mut Settings) -> Result<Self, HostError> {
         let host = &mut settings.host;
         Ok(Self {
@@ -92,7 +92,7 @@
 }
 
 impl Listeners {
-    /// Takes listeners that are open already.
+    /// Uses listeners that are already open.
     #[must_use]
     pub fn from_parts(callers: TcpListener, operators: TcpListener, peers: TcpListener) -> Self {
         Self {
@@ -113,10 +113,10 @@
     Ok(listener)
 }
 
-/// Serves a host that relays requests until a planned stop is complete.
+/// Runs a host that relays requests until a planned stop is complete.
 ///
-/// The stop begins when `stop` turns true or its sender is gone. Settings that come by `reloads`
-/// replace those in force, but for the listeners.
+/// The stop begins when `stop` becomes true or its sender is dropped. Settings received from
+/// `reloads` replace the current ones, except for the addresses of the listeners.
 ///
 /// # Errors
 ///
@@ -140,10 +140,10 @@
         host.peers = addr;
     }
     let socket = Rc::new(socket);
-    relay::journal::write(&listening(host, relay));
+    relay::event_log::write(&listening_note(host, relay));
     let node = Node::new(settings).await?;
     let (close, closed) = watch::channel(false);
-    node.on_close(close);
+    node.set_close_signal(close);
     let (ended, running) = watch::channel(false);
 
     let handler = Rc::clone(&node);
@@ -179,13 +179,13 @@
         }
     });
     node.apply(Event::Start);
-    finish(&node, &mut stop).await;
+    wait_for_stop(&node, &mut stop).await;
     drop(ended);
     Ok(())
 }
 
 /// Returns the log event that names the listeners.
-fn listening(host: &HostSettings, relay: &RelaySettings) -> Note {
+fn listening_note(host: &HostSettings, relay: &RelaySettings) -> Note {
     let text = |addr: SocketAddr| addr.to_string().into();
     Note {
         level: log::Level::Info,
@@ -201,9 +201,9 @@
     }
 }
 
-/// Waits for the order to stop, and then for the end of the planned stop.
-async fn finish(node: &Rc<Node>, stop: &mut watch::Receiver<bool>) {
-    let exit = node.exited();
+/// Begins the planned stop when `stop` says so; returns when the core has exited.
+async fn wait_for_stop(node: &Rc<Node>, stop: &mut watch::Receiver<bool>) {
+    let exit = node.wait_for_exit();
     tokio::pin!(exit);
     loop {
         tokio::select! {
@@ -220,9 +220,9 @@
     }
 }
 
-/// Serves until a planned stop is complete.
+/// Runs a host until a planned stop is complete.
 ///
-/// The stop begins when `stop` turns true or its sender is gone.
+/// The stop begins when `stop` becomes true or its sender is dropped.
 ///
 /// # Errors
 ///
@@ -234,7 +234,7 @@
 ) -> Result<(), HostError> {
     let node = Node::new(settings).await?;
     let (close, closed) = watch::channel(false);
-    node.on_close(close);
+    node.set_close_signal(close);
 
     let callers = Rc::clone(&node);
     let serve = web::serve(listeners.callers, web::GRACE, closed, move |req| {
@@ -255,10 +255,10 @@
     ));
     ntex::rt::spawn(peers::accept(Rc::clone(&node), listeners.peers, running));
     ntex::rt::spawn(timer::run(Rc::clone(&node)));
-    ntex::rt::spawn(keeper::watch(Rc::clone(&node)));
+    ntex::rt::spawn(store::watch(Rc::clone(&node)));
     node.apply(Event::Start);
 
-    finish(&node, &mut stop).await;
+    wait_for_stop(&node, &mut stop).await;
     node.flush().await;
     drop(ended);
     Ok(())
--- a/src/host/queue.rs
+++ b/src/host/queue.rs
@@ -1,4 +1,4 @@
-//! What waits for one caller: bounded, so that a slow caller does not fill the host.
+//! Bounded queue of the answer to one caller: a slow caller must not exhaust the host's memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,34 +6,34 @@
 use ntex::io::IoRef;
 use tokio::sync::{Notify, mpsc};
 
-/// Pieces that wait for a caller before nothing more is read from the engine.
-const MOST: usize = 256;
+/// Queued chunks at which the host stops reading from the engine.
+const MAX_QUEUED_CHUNKS: usize = 256;
 
 #[derive(Debug)]
 struct Shared {
-    waiting: Cell<usize>,
-    taken: Cell<u64>,
-    room: Notify,
+    queued: Cell<usize>,
+    consumed: Cell<u64>,
+    space_freed: Notify,
     io: Option<IoRef>,
 }
 
-/// The end that fills a queue.
+/// Sending end of a queue.
 #[derive(Debug)]
-pub struct Queue<P> {
+pub struct QueueSender<P> {
     tx: mpsc::UnboundedSender<P>,
     shared: Rc<Shared>,
 }
 
-/// The end that a request's handler empties.
+/// Receiving end of a queue, read by the request's handler.
 #[derive(Debug)]
-pub struct Parts<P> {
+pub struct QueueReceiver<P> {
     rx: mpsc::UnboundedReceiver<P>,
     shared: Rc<Shared>,
-    /// Tells whether a part is a piece of the answer, for which there must be room.
-    counts: fn(&P) -> bool,
+    /// Whether a message is content of the answer, which counts towards the bound.
+    is_content: fn(&P) -> bool,
 }
 
-impl<P> Clone for Queue<P> {
+impl<P> Clone for QueueSender<P> {
     fn clone(&self) -> Self {
         Self {
             tx: self.tx.clone(),
@@ -42,82 +42,85 @@
     }
 }
 
-/// Creates the queue of a request that came in on this connection; `counts` tells which parts are
-/// pieces of the answer.
-pub fn queue<P>(io: Option<IoRef>, counts: fn(&P) -> bool) -> (Queue<P>, Parts<P>) {
+/// Creates the queue of a request received on connection `io`; `is_content` returns whether a
+/// message is content of the answer.
+pub fn channel<P>(
+    io: Option<IoRef>,
+    is_content: fn(&P) -> bool,
+) -> (QueueSender<P>, QueueReceiver<P>) {
     let (tx, rx) = mpsc::unbounded_channel();
     let shared = Rc::new(Shared {
-        waiting: Cell::new(0),
-        taken: Cell::new(0),
-        room: Notify::new(),
+        queued: Cell::new(0),
+        consumed: Cell::new(0),
+        space_freed: Notify::new(),
         io,
     });
-    let parts = Parts {
+    let receiver = QueueReceiver {
         rx,
         shared: Rc::clone(&shared),
-        counts,
+        is_content,
     };
-    (Queue { tx, shared }, parts)
+    (QueueSender { tx, shared }, receiver)
 }
 
-impl<P> Queue<P> {
-    /// Puts a piece at the end.
-    pub fn piece(&self, part: P) {
-        self.shared.waiting.set(self.shared.waiting.get() + 1);
-        self.end(part);
+impl<P> QueueSender<P> {
+    /// Appends content of the answer, which counts towards the bound.
+    pub fn push_content(&self, part: P) {
+        self.shared.queued.set(self.shared.queued.get() + 1);
+        self.push_control(part);
     }
 
-    /// Puts the last part at the end.
-    pub fn end(&self, part: P) {
-        // A handler that is gone tells the core itself.
+    /// Appends a message that does not count towards the bound, such as the last one.
+    pub fn push_control(&self, part: P) {
+        // If the handler is gone, it has reported that to the core itself.
         drop(self.tx.send(part));
     }
 
-    /// Returns whether nothing more should be read for this caller.
+    /// Returns whether the host should stop reading for this caller.
     #[must_use]
     pub fn is_full(&self) -> bool {
-        self.shared.waiting.get() >= MOST
+        self.shared.queued.get() >= MAX_QUEUED_CHUNKS
     }
 
-    /// Returns how many pieces the caller has taken.
+    /// Returns the number of content messages that the handler has received.
     #[must_use]
-    pub fn taken(&self) -> u64 {
-        self.shared.taken.get()
+    pub fn consumed(&self) -> u64 {
+        self.shared.consumed.get()
     }
 
-    /// Waits until the caller takes a piece.
-    pub async fn room(&self) {
-        self.shared.room.notified().await;
+    /// Waits until the handler receives content or is dropped.
+    pub async fn wait_for_space(&self) {
+        self.shared.space_freed.notified().await;
     }
 
-    /// Closes the caller's connection at once.
-    pub fn close(&self) {
+    /// Closes the caller's connection immediately.
+    pub fn close_connection(&self) {
         if let Some(io) = &self.shared.io {
             io.terminate();
         }
     }
 }
 
-impl<P> Parts<P> {
-    /// Takes the next part.
+impl<P> QueueReceiver<P> {
+    /// Receives the next message.
     pub fn poll(&mut self, cx: &mut std::task::Context<'_>) -> std::task::Poll<Option<P>> {
         let part = self.rx.poll_recv(cx);
         if let std::task::Poll::Ready(Some(part)) = &part
-            && (self.counts)(part)
+            && (self.is_content)(part)
         {
             let shared = &self.shared;
-            shared.waiting.set(shared.waiting.get() - 1);
-            shared.taken.set(shared.taken.get() + 1);
-            shared.room.notify_one();
+            shared.queued.set(shared.queued.get() - 1);
+            shared.consumed.set(shared.consumed.get() + 1);
+            shared.space_freed.notify_one();
         }
         part
     }
 }
 
-impl<P> Drop for Parts<P> {
+impl<P> Drop for QueueReceiver<P> {
     fn drop(&mut self) {
-        // Nobody takes what is left; whoever waits for room must not wait for ever.
-        self.shared.waiting.set(0);
-        self.shared.room.notify_one();
+        // The remaining messages are never received; a sender that waits for space must not hang.
+        self.shared.queued.set(0);
+        self.shared.space_freed.notify_one();
     }
 }
--- a/src/host/relay/keeper.rs
+++ b/src/host/relay/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: carries out the core's calls.
+//! Adapter for the platform's store: makes the core's calls.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::{journal, tell};
+use super::{apply, event_log};
 use crate::backend::channel::{Call, ChannelError};
 use crate::core::effect::Note;
 use crate::core::event::{Job, StoreEvent, StoreReply, StoreResult};
@@ -18,20 +18,20 @@
 use crate::platform::{self, store};
 use crate::store::{Calls, Compare, Op, Sort, Txn};
 
-/// Time one call may take: far above the slowest answer of a store that is of use.
-const CALL: Duration = Duration::from_secs(3);
-/// Time beyond its wait after which a watch is given up, if nothing showed before that it was lost.
-const SILENT: Duration = Duration::from_millis(1500);
-/// Most bytes of an answer: a page of a megabyte in base64, and its frame.
-const ANSWER: usize = 4 * 1024 * 1024;
+/// Time limit of a call, far above the slowest answer of a working store.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after the end of its wait at which a watch times out, unless it was found lost earlier.
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(1500);
+/// Largest size of an answer: a page of 1 MB in base64, plus its framing.
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why the store could not be followed.
+/// Reason for which a call of the store failed.
 #[derive(Debug, Snafu)]
-enum Trouble {
+enum CallError {
     /// The call failed.
     #[snafu(transparent)]
     Channel {
-        /// Why.
+        /// Error of the connection.
         source: ChannelError,
     },
     /// The store answered with another status.
@@ -40,33 +40,33 @@
         /// HTTP status.
         status: u16,
     },
-    /// The answer is not understood.
-    #[snafu(display("the store's answer is not understood"))]
+    /// The answer cannot be decoded.
+    #[snafu(display("cannot decode the store's answer"))]
     Unreadable,
 }
 
-impl Trouble {
+impl CallError {
     fn ran(&self) -> Ran {
         match self {
             Self::Channel { source } => source.ran(),
-            // It says that nothing was done, or too many calls were made.
+            // The status says that nothing was done, or that too many calls were made.
             Self::Status { .. } => Ran::No,
             Self::Unreadable => Ran::Unknown,
         }
     }
 }
 
-/// Makes a call; counts it, and writes a line where it fails.
+/// Makes a call, counts it, and logs a failure.
 ///
-/// Without the line nothing tells a store that is away from a call that was lost, and how long a
-/// host held on to it.
-async fn ask(
+/// Without the log line an operator could not distinguish an unavailable store from a lost call,
+/// nor see how long the host waited for it.
+async fn call_store(
     node: &Rc<Node>,
     call: store::Call,
     time: Duration,
-) -> Result<(u16, bytes::Bytes), Trouble> {
+) -> Result<(u16, bytes::Bytes), CallError> {
     let sort = call.sort;
-    count(node, |calls| sort.count(calls));
+    update_counts(node, |calls| sort.count(calls));
     let sent = Instant::now();
     let result = send(node, call, time).await;
     let (ran, why) = match &result {
@@ -74,17 +74,17 @@
             (Ran::No, format!("the store answered {status}"))
         }
         Ok(_) => return result,
-        Err(trouble) => (trouble.ran(), trouble.to_string()),
+        Err(err) => (err.ran(), err.to_string()),
     };
-    count(node, |calls| match ran {
+    update_counts(node, |calls| match ran {
         Ran::No => calls.refused += 1,
         Ran::Yes | Ran::Unknown => calls.unknown += 1,
     });
     if sort == Sort::Probe {
-        // One a host and half a second through an outage: the counter and `store.down` say enough.
+        // In an outage each host probes twice a second; the counter and `store.down` suffice.
         return result;
     }
-    journal::write(&Note {
+    event_log::write(&Note {
         level: log::Level::Info,
         name: "store.call_failed",
         fields: vec![
@@ -96,7 +96,7 @@
     result
 }
 
-fn count(node: &Rc<Node>, change: impl FnOnce(&mut Calls)) {
+fn update_counts(node: &Rc<Node>, change: impl FnOnce(&mut Calls)) {
     let mut calls = node.relay.calls.get();
     change(&mut calls);
     node.relay.calls.set(calls);
@@ -106,10 +106,10 @@
     node: &Rc<Node>,
     call: store::Call,
     time: Duration,
-) -> Result<(u16, bytes::Bytes), Trouble> {
-    let addr = node.look(|core| core.settings.relay.as_ref().map(|relay| relay.store));
+) -> Result<(u16, bytes::Bytes), CallError> {
+    let addr = node.with_core(|core| core.settings.relay.as_ref().map(|relay| relay.store));
     let Some(addr) = addr else {
-        return Err(Trouble::Unreadable);
+        return Err(CallError::Unreadable);
     };
     let mut headers: Vec<(Box<str>, Box<[u8]>)> = Vec::new();
     if !call.body.is_empty() {
@@ -122,23 +122,23 @@
         headers,
         body: call.body.into(),
     };
-    let answer = node.relay.store.call(&call, time, ANSWER).await?;
+    let answer = node.relay.store.call(&call, time, MAX_ANSWER_BYTES).await?;
     if let Some(era) = store::era(&answer.headers) {
-        tell(node, RelayEvent::StoreEra(era));
+        apply(node, RelayEvent::StoreEra(era));
     }
     Ok((answer.status, answer.body))
 }
 
-/// Carries out an effect towards the store.
-pub fn carry(node: &Rc<Node>, effect: Effect) {
+/// Executes an effect on the store.
+pub fn execute(node: &Rc<Node>, effect: Effect) {
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         let Some((job, result)) = run(&node, effect).await else {
             return;
         };
-        let result = result.unwrap_or_else(|trouble| {
-            log::debug!("a call of the store failed: {trouble}");
-            match trouble.ran() {
+        let result = result.unwrap_or_else(|err| {
+            log::debug!("call of the store failed: {err}");
+            match err.ran() {
                 Ran::No => StoreResult::Refused,
                 Ran::Yes | Ran::Unknown => StoreResult::Unknown,
             }
@@ -147,55 +147,55 @@
     });
 }
 
-async fn run(node: &Rc<Node>, effect: Effect) -> Option<(Job, Result<StoreResult, Trouble>)> {
+async fn run(node: &Rc<Node>, effect: Effect) -> Option<(Job, Result<StoreResult, CallError>)> {
     match effect {
         Effect::Grant { job, life } => Some((job, grant(node, life).await)),
         Effect::Renew { job, lease } => Some((job, renew(node, lease).await)),
-        Effect::Txn { job, txn } => Some((job, write(node, &own(txn)).await)),
+        Effect::Txn { job, txn } => Some((job, write_txn(node, &prefix_keys(txn)).await)),
         Effect::Revoke(lease) => {
-            if let Err(trouble) = ask(node, store::end(lease), CALL).await {
-                log::debug!("a lease was not given back and will lapse: {trouble}");
+            if let Err(err) = call_store(node, store::end(lease), CALL_TIMEOUT).await {
+                log::debug!("cannot revoke lease {lease}, it will expire: {err}");
             }
             None
         }
         other => {
-            log::debug!("nothing here carries out {other:?}");
+            log::debug!("ignored an effect that a relaying host does not support: {other:?}");
             None
         }
     }
 }
 
-async fn grant(node: &Rc<Node>, life: Duration) -> Result<StoreResult, Trouble> {
-    match ask(node, store::grant(life), CALL).await? {
+async fn grant(node: &Rc<Node>, life: Duration) -> Result<StoreResult, CallError> {
+    match call_store(node, store::grant(life), CALL_TIMEOUT).await? {
         (200, body) => {
-            let lease = store::lease(&body).ok_or(Trouble::Unreadable)?;
+            let lease = store::lease(&body).ok_or(CallError::Unreadable)?;
             Ok(StoreResult::Lease(lease))
         }
-        (status, _) => Err(Trouble::Status { status }),
+        (status, _) => Err(CallError::Status { status }),
     }
 }
 
-async fn renew(node: &Rc<Node>, lease: i64) -> Result<StoreResult, Trouble> {
-    match ask(node, store::keep(lease), CALL).await? {
+async fn renew(node: &Rc<Node>, lease: i64) -> Result<StoreResult, CallError> {
+    match call_store(node, store::keep(lease), CALL_TIMEOUT).await? {
         (200, _) => Ok(StoreResult::Lease(lease)),
         (404, _) => Ok(StoreResult::Lease(0)),
-        (status, _) => Err(Trouble::Status { status }),
+        (status, _) => Err(CallError::Status { status }),
     }
 }
 
-async fn write(node: &Rc<Node>, txn: &Txn) -> Result<StoreResult, Trouble> {
-    match ask(node, store::txn(txn), CALL).await? {
+async fn write_txn(node: &Rc<Node>, txn: &Txn) -> Result<StoreResult, CallError> {
+    match call_store(node, store::txn(txn), CALL_TIMEOUT).await? {
         (404, _) => Ok(StoreResult::Lease(0)),
         (status @ (200 | 412), body) => {
-            let reply = store::txn_reply(status, &body).ok_or(Trouble::Unreadable)?;
+            let reply = store::txn_reply(status, &body).ok_or(CallError::Unreadable)?;
             Ok(StoreResult::Txn(reply))
         }
-        (status, _) => Err(Trouble::Status { status }),
+        (status, _) => Err(CallError::Status { status }),
     }
 }
 
-/// Puts this program's prefix before every key.
-fn own(mut txn: Txn) -> Txn {
+/// Prepends this program's prefix to every key.
+fn prefix_keys(mut txn: Txn) -> Txn {
     let full = |key: &str| -> Box<str> { format!("{}{key}", platform::OWN).into() };
     for compare in &mut txn.compare {
         match compare {
@@ -214,39 +214,45 @@
     txn
 }
 
-/// Makes a call by which the core follows the store; `given_up` closes when it is given up.
-pub async fn follow(node: Rc<Node>, number: u64, ask: StoreCall, given_up: oneshot::Receiver<()>) {
+/// Makes a read, watch or probe of the store and reports the answer, unless `cancelled` closes
+/// first.
+pub async fn run_store_call(
+    node: Rc<Node>,
+    number: u64,
+    call: StoreCall,
+    cancelled: oneshot::Receiver<()>,
+) {
     let answer = tokio::select! {
-        answer = answer(&node, ask) => answer,
-        _ = given_up => return,
+        answer = fetch_answer(&node, call) => answer,
+        _ = cancelled => return,
     };
-    node.relay.asks.borrow_mut().remove(&number);
-    let answer = answer.unwrap_or_else(|trouble| {
-        // What is idle may have broken with it.
+    node.relay.store_calls.borrow_mut().remove(&number);
+    let answer = answer.unwrap_or_else(|err| {
+        // Idle connections may have failed for the same reason.
         node.relay.store.clear();
         StoreAnswer::Failed {
-            refused: trouble.ran() == Ran::No,
+            refused: err.ran() == Ran::No,
         }
     });
-    tell(&node, RelayEvent::StoreAnswered { number, answer });
+    apply(&node, RelayEvent::StoreAnswered { number, answer });
 }
 
-async fn answer(node: &Rc<Node>, call: StoreCall) -> Result<StoreAnswer, Trouble> {
+async fn fetch_answer(node: &Rc<Node>, call: StoreCall) -> Result<StoreAnswer, CallError> {
     match call {
         StoreCall::Page { after } => page(node, after).await,
         StoreCall::Watch { after, wait } => changes(node, after, wait).await,
         StoreCall::Probe => {
-            let (status, body) = ask(node, store::probe(), CALL).await?;
-            let page = readable(status, || store::page(&body))?;
+            let (status, body) = call_store(node, store::probe(), CALL_TIMEOUT).await?;
+            let page = decode_success(status, || store::page(&body))?;
             Ok(StoreAnswer::Newest(page.range.revision))
         }
     }
 }
 
-async fn page(node: &Rc<Node>, after: Option<Box<str>>) -> Result<StoreAnswer, Trouble> {
+async fn page(node: &Rc<Node>, after: Option<Box<str>>) -> Result<StoreAnswer, CallError> {
     let call = store::range(platform::WATCHED, after.as_deref());
-    let (status, body) = ask(node, call, CALL).await?;
-    let page = readable(status, || store::page(&body))?;
+    let (status, body) = call_store(node, call, CALL_TIMEOUT).await?;
+    let page = decode_success(status, || store::page(&body))?;
     let mut changes = Changes::default();
     for pair in &page.range.pairs {
         platform::sort(&mut changes, &pair.key, Some(&pair.value), pair.modified);
@@ -259,15 +265,15 @@
     })
 }
 
-async fn changes(node: &Rc<Node>, after: i64, wait: Duration) -> Result<StoreAnswer, Trouble> {
+async fn changes(node: &Rc<Node>, after: i64, wait: Duration) -> Result<StoreAnswer, CallError> {
     let call = store::watch(platform::WATCHED, after, wait);
-    let (status, body) = ask(node, call, wait + SILENT).await?;
+    let (status, body) = call_store(node, call, wait + WATCH_TIMEOUT_MARGIN).await?;
     if status == 410 {
         return Ok(StoreAnswer::Compacted);
     }
-    let events = readable(status, || store::events(&body))?;
+    let events = decode_success(status, || store::events(&body))?;
     let mut changes = Changes::default();
-    let mut single = Vec::with_capacity(events.changes.len());
+    let mut decoded = Vec::with_capacity(events.changes.len());
     for (key, value, revision) in events.changes {
         platform::sort(&mut changes, &key, value.as_deref(), revision);
         let mut event = StoreChange {
@@ -276,26 +282,26 @@
             value: value.as_deref().map(Into::into),
             changes: Changes::default(),
         };
-        read(&mut event);
-        single.push(event);
+        decode_change(&mut event);
+        decoded.push(event);
     }
     Ok(StoreAnswer::Changes {
         revision: events.at,
         changes,
-        events: single,
+        events: decoded,
     })
 }
 
-/// Works out what a change of the store means.
-pub fn read(event: &mut StoreChange) {
+/// Decodes a change of the store.
+pub fn decode_change(event: &mut StoreChange) {
     let (key, value) = (&event.key, event.value.as_deref());
     platform::sort(&mut event.changes, key, value, event.revision);
 }
 
-/// Returns what a success says.
-fn readable<T>(status: u16, read: impl FnOnce() -> Option<T>) -> Result<T, Trouble> {
+/// Decodes the answer if its status is 200.
+fn decode_success<T>(status: u16, read: impl FnOnce() -> Option<T>) -> Result<T, CallError> {
     if status != 200 {
-        return Err(Trouble::Status { status });
+        return Err(CallError::Status { status });
     }
-    read().ok_or(Trouble::Unreadable)
+    read().ok_or(CallError::Unreadable)
 }
--- a/src/host/timer.rs
+++ b/src/host/timer.rs
@@ -1,6 +1,6 @@
-//! The timer service: parts of the core ask for a time and get an event when it has come.
+//! Timers: the core schedules a time and receives an event when it is due.
 //!
-//! It stands on tokio's timers: the HTTP library's own wheel is coarse.
+//! They use tokio's timers, since the timer wheel of the HTTP library is too coarse.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,10 +13,10 @@
 use crate::core::event::Timer;
 use crate::core::{Event, Time};
 
-/// Reads a clock that keeps running while the machine is suspended.
+/// Reads the boot-time clock, which keeps running while the machine is suspended.
 ///
-/// A lease's holder that slept must find its lease lapsed when it wakes; the ordinary monotonic
-/// clock stands still meanwhile.
+/// After a suspension the holder of a lease must see that the lease has expired; the ordinary
+/// monotonic clock stops while the machine is suspended.
 #[must_use]
 pub fn now() -> Time {
     let now = clock_gettime(ClockId::Boottime);
@@ -25,45 +25,45 @@
     Time::from_micros(secs * 1_000_000 + micros)
 }
 
-/// Times that were asked for.
+/// Pending timers, in order of their time.
 #[derive(Debug, Default)]
 pub struct Timers {
     queue: RefCell<BTreeMap<(Time, u64), Timer>>,
-    count: Cell<u64>,
-    sooner: Notify,
+    next_id: Cell<u64>,
+    rescheduled: Notify,
 }
 
 impl Timers {
-    /// Asks for an event.
-    pub fn wake(&self, at: Time, timer: Timer) {
-        let count = self.count.get();
-        self.count.set(count + 1);
+    /// Schedules an event.
+    pub fn schedule(&self, at: Time, timer: Timer) {
+        let count = self.next_id.get();
+        self.next_id.set(count + 1);
         let mut queue = self.queue.borrow_mut();
         let first = queue.first_key_value().map(|(key, _)| *key);
         queue.insert((at, count), timer);
         if first.is_none_or(|first| at < first.0) {
-            self.sooner.notify_one();
+            self.rescheduled.notify_one();
         }
     }
 
-    fn due(&self, now: Time) -> Option<Timer> {
+    fn pop_due(&self, now: Time) -> Option<Timer> {
         let mut queue = self.queue.borrow_mut();
         let entry = queue.first_entry()?;
         (entry.key().0 <= now).then(|| entry.remove())
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next_at(&self) -> Option<Time> {
         self.queue.borrow().first_key_value().map(|(key, _)| key.0)
     }
 }
 
-/// Turns due times into events until the process ends.
+/// Feeds due timers to the core until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        while let Some(timer) = node.timers.due(now()) {
+        while let Some(timer) = node.timers.pop_due(now()) {
             node.apply(Event::Timer(timer));
         }
-        let next = node.timers.next();
+        let next = node.timers.next_at();
         let wait = async {
             match next {
                 Some(at) => tokio::time::sleep(at.since(now())).await,
@@ -72,7 +72,7 @@
         };
         tokio::select! {
             () = wait => {}
-            () = node.timers.sooner.notified() => {}
+            () = node.timers.rescheduled.notified() => {}
         }
     }
 }
