--- a/src/host/node.rs
+++ b/src/host/node.rs
@@ -318,7 +318,7 @@
                 first,
             } => self.finish(request, AnswerPart::Reply(result, first)),
             Effect::Refuse { request, refusal } => {
-                self.finish(request, AnswerPart::Refused(refusal))
+                self.finish(request, AnswerPart::Refused(refusal));
             }
             Effect::Open(open) => {
                 let ended = self.start_attempt(open.attempt);
--- a/src/host/relay/mod.rs
+++ b/src/host/relay/mod.rs
@@ -216,7 +216,7 @@
         RelayEffect::Finish(call) => adapters.finish(call, AnswerPart::Completed),
         RelayEffect::AbortAnswer(call) => adapters.abort_answer(call),
         RelayEffect::Refuse { call, refusal } => {
-            adapters.finish(call, AnswerPart::Refused(refusal))
+            adapters.finish(call, AnswerPart::Refused(refusal));
         }
         RelayEffect::FreeCache {
             instance,
