--- a/src/core/request/failure.rs
+++ b/src/core/request/failure.rs
@@ -191,7 +191,7 @@
         return;
     }
     let detail = format!(
-        "no data for {} ms",
+        "silent for {} ms",
         millis(core.now.since(attempt.last_progress))
     );
     attempt_failed(core, key, Ran::Unknown, Break::Silent, &detail, out);
