--- a/benches/core/main.rs
+++ b/benches/core/main.rs
@@ -10,7 +10,7 @@
 
 use bytes::BytesMut;
 use chiveway::core::event::{Event, FleetEvent, PeerEvent, Report, RequestEvent};
-use chiveway::core::message::{Beat, Message, Sent};
+use chiveway::core::message::{Heartbeat, Message, SentPrompt};
 use chiveway::core::route::{self, Need};
 use chiveway::core::{Effects, Time, admit};
 use chiveway::wire::{self, Frame};
@@ -51,7 +51,7 @@
             bench.iter(|| route::choose_engine(&mut site.core, &need));
         });
         group.bench_function(BenchmarkId::new("admit", count), |bench| {
-            let print = chiveway::core::event::Print::default();
+            let print = chiveway::core::event::Fingerprint::default();
             bench.iter(|| admit::check(&mut site.core, &need, print));
         });
         let mut out = Effects::new();
@@ -68,9 +68,9 @@
         group.bench_function(BenchmarkId::new("prompt-told", count), |bench| {
             bench.iter(|| {
                 out.clear();
-                let message = Message::Sent(Sent {
+                let message = Message::SentPrompt(SentPrompt {
                     engine: 7,
-                    prompt: 1_000,
+                    prompt_tokens: 1_000,
                 });
                 site.core
                     .reduce(Time::from_millis(10), from_peer(message), &mut out);
@@ -96,7 +96,7 @@
         group.bench_function(BenchmarkId::new("token", count), |bench| {
             bench.iter(|| {
                 out.clear();
-                let event = RequestEvent::Chunk {
+                let event = RequestEvent::StreamEvent {
                     attempt: stream.attempt,
                     offset: stream.offset,
                     tokens: 1,
@@ -116,7 +116,7 @@
         let mut site = Site::new(21, 100, count);
         let mut out = Effects::new();
         let mut bytes = BytesMut::new();
-        let frame = Frame::Message(Message::Beat(Beat::default()));
+        let frame = Frame::Message(Message::Heartbeat(Heartbeat::default()));
         wire::encode(&frame, &mut bytes);
         group.bench_function(BenchmarkId::new("frame-read", count), |bench| {
             bench.iter(|| wire::decode(&*bytes));
@@ -126,19 +126,19 @@
             bench.iter(|| {
                 out.clear();
                 number += 1;
-                let beat = Beat {
+                let beat = Heartbeat {
                     number,
                     revision: 1,
-                    ..Beat::default()
+                    ..Heartbeat::default()
                 };
-                let event = from_peer(Message::Beat(beat));
+                let event = from_peer(Message::Heartbeat(beat));
                 site.core.reduce(Time::from_millis(10), event, &mut out);
             });
         });
         group.bench_function(BenchmarkId::new("beats-sent", count), |bench| {
             bench.iter(|| {
                 out.clear();
-                let event = Event::Timer(chiveway::core::event::Timer::Beat);
+                let event = Event::Timer(chiveway::core::event::Timer::Heartbeat);
                 site.core.reduce(Time::from_millis(10), event, &mut out);
             });
         });
--- a/benches/core/site.rs
+++ b/benches/core/site.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use chiveway::core::event::{
-    Arrival, Entry, EntryKind, Event, FleetEvent, Health, ModelWant, Print, RequestEvent, Role,
-    StoreEvent, Want, Watched,
+    Arrival, Entry, EntryKind, Event, Fingerprint, FleetEvent, Health, ModelRequest, RequestEvent,
+    RequestSpec, Role, StoreEvent, WatchedKey,
 };
 use chiveway::core::key::{AttemptKey, RequestKey};
 use chiveway::core::{Core, Effect, Effects, Time};
@@ -78,7 +78,7 @@
 
     /// Registers this many peers.
     pub fn set_peers(&mut self, count: usize) {
-        let watched = (0..=count).map(|at| Watched {
+        let watched = (0..=count).map(|at| WatchedKey {
             key: format!("host/{}", host(at)).into(),
             value: Some(
                 format!(
@@ -127,15 +127,15 @@
         print[..8].copy_from_slice(&tag.to_le_bytes());
         let arrival = Arrival {
             tag,
-            caller: caller(account),
-            want: Want::Model(ModelWant {
+            key_hash: caller(account),
+            spec: RequestSpec::Model(ModelRequest {
                 model: MODEL.into(),
-                prompt: 1,
-                output: 1_000_000,
-                pieces: Vec::new(),
+                prompt_tokens: 1,
+                max_output: 1_000_000,
+                prefix_hashes: Vec::new(),
             }),
-            idem: None,
-            print: Print(print),
+            idempotency_key: None,
+            fingerprint: Fingerprint(print),
         };
         let at = Time::from_millis(20);
         let event = RequestEvent::Arrived(Box::new(arrival));
@@ -144,7 +144,7 @@
             .iter()
             .find(|effect| matches!(effect, Effect::Refuse { .. }));
         let open = out.iter().find_map(|effect| match effect {
-            Effect::Open(open) => Some((open.request, open.attempt)),
+            Effect::OpenStream(open) => Some((open.request, open.attempt)),
             _ => None,
         });
         let Some((request, attempt)) = open else {
@@ -166,14 +166,14 @@
         let mut out = Effects::new();
         let at = Time::from_millis(20);
         for (offset, tokens) in [(0, 1), (1, 0)] {
-            let event = RequestEvent::Chunk {
+            let event = RequestEvent::StreamEvent {
                 attempt: stream.attempt,
                 offset,
                 tokens,
             };
             self.core.reduce(at, Event::Request(event), &mut out);
         }
-        let whole = Event::Request(RequestEvent::Whole(stream.attempt));
+        let whole = Event::Request(RequestEvent::StreamCompleted(stream.attempt));
         self.core.reduce(at, whole, &mut out);
         assert!(!self.core.requests.arena.contains_key(stream.request));
     }
--- a/benches/policy/hosts.rs
+++ b/benches/policy/hosts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use chiveway::core::event::{
-    Entry, EntryKind, Event, FleetEvent, Health, Report, Role, StoreEvent, Watched,
+    Entry, EntryKind, Event, FleetEvent, Health, Report, Role, StoreEvent, WatchedKey,
 };
 use chiveway::core::fleet::ServingState;
 use chiveway::core::{Core, Effects, Time};
@@ -117,7 +117,7 @@
             core
         })
         .collect();
-    let registered: Vec<Watched> = cores.iter().map(registration).collect();
+    let registered: Vec<WatchedKey> = cores.iter().map(registration).collect();
     for (at, core) in cores.iter_mut().enumerate() {
         let mut effects = Effects::new();
         let now = Time::default();
@@ -134,7 +134,7 @@
     cores
 }
 
-fn registration(core: &Core) -> Watched {
+fn registration(core: &Core) -> WatchedKey {
     let host = &core.settings.host;
     let value = format!(
         "{{\"addr\":\"{}\",\"region\":\"{}\",\"domain\":\"{}\",\"incarnation\":{}}}",
@@ -143,7 +143,7 @@
         host.domain,
         core.members.incarnation()
     );
-    Watched {
+    WatchedKey {
         key: format!("host/{}", host.name).into(),
         value: Some(value.into_bytes().into()),
         modified: 1,
@@ -168,9 +168,9 @@
     let report = Report {
         running: load.running,
         waiting: load.waiting,
-        prefill: load.prefill,
+        queued_prefill: load.prefill,
         role,
-        age,
+        age_ms: age,
         ..Report::default()
     };
     FleetEvent::Report {
--- a/benches/policy/trace.rs
+++ b/benches/policy/trace.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use chiveway::core::event::Print;
+use chiveway::core::event::Fingerprint;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -162,7 +162,7 @@
     /// Pieces of the prompt.
     pub pieces: Rc<[u64]>,
     /// Fingerprint.
-    pub print: Print,
+    pub print: Fingerprint,
     /// How the caller behaves.
     pub manner: Manner,
 }
@@ -237,7 +237,7 @@
         output,
         most: work.output * 2,
         pieces,
-        print: Print(rng.random()),
+        print: Fingerprint(rng.random()),
         manner: if eager {
             Manner::Eager
         } else {
--- a/benches/policy/world/callers.rs
+++ b/benches/policy/world/callers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chiveway::core::event::{Arrival, Event, ModelWant, RequestEvent, Want};
+use chiveway::core::event::{Arrival, Event, ModelRequest, RequestEvent, RequestSpec};
 use chiveway::error::whole_secs;
 use rand::RngExt;
 
@@ -60,7 +60,7 @@
         }
         if let Some(request) = caller.request {
             let host = caller.host;
-            let event = RequestEvent::Left(request);
+            let event = RequestEvent::CallerLeft(request);
             self.reduce(host, Event::Request(event));
         } else if let Some(run) = caller.attempt {
             self.cancel(run);
@@ -132,14 +132,14 @@
 fn arrival(case: &Case, at: usize, call: &Call) -> Arrival {
     Arrival {
         tag: at as u64,
-        caller: hosts::key(call.customer),
-        want: Want::Model(ModelWant {
+        key_hash: hosts::key(call.customer),
+        spec: RequestSpec::Model(ModelRequest {
             model: case.site.model.into(),
-            prompt: call.prompt,
-            output: call.most,
-            pieces: call.pieces.to_vec(),
+            prompt_tokens: call.prompt,
+            max_output: call.most,
+            prefix_hashes: call.pieces.to_vec(),
         }),
-        idem: None,
-        print: call.print,
+        idempotency_key: None,
+        fingerprint: call.print,
     }
 }
--- a/benches/policy/world/floor.rs
+++ b/benches/policy/world/floor.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use chiveway::core::effect::Open;
-use chiveway::core::event::Break;
+use chiveway::core::effect::OpenStream;
+use chiveway::core::event::AttemptFailure;
 use chiveway::core::fleet::ServingState;
 use chiveway::error::Ran;
 
@@ -17,9 +17,9 @@
 const IMPORT: u64 = 2;
 
 impl World<'_> {
-    pub(super) fn open(&mut self, host: usize, open: &Open) {
+    pub(super) fn open(&mut self, host: usize, open: &OpenStream) {
         let call = self.requests[&(host, open.request)];
-        let prefill = open.prefill.map(hosts::engine_at);
+        let prefill = open.prefill_addr.map(hosts::engine_at);
         let engine = hosts::engine_at(open.addr);
         let run = self.start(call, host, prefill, engine, open.priority);
         self.attempts.insert((host, open.attempt), run);
@@ -112,9 +112,9 @@
         if !self.engines[engine].takes(part) {
             self.release(run);
             let end = if self.engines[engine].state == State::Down {
-                Break::Unreachable
+                AttemptFailure::Unreachable
             } else {
-                Break::Refused
+                AttemptFailure::Refused
             };
             let host = self.runs[run].host;
             let ev = HostEv::Broke(run, Ran::No, end);
@@ -259,7 +259,7 @@
             if made > 1 && self.runs[run].key.is_some() {
                 self.tokens(run, 1, made - 1);
             }
-            let ev = HostEv::Broke(run, Ran::Yes, Break::Cut);
+            let ev = HostEv::Broke(run, Ran::Yes, AttemptFailure::Cut);
             self.push(self.now + HOP, Ev::Host(host, ev));
         }
     }
--- a/benches/policy/world/front.rs
+++ b/benches/policy/world/front.rs
@@ -1,7 +1,7 @@
 //! Hosts: the effects of their cores carried out, and events brought to them.
 
 use chiveway::core::effect::{Effect, Meter, Refusal};
-use chiveway::core::event::{Break, Event, PeerEvent, RequestEvent};
+use chiveway::core::event::{AttemptFailure, Event, PeerEvent, RequestEvent};
 use chiveway::core::key::{AttemptKey, HostKey, RequestKey};
 use chiveway::core::message::Message;
 use chiveway::core::{Effects, Time};
@@ -26,16 +26,16 @@
                     self.requests.insert((host, request), tag as usize);
                     self.callers[tag as usize].request = Some(request);
                 }
-                Effect::Open(open) => self.open(host, &open),
+                Effect::OpenStream(open) => self.open(host, &open),
                 Effect::Cancel(key) => self.cancelled(host, key),
                 Effect::Refuse { request, refusal } => self.refuse(host, request, &refusal),
                 Effect::Send { to, message } => self.send(host, to, message),
-                Effect::Wake { at, timer } => {
+                Effect::SetTimer { at, timer } => {
                     let at = at.micros().max(self.now);
                     self.push(at, Ev::Host(host, HostEv::Wake(timer)));
                 }
-                Effect::List => self.push(self.now + 2 * HOP, Ev::Host(host, HostEv::List)),
-                Effect::Load { addr, .. } => {
+                Effect::ReadListing => self.push(self.now + 2 * HOP, Ev::Host(host, HostEv::List)),
+                Effect::ReadLoad { addr, .. } => {
                     let engine = hosts::engine_at(addr);
                     self.push(self.now + 2 * HOP, Ev::Host(host, HostEv::Load(engine)));
                 }
@@ -107,7 +107,7 @@
         };
         self.first_token(call);
         if let Some(attempt) = self.runs[run].key {
-            let event = RequestEvent::Chunk {
+            let event = RequestEvent::StreamEvent {
                 attempt,
                 offset: skip + from,
                 tokens: u32::try_from(count).unwrap_or(u32::MAX),
@@ -123,12 +123,12 @@
         }
         if let Some(key) = self.runs[run].key {
             self.tokens(run, gaps + 1, 0);
-            self.reduce(host, Event::Request(RequestEvent::Whole(key)));
+            self.reduce(host, Event::Request(RequestEvent::StreamCompleted(key)));
         }
         self.answered(call, slow, gaps);
     }
 
-    pub(super) fn broke(&mut self, run: usize, ran: Ran, end: Break) {
+    pub(super) fn broke(&mut self, run: usize, ran: Ran, end: AttemptFailure) {
         let (call, host, key) = {
             let run = &self.runs[run];
             (run.call, run.host, run.key)
@@ -141,7 +141,7 @@
             }
             return;
         };
-        let event = RequestEvent::Broke {
+        let event = RequestEvent::AttemptFailed {
             attempt,
             ran,
             end,
@@ -152,7 +152,7 @@
 
     pub(super) fn refuse(&mut self, host: usize, request: RequestKey, refusal: &Refusal) {
         if let Some(call) = self.requests.remove(&(host, request)) {
-            self.refused(call, refusal.retry);
+            self.refused(call, refusal.retry_after);
         }
     }
 
--- a/benches/policy/world/mod.rs
+++ b/benches/policy/world/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 use chiveway::core::Core;
-use chiveway::core::event::{Break, Event, Role, Timer};
+use chiveway::core::event::{AttemptFailure, Event, Role, Timer};
 use chiveway::core::fleet::ServingState;
 use chiveway::core::key::{AttemptKey, RequestKey};
 use chiveway::error::Ran;
@@ -75,7 +75,7 @@
     Began(usize),
     First(usize),
     Last(usize, u64, u64),
-    Broke(usize, Ran, Break),
+    Broke(usize, Ran, AttemptFailure),
     Load(usize),
     List,
 }
--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::effect::Refusal;
-use super::event::Print;
+use super::event::Fingerprint;
 use super::key::BackendKey;
 use super::route::{self, FREE_STREAM_MARGIN, Need};
 use super::{Core, load};
@@ -28,7 +28,7 @@
 /// Returns [`Kind::NoEngine`] when no engine of the model takes work, and [`Kind::Overloaded`]
 /// when an answer would come later than wanted: such an answer is of no use to its caller and
 /// makes the next ones late, too.
-pub fn check(core: &mut Core, need: &Need, print: Print) -> Result<(), Refusal> {
+pub fn check(core: &mut Core, need: &Need, print: Fingerprint) -> Result<(), Refusal> {
     let Some(offer) = route::offer(core, need) else {
         return Err(Refusal::new(
             Kind::NoEngine,
@@ -38,7 +38,7 @@
     let Some(settings) = settings(core, need) else {
         return Ok(());
     };
-    let second = core.wall() / 1000;
+    let second = core.wall_ms() / 1000;
     let (patience, margin) = if is_due(print, second) {
         (DUE_MAX_WAIT_FRACTION, 0.0)
     } else {
@@ -61,7 +61,7 @@
         return Ok(());
     }
     count_refused_demand(core, offer.choice.engine, need);
-    Err(Refusal::new(Kind::Overloaded, detail).retry(retry_after(print, second)))
+    Err(Refusal::new(Kind::Overloaded, detail).with_retry_after(retry_after(print, second)))
 }
 
 /// Returns whether a request comes in its slot, or so little after it as clocks and networks
@@ -70,18 +70,18 @@
 /// Slots are how hosts that share nothing keep a promise: a refused caller is told to come back
 /// in the slot that its request's fingerprint names, and whichever host it then reaches takes it
 /// before those whose slot it is not. Hosts' clocks agree within a second.
-fn is_due(print: Print, second: u64) -> bool {
+fn is_due(print: Fingerprint, second: u64) -> bool {
     let slot = slot(print);
     second % RETRY_SLOTS == slot || (second + RETRY_SLOTS - 1) % RETRY_SLOTS == slot
 }
 
 /// Returns the time until a request's slot, at least a second.
-fn retry_after(print: Print, second: u64) -> Duration {
+fn retry_after(print: Fingerprint, second: u64) -> Duration {
     let ahead = (slot(print) + RETRY_SLOTS - second % RETRY_SLOTS) % RETRY_SLOTS;
     Duration::from_secs(if ahead == 0 { RETRY_SLOTS } else { ahead })
 }
 
-fn slot(print: Print) -> u64 {
+fn slot(print: Fingerprint) -> u64 {
     u64::from(print.0[0]) % RETRY_SLOTS
 }
 
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -5,8 +5,8 @@
     read_plans, write_head,
 };
 use crate::core::effect::{Effect, OperatorAnswer};
-use crate::core::event::{Edit, Health, Job, StoreResult, Which};
-use crate::core::key::AskKey;
+use crate::core::event::{Edit, Health, Job, ListKind, StoreResult};
+use crate::core::key::CommandKey;
 use crate::core::{Core, Effects};
 use crate::lists::{self, Chunk, Lists, Uses};
 use crate::store::{Compare, Op, Pair, Reply, Span, Txn, TxnReply};
@@ -21,7 +21,7 @@
 /// An edit on its way into the key-value service.
 #[derive(Debug)]
 pub struct Pending {
-    list: Which,
+    list: ListKind,
     head: Head,
     /// Revision of the key-value service at which the edited head stood; 0 for none.
     base_modified: i64,
@@ -39,10 +39,13 @@
 ///
 /// While the key-value service is known to be down, an edit is refused at once: nothing of it was
 /// sent, and an operator need not wait to learn that.
-pub fn apply(core: &mut Core, ask: AskKey, edit: &Edit, out: &mut Effects) {
+pub fn apply(core: &mut Core, ask: CommandKey, edit: &Edit, out: &mut Effects) {
     if core.members.store == Health::Down {
         let answer = OperatorAnswer::StoreDown;
-        out.push(Effect::Answer { ask, answer });
+        out.push(Effect::AnswerOperator {
+            command: ask,
+            answer,
+        });
         return;
     }
     match prepare(core, edit) {
@@ -50,7 +53,10 @@
             core.config.pending.insert(ask, pending);
             write_next(core, ask, out);
         }
-        Err(answer) => out.push(Effect::Answer { ask, answer }),
+        Err(answer) => out.push(Effect::AnswerOperator {
+            command: ask,
+            answer,
+        }),
     }
 }
 
@@ -58,16 +64,16 @@
     let current = &core.config.lists;
     // An edit on top of a head that is not in force here yet would be checked against the wrong
     // other list.
-    if edit.base != current.revision || core.config.newest_known() > current.revision {
+    if edit.base_revision != current.revision || core.config.newest_known() > current.revision {
         return Err(conflict(core, edit.list));
     }
     let mut lists = current.clone();
     let parsed = match edit.list {
-        Which::Plans => {
+        ListKind::Plans => {
             let parts = lists::chunks(&edit.text, MAX_CHUNK_BYTES);
             read_plans(&core.config, &parts).map(|plans| lists.plans = plans)
         }
-        Which::Uses => Uses::parse(&edit.text, "use").map(|uses| lists.uses = uses),
+        ListKind::Uses => Uses::parse(&edit.text, "use").map(|uses| lists.uses = uses),
     };
     parsed.map_err(|found| faults(&found))?;
     let found = lists::check(&lists.plans, &lists.uses);
@@ -130,11 +136,11 @@
     OperatorAnswer::Faults(lines.collect())
 }
 
-fn conflict(core: &Core, list: Which) -> OperatorAnswer {
+fn conflict(core: &Core, list: ListKind) -> OperatorAnswer {
     let lists = &core.config.lists;
     let text = match list {
-        Which::Plans => lists.plans.to_string(),
-        Which::Uses => lists.uses.to_string(),
+        ListKind::Plans => lists.plans.to_string(),
+        ListKind::Uses => lists.uses.to_string(),
     };
     OperatorAnswer::Conflict {
         revision: lists.revision,
@@ -143,7 +149,7 @@
 }
 
 /// Writes the next chunk, or swaps the head when all chunks are there.
-fn write_next(core: &mut Core, ask: AskKey, out: &mut Effects) {
+fn write_next(core: &mut Core, ask: CommandKey, out: &mut Effects) {
     let Some(pending) = core.config.pending.get(&ask) else {
         return;
     };
@@ -190,7 +196,7 @@
 }
 
 /// Goes on with an edit when the key-value service has answered.
-pub fn handle_reply(core: &mut Core, ask: AskKey, result: &StoreResult, out: &mut Effects) {
+pub fn handle_reply(core: &mut Core, ask: CommandKey, result: &StoreResult, out: &mut Effects) {
     let Some(pending) = core.config.pending.get_mut(&ask) else {
         return;
     };
@@ -225,7 +231,12 @@
 }
 
 /// Finds out what it means that another head stands where an edit was to go.
-fn resolve_conflict(core: &mut Core, ask: AskKey, theirs: Option<(Head, i64)>, out: &mut Effects) {
+fn resolve_conflict(
+    core: &mut Core,
+    ask: CommandKey,
+    theirs: Option<(Head, i64)>,
+    out: &mut Effects,
+) {
     let Some(pending) = core.config.pending.get_mut(&ask) else {
         return;
     };
@@ -268,7 +279,7 @@
 }
 
 /// Ends an edit whose head stands in the key-value service at this revision of it, if it does.
-fn finish(core: &mut Core, ask: AskKey, stands: Option<i64>, out: &mut Effects) {
+fn finish(core: &mut Core, ask: CommandKey, stands: Option<i64>, out: &mut Effects) {
     let Some(pending) = core.config.pending.remove(&ask) else {
         return;
     };
@@ -285,10 +296,16 @@
     } else {
         conflict(core, pending.list)
     };
-    out.push(Effect::Answer { ask, answer });
+    out.push(Effect::AnswerOperator {
+        command: ask,
+        answer,
+    });
 }
 
-fn close(core: &mut Core, ask: AskKey, answer: OperatorAnswer, out: &mut Effects) {
+fn close(core: &mut Core, ask: CommandKey, answer: OperatorAnswer, out: &mut Effects) {
     core.config.pending.remove(&ask);
-    out.push(Effect::Answer { ask, answer });
+    out.push(Effect::AnswerOperator {
+        command: ask,
+        answer,
+    });
 }
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -13,8 +13,8 @@
 use serde_json::{Value, json};
 
 use super::effect::{Effect, log_event};
-use super::event::{Job, StoreReply, StoreResult, Timer, Watched};
-use super::key::{AskKey, HostKey};
+use super::event::{Job, StoreReply, StoreResult, Timer, WatchedKey};
+use super::key::{CommandKey, HostKey};
 use super::message::Message;
 use super::{Core, Effects, member, share};
 use crate::lists::{self, Chunk, Index, Lists, Plans, Uses};
@@ -71,7 +71,7 @@
     /// Newest revision a peer has in force.
     peer_revision: u64,
     fetch_scheduled: bool,
-    pending: BTreeMap<AskKey, edit::Pending>,
+    pending: BTreeMap<CommandKey, edit::Pending>,
 }
 
 impl Config {
@@ -87,7 +87,7 @@
 }
 
 /// Takes in the head as the key-value service has it.
-pub fn watched(core: &mut Core, pair: &Watched, out: &mut Effects) {
+pub fn watched(core: &mut Core, pair: &WatchedKey, out: &mut Effects) {
     let Some(head) = pair.value.as_deref().and_then(parse_head) else {
         return;
     };
@@ -108,7 +108,7 @@
         core.config.peer_revision = revision;
         out.push(Effect::Send {
             to: from,
-            message: Message::Fetch(core.config.revision()),
+            message: Message::FetchLists(core.config.revision()),
         });
         schedule_fetch(core, out);
     }
@@ -117,9 +117,9 @@
 fn schedule_fetch(core: &mut Core, out: &mut Effects) {
     if !core.config.fetch_scheduled {
         core.config.fetch_scheduled = true;
-        out.push(Effect::Wake {
+        out.push(Effect::SetTimer {
             at: core.now.after(FETCH_INTERVAL),
-            timer: Timer::Fetch,
+            timer: Timer::FetchLists,
         });
     }
 }
@@ -141,7 +141,7 @@
     for to in ahead {
         out.push(Effect::Send {
             to,
-            message: Message::Fetch(have),
+            message: Message::FetchLists(have),
         });
     }
 }
--- a/src/core/effect.rs
+++ b/src/core/effect.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::event::{Job, Stored, Timer};
-use super::key::{AskKey, AttemptKey, HostKey, RequestKey};
+use super::event::{Job, StoredResponse, Timer};
+use super::key::{AttemptKey, CommandKey, HostKey, RequestKey};
 use super::message::Message;
 use super::relay::event::RelayEffect;
 use super::time::Time;
@@ -25,9 +25,9 @@
         id: Box<str>,
     },
     /// Send the request to an engine and stream its answer back as events.
-    Open(Open),
+    OpenStream(OpenStream),
     /// Send the request to a service.
-    Call {
+    CallService {
         /// The request.
         request: RequestKey,
         /// The attempt.
@@ -51,7 +51,7 @@
         /// The request.
         request: RequestKey,
         /// The answer.
-        result: Stored,
+        result: StoredResponse,
         /// The request that ran it, where that was an earlier one.
         first: Option<Box<str>>,
     },
@@ -70,7 +70,7 @@
         message: Message,
     },
     /// A peer is at this address; connect on the first message.
-    Peer {
+    AddPeer {
         /// The peer.
         host: HostKey,
         /// Its name, which it must prove.
@@ -79,7 +79,7 @@
         addr: SocketAddr,
     },
     /// A peer is gone; close its connection.
-    Unpeer(HostKey),
+    RemovePeer(HostKey),
     /// Close the connection to a peer; the next message opens a new one.
     Reconnect(HostKey),
     /// Read from the key-value service.
@@ -97,25 +97,25 @@
         txn: Txn,
     },
     /// Get a lease from the key-value service.
-    Grant {
+    GrantLease {
         /// What for.
         job: Job,
         /// Life of the lease.
         life: Duration,
     },
     /// Renew a lease.
-    Renew {
+    RenewLease {
         /// What for.
         job: Job,
         /// The lease.
         lease: i64,
     },
     /// Give a lease back.
-    Revoke(i64),
+    RevokeLease(i64),
     /// Read the platform's list.
-    List,
+    ReadListing,
     /// Read the load report of a back end.
-    Load {
+    ReadLoad {
         /// Name of the back end.
         name: Box<str>,
         /// Where it listens.
@@ -126,16 +126,16 @@
     /// Try to connect, to see whether a process listens there.
     Probe(SocketAddr),
     /// Ask for a timer event.
-    Wake {
+    SetTimer {
         /// When.
         at: Time,
         /// Which.
         timer: Timer,
     },
     /// Answer an operator's question.
-    Answer {
+    AnswerOperator {
         /// The question.
-        ask: AskKey,
+        command: CommandKey,
         /// The answer.
         answer: OperatorAnswer,
     },
@@ -144,18 +144,18 @@
     /// Write a log event.
     Log(LogEvent),
     /// Write a log event with fields.
-    Note(Note),
+    LogFields(LogFields),
     /// Something for relayed requests.
     Relay(RelayEffect),
     /// Close listeners: new connections go to other hosts.
-    Close,
+    CloseListeners,
     /// End the process in good order.
     Exit,
 }
 
 /// A stream to open at an engine.
 #[derive(Debug, Clone)]
-pub struct Open {
+pub struct OpenStream {
     /// The request.
     pub request: RequestKey,
     /// The attempt.
@@ -165,13 +165,13 @@
     /// Name of the attempt at the engine.
     pub label: Box<str>,
     /// Resume the attempt of this label from this offset.
-    pub resume: Option<u64>,
+    pub resume_from: Option<u64>,
     /// Tokens already delivered by an earlier attempt, which the engine is to continue from.
     pub delivered: u64,
     /// Priority at the engine; higher goes first.
     pub priority: u8,
     /// Prefill at this engine first and take its KV cache from there.
-    pub prefill: Option<SocketAddr>,
+    pub prefill_addr: Option<SocketAddr>,
 }
 
 /// Why a request gets no whole answer.
@@ -182,7 +182,7 @@
     /// Whether the request ran.
     pub ran: Ran,
     /// When to come back.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// One sentence about this case.
     pub detail: Box<str>,
 }
@@ -195,22 +195,22 @@
         Self {
             kind,
             ran: answer.ran,
-            retry: answer.retry,
+            retry_after: answer.retry,
             detail: detail.into(),
         }
     }
 
     /// Sets when to come back.
     #[must_use]
-    pub fn retry(mut self, retry: Duration) -> Self {
-        self.retry = Some(retry);
+    pub fn with_retry_after(mut self, retry: Duration) -> Self {
+        self.retry_after = Some(retry);
         self
     }
 
     /// Sets whether the request ran.
     #[must_use]
-    pub fn ran(mut self, ran: Ran) -> Self {
-        self.ran = ran;
+    pub fn with_ran(mut self, with_ran: Ran) -> Self {
+        self.ran = with_ran;
         self
     }
 }
@@ -225,13 +225,13 @@
     /// Fencing number of the holder.
     pub fence: u64,
     /// Number of the order under this fencing number.
-    pub order: u64,
+    pub number: u64,
     /// The holder's name, for the engine's log.
     pub holder: Box<str>,
     /// What to do.
     pub action: Action,
     /// The sender's right to send ends here; checked again just before the write.
-    pub until: Time,
+    pub valid_until: Time,
 }
 
 /// What an order tells an engine to do.
@@ -255,7 +255,7 @@
     /// No host has a record of the request.
     NoRecord {
         /// Why not: never seen, aged out, or the hosts that had it are gone.
-        why: Box<str>,
+        reason: Box<str>,
     },
     /// The edit is accepted under this revision.
     Accepted(u64),
@@ -278,7 +278,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Meter {
     /// A request ended.
-    Ended {
+    RequestEnded {
         /// Model or service.
         class: Box<str>,
         /// Customer.
@@ -286,10 +286,10 @@
         /// Code of the outcome.
         outcome: &'static str,
         /// From arrival to the end.
-        lasted: Duration,
+        duration: Duration,
     },
     /// The first token was passed on.
-    First {
+    FirstToken {
         /// Model.
         class: Box<str>,
         /// Customer.
@@ -298,7 +298,7 @@
         after: Duration,
     },
     /// Another token was passed on.
-    Between {
+    TokenGap {
         /// Model.
         class: Box<str>,
         /// Since the one before.
@@ -317,7 +317,7 @@
         class: Box<str>,
     },
     /// An order was given.
-    Ordered {
+    OrderSent {
         /// Pool.
         pool: Box<str>,
     },
@@ -336,7 +336,7 @@
 
 /// A structured log event whose values are fields.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Note {
+pub struct LogFields {
     /// Level.
     pub level: log::Level,
     /// Name of the event, dotted.
--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::key::{AskKey, AttemptKey, HostKey, PoolKey, RequestKey, ShardKey};
+use super::key::{AttemptKey, CommandKey, HostKey, PoolKey, RequestKey, ShardKey};
 use super::message::Message;
 use super::relay::event::RelayEvent;
 use super::relay::{RelayJob, RelayTimer};
@@ -37,11 +37,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// Send beats to peers and check on them.
-    Beat,
+    Heartbeat,
     /// Renew this host's registration.
     Register,
     /// Fetch lists that are known to be newer.
-    Fetch,
+    FetchLists,
     /// Read the platform's list.
     Listing,
     /// Read the back ends' load reports.
@@ -59,7 +59,7 @@
     /// Copy records to peers.
     Traces,
     /// An operator's question has waited long enough.
-    Ask(AskKey),
+    Command(CommandKey),
     /// The planned stop has reached its bound.
     Stop,
     /// A part of the relay asked for it.
@@ -72,44 +72,44 @@
     /// Number by which the adapter knows the request until it has a key.
     pub tag: u64,
     /// Hash of the customer's key.
-    pub caller: KeyHash,
+    pub key_hash: KeyHash,
     /// What the request is for.
-    pub want: Want,
+    pub spec: RequestSpec,
     /// The caller's idempotency key.
-    pub idem: Option<Box<str>>,
+    pub idempotency_key: Option<Box<str>>,
     /// First half of the BLAKE3 hash of target and body.
-    pub print: Print,
+    pub fingerprint: Fingerprint,
 }
 
 /// Fingerprint of a request's target and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct Print(pub [u8; 16]);
+pub struct Fingerprint(pub [u8; 16]);
 
 /// What a request is for.
 #[derive(Debug, Clone)]
-pub enum Want {
+pub enum RequestSpec {
     /// A completion.
-    Model(ModelWant),
+    Model(ModelRequest),
     /// A call of a plain service.
-    Service(ServiceWant),
+    Service(ServiceRequest),
 }
 
 /// A completion that a caller wants.
 #[derive(Debug, Clone)]
-pub struct ModelWant {
+pub struct ModelRequest {
     /// Model name.
     pub model: Box<str>,
     /// Estimated prompt tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens to generate.
-    pub output: u32,
+    pub max_output: u32,
     /// Hashes of the prompt's pieces, each over everything up to its end.
-    pub pieces: Vec<u64>,
+    pub prefix_hashes: Vec<u64>,
 }
 
 /// A service call that a caller wants.
 #[derive(Debug, Clone)]
-pub struct ServiceWant {
+pub struct ServiceRequest {
     /// Service name.
     pub service: Box<str>,
     /// HTTP method, upper case.
@@ -124,13 +124,13 @@
     /// A caller sent a request.
     Arrived(Box<Arrival>),
     /// The caller closed its connection.
-    Left(RequestKey),
+    CallerLeft(RequestKey),
     /// The engine or service took the request and began to answer.
     Began(AttemptKey),
     /// The caller does not take what came; nothing more is read until it does.
-    Held(AttemptKey),
+    DeliveryBlocked(AttemptKey),
     /// A piece of the answer arrived: tokens from `offset` on.
-    Chunk {
+    StreamEvent {
         /// The attempt it came in on.
         attempt: AttemptKey,
         /// Position of the first token of the piece in the whole answer.
@@ -139,22 +139,22 @@
         tokens: u32,
     },
     /// The end marker arrived: the answer is whole.
-    Whole(AttemptKey),
+    StreamCompleted(AttemptKey),
     /// The service's whole answer arrived.
     Answered {
         /// The attempt it came in on.
         attempt: AttemptKey,
         /// The answer.
-        result: Stored,
+        result: StoredResponse,
     },
     /// The attempt ended without a whole answer.
-    Broke {
+    AttemptFailed {
         /// The attempt.
         attempt: AttemptKey,
         /// Whether the back end ran the request.
         ran: Ran,
         /// How it ended.
-        end: Break,
+        end: AttemptFailure,
         /// What the adapter saw, for the explanation.
         detail: Box<str>,
     },
@@ -162,7 +162,7 @@
 
 /// How an attempt ended without a whole answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Break {
+pub enum AttemptFailure {
     /// No connection could be opened.
     Unreachable,
     /// The back end refused before it started.
@@ -179,11 +179,11 @@
 
 /// The answer of a service, as it is kept for repeats.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Stored {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
-    pub media: Box<str>,
+    pub content_type: Box<str>,
     /// Body.
     pub body: Box<[u8]>,
 }
@@ -206,7 +206,7 @@
 #[derive(Debug, Clone)]
 pub enum StoreEvent {
     /// Watched keys have these values now; keys are without the deployment's prefix.
-    Watched(Vec<Watched>),
+    Watched(Vec<WatchedKey>),
     /// A job ended.
     Reply(StoreReply),
     /// The service began to answer, or stopped answering.
@@ -224,7 +224,7 @@
 
 /// A watched key.
 #[derive(Debug, Clone)]
-pub struct Watched {
+pub struct WatchedKey {
     /// Key without the deployment's prefix and the watched folder.
     pub key: Box<str>,
     /// Value; `None` when the key is gone.
@@ -239,17 +239,17 @@
     /// Register this host; numbered by the try.
     Register(u64),
     /// Put new lists in force for an operator.
-    Apply(AskKey),
+    Apply(CommandKey),
     /// Read the chunks of new lists, for this revision.
     Chunk(u64),
     /// Read or write a shard of records; numbered, since shards move away and back.
     Record(ShardKey, u64),
     /// Write explanations, or get the lease they go with.
-    Segment,
+    WriteSegment,
     /// Read explanations for the question of this number.
-    Find(u64),
+    ReadSegments(u64),
     /// Take, renew or give back the authority over a pool.
-    Holder(PoolKey),
+    Authority(PoolKey),
     /// Read or write the intended orders of a pool.
     Intent(PoolKey),
     /// Write the routing state of a pool.
@@ -299,24 +299,24 @@
         /// Where.
         addr: SocketAddr,
         /// What it met.
-        probe: Probe,
+        result: ProbeResult,
     },
     /// An order was answered.
-    Ordered {
+    OrderAnswered {
         /// Name of the engine.
         name: Box<str>,
         /// Fencing number the order carried.
         fence: u64,
         /// Number of the order.
-        order: u64,
+        number: u64,
         /// What came of it.
-        result: Ordered,
+        result: OrderResult,
     },
 }
 
 /// What a try to connect met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeResult {
     /// No process listens there.
     Refused,
     /// A process listens there, or nothing is known.
@@ -325,7 +325,7 @@
 
 /// What came of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderResult {
     /// The engine carried it out.
     Done,
     /// The engine knows a higher fencing number.
@@ -379,7 +379,7 @@
 impl Role {
     /// Returns the role's name in protocols and documents.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::Both => "both",
             Self::Prefill => "prefill",
@@ -389,9 +389,9 @@
 
     /// Returns the role of that name.
     #[must_use]
-    pub fn from_word(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         let all = [Self::Both, Self::Prefill, Self::Decode];
-        all.into_iter().find(|role| role.word() == word)
+        all.into_iter().find(|role| role.name() == word)
     }
 }
 
@@ -403,11 +403,11 @@
     /// Requests waiting.
     pub waiting: u32,
     /// Prompt tokens waiting to be prefilled.
-    pub prefill: u64,
+    pub queued_prefill: u64,
     /// Role the engine has.
     pub role: Role,
     /// Age that the engine gives for its figures, in milliseconds.
-    pub age: u32,
+    pub age_ms: u32,
     /// Whether a change is under way there.
     pub changing: bool,
     /// Highest fencing number it has seen; 0 for none.
@@ -422,14 +422,14 @@
     /// What became of a request.
     Explain {
         /// Question.
-        ask: AskKey,
+        command: CommandKey,
         /// Request id.
         id: Box<str>,
     },
     /// Put a list in force.
     Apply {
         /// Question.
-        ask: AskKey,
+        command: CommandKey,
         /// The edit.
         edit: Edit,
     },
@@ -439,16 +439,16 @@
 #[derive(Debug, Clone)]
 pub struct Edit {
     /// Which list.
-    pub list: Which,
+    pub list: ListKind,
     /// Whole new text.
     pub text: Box<str>,
     /// Revision that was edited.
-    pub base: u64,
+    pub base_revision: u64,
 }
 
 /// One of the two lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Which {
+pub enum ListKind {
     /// The customers' plans.
     Plans,
     /// What each plan may use.
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -254,19 +254,19 @@
 /// Reads the list or the reports.
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
     let every = if timer == Timer::Listing {
-        out.push(Effect::List);
+        out.push(Effect::ReadListing);
         send_listing(core, out);
         core.settings.platform.refresh
     } else {
         let engines = core.fleet.arena.values();
         let engines = engines.filter(|backend| backend.kind == EntryKind::Engine);
-        out.extend(engines.map(|engine| Effect::Load {
+        out.extend(engines.map(|engine| Effect::ReadLoad {
             name: engine.name.clone(),
             addr: engine.addr,
         }));
         REPORT_INTERVAL
     };
-    out.push(Effect::Wake {
+    out.push(Effect::SetTimer {
         at: core.now.after(every),
         timer,
     });
@@ -285,11 +285,14 @@
                 }
             }
         }
-        FleetEvent::Probed { addr, probe } => order::probed(core, addr, probe),
-        FleetEvent::Ordered {
+        FleetEvent::Probed {
+            addr,
+            result: probe,
+        } => order::probed(core, addr, probe),
+        FleetEvent::OrderAnswered {
             name,
             fence,
-            order,
+            number: order,
             result,
         } => order::order_answered(core, &name, fence, order, result, out),
     }
@@ -353,7 +356,7 @@
     };
     let age = u64::try_from(now.since(read).as_millis()).unwrap_or(u64::MAX);
     let listing = Listing {
-        age,
+        age_ms: age,
         leaving: fleet
             .leaving_backends
             .iter()
@@ -374,7 +377,7 @@
 pub fn receive_listing(core: &mut Core, from: HostKey, listing: &Listing, out: &mut Effects) {
     let own = core.fleet.read_at;
     let own = own.map_or(u128::MAX, |read| core.now.since(read).as_millis());
-    if u128::from(listing.age) >= own {
+    if u128::from(listing.age_ms) >= own {
         return;
     }
     let fleet = &mut core.fleet;
--- a/src/core/key.rs
+++ b/src/core/key.rs
@@ -15,7 +15,7 @@
 
 /// An operator's question that waits for an answer; numbered by the adapter that put it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AskKey(pub u64);
+pub struct CommandKey(pub u64);
 
 /// A shard of the records of calls that may not repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -10,7 +10,7 @@
 use super::event::Role;
 use super::fleet::Backend;
 use super::key::{BackendKey, HostKey};
-use super::message::{Message, Sent};
+use super::message::{Message, SentPrompt};
 use super::{Core, Effects, Time};
 use crate::settings::PoolSettings;
 
@@ -83,9 +83,9 @@
     let Some((read, report)) = &engine.report else {
         return known;
     };
-    let age = now.since(*read).as_secs_f64() + f64::from(report.age) / 1000.0;
+    let age = now.since(*read).as_secs_f64() + f64::from(report.age_ms) / 1000.0;
     let worth = 0.5_f64.powf(age / REPORT_HALF_LIFE_SECS);
-    known + worth * (report.prefill as f64 - known).max(0.0)
+    known + worth * (report.queued_prefill as f64 - known).max(0.0)
 }
 
 /// Returns whether an engine keeps a prompt waiting for more than a part of the wanted time, or
@@ -119,7 +119,7 @@
 pub fn is_untried(core: &Core, key: BackendKey) -> bool {
     let engine = &core.fleet.arena[key];
     let idle = |(read, report): &(Time, super::event::Report)| {
-        let age = core.now.since(*read) + Duration::from_millis(u64::from(report.age));
+        let age = core.now.since(*read) + Duration::from_millis(u64::from(report.age_ms));
         report.waiting == 0 && age <= MAX_REPORT_AGE
     };
     let unused = core.now.since(engine.measured.last_sent) >= UNTRIED_AFTER;
@@ -141,25 +141,25 @@
         return;
     }
     let prompt = std::mem::take(&mut engine.measured.unsent);
-    let sent = Sent {
+    let sent = SentPrompt {
         engine: engine.name_hash,
-        prompt: u32::try_from(prompt).unwrap_or(u32::MAX),
+        prompt_tokens: u32::try_from(prompt).unwrap_or(u32::MAX),
     };
     out.extend(core.members.peers().map(|to| Effect::Send {
         to,
-        message: Message::Sent(sent),
+        message: Message::SentPrompt(sent),
     }));
 }
 
 /// Takes in what another host sent to an engine.
-pub fn receive_sent(core: &mut Core, sent: Sent) {
+pub fn receive_sent(core: &mut Core, sent: SentPrompt) {
     let engines = core.fleet.arena.iter();
     let engine = engines
         .filter(|(_, engine)| engine.name_hash == sent.engine)
         .map(|(key, _)| key)
         .next();
     if let Some(key) = engine {
-        enqueue(core, key, u64::from(sent.prompt));
+        enqueue(core, key, u64::from(sent.prompt_tokens));
     }
 }
 
@@ -181,7 +181,7 @@
         .collect();
     out.extend(core.members.peers().map(|to| Effect::Send {
         to,
-        message: Message::Running(streams.clone()),
+        message: Message::StreamCounts(streams.clone()),
     }));
 }
 
--- a/src/core/member/heartbeat.rs
+++ b/src/core/member/heartbeat.rs
@@ -4,7 +4,7 @@
 
 use crate::core::effect::Effect;
 use crate::core::key::HostKey;
-use crate::core::message::{Beat, Message, View};
+use crate::core::message::{Heartbeat, Message, View};
 use crate::core::{Core, Effects, config, once, poison, share};
 
 /// Time between two beats to a peer.
@@ -20,7 +20,7 @@
 /// Sends a beat to every peer at once, out of turn.
 pub fn send_heartbeats(core: &mut Core, out: &mut Effects) {
     let revision = core.config.revision();
-    let stopping = core.stop.begun();
+    let stopping = core.stop.is_stopping();
     let (mut views, hosts) = (share::recent_views(core), share::host_count(core));
     let newest = if views.is_empty() {
         View::default()
@@ -40,26 +40,26 @@
             out.push(Effect::Reconnect(to));
         }
         peer.last_sent = number;
-        let beat = Beat {
+        let beat = Heartbeat {
             number: peer.last_sent,
             echo: peer.heartbeat.number,
-            view: newest.hash,
-            settled: newest.age,
+            view_hash: newest.hash,
+            view_age_ms: newest.age_ms,
             revision,
             stopping,
             views: views.clone(),
-            pledged: u64::try_from(pledged.as_millis()).unwrap_or(u64::MAX),
+            pledged_ms: u64::try_from(pledged.as_millis()).unwrap_or(u64::MAX),
             hosts,
         };
         out.push(Effect::Send {
             to,
-            message: Message::Beat(beat),
+            message: Message::Heartbeat(beat),
         });
     }
 }
 
 /// Takes in a peer's beat.
-pub fn handle_heartbeat(core: &mut Core, from: HostKey, beat: &Beat, out: &mut Effects) {
+pub fn handle_heartbeat(core: &mut Core, from: HostKey, beat: &Heartbeat, out: &mut Effects) {
     let peer = &mut core.members.arena[from];
     if beat.number <= peer.heartbeat.number {
         return;
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -11,9 +11,9 @@
 use slotmap::SlotMap;
 
 use super::effect::{Effect, log_event};
-use super::event::{Health, Job, PeerEvent, StoreReply, StoreResult, Timer, Watched};
+use super::event::{Health, Job, PeerEvent, StoreReply, StoreResult, Timer, WatchedKey};
 use super::key::HostKey;
-use super::message::Beat;
+use super::message::Heartbeat;
 use super::{Core, Effects, Time, load, once, order, share};
 use crate::settings::HostSettings;
 use crate::store::{Op, Txn};
@@ -41,7 +41,7 @@
     /// When it was last heard.
     pub last_seen: Option<Time>,
     /// Its last beat.
-    pub heartbeat: Beat,
+    pub heartbeat: Heartbeat,
     /// Number of the last beat sent to it.
     pub last_sent: u64,
     /// Number of the first beat sent on the present connection.
@@ -267,18 +267,18 @@
 
 /// Starts beats and registration.
 pub fn start(core: &mut Core, out: &mut Effects) {
-    wake(core, Timer::Beat, heartbeat::HEARTBEAT_INTERVAL, out);
+    wake(core, Timer::Heartbeat, heartbeat::HEARTBEAT_INTERVAL, out);
     register(core, out);
 }
 
 /// Sends beats, or goes on with the registration.
 pub fn timer(core: &mut Core, timer: Timer, out: &mut Effects) {
     match timer {
-        Timer::Beat => {
+        Timer::Heartbeat => {
             share::check_pledges(core);
             send_heartbeats(core, out);
             load::send_streams(core, out);
-            wake(core, Timer::Beat, heartbeat::HEARTBEAT_INTERVAL, out);
+            wake(core, Timer::Heartbeat, heartbeat::HEARTBEAT_INTERVAL, out);
         }
         Timer::Register => register(core, out),
         _ => {}
@@ -286,7 +286,7 @@
 }
 
 fn wake(core: &Core, timer: Timer, after: Duration, out: &mut Effects) {
-    out.push(Effect::Wake {
+    out.push(Effect::SetTimer {
         at: core.now.after(after),
         timer,
     });
@@ -301,17 +301,17 @@
 
 /// Gets a lease if there is none, renews it otherwise.
 fn request_lease(core: &mut Core, out: &mut Effects) {
-    if core.stop.begun() {
+    if core.stop.is_stopping() {
         return;
     }
     core.members.last_round += 1;
     let job = Job::Register(core.members.last_round);
     let life = core.settings.platform.lease;
     if core.members.lease == 0 {
-        out.push(Effect::Grant { job, life });
+        out.push(Effect::GrantLease { job, life });
     } else {
         let lease = core.members.lease;
-        out.push(Effect::Renew { job, lease });
+        out.push(Effect::RenewLease { job, lease });
     }
 }
 
@@ -367,12 +367,12 @@
 pub fn unregister(core: &mut Core, out: &mut Effects) {
     let lease = std::mem::take(&mut core.members.lease);
     if lease != 0 {
-        out.push(Effect::Revoke(lease));
+        out.push(Effect::RevokeLease(lease));
     }
 }
 
 /// Takes in a change of one host's registration.
-pub fn watched(core: &mut Core, name: &str, pair: &Watched, out: &mut Effects) {
+pub fn watched(core: &mut Core, name: &str, pair: &WatchedKey, out: &mut Effects) {
     let entry = pair
         .value
         .as_deref()
@@ -416,7 +416,7 @@
     let host = core.members.arena.insert(entry);
     core.members.names.insert(name.clone(), host);
     order::joined(core, &name);
-    out.push(Effect::Peer { host, name, addr });
+    out.push(Effect::AddPeer { host, name, addr });
 }
 
 fn remove_peer(core: &mut Core, name: &str, out: &mut Effects) {
@@ -428,7 +428,7 @@
         order::left(core, name);
         let text = format!("host {name} left");
         out.push(log_event(log::Level::Info, "host.left", text));
-        out.push(Effect::Unpeer(key));
+        out.push(Effect::RemovePeer(key));
     }
 }
 
@@ -446,7 +446,7 @@
         domain: value["domain"].as_str()?.into(),
         incarnation: value["incarnation"].as_u64()?,
         last_seen: None,
-        heartbeat: Beat::default(),
+        heartbeat: Heartbeat::default(),
         last_sent: 0,
         connection_start: 0,
     })
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -1,13 +1,13 @@
 //! Messages between hosts, in the core's own types.
 
-use super::event::{Print, Stored};
+use super::event::{Fingerprint, StoredResponse};
 use super::trace::Record;
 
 /// One message.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
     /// The sender is there.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Asks the home of a plan's share for a part of it.
     Borrow(Borrow),
     /// Answers [`Message::Borrow`].
@@ -33,16 +33,16 @@
         durable: bool,
     },
     /// Copies of records for safe keeping.
-    Traces(Vec<Record>),
+    TraceCopies(Vec<Record>),
     /// Asks for the record of a request.
-    Ask {
+    TraceQuery {
         /// Number of the question.
         round: u64,
         /// Request id.
         id: Box<str>,
     },
-    /// Answers [`Message::Ask`].
-    Told {
+    /// Answers [`Message::TraceQuery`].
+    TraceReply {
         /// Number of the question.
         round: u64,
         /// The record, where the peer has it.
@@ -51,8 +51,8 @@
         since: u64,
     },
     /// Asks for the lists in force at the peer if newer than this revision.
-    Fetch(u64),
-    /// Answers [`Message::Fetch`].
+    FetchLists(u64),
+    /// Answers [`Message::FetchLists`].
     Lists {
         /// Revision.
         revision: u64,
@@ -66,10 +66,10 @@
     /// Work the sender took in for a pool.
     Demand(Demand),
     /// Prompts the sender sent to an engine.
-    Sent(Sent),
+    SentPrompt(SentPrompt),
     /// The sender's streams at each engine where it has any: low half of the hash of the
     /// engine's name, and count.
-    Running(Vec<(u32, u32)>),
+    StreamCounts(Vec<(u32, u32)>),
     /// Back ends that are leaving by the platform's list.
     Listing(Listing),
     /// An engine died while this request ran on it.
@@ -78,15 +78,15 @@
 
 /// See the protocol's definition of the fields.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Counts beats to this peer.
     pub number: u64,
     /// Last number received from this peer.
     pub echo: u64,
     /// Hash of the member set the sender acts on.
-    pub view: u64,
+    pub view_hash: u64,
     /// Milliseconds the sender has been at that view; more where no other came before it.
-    pub settled: u64,
+    pub view_age_ms: u64,
     /// Revision of the lists in force at the sender.
     pub revision: u64,
     /// The sender is shutting down.
@@ -94,7 +94,7 @@
     /// Views the sender acted on before, newest first, while they may still matter.
     pub views: Vec<View>,
     /// Milliseconds the sender has let the recipient lend the sender's part of each share.
-    pub pledged: u64,
+    pub pledged_ms: u64,
     /// Hosts that may be alive, as far as the sender knows.
     pub hosts: u32,
 }
@@ -105,7 +105,7 @@
     /// Hash of the names and incarnations.
     pub hash: u64,
     /// Milliseconds since the sender began to act on it.
-    pub age: u64,
+    pub age_ms: u64,
 }
 
 /// Wishes for loans, sent to the home of their plans' shares.
@@ -114,12 +114,12 @@
     /// Number of the question.
     pub round: u64,
     /// One wish a plan.
-    pub wishes: Vec<Wish>,
+    pub loan_requests: Vec<LoanRequest>,
 }
 
 /// Wish for a loan of one plan's share; see the protocol's definition of the fields.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Wish {
+pub struct LoanRequest {
     /// Plan.
     pub plan: Box<str>,
     /// Requests wanted.
@@ -129,15 +129,15 @@
     /// Places for running requests wanted.
     pub running: u32,
     /// Tokens without which the first waiting request cannot go.
-    pub least: f64,
+    pub min_tokens: f64,
     /// Requests waiting for the answer.
     pub waiting: u32,
     /// Places that the sender has, used or idle.
     pub held: u32,
     /// Requests given back.
-    pub back_requests: f64,
+    pub returned_requests: f64,
     /// Tokens given back.
-    pub back_tokens: f64,
+    pub returned_tokens: f64,
 }
 
 /// Answer to [`Borrow`].
@@ -146,7 +146,7 @@
     /// Number of the question.
     pub round: u64,
     /// Life in milliseconds from when the question was sent.
-    pub life: u32,
+    pub ttl_ms: u32,
     /// One loan a wish.
     pub loans: Vec<Loan>,
 }
@@ -163,7 +163,7 @@
     /// Places for running requests lent.
     pub running: u32,
     /// If nothing was lent: milliseconds until it is worth asking again.
-    pub wait: u32,
+    pub retry_ms: u32,
 }
 
 /// Start of a call that may not repeat.
@@ -176,7 +176,7 @@
     /// Idempotency key.
     pub key: Box<str>,
     /// Fingerprint of the call.
-    pub print: Print,
+    pub fingerprint: Fingerprint,
     /// Request id.
     pub request: Box<str>,
 }
@@ -187,7 +187,7 @@
     /// It was recorded just now: run it.
     Started,
     /// It ran; this is its answer.
-    Done(Stored),
+    Done(StoredResponse),
     /// It is running.
     Running,
     /// It may have run and will not be run again.
@@ -223,7 +223,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DoneState {
     /// With this answer.
-    Result(Stored),
+    Result(StoredResponse),
     /// It surely did not run; the key may be used again.
     NotRun,
     /// It may have run.
@@ -247,27 +247,27 @@
     /// Pool.
     pub pool: Box<str>,
     /// Prompt tokens a second over the last period.
-    pub prompt: f64,
+    pub prompt_rate: f64,
     /// Output tokens a second over the last period.
-    pub output: f64,
+    pub output_rate: f64,
     /// Requests a second refused for want of engines over the last period.
-    pub refused: f64,
+    pub refusal_rate: f64,
 }
 
 /// Prompts that a host has sent to an engine since it last told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentPrompt {
     /// Low half of the hash of the engine's name.
     pub engine: u32,
     /// Prompt tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
 }
 
 /// Back ends that the platform's list calls leaving, or no longer names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
     /// Milliseconds since the sender read the list.
-    pub age: u64,
+    pub age_ms: u64,
     /// Names.
     pub leaving: Vec<Box<str>>,
 }
@@ -276,11 +276,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
     /// Fingerprint of the request.
-    pub print: Print,
+    pub fingerprint: Fingerprint,
     /// Engine that died.
     pub engine: Box<str>,
     /// When; milliseconds since the Unix epoch.
-    pub at: u64,
+    pub at_ms: u64,
     /// Request id.
     pub request: Box<str>,
     /// Whether the engine had begun to answer it.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -47,7 +47,7 @@
     /// Time of the event in hand.
     pub now: Time,
     /// Milliseconds since the Unix epoch at [`Time`] zero.
-    pub epoch: u64,
+    pub epoch_ms: u64,
     /// Source of all random choices.
     pub rng: SmallRng,
     /// The lists in force.
@@ -89,7 +89,7 @@
             orders: order::Orders::new(&settings),
             settings,
             now,
-            epoch,
+            epoch_ms: epoch,
             rng: SmallRng::seed_from_u64(seed),
             config: config::Config::default(),
             requests: request::Requests::default(),
@@ -103,8 +103,8 @@
 
     /// Returns the wall clock at the event in hand, in milliseconds since the Unix epoch.
     #[must_use]
-    pub fn wall(&self) -> u64 {
-        self.epoch + self.now.millis()
+    pub fn wall_ms(&self) -> u64 {
+        self.epoch_ms + self.now.millis()
     }
 
     /// Takes in one event and appends its effects to `out`.
@@ -140,14 +140,14 @@
     fn timer(&mut self, timer: event::Timer, out: &mut Effects) {
         use event::Timer;
         match timer {
-            Timer::Beat | Timer::Register => member::timer(self, timer, out),
-            Timer::Fetch => config::timer(self, out),
+            Timer::Heartbeat | Timer::Register => member::timer(self, timer, out),
+            Timer::FetchLists => config::timer(self, out),
             Timer::Listing | Timer::Reports => fleet::timer(self, timer, out),
             Timer::Request(_) | Timer::Silence(_) => request::timer(self, timer, out),
             Timer::Shares => share::timer(self, out),
             Timer::Once => once::timer(self, out),
             Timer::Orders => order::timer(self, out),
-            Timer::Traces | Timer::Ask(_) => trace::timer(self, timer, out),
+            Timer::Traces | Timer::Command(_) => trace::timer(self, timer, out),
             Timer::Stop => stop::timer(self, out),
             Timer::Relay(timer) => relay::timer(self, timer, out),
         }
@@ -156,22 +156,24 @@
     fn store(&mut self, event: event::StoreEvent, out: &mut Effects) {
         use event::{Job, StoreEvent};
         match event {
-            StoreEvent::Watched(pairs) => self.watched(pairs, out),
+            StoreEvent::Watched(pairs) => self.dispatch_watched(pairs, out),
             StoreEvent::Health(up) => member::handle_health(self, up, out),
             StoreEvent::Reply(reply) => match reply.job {
                 Job::Register(_) => member::reply(self, &reply, out),
                 Job::Apply(_) | Job::Chunk(_) => config::reply(self, reply, out),
                 Job::Record(..) => once::reply(self, reply, out),
-                Job::Segment => trace::written(self, &reply, out),
-                Job::Find(round) => trace::found(self, round, reply, out),
-                Job::Holder(_) | Job::Intent(_) | Job::Route(_) => order::reply(self, reply, out),
+                Job::WriteSegment => trace::written(self, &reply, out),
+                Job::ReadSegments(round) => trace::found(self, round, reply, out),
+                Job::Authority(_) | Job::Intent(_) | Job::Route(_) => {
+                    order::reply(self, reply, out)
+                }
                 Job::Relay(job, ended) => relay::reply(self, job, ended, &reply, out),
             },
         }
     }
 
     /// Hands each watched key to the part that its first word belongs to.
-    fn watched(&mut self, pairs: Vec<event::Watched>, out: &mut Effects) {
+    fn dispatch_watched(&mut self, pairs: Vec<event::WatchedKey>, out: &mut Effects) {
         let mut moved = false;
         for pair in pairs {
             let Some((word, rest)) = pair.key.split_once('/') else {
@@ -196,8 +198,8 @@
     fn operator(&mut self, event: event::OperatorEvent, out: &mut Effects) {
         use event::OperatorEvent;
         match event {
-            OperatorEvent::Explain { ask, id } => trace::explain(self, ask, &id, out),
-            OperatorEvent::Apply { ask, edit } => config::apply(self, ask, &edit, out),
+            OperatorEvent::Explain { command, id } => trace::explain(self, command, &id, out),
+            OperatorEvent::Apply { command, edit } => config::apply(self, command, &edit, out),
         }
     }
 }
--- a/src/core/once/ask.rs
+++ b/src/core/once/ask.rs
@@ -5,7 +5,7 @@
 use super::owner::{self, QueuedOp};
 use super::{PendingOp, RecordOp, SWEEP_INTERVAL, remote_owner, schedule_check};
 use crate::core::effect::{Effect, Refusal};
-use crate::core::event::Stored;
+use crate::core::event::StoredResponse;
 use crate::core::key::{HostKey, RequestKey};
 use crate::core::message::{Begin, BeginState, Done, DoneState};
 use crate::core::request::{self, Phase};
@@ -38,14 +38,14 @@
         round,
         customer: request.record.customer.clone(),
         key: request.idempotency_key.clone().unwrap_or_default(),
-        print: request.fingerprint,
+        fingerprint: request.fingerprint,
         request: request.record.id.clone(),
     });
     submit(core, round, Some(key), wish, out);
 }
 
 /// Asks for the record of a call's answer; the caller is answered once it is kept.
-pub fn finish(core: &mut Core, key: RequestKey, result: Stored, out: &mut Effects) {
+pub fn finish(core: &mut Core, key: RequestKey, result: StoredResponse, out: &mut Effects) {
     let kept = if result.body.len() > MAX_RESULT_BYTES {
         oversized_placeholder(result.status)
     } else {
@@ -56,11 +56,11 @@
 }
 
 /// Returns the note that stands for an answer too long to keep.
-pub(super) fn oversized_placeholder(status: u16) -> Stored {
+pub(super) fn oversized_placeholder(status: u16) -> StoredResponse {
     let text = "{\"title\":\"The call ran; its answer was too long to be kept for a repeat.\"}";
-    Stored {
+    StoredResponse {
         status,
-        media: PROBLEM_MEDIA.into(),
+        content_type: PROBLEM_MEDIA.into(),
         body: text.as_bytes().into(),
     }
 }
@@ -304,7 +304,7 @@
         }
         state => apply_state(core, round, state, first, out),
     }
-    stop::look(core, out);
+    stop::finish_if_idle(core, out);
 }
 
 /// Goes on with a call whose record is known.
@@ -334,7 +334,7 @@
     match state {
         // The first request may still be given up before it is sent.
         BeginState::Running => {
-            Refusal::new(Kind::StillRunning, format!("it runs as {first}")).ran(Ran::Unknown)
+            Refusal::new(Kind::StillRunning, format!("it runs as {first}")).with_ran(Ran::Unknown)
         }
         BeginState::MayHaveRun => {
             Refusal::new(Kind::MayHaveRun, format!("{first} may have run it"))
@@ -362,7 +362,7 @@
     if let Some(key) = asked.and_then(|asked| asked.request) {
         deliver_result(core, key, out);
     }
-    stop::look(core, out);
+    stop::finish_if_idle(core, out);
 }
 
 /// Gives the caller the answer of its call.
--- a/src/core/once/mod.rs
+++ b/src/core/once/mod.rs
@@ -138,6 +138,6 @@
     if core.once.next_check.is_none_or(|look| at < look) {
         core.once.next_check = Some(at);
         let timer = Timer::Once;
-        out.push(Effect::Wake { at, timer });
+        out.push(Effect::SetTimer { at, timer });
     }
 }
--- a/src/core/once/owner.rs
+++ b/src/core/once/owner.rs
@@ -139,7 +139,7 @@
     if core.members.store == Health::Down {
         return;
     }
-    let (now, time) = (core.wall(), core.now);
+    let (now, time) = (core.wall_ms(), core.now);
     let Some(shard) = core.once.shards.get_mut(&key) else {
         return;
     };
--- a/src/core/once/record.rs
+++ b/src/core/once/record.rs
@@ -5,7 +5,7 @@
 
 use super::ask;
 use crate::core::effect::Effect;
-use crate::core::event::{Print, Stored};
+use crate::core::event::{Fingerprint, StoredResponse};
 use crate::core::key::{HostKey, ShardKey};
 use crate::core::message::{Begin, BeginState, Done, DoneState, Message};
 use crate::core::{Core, Effects, trace};
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// Fingerprint of the call.
-    pub fingerprint: Print,
+    pub fingerprint: Fingerprint,
     /// Request that started it.
     pub request: Box<str>,
     /// How far it is.
@@ -40,7 +40,7 @@
     /// It was about to be sent.
     Started,
     /// It ended with this answer.
-    Done(Stored),
+    Done(StoredResponse),
     /// It may have run.
     MayHaveRun,
 }
@@ -75,7 +75,7 @@
 ) -> (bool, BeginState, Box<str>) {
     let name = (begin.customer.clone(), begin.key.clone());
     let own = begin.request.clone();
-    let now = core.wall();
+    let now = core.wall_ms();
     let shard = core.once.shards.entry(key).or_default();
     let Some(call) = shard.calls.get(&name) else {
         let size =
@@ -85,7 +85,7 @@
         }
         shard.bytes += size;
         let call = Call {
-            fingerprint: begin.print,
+            fingerprint: begin.fingerprint,
             request: own.clone(),
             state: CallState::Started,
             recorded_ms: now,
@@ -95,7 +95,7 @@
     };
     let first = call.request.clone();
     let state = match &call.state {
-        _ if call.fingerprint != begin.print => BeginState::OtherBody,
+        _ if call.fingerprint != begin.fingerprint => BeginState::OtherBody,
         CallState::Done(result) => BeginState::Done(result.clone()),
         CallState::MayHaveRun => BeginState::MayHaveRun,
         CallState::Started if first == own => BeginState::Started,
@@ -163,14 +163,14 @@
     match &done.outcome {
         _ if matches!(call.state, CallState::Done(_)) => false,
         DoneState::Result(result) => {
-            let fits =
-                shard.bytes + result.body.len() + result.media.len() <= MAX_BYTES_FOR_RESULTS;
+            let fits = shard.bytes + result.body.len() + result.content_type.len()
+                <= MAX_BYTES_FOR_RESULTS;
             let kept = if fits {
                 result.clone()
             } else {
                 ask::oversized_placeholder(result.status)
             };
-            shard.bytes += kept.body.len() + kept.media.len();
+            shard.bytes += kept.body.len() + kept.content_type.len();
             call.state = CallState::Done(kept);
             true
         }
--- a/src/core/order/authority.rs
+++ b/src/core/order/authority.rs
@@ -15,7 +15,7 @@
 use super::suspect::{Process, Suspect};
 use super::{RETRY_DELAY, name};
 use crate::core::effect::{Effect, log_event};
-use crate::core::event::{Health, Job, Ordered, StoreResult, Watched};
+use crate::core::event::{Health, Job, OrderResult, StoreResult, WatchedKey};
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects, Time};
 use crate::store::{Compare, Op, Range, Reply, Span, Txn, TxnReply};
@@ -112,7 +112,7 @@
     }
 
     /// Notes the end of an order; returns whether it was this pool's.
-    pub fn order_ended(&mut self, fence: u64, result: Ordered, now: Time) -> bool {
+    pub fn order_ended(&mut self, fence: u64, result: OrderResult, now: Time) -> bool {
         let Some(count) = self.in_flight.get_mut(&fence) else {
             return false;
         };
@@ -120,7 +120,7 @@
         if *count == 0 {
             self.in_flight.remove(&fence);
         }
-        if result == Ordered::Unknown {
+        if result == OrderResult::Unknown {
             self.in_flight_until = now.after(MAX_FLIGHT_TIME);
         }
         true
@@ -131,7 +131,7 @@
 #[must_use]
 pub fn holds(core: &Core, pool: PoolKey) -> bool {
     let hold = &core.orders.pool(pool).authority;
-    hold.stage == Stage::Held && core.now < hold.valid_until && !core.stop.begun()
+    hold.stage == Stage::Held && core.now < hold.valid_until && !core.stop.is_stopping()
 }
 
 /// Goes on with the authority over a pool.
@@ -156,8 +156,8 @@
         Stage::ReadingBack if now >= hold.valid_until => give_up(core, pool, out),
         Stage::ReadingBack => read(core, pool, out),
         Stage::Held => {
-            let job = Job::Holder(pool);
-            start_call(core, pool, Effect::Renew { job, lease }, out);
+            let job = Job::Authority(pool);
+            start_call(core, pool, Effect::RenewLease { job, lease }, out);
         }
         _ => {}
     }
@@ -166,7 +166,7 @@
 /// Returns whether this host should try to become the holder now.
 fn may_try(core: &Core, pool: PoolKey) -> bool {
     let members = &core.members;
-    if core.stop.begun() || !members.registered || members.store != Health::Up {
+    if core.stop.is_stopping() || !members.registered || members.store != Health::Up {
         return false;
     }
     let Some(vacant) = core.orders.pool(pool).authority.vacant_since else {
@@ -196,7 +196,7 @@
         then: read_both(&name(core, pool)),
         otherwise: Vec::new(),
     };
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
@@ -247,8 +247,8 @@
     };
     (hold.record, hold.record_revision) = record;
     hold.stage = Stage::Granting;
-    let job = Job::Holder(pool);
-    start_call(core, pool, Effect::Grant { job, life }, out);
+    let job = Job::Authority(pool);
+    start_call(core, pool, Effect::GrantLease { job, life }, out);
 }
 
 /// Writes both keys, provided that nobody did so since they were read.
@@ -299,7 +299,7 @@
     };
     hold.record = record;
     hold.stage = Stage::Swapping;
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
@@ -359,7 +359,7 @@
         return;
     }
     let span = Span::Key(fence_key(&name(core, pool)));
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Read { job, span }, out);
 }
 
@@ -392,7 +392,7 @@
         then: vec![put_record(&pool_name, &hold.record)],
         otherwise: Vec::new(),
     };
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
@@ -418,7 +418,7 @@
         then: vec![put_record(&name, &record)],
         otherwise: Vec::new(),
     };
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
@@ -428,7 +428,7 @@
     hold.maybe_recorded = true;
     let lease = std::mem::take(&mut hold.lease);
     if lease != 0 {
-        out.push(Effect::Revoke(lease));
+        out.push(Effect::RevokeLease(lease));
     }
 }
 
@@ -445,7 +445,7 @@
 }
 
 /// Takes in a change of the holder's key.
-pub(super) fn watched(core: &mut Core, pool: PoolKey, pair: &Watched, out: &mut Effects) {
+pub(super) fn watched(core: &mut Core, pool: PoolKey, pair: &WatchedKey, out: &mut Effects) {
     let now = core.now;
     let hold = &mut core.orders.pool_mut(pool).authority;
     // News from before the take-over is about an earlier holder.
@@ -494,6 +494,6 @@
     };
     hold.stage = Stage::NotHeld;
     hold.lease = 0;
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     out.push(Effect::Txn { job, txn });
 }
--- a/src/core/order/change.rs
+++ b/src/core/order/change.rs
@@ -13,7 +13,7 @@
 use super::route::{self, EngineState, Route};
 use super::{DEMAND_MAX_AGE, name, publish, suspect};
 use crate::core::effect::{Action, Effect, Meter, Order, log_event};
-use crate::core::event::{Ordered, Role};
+use crate::core::event::{OrderResult, Role};
 use crate::core::fleet::{Backend, ServingState};
 use crate::core::key::PoolKey;
 use crate::core::role::{DecisionState, Engine, View};
@@ -166,7 +166,7 @@
     desk.demand
         .retain(|_, (when, _)| now.since(*when) < DEMAND_MAX_AGE);
     let (prompt, output) = desk.demand.values().fold((0.0, 0.0), |sum, (_, demand)| {
-        (sum.0 + demand.prompt, sum.1 + demand.output)
+        (sum.0 + demand.prompt_rate, sum.1 + demand.output_rate)
     });
     let view = View {
         now,
@@ -181,7 +181,7 @@
         return None;
     }
     let (name, role) = (engine.name.clone(), wish.role);
-    let text = format!("{name} is to become {}", role.word());
+    let text = format!("{name} is to become {}", role.name());
     out.push(log_event(log::Level::Info, "change.begun", text));
     Some(Change::new(&name, role, Commitment::Revocable, now))
 }
@@ -407,21 +407,21 @@
         engine: change.engine.clone(),
         addr: core.fleet.arena[key].addr,
         fence: intent.fence,
-        order: intent.order,
+        number: intent.order,
         holder: core.members.name.clone(),
         action: Action::Role(change.role),
-        until: desk.authority.valid_until,
+        valid_until: desk.authority.valid_until,
     };
     let text = format!(
         "{} is ordered to become {} by order {}.{}",
         order.engine,
-        change.role.word(),
+        change.role.name(),
         order.fence,
-        order.order
+        order.number
     );
     out.push(log_event(log::Level::Info, "change.ordered", text));
     let pool_name = name(core, pool);
-    out.push(Effect::Meter(Meter::Ordered { pool: pool_name }));
+    out.push(Effect::Meter(Meter::OrderSent { pool: pool_name }));
     out.push(Effect::Order(order));
     core.orders.pool_mut(pool).authority.order_sent();
     change.resend_at = now.after(RESEND_INTERVAL);
@@ -434,7 +434,7 @@
     pool: PoolKey,
     engine: &str,
     number: (u64, u64),
-    result: Ordered,
+    result: OrderResult,
     out: &mut Effects,
 ) {
     let now = core.now;
@@ -450,11 +450,11 @@
         return;
     };
     change.step = match result {
-        Ordered::Done => Step::AwaitReport(now),
+        OrderResult::Done => Step::AwaitReport(now),
         // The same order again: an engine that has carried it out knows it, and to one that
         // takes any order it says the same.
-        Ordered::Unsent | Ordered::Unknown => Step::Order,
-        Ordered::Fenced(fence) => {
+        OrderResult::Unsent | OrderResult::Unknown => Step::Order,
+        OrderResult::Fenced(fence) => {
             let text = format!("{engine} has seen the fencing number {fence}");
             out.push(log_event(log::Level::Error, "change.fenced", text));
             Step::DeleteRecord(reported.unwrap_or_default())
@@ -496,7 +496,7 @@
     let work = &core.orders.pool(pool).holder;
     let intents = work.intents.as_ref();
     if intents.is_some_and(|all| !all.contains_key(&change.engine)) {
-        let text = format!("{} goes back to work as {}", change.engine, role.word());
+        let text = format!("{} goes back to work as {}", change.engine, role.name());
         out.push(log_event(log::Level::Info, "change.done", text));
         return change.with_step(Step::Restore(role));
     }
--- a/src/core/order/drain.rs
+++ b/src/core/order/drain.rs
@@ -148,5 +148,5 @@
 pub(super) fn report<'a>(core: &'a Core, engine: &str) -> Option<(u64, &'a Report)> {
     let engine = &core.fleet.arena[core.fleet.find(engine)?];
     let (read, report) = engine.report.as_ref()?;
-    Some((read.millis().saturating_sub(report.age.into()), report))
+    Some((read.millis().saturating_sub(report.age_ms.into()), report))
 }
--- a/src/core/order/intent.rs
+++ b/src/core/order/intent.rs
@@ -131,7 +131,7 @@
     /// Writes it as JSON.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
-        let role = self.role.word();
+        let role = self.role.name();
         json!({"fence": self.fence, "order": self.order, "role": role})
             .to_string()
             .into_bytes()
@@ -144,7 +144,7 @@
         Some(Self {
             fence: value["fence"].as_u64()?,
             order: value["order"].as_u64()?,
-            role: Role::from_word(value["role"].as_str()?)?,
+            role: Role::from_name(value["role"].as_str()?)?,
         })
     }
 }
--- a/src/core/order/mod.rs
+++ b/src/core/order/mod.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use super::effect::Effect;
-use super::event::{Health, Job, Ordered, StoreReply, Timer, Watched};
+use super::event::{Health, Job, OrderResult, StoreReply, Timer, WatchedKey};
 use super::key::{HostKey, PoolKey};
 use super::message::{Confirm, Demand, Message};
 use super::role::{self, Change, DecisionState, View};
@@ -128,7 +128,7 @@
         advance(core, pool, out);
     }
     send_demand(core, out);
-    out.push(Effect::Wake {
+    out.push(Effect::SetTimer {
         at: core.now.after(TICK_INTERVAL),
         timer: Timer::Orders,
     });
@@ -145,7 +145,7 @@
 }
 
 /// Takes in a pool's routing state.
-pub fn route_watched(core: &mut Core, pool: &str, pair: &Watched, out: &mut Effects) {
+pub fn route_watched(core: &mut Core, pool: &str, pair: &WatchedKey, out: &mut Effects) {
     if let Some(pool) = core.fleet.pool(pool) {
         route::watched(core, pool, pair);
         advance(core, pool, out);
@@ -153,7 +153,7 @@
 }
 
 /// Takes in a pool's holder.
-pub fn holder_watched(core: &mut Core, pool: &str, pair: &Watched, out: &mut Effects) {
+pub fn holder_watched(core: &mut Core, pool: &str, pair: &WatchedKey, out: &mut Effects) {
     if let Some(pool) = core.fleet.pool(pool) {
         authority::watched(core, pool, pair, out);
     }
@@ -163,7 +163,7 @@
 pub fn reply(core: &mut Core, reply: StoreReply, out: &mut Effects) {
     let StoreReply { job, result } = reply;
     let pool = match job {
-        Job::Holder(pool) => {
+        Job::Authority(pool) => {
             authority::reply(core, pool, result, out);
             pool
         }
@@ -213,7 +213,7 @@
     name: &str,
     fence: u64,
     order: u64,
-    result: Ordered,
+    result: OrderResult,
     out: &mut Effects,
 ) {
     for pool in core.orders.pool_keys() {
@@ -231,7 +231,7 @@
 }
 
 /// Takes in whether an address refuses connections.
-pub fn probed(core: &mut Core, addr: std::net::SocketAddr, probe: super::event::Probe) {
+pub fn probed(core: &mut Core, addr: std::net::SocketAddr, probe: super::event::ProbeResult) {
     let now = core.now;
     for desk in &mut core.orders.pools {
         suspect::probed(&mut desk.authority, addr, probe, now);
@@ -289,9 +289,9 @@
         let second = since.as_secs_f64();
         let demand = Demand {
             pool: name,
-            prompt: prompt as f64 / second,
-            output: output as f64 / second,
-            refused: 0.0,
+            prompt_rate: prompt as f64 / second,
+            output_rate: output as f64 / second,
+            refusal_rate: 0.0,
         };
         let desk = core.orders.pool_mut(pool);
         if let Some(to) = desk
--- a/src/core/order/route.rs
+++ b/src/core/order/route.rs
@@ -8,7 +8,7 @@
 
 use super::{ROUTE, name, record};
 use crate::core::effect::Effect;
-use crate::core::event::{Job, Role, StoreResult, Watched};
+use crate::core::event::{Job, Role, StoreResult, WatchedKey};
 use crate::core::fleet::ServingState;
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects, Time};
@@ -79,7 +79,7 @@
                     ServingState::Serving => "serving",
                     ServingState::Withdrawn | ServingState::Leaving => "withdrawn",
                 };
-                let role = place.role.word();
+                let role = place.role.name();
                 (&**name, json!({"state": state, "role": role}))
             })
             .collect();
@@ -97,7 +97,7 @@
                 "serving" => ServingState::Serving,
                 _ => ServingState::Withdrawn,
             };
-            let role = Role::from_word(place["role"].as_str()?)?;
+            let role = Role::from_name(place["role"].as_str()?)?;
             Some((Box::from(name.as_str()), EngineState { standing, role }))
         });
         Some(Self {
@@ -112,7 +112,7 @@
 }
 
 /// Takes in the routing state that the watch shows.
-pub(super) fn watched(core: &mut Core, pool: PoolKey, pair: &Watched) {
+pub(super) fn watched(core: &mut Core, pool: PoolKey, pair: &WatchedKey) {
     let route = match &pair.value {
         Some(bytes) => Route::parse(bytes),
         None => Some(Route::default()),
--- a/src/core/order/suspect.rs
+++ b/src/core/order/suspect.rs
@@ -11,7 +11,7 @@
 
 use super::authority::{self, Authority, MAX_FLIGHT_TIME};
 use crate::core::effect::Effect;
-use crate::core::event::Probe;
+use crate::core::event::ProbeResult;
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects, Time};
 use crate::settings::Fencing;
@@ -138,8 +138,8 @@
 }
 
 /// Takes in whether an address refuses connections.
-pub(super) fn probed(hold: &mut Authority, addr: SocketAddr, probe: Probe, now: Time) {
-    if probe != Probe::Refused {
+pub(super) fn probed(hold: &mut Authority, addr: SocketAddr, probe: ProbeResult, now: Time) {
+    if probe != ProbeResult::Refused {
         return;
     }
     for suspect in &mut hold.suspects {
--- a/src/core/poison.rs
+++ b/src/core/poison.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use super::effect::{Effect, Refusal, log_event};
-use super::event::{Print, Role};
+use super::event::{Fingerprint, Role};
 use super::key::{BackendKey, HostKey, RequestKey};
 use super::load;
 use super::message::{Message, Suspect};
@@ -62,14 +62,14 @@
 /// Fingerprints under suspicion.
 #[derive(Debug, Default)]
 pub struct PoisonRequests {
-    records: BTreeMap<Print, CrashRecord>,
+    records: BTreeMap<Fingerprint, CrashRecord>,
     /// Engine and time of deaths with a suspect that the engine had not begun to answer.
     unanswered_crashes: BTreeMap<Box<str>, Vec<u64>>,
 }
 
 impl PoisonRequests {
     /// Returns the record of a fingerprint, unless it is too old to count.
-    fn record(&self, print: Print, wall: u64) -> Option<&CrashRecord> {
+    fn record(&self, print: Fingerprint, wall: u64) -> Option<&CrashRecord> {
         let record = self.records.get(&print)?;
         let age = Duration::from_millis(wall.saturating_sub(record.last()));
         (age < SUSPICION_TTL).then_some(record)
@@ -83,7 +83,7 @@
     }
 
     /// Returns the deaths that count against a fingerprint.
-    fn counted(&self, print: Print, wall: u64) -> Vec<&Crash> {
+    fn counted(&self, print: Fingerprint, wall: u64) -> Vec<&Crash> {
         let deaths = self.record(print, wall).map(|record| record.crashes.iter());
         let deaths = deaths.into_iter().flatten();
         deaths.filter(|death| self.counts(death)).collect()
@@ -96,8 +96,8 @@
 ///
 /// Returns [`Kind::EngineKiller`] when engines died of this fingerprint, with the time until it
 /// may be tried again.
-pub fn check(core: &Core, print: Print) -> Result<(), Refusal> {
-    let wall = core.wall();
+pub fn check(core: &Core, print: Fingerprint) -> Result<(), Refusal> {
+    let wall = core.wall_ms();
     let Some(record) = core.poison_requests.record(print, wall) else {
         return Ok(());
     };
@@ -111,8 +111,8 @@
         record.request
     );
     Err(Refusal::new(Kind::EngineKiller, detail)
-        .ran(crate::error::Ran::No)
-        .retry(SUSPICION_TTL.saturating_sub(age)))
+        .with_ran(crate::error::Ran::No)
+        .with_retry_after(SUSPICION_TTL.saturating_sub(age)))
 }
 
 /// Adds to `need` the engines that a request with this fingerprint must not go to.
@@ -120,10 +120,10 @@
 /// A request of which an engine died goes to one engine, the same from every host. Others go to
 /// one of two as long as these are not busy: the one that has the prompt's prefix and the first
 /// by fingerprint.
-pub fn restrict_engines(core: &Core, need: &mut Need, print: Print) {
+pub fn restrict_engines(core: &Core, need: &mut Need, print: Fingerprint) {
     let takers = available_engines(core, need);
     let dead: BTreeSet<Box<str>> = {
-        let deaths = core.poison_requests.counted(print, core.wall());
+        let deaths = core.poison_requests.counted(print, core.wall_ms());
         deaths.iter().map(|death| death.engine.clone()).collect()
     };
     let mut allowed = BTreeSet::new();
@@ -168,7 +168,7 @@
     }
 }
 
-fn rank(print: Print, engine: &str) -> [u8; 32] {
+fn rank(print: Fingerprint, engine: &str) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&print.0);
     hasher.update(engine.as_bytes());
@@ -187,9 +187,9 @@
     };
     let request = &core.requests.arena[key];
     let suspect = Suspect {
-        print: request.fingerprint,
+        fingerprint: request.fingerprint,
         engine,
-        at: core.wall(),
+        at_ms: core.wall_ms(),
         request: request.record.id.clone(),
         answering: request.answering(),
     };
@@ -204,22 +204,22 @@
 
 /// Tells a host that is new what this one knows: it would run each suspect once more otherwise.
 pub fn sync_new_host(core: &Core, to: HostKey, out: &mut Effects) {
-    let wall = core.wall();
+    let wall = core.wall_ms();
     let requests = &core.poison_requests;
     let records = requests.records.keys();
     let records = records.filter_map(|print| Some((*print, requests.record(*print, wall)?)));
     let suspects = records.flat_map(|(print, record)| {
         let suspect = move |death: &Crash| Suspect {
-            print,
+            fingerprint: print,
             engine: death.engine.clone(),
-            at: death.at,
+            at_ms: death.at,
             request: record.request.clone(),
             answering: death.answering,
         };
         record.crashes.iter().map(suspect)
     });
     let mut suspects: Vec<Suspect> = suspects.collect();
-    suspects.sort_by_key(|suspect| std::cmp::Reverse(suspect.at));
+    suspects.sort_by_key(|suspect| std::cmp::Reverse(suspect.at_ms));
     suspects.truncate(MAX_SYNCED_SUSPECTS);
     out.extend(suspects.into_iter().map(|suspect| Effect::Send {
         to,
@@ -230,7 +230,7 @@
 /// Takes in a suspicion, own or a peer's.
 pub fn receive(core: &mut Core, suspect: Suspect) {
     // A clock that runs ahead must not make a suspicion last longer.
-    let at = suspect.at.min(core.wall());
+    let at = suspect.at_ms.min(core.wall_ms());
     let requests = &mut core.poison_requests;
     if !suspect.answering {
         let times = requests
@@ -242,7 +242,7 @@
             times.push(at);
         }
     }
-    let record = requests.records.entry(suspect.print).or_default();
+    let record = requests.records.entry(suspect.fingerprint).or_default();
     let known = record
         .crashes
         .iter_mut()
--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -1,7 +1,7 @@
 //! Outcomes of attempts: prefilled prompts, stream events, complete answers, failures.
 
 use super::super::effect::{Effect, Meter, Refusal};
-use super::super::event::Break;
+use super::super::event::AttemptFailure;
 use super::super::key::{AttemptKey, BackendKey, CallKey};
 use super::super::{Core, Effects};
 use super::call::{close_attempt, dispatch, end, give_up, refuse, release_prefill_work};
@@ -66,7 +66,9 @@
         );
         return;
     }
-    core.relay.killers.clear(core.relay.calls[call].fingerprint);
+    core.relay
+        .poison_requests
+        .clear(core.relay.calls[call].fingerprint);
     out.push(Effect::Relay(RelayEffect::ForwardAnswer(call)));
     let outcome = if failed { "failed-there" } else { "answered" };
     end(core, call, outcome, Ran::Yes, out);
@@ -87,7 +89,7 @@
     let gap = millis(now.since(attempt.last_received));
     attempt.last_received = now;
     if !is_first && let Some(instance) = core.relay.instances.arena.get_mut(backend) {
-        let model = core.relay.model.of_mut(&instance.service);
+        let model = core.relay.cost_model.of_mut(&instance.service);
         model.record_event_gap(gap, &mut instance.pace);
     }
     if is_first {
@@ -107,12 +109,12 @@
         call.last_event = Some(number);
     }
     if let Some(last) = call.last_forwarded {
-        out.push(Effect::Meter(Meter::Between {
+        out.push(Effect::Meter(Meter::TokenGap {
             class: call.route.name.clone(),
             gap: now.since(last),
         }));
     } else {
-        out.push(Effect::Meter(Meter::First {
+        out.push(Effect::Meter(Meter::FirstToken {
             class: call.route.name.clone(),
             customer: "".into(),
             after: now.since(call.arrived),
@@ -129,7 +131,9 @@
         return;
     };
     let call = attempt.call;
-    core.relay.killers.clear(core.relay.calls[call].fingerprint);
+    core.relay
+        .poison_requests
+        .clear(core.relay.calls[call].fingerprint);
     out.push(Effect::Relay(RelayEffect::Finish(call)));
     end(core, call, "answered", Ran::Yes, out);
 }
@@ -139,7 +143,7 @@
     core: &mut Core,
     key: AttemptKey,
     ran: Ran,
-    how: Break,
+    how: AttemptFailure,
     detail: &str,
     out: &mut Effects,
 ) {
@@ -178,7 +182,7 @@
             ("detail", detail.into()),
         ],
     );
-    if how == Break::Cut {
+    if how == AttemptFailure::Cut {
         super::poison::report_crash(core, call, backend, out);
     }
     let entry = &mut core.relay.calls[call];
@@ -186,7 +190,7 @@
     match attempt.task {
         Task::Prefill => {
             // A prefill alone is no run, but it counts as an arrival if it reached the server.
-            if how != Break::Unreachable {
+            if how != AttemptFailure::Unreachable {
                 entry.arrivals += 1;
             }
             retry_or_refuse(core, call, detail, out);
@@ -194,7 +198,7 @@
         Task::Whole | Task::Decode { .. } => {
             if ran == Ran::No {
                 entry.runs = entry.runs.saturating_sub(1);
-                if how == Break::Unreachable {
+                if how == AttemptFailure::Unreachable {
                     entry.arrivals = entry.arrivals.saturating_sub(1);
                 } else {
                     // Whatever the reason of the refusal, the KV cache may be lost.
@@ -206,7 +210,7 @@
                 log_retry(core, call, detail, out);
                 retry_or_refuse(core, call, detail, out);
             } else {
-                let kind = if how == Break::Silent {
+                let kind = if how == AttemptFailure::Silent {
                     Kind::Silent
                 } else {
                     Kind::ServiceFailed
@@ -222,10 +226,10 @@
 ///
 /// An engine may lose KV caches right after the prefill, or its link may delay transfers for
 /// seconds: every engine that should fetch from it refuses, and would be avoided in turn.
-fn blames_source(core: &mut Core, source: Option<BackendKey>, how: Break) -> bool {
+fn blames_source(core: &mut Core, source: Option<BackendKey>, how: AttemptFailure) -> bool {
     let source = source.and_then(|key| core.relay.instances.arena.get_mut(key));
     match source {
-        Some(source) if how == Break::Refused => {
+        Some(source) if how == AttemptFailure::Refused => {
             source.record_kv_transfer(false);
             source.kv_loss_rate > MAX_FAILED_HANDOVER_FRACTION
         }
@@ -237,18 +241,22 @@
 const MAX_FAILED_HANDOVER_FRACTION: f64 = 0.25;
 
 /// Records a failure of a backend server.
-fn record_failure(core: &mut Core, backend: BackendKey, how: Break, out: &mut Effects) {
+fn record_failure(core: &mut Core, backend: BackendKey, how: AttemptFailure, out: &mut Effects) {
     let now = core.now;
     let Some(instance) = core.relay.instances.arena.get_mut(backend) else {
         return;
     };
     match how {
-        Break::Refused => instance.record_refusal(now),
-        Break::Rejected => instance.addr_reused = true,
-        Break::Unreachable => instance.record_unreachable(now),
-        Break::Cut | Break::Silent | Break::Forgotten => instance.record_failure(now),
+        AttemptFailure::Refused => instance.record_refusal(now),
+        AttemptFailure::Rejected => instance.addr_reused = true,
+        AttemptFailure::Unreachable => instance.record_unreachable(now),
+        AttemptFailure::Cut | AttemptFailure::Silent | AttemptFailure::Forgotten => {
+            instance.record_failure(now)
+        }
     }
-    if how == Break::Rejected || !instance.is_available(now) && how != Break::Refused {
+    if how == AttemptFailure::Rejected
+        || !instance.is_available(now) && how != AttemptFailure::Refused
+    {
         note(
             out,
             log::Level::Info,
@@ -328,5 +336,12 @@
         return;
     }
     let detail = format!("no data for {:.0} ms", millis(waited));
-    attempt_failed(core, key, Ran::Unknown, Break::Silent, &detail, out);
+    attempt_failed(
+        core,
+        key,
+        Ran::Unknown,
+        AttemptFailure::Silent,
+        &detail,
+        out,
+    );
 }
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -39,16 +39,16 @@
     };
     let wait = arrival.deadline.unwrap_or(route.timeout).min(route.timeout);
     let key = open(core, arrival, route, service.clone(), wait, out);
-    let budget = core.relay.budgets.entry(service).or_default();
+    let budget = core.relay.retry_budgets.entry(service).or_default();
     budget.record_request(core.now);
     if core.relay.calls.len() > MAX_CALLS {
         let detail = format!("this host already has {MAX_CALLS} open requests");
         refuse(core, key, Refusal::new(Kind::Overloaded, detail), out);
         return;
     }
-    if core.stop.closed() {
+    if core.stop.is_closed() {
         let detail = "this host is shutting down";
-        let refusal = Refusal::new(Kind::Stopping, detail).retry(OTHER_HOST_RETRY_AFTER);
+        let refusal = Refusal::new(Kind::Stopping, detail).with_retry_after(OTHER_HOST_RETRY_AFTER);
         refuse(core, key, refusal, out);
         return;
     }
@@ -56,7 +56,7 @@
     dispatch(core, key, out);
 }
 
-fn fingerprint(full: &super::super::event::Print) -> u64 {
+fn fingerprint(full: &super::super::event::Fingerprint) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&full.0[..8]);
     u64::from_le_bytes(first)
@@ -66,12 +66,12 @@
 fn resolve(core: &mut Core, arrival: &Arrival) -> Result<(Route, Box<str>), Refusal> {
     let Some(catalog) = &core.relay.catalog else {
         let detail = "this host has no configuration yet";
-        return Err(Refusal::new(Kind::CutOff, detail).retry(RETRY_AFTER));
+        return Err(Refusal::new(Kind::CutOff, detail).with_retry_after(RETRY_AFTER));
     };
     let Some(route) = catalog.route(&arrival.host, &arrival.path) else {
         if !core.relay.view.is_fresh(core.now) {
             let detail = "no route for this path, but the configuration may be out of date";
-            return Err(Refusal::new(Kind::CutOff, detail).retry(RETRY_AFTER));
+            return Err(Refusal::new(Kind::CutOff, detail).with_retry_after(RETRY_AFTER));
         }
         return Err(Refusal::new(Kind::NotFound, "no route for this path"));
     };
@@ -135,7 +135,7 @@
 /// Sends a request to a backend server, or refuses it if none can serve it.
 pub(super) fn dispatch(core: &mut Core, key: CallKey, out: &mut Effects) {
     let fingerprint = core.relay.calls[key].fingerprint;
-    if core.relay.killers.is_blocked(fingerprint, core.now) {
+    if core.relay.poison_requests.is_blocked(fingerprint, core.now) {
         let detail = "two or more backend servers crashed while running this request";
         let refusal = Refusal::new(Kind::EngineKiller, detail);
         refuse(core, key, refusal, out);
@@ -162,14 +162,14 @@
         return false;
     };
     let service = call.service.clone();
-    let budget = core.relay.budgets.entry(service).or_default();
+    let budget = core.relay.retry_budgets.entry(service).or_default();
     budget.try_spend(core.now, &settings.budget, hosts)
 }
 
 fn send(core: &mut Core, key: CallKey, choice: &Choice, out: &mut Effects) {
     if !charge_budget(core, key, &choice.task) {
         let detail = "the retry budget is exhausted";
-        let refusal = Refusal::new(Kind::Overloaded, detail).retry(RETRY_AFTER);
+        let refusal = Refusal::new(Kind::Overloaded, detail).with_retry_after(RETRY_AFTER);
         refuse(core, key, refusal, out);
         return;
     }
@@ -329,7 +329,7 @@
         return;
     };
     if core.now < call.deadline {
-        out.push(Effect::Wake {
+        out.push(Effect::SetTimer {
             at: call.deadline,
             timer: Timer::Relay(RelayTimer::Deadline(key)),
         });
@@ -354,7 +354,7 @@
     refuse(
         core,
         key,
-        Refusal::new(Kind::Stopping, why).retry(OTHER_HOST_RETRY_AFTER),
+        Refusal::new(Kind::Stopping, why).with_retry_after(OTHER_HOST_RETRY_AFTER),
         out,
     );
 }
@@ -375,7 +375,7 @@
         out.push(Effect::Relay(RelayEffect::AbortAnswer(key)));
         end(core, key, "cut", Ran::Yes, out);
     } else {
-        let refusal = Refusal::new(kind, detail).ran(Ran::Unknown);
+        let refusal = Refusal::new(kind, detail).with_ran(Ran::Unknown);
         send_refusal(core, key, refusal, out);
     }
 }
@@ -387,7 +387,7 @@
         let detail = refusal.detail.clone();
         give_up(core, key, Kind::EngineFailed, &detail, out);
     } else {
-        send_refusal(core, key, refusal.ran(Ran::No), out);
+        send_refusal(core, key, refusal.with_ran(Ran::No), out);
     }
 }
 
@@ -405,7 +405,7 @@
             ("ran", ran.word().into()),
             (
                 "retry_ms",
-                format!("{:.0}", refusal.retry.map_or(0.0, millis)).into(),
+                format!("{:.0}", refusal.retry_after.map_or(0.0, millis)).into(),
             ),
             ("detail", refusal.detail.clone()),
         ],
@@ -455,11 +455,11 @@
         }));
     }
     let lasted = core.now.since(call.arrived);
-    out.push(Effect::Meter(super::super::effect::Meter::Ended {
+    out.push(Effect::Meter(super::super::effect::Meter::RequestEnded {
         class: call.route.name.clone(),
         customer: "".into(),
         outcome,
-        lasted,
+        duration: lasted,
     }));
     note(
         out,
@@ -474,7 +474,7 @@
             ("runs", call.runs.to_string().into()),
         ],
     );
-    super::super::stop::look(core, out);
+    super::super::stop::finish_if_idle(core, out);
 }
 
 /// Returns the time after which a refused caller should retry: when the queued work is done.
--- a/src/core/relay/choose/handover.rs
+++ b/src/core/relay/choose/handover.rs
@@ -21,7 +21,7 @@
 /// `None` if there is no decode engine.
 pub(super) fn expected_ms(core: &Core, call: &Call) -> Option<f64> {
     let eligible = eligible_servers(core, call, Some(Stage::Decode));
-    let model = core.relay.model.of(&call.service);
+    let model = core.relay.cost_model.of(&call.service);
     let times = eligible.iter().map(|key| {
         let instance = &core.relay.instances.arena[*key];
         model.handover_ms(instance.pace) + slot_wait_ms(instance)
@@ -44,7 +44,7 @@
     let source = source.map(|instance| instance.domain.clone());
     let policy = policy(core);
     let transfer = transfer_ms(core, call, &prompt);
-    let model = core.relay.model.of(&call.service);
+    let model = core.relay.cost_model.of(&call.service);
     let mut best: Option<(f64, PrefillEstimate, f64, BackendKey)> = None;
     for backend in engines {
         let instance = &core.relay.instances.arena[backend];
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -144,14 +144,14 @@
         let retry = retry_after(core, millis(wait));
         let detail =
             format!("all available servers of {service} have reached their own rate limits");
-        return Refusal::new(Kind::Overloaded, detail).retry(retry);
+        return Refusal::new(Kind::Overloaded, detail).with_retry_after(retry);
     }
     let retry = retry_after(core, 0.0);
     Refusal::new(
         Kind::NoEngine,
         format!("no server of {service} is available"),
     )
-    .retry(retry)
+    .with_retry_after(retry)
 }
 
 /// Returns the time until a rate limit admits the next request; `None` if no available server is
@@ -240,7 +240,7 @@
             best.first_token_ms
         );
         let retry = retry_after(core, best.queue_ms);
-        return Err(Refusal::new(Kind::Overloaded, detail).retry(retry));
+        return Err(Refusal::new(Kind::Overloaded, detail).with_retry_after(retry));
     }
     let work = Work {
         calls: 1,
@@ -296,7 +296,7 @@
         delay_ms: fetch.map_or(0.0, |fetch| fetch.duration_ms),
         ..PrefillEstimate::default()
     };
-    let model = core.relay.model.of(&call.service);
+    let model = core.relay.cost_model.of(&call.service);
     let tokens = model.equivalent_tokens(prefill.uncached, prefill.cached);
     let own = load::prefill_ms(model, instance, tokens);
     let base = model.base_ms(stage);
--- a/src/core/relay/choose/plain.rs
+++ b/src/core/relay/choose/plain.rs
@@ -45,7 +45,7 @@
     if expected > millis(call.deadline.since(core.now)) * MAX_WAIT_FRACTION {
         let detail = format!("the answer would take {expected:.0} ms");
         let retry = retry_after(core, expected / 2.0);
-        return Err(Refusal::new(Kind::Overloaded, detail).retry(retry));
+        return Err(Refusal::new(Kind::Overloaded, detail).with_retry_after(retry));
     }
     let silence = (call.route.retry == RetryPolicy::Idempotent)
         .then(|| call.route.target.max(from_millis(expected * 3.0)));
--- a/src/core/relay/event/mod.rs
+++ b/src/core/relay/event/mod.rs
@@ -7,7 +7,7 @@
 
 use super::catalog::Catalog;
 use crate::core::effect::Refusal;
-use crate::core::event::{Break, Print};
+use crate::core::event::{AttemptFailure, Fingerprint};
 use crate::core::key::{AttemptKey, CallKey};
 use crate::core::time::Time;
 use crate::error::Ran;
@@ -61,7 +61,7 @@
         /// Whether the backend server ran the request.
         ran: Ran,
         /// How the attempt ended.
-        end: Break,
+        end: AttemptFailure,
         /// Description of the failure from the adapter.
         detail: Box<str>,
     },
@@ -225,7 +225,7 @@
     /// Bytes of the body.
     pub bytes: usize,
     /// Fingerprint of path and body.
-    pub fingerprint: Print,
+    pub fingerprint: Fingerprint,
 }
 
 /// What a model request asks of an engine.
--- a/src/core/relay/gossip/mod.rs
+++ b/src/core/relay/gossip/mod.rs
@@ -134,7 +134,7 @@
 /// Takes this host's prefix blocks and crash reports that are still to be sent.
 fn take_unpublished(core: &mut Core) -> (Vec<BlockReport>, Vec<CrashReport>) {
     let blocks = std::mem::take(&mut core.relay.peers.pending_blocks);
-    (blocks, core.relay.killers.take_unpublished())
+    (blocks, core.relay.poison_requests.take_unpublished())
 }
 
 /// Whether a message with these loads is due: something changed, or the last message is older than
@@ -403,7 +403,7 @@
         };
         let instance = &mut core.relay.instances.arena[engine];
         // The engine prefills the block after the work already queued there.
-        let learned = core.relay.model.of(&instance.service);
+        let learned = core.relay.cost_model.of(&instance.service);
         let wait = from_millis(load::prefill_ms(learned, instance, instance.work().tokens));
         let ready = core.now.after(wait);
         prefix_cache::record_block(
--- a/src/core/relay/load.rs
+++ b/src/core/relay/load.rs
@@ -93,7 +93,7 @@
             cached: prefill.cached,
             queued: prefill.queued,
         };
-        let model = core.relay.model.of_mut(&instance.service);
+        let model = core.relay.cost_model.of_mut(&instance.service);
         model.record_prefill(stage, &sample, &mut instance.pace);
     } else if matches!(task, Task::Decode { .. }) {
         record_handover(core, key, took);
@@ -122,7 +122,7 @@
         && let Some(instance) = arena.get(target)
     {
         let own = took - prefill.delay_ms;
-        let model = core.relay.model.of_mut(&instance.service);
+        let model = core.relay.cost_model.of_mut(&instance.service);
         model.record_handover(own, instance.pace);
     }
     let explains = |key: &BackendKey| {
--- a/src/core/relay/mod.rs
+++ b/src/core/relay/mod.rs
@@ -29,7 +29,7 @@
 
 use slotmap::SlotMap;
 
-use super::effect::{Effect, Note};
+use super::effect::{Effect, LogFields};
 use super::event::{Job, StoreReply, Timer};
 use super::key::{AttemptKey, BackendKey, CallKey};
 use super::time::Time;
@@ -189,15 +189,15 @@
     /// Attempts.
     pub attempts: SlotMap<AttemptKey, Attempt>,
     /// Retry budgets by service.
-    pub budgets: BTreeMap<Box<str>, RetryBudget>,
+    pub retry_budgets: BTreeMap<Box<str>, RetryBudget>,
     /// Other hosts.
     pub peers: peers::Peers,
     /// Poison requests: those suspected of crashing backend servers.
-    pub killers: poison::PoisonRequests,
+    pub poison_requests: poison::PoisonRequests,
     /// Stages of engines.
-    pub split: planner::Planner,
+    pub planner: planner::Planner,
     /// Measured durations of work at engines.
-    pub model: model::CostModel,
+    pub cost_model: model::CostModel,
 }
 
 impl Relay {
@@ -369,7 +369,7 @@
 
 /// Schedules a timer of the relay.
 fn wake(core: &Core, after: Duration, timer: RelayTimer, out: &mut Effects) {
-    out.push(Effect::Wake {
+    out.push(Effect::SetTimer {
         at: core.now.after(after),
         timer: Timer::Relay(timer),
     });
@@ -382,7 +382,7 @@
     name: &'static str,
     fields: Vec<(&'static str, Box<str>)>,
 ) {
-    out.push(Effect::Note(Note {
+    out.push(Effect::LogFields(LogFields {
         level,
         name,
         fields,
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -135,7 +135,7 @@
 /// Requests or renews the lease of the registration, and schedules the next renewal.
 pub fn register(core: &mut Core, out: &mut Effects) {
     request_lease(core, out);
-    if !core.stop.begun() {
+    if !core.stop.is_stopping() {
         wake(core, LEASE_RENEW_INTERVAL, RelayTimer::Register, out);
     }
 }
@@ -158,18 +158,18 @@
 
 /// Requests or renews the lease of the registration, unless this host is stopping.
 fn request_lease(core: &mut Core, out: &mut Effects) {
-    if core.stop.begun() {
+    if core.stop.is_stopping() {
         return;
     }
     let job = job(core, RelayJob::Lease);
     let peers = &mut core.relay.peers;
     peers.lease_requested = Some(core.now);
     out.push(match peers.lease {
-        0 => Effect::Grant {
+        0 => Effect::GrantLease {
             job,
             life: LEASE_TTL,
         },
-        lease => Effect::Renew { job, lease },
+        lease => Effect::RenewLease { job, lease },
     });
 }
 
--- a/src/core/relay/planner.rs
+++ b/src/core/relay/planner.rs
@@ -74,7 +74,7 @@
 
 /// Drops the authority: its lease belongs to an era of the store that has ended.
 pub fn drop_authority(core: &mut Core, out: &mut Effects) {
-    let planner = &mut core.relay.split;
+    let planner = &mut core.relay.planner;
     if planner.fence != 0 {
         let fence = planner.fence.to_string().into();
         note(
@@ -94,7 +94,7 @@
 /// Handles changes of the holder's key in the store.
 pub fn changed(core: &mut Core, changes: &Changes, out: &mut Effects) {
     let era_now = core.relay.view.era();
-    let planner = &mut core.relay.split;
+    let planner = &mut core.relay.planner;
     if changes.is_snapshot {
         planner.holder_known = true;
         planner.holder = 0;
@@ -132,11 +132,11 @@
             .values()
             .any(|service| service.engine.is_some())
     });
-    if !engines || core.stop.begun() {
+    if !engines || core.stop.is_stopping() {
         return;
     }
     let hosts = core.relay.peers.host_count();
-    let planner = &mut core.relay.split;
+    let planner = &mut core.relay.planner;
     if planner.fence != 0 && core.now < planner.lease_end {
         request_reports(core, out);
         return;
@@ -157,7 +157,7 @@
     if planner.holder_known && planner.holder == 0 && !planner.pending && is_candidate {
         planner.pending = true;
         let job = job(core, RelayJob::AuthorityLease(core.now));
-        out.push(Effect::Grant {
+        out.push(Effect::GrantLease {
             job,
             life: lease_ttl(core),
         });
@@ -166,12 +166,12 @@
 
 /// Renews the lease.
 pub fn renew(core: &mut Core, out: &mut Effects) {
-    let planner = &core.relay.split;
-    if planner.lease == 0 || core.stop.begun() {
+    let planner = &core.relay.planner;
+    if planner.lease == 0 || core.stop.is_stopping() {
         return;
     }
     let job = job(core, RelayJob::AuthorityLease(core.now));
-    out.push(Effect::Renew {
+    out.push(Effect::RenewLease {
         job,
         lease: planner.lease,
     });
@@ -187,7 +187,7 @@
 pub fn reply(core: &mut Core, job: RelayJob, reply: &StoreReply, out: &mut Effects) {
     let life = lease_ttl(core);
     let era_now = core.relay.view.era();
-    let planner = &mut core.relay.split;
+    let planner = &mut core.relay.planner;
     match (job, &reply.result) {
         (RelayJob::AuthorityLease(asked), StoreResult::Lease(lease)) if *lease != 0 => {
             let until = asked.after(life.mul_f64(USABLE_LEASE_FRACTION));
@@ -221,7 +221,7 @@
             // the key is removed with the lease, which is revoked.
             let lease = std::mem::take(&mut planner.lease);
             planner.pending = false;
-            out.push(Effect::Revoke(lease));
+            out.push(Effect::RevokeLease(lease));
         }
         _ => planner.pending = false,
     }
@@ -294,7 +294,7 @@
                 ],
             );
             let change = (stage, core.now);
-            core.relay.split.changes.insert(id.clone(), change);
+            core.relay.planner.changes.insert(id.clone(), change);
             out.push(Effect::Relay(RelayEffect::FetchReport {
                 instance: id,
                 addr,
@@ -334,7 +334,7 @@
 /// for all of them reverts.
 fn is_stable(core: &mut Core, count: usize) -> bool {
     let now = core.now;
-    let planner = &mut core.relay.split;
+    let planner = &mut core.relay.planner;
     if planner.engine_count.0 != count {
         planner.engine_count = (count, now);
     }
@@ -360,13 +360,13 @@
 /// Returns whether an engine was selected for a change less than [`ORDER_COOLDOWN`] ago.
 fn recently_ordered(core: &Core, key: BackendKey) -> bool {
     let id = &core.relay.instances.arena[key].id;
-    let change = core.relay.split.changes.get(id);
+    let change = core.relay.planner.changes.get(id);
     change.is_some_and(|(_, at)| core.now.since(*at) < ORDER_COOLDOWN)
 }
 
 /// Orders an engine to change, once it has reported its state.
 pub fn reported(core: &mut Core, id: &str, report: Option<EngineReport>, out: &mut Effects) {
-    let planner = &mut core.relay.split;
+    let planner = &mut core.relay.planner;
     let Some((stage, _)) = planner.changes.get(id).copied() else {
         return;
     };
@@ -415,7 +415,7 @@
             ("result", format!("{result:?}").into()),
         ],
     );
-    let planner = &mut core.relay.split;
+    let planner = &mut core.relay.planner;
     match result {
         OrderResult::Fenced if planner.fence == fence => {
             // Another host holds the authority: this fencing number is never used again.
--- a/src/core/relay/poison.rs
+++ b/src/core/relay/poison.rs
@@ -104,8 +104,8 @@
         vec![("id", call.id.clone()), ("backend", instance.id.clone())],
     );
     core.relay
-        .killers
+        .poison_requests
         .unpublished
         .push((report, CRASH_REPORT_COPIES));
-    core.relay.killers.record_crash(report, core.now);
+    core.relay.poison_requests.record_crash(report, core.now);
 }
--- a/src/core/relay/tests/config.rs
+++ b/src/core/relay/tests/config.rs
@@ -133,6 +133,6 @@
             continue;
         }
         misplaced = Some(sent.instance.clone());
-        site.fail_attempt(sent.attempt, Ran::No, Break::Rejected);
+        site.fail_attempt(sent.attempt, Ran::No, AttemptFailure::Rejected);
     }
 }
--- a/src/core/relay/tests/domain.rs
+++ b/src/core/relay/tests/domain.rs
@@ -141,7 +141,9 @@
                     let calls = &mut self.store.calls;
                     calls.retain(|(_, from, number, _)| (*from, *number) != (host, *given_up));
                 }
-                Effect::Grant { .. } | Effect::Txn { .. } => self.store.registration_calls += 1,
+                Effect::GrantLease { .. } | Effect::Txn { .. } => {
+                    self.store.registration_calls += 1
+                }
                 _ => {}
             }
         }
--- a/src/core/relay/tests/era.rs
+++ b/src/core/relay/tests/era.rs
@@ -22,7 +22,7 @@
 fn grants(out: &Effects) -> usize {
     let grants = out
         .iter()
-        .filter(|effect| matches!(effect, Effect::Grant { .. }));
+        .filter(|effect| matches!(effect, Effect::GrantLease { .. }));
     grants.count()
 }
 
@@ -74,7 +74,7 @@
 fn the_first_era_drops_no_answer() {
     let mut site = TestHost::blank();
     let asked = site.out.iter().find_map(|effect| match effect {
-        Effect::Grant { job, .. } => Some(*job),
+        Effect::GrantLease { job, .. } => Some(*job),
         _ => None,
     });
     let asked = asked.expect("a lease is asked for");
@@ -101,7 +101,7 @@
         }),
     );
     let taken = site.out.iter().any(|effect| match effect {
-        Effect::Note(note) => note.name == "planner.taken",
+        Effect::LogFields(note) => note.name == "planner.taken",
         _ => false,
     });
     assert!(!taken);
@@ -110,7 +110,7 @@
     assert!(
         site.out
             .iter()
-            .all(|effect| !matches!(effect, Effect::Renew { .. }))
+            .all(|effect| !matches!(effect, Effect::RenewLease { .. }))
     );
 }
 
--- a/src/core/relay/tests/handover.rs
+++ b/src/core/relay/tests/handover.rs
@@ -105,7 +105,7 @@
                     sent = site.sent();
                 }
                 Task::Decode { ref handle, .. } if &**handle == "p" => {
-                    site.fail_attempt(out.attempt, Ran::No, Break::Refused);
+                    site.fail_attempt(out.attempt, Ran::No, AttemptFailure::Refused);
                     sent = site.sent();
                 }
                 Task::Decode { .. } | Task::Whole => {
--- a/src/core/relay/tests/load.rs
+++ b/src/core/relay/tests/load.rs
@@ -191,7 +191,7 @@
             site.now += 3;
             if &*out.instance == "d" {
                 refusals += 1;
-                site.fail_attempt(out.attempt, Ran::No, Break::Refused);
+                site.fail_attempt(out.attempt, Ran::No, AttemptFailure::Refused);
             } else if out.task == Task::Prefill {
                 site.event(RelayEvent::Prefilled {
                     attempt: out.attempt,
--- a/src/core/relay/tests/mod.rs
+++ b/src/core/relay/tests/mod.rs
@@ -21,7 +21,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::core::event::{Break, Print, StoreEvent, StoreReply, StoreResult, Timer};
+use crate::core::event::{AttemptFailure, Fingerprint, StoreEvent, StoreReply, StoreResult, Timer};
 use crate::core::key::{AttemptKey, CallKey};
 use crate::core::relay::catalog::{Catalog, Engine, RetryPolicy, Route, Service};
 use crate::core::relay::event::{
@@ -103,7 +103,7 @@
         let now = Time::from_millis(self.now);
         self.core.reduce(now, event, &mut self.out);
         let wakes = self.out.iter().filter_map(|effect| match effect {
-            Effect::Wake { at, timer } => Some((at.millis(), *timer)),
+            Effect::SetTimer { at, timer } => Some((at.millis(), *timer)),
             _ => None,
         });
         self.timers.extend(wakes);
@@ -189,13 +189,13 @@
         self.out.iter().find_map(|effect| match effect {
             Effect::Relay(RelayEffect::Refuse { refusal, .. }) => {
                 let status = refusal.kind.answer().status;
-                Some((status, refusal.ran, refusal.retry))
+                Some((status, refusal.ran, refusal.retry_after))
             }
             _ => None,
         })
     }
 
-    fn fail_attempt(&mut self, attempt: AttemptKey, ran: Ran, end: Break) {
+    fn fail_attempt(&mut self, attempt: AttemptKey, ran: Ran, end: AttemptFailure) {
         self.event(RelayEvent::AttemptFailed {
             attempt,
             ran,
@@ -322,7 +322,7 @@
         prompt: None,
         resume: None,
         bytes: 100,
-        fingerprint: Print([1; 16]),
+        fingerprint: Fingerprint([1; 16]),
     }
 }
 
--- a/src/core/relay/tests/planner.rs
+++ b/src/core/relay/tests/planner.rs
@@ -31,7 +31,7 @@
     for _ in 0..50 {
         plan(site);
         job = site.out.iter().find_map(|effect| match effect {
-            Effect::Grant { job, .. } => Some(*job),
+            Effect::GrantLease { job, .. } => Some(*job),
             _ => None,
         });
         if job.is_some() {
--- a/src/core/relay/tests/register.rs
+++ b/src/core/relay/tests/register.rs
@@ -15,11 +15,11 @@
 
 fn store_requests(out: &Effects) -> Vec<StoreRequest> {
     let requests = out.iter().filter_map(|effect| match effect {
-        Effect::Grant {
+        Effect::GrantLease {
             job: Job::Relay(RelayJob::Lease, 0),
             ..
         } => Some(StoreRequest::Lease),
-        Effect::Renew {
+        Effect::RenewLease {
             job: Job::Relay(RelayJob::Lease, 0),
             ..
         } => Some(StoreRequest::Renewal),
--- a/src/core/relay/tests/request.rs
+++ b/src/core/relay/tests/request.rs
@@ -10,7 +10,7 @@
     site.register(vec![plain_entry("a"), plain_entry("b")]);
     site.arrive(plain_request("/once/x"));
     let sent = site.sent().expect("a request is sent");
-    site.fail_attempt(sent.attempt, Ran::Unknown, Break::Cut);
+    site.fail_attempt(sent.attempt, Ran::Unknown, AttemptFailure::Cut);
     assert!(site.sent().is_none());
     let (_, ran, _) = site.refused().expect("the request is refused");
     assert_eq!(ran, Ran::Unknown);
@@ -24,7 +24,7 @@
     site.register(vec![plain_entry("a"), plain_entry("b")]);
     site.arrive(plain_request("/once/x"));
     let first = site.sent().expect("a request is sent");
-    site.fail_attempt(first.attempt, Ran::No, Break::Refused);
+    site.fail_attempt(first.attempt, Ran::No, AttemptFailure::Refused);
     let second = site.sent().expect("a retry is sent");
     assert_ne!(second.instance, first.instance);
     site.event(RelayEvent::Answered {
@@ -43,7 +43,7 @@
     site.arrive(plain_request("/once/x"));
     let mut sent = site.sent().expect("a request is sent");
     for _ in 0..3 {
-        site.fail_attempt(sent.attempt, Ran::No, Break::Unreachable);
+        site.fail_attempt(sent.attempt, Ran::No, AttemptFailure::Unreachable);
         match site.sent() {
             Some(next) => sent = next,
             None => break,
@@ -139,14 +139,14 @@
     for _ in 0..2 {
         site.arrive(plain_request("/once/x"));
         let sent = site.sent().expect("a request is sent");
-        site.fail_attempt(sent.attempt, Ran::Unknown, Break::Cut);
+        site.fail_attempt(sent.attempt, Ran::Unknown, AttemptFailure::Cut);
     }
     site.arrive(plain_request("/once/x"));
     assert!(site.sent().is_none());
     let (_, ran, _) = site.refused().expect("the request is refused");
     assert_eq!(ran, Ran::No);
     let other = Arrival {
-        fingerprint: Print([2; 16]),
+        fingerprint: Fingerprint([2; 16]),
         ..plain_request("/once/y")
     };
     site.arrive(other);
@@ -162,7 +162,7 @@
         site.arrive(plain_request("/once/x"));
         let sent = site.sent().expect("a request is sent");
         if lost {
-            site.fail_attempt(sent.attempt, Ran::Unknown, Break::Cut);
+            site.fail_attempt(sent.attempt, Ran::Unknown, AttemptFailure::Cut);
         } else {
             let answered = RelayEvent::Answered {
                 attempt: sent.attempt,
--- a/src/core/relay/tests/stream.rs
+++ b/src/core/relay/tests/stream.rs
@@ -58,7 +58,7 @@
     site.arrive(model_request("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("a request is sent");
     let second = prefilled(&mut site, first.attempt);
-    site.fail_attempt(second.attempt, Ran::No, Break::Refused);
+    site.fail_attempt(second.attempt, Ran::No, AttemptFailure::Refused);
     let third = site.sent().expect("a retry is sent");
     assert!(matches!(third.task, Task::Prefill | Task::Whole));
 }
@@ -75,7 +75,7 @@
     }
     assert!(piece(&mut site, first.attempt, 1));
     assert!(piece(&mut site, first.attempt, 2));
-    site.fail_attempt(first.attempt, Ran::Yes, Break::Cut);
+    site.fail_attempt(first.attempt, Ran::Yes, AttemptFailure::Cut);
     let mut second = site.sent().expect("a retry is sent");
     if second.task == Task::Prefill {
         second = prefilled(&mut site, second.attempt);
@@ -97,7 +97,7 @@
     let first = site.sent().expect("a request is sent");
     let second = prefilled(&mut site, first.attempt);
     assert!(piece(&mut site, second.attempt, 1));
-    site.fail_attempt(second.attempt, Ran::Yes, Break::Cut);
+    site.fail_attempt(second.attempt, Ran::Yes, AttemptFailure::Cut);
     assert!(site.sent().is_none());
     assert!(site.has_effect(|effect| matches!(effect, RelayEffect::AbortAnswer(_))));
 }
@@ -110,7 +110,7 @@
     site.arrive(model_request("/long/x", (1, 13_000), 4000));
     let first = site.sent().expect("a request is sent");
     let second = prefilled(&mut site, first.attempt);
-    site.fail_attempt(second.attempt, Ran::Unknown, Break::Cut);
+    site.fail_attempt(second.attempt, Ran::Unknown, AttemptFailure::Cut);
     assert!(site.sent().is_none());
     assert_eq!(site.refused().map(|(_, ran, _)| ran), Some(Ran::Unknown));
 }
--- a/src/core/request/arrive.rs
+++ b/src/core/request/arrive.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::super::effect::{Effect, Refusal};
-use super::super::event::{Arrival, Timer, Want};
+use super::super::event::{Arrival, RequestSpec, Timer};
 use super::super::key::RequestKey;
 use super::super::{Core, Effects, admit, member, once, poison, share};
 use super::attempt::{dispatch, need};
@@ -15,26 +15,26 @@
 const SHARE_TIMEOUT: Duration = Duration::from_secs(4);
 
 pub(super) fn arrived(core: &mut Core, arrival: Arrival, out: &mut Effects) {
-    let mut record = core.traces.new_record(core.wall());
-    let holder = core.config.index.get(arrival.caller).cloned();
+    let mut record = core.traces.new_record(core.wall_ms());
+    let holder = core.config.index.get(arrival.key_hash).cloned();
     if let Some(holder) = &holder {
         record.customer = holder.customer.clone();
         record.plan = holder.plan.clone();
     }
-    record.target = target(&arrival.want);
-    record.key = arrival.idem.clone().unwrap_or_default();
-    let class = match &arrival.want {
-        Want::Model(want) => {
-            record.prompt = want.prompt;
+    record.target = target(&arrival.spec);
+    record.key = arrival.idempotency_key.clone().unwrap_or_default();
+    let class = match &arrival.spec {
+        RequestSpec::Model(want) => {
+            record.prompt = want.prompt_tokens;
             want.model.clone()
         }
-        Want::Service(want) => want.service.clone(),
+        RequestSpec::Service(want) => want.service.clone(),
     };
     let id = record.id.clone();
     let key = core.requests.arena.insert(Request {
-        want: arrival.want,
-        idempotency_key: arrival.idem,
-        fingerprint: arrival.print,
+        want: arrival.spec,
+        idempotency_key: arrival.idempotency_key,
+        fingerprint: arrival.fingerprint,
         arrived: core.now,
         last_token: None,
         delivered: 0,
@@ -71,10 +71,12 @@
     }
 }
 
-fn target(want: &Want) -> Box<str> {
+fn target(want: &RequestSpec) -> Box<str> {
     match want {
-        Want::Model(want) => want.model.clone(),
-        Want::Service(want) => format!("{} {} {}", want.service, want.method, want.path).into(),
+        RequestSpec::Model(want) => want.model.clone(),
+        RequestSpec::Service(want) => {
+            format!("{} {} {}", want.service, want.method, want.path).into()
+        }
     }
 }
 
@@ -106,11 +108,11 @@
     let plan = &request.record.plan;
     let allowance = uses.plans.get(plan);
     let (known, allowed) = match &request.want {
-        Want::Model(want) => (
+        RequestSpec::Model(want) => (
             core.fleet.serving(&want.model).next().is_some(),
             allowance.is_some_and(|a| a.models.contains(&want.model)),
         ),
-        Want::Service(want) => (
+        RequestSpec::Service(want) => (
             core.fleet.services.contains_key(&want.service),
             allowance.is_some_and(|a| a.services.contains(&want.service)),
         ),
@@ -123,7 +125,7 @@
         let detail = format!("plan {plan} may not use {}", request.class);
         return Err(Refusal::new(Kind::NotAllowed, detail));
     }
-    if let Want::Service(want) = &request.want {
+    if let RequestSpec::Service(want) = &request.want {
         request.retryable = uses.rule(&want.service, &want.method, &want.path);
         if !request.retryable && request.idempotency_key.is_none() {
             let detail = "this call may not repeat and has no Idempotency-Key";
@@ -136,7 +138,7 @@
 fn take_share(core: &mut Core, key: RequestKey, out: &mut Effects) {
     match share::take(core, key, out) {
         share::Admission::Granted => share_granted(core, key, out),
-        share::Admission::Queued => out.push(Effect::Wake {
+        share::Admission::Queued => out.push(Effect::SetTimer {
             at: core.now.after(SHARE_TIMEOUT),
             timer: Timer::Request(key),
         }),
@@ -151,7 +153,7 @@
         Kind::ShareSpent,
         format!("the share of plan {plan} is used up"),
     );
-    refuse(core, key, refusal.retry(retry), out);
+    refuse(core, key, refusal.with_retry_after(retry), out);
 }
 
 /// Goes on with a request that has its share.
--- a/src/core/request/attempt.rs
+++ b/src/core/request/attempt.rs
@@ -1,7 +1,7 @@
 //! Attempts at back ends, and the pieces that they bring.
 
-use super::super::effect::{Effect, Meter, Open, Refusal};
-use super::super::event::{Break, Stored, Timer, Want};
+use super::super::effect::{Effect, Meter, OpenStream, Refusal};
+use super::super::event::{AttemptFailure, RequestSpec, StoredResponse, Timer};
 use super::super::key::{AttemptKey, RequestKey};
 use super::super::route::{self, Choice, Need};
 use super::super::{Core, Effects, load, once, poison, trace};
@@ -15,7 +15,7 @@
     let request = &core.requests.arena[key];
     if let Err(refusal) = poison::check(core, request.fingerprint) {
         let ran = request.ran();
-        give_up(core, key, refusal.ran(ran), out);
+        give_up(core, key, refusal.with_ran(ran), out);
         return;
     }
     let print = request.fingerprint;
@@ -29,12 +29,12 @@
     let Some(choice) = chosen else {
         let request = &core.requests.arena[key];
         let kind = match &request.want {
-            Want::Model(_) => Kind::NoEngine,
-            Want::Service(_) => Kind::ServiceDown,
+            RequestSpec::Model(_) => Kind::NoEngine,
+            RequestSpec::Service(_) => Kind::ServiceDown,
         };
         let detail = format!("nothing that serves {} takes work", request.class);
         let ran = request.ran();
-        give_up(core, key, Refusal::new(kind, detail).ran(ran), out);
+        give_up(core, key, Refusal::new(kind, detail).with_ran(ran), out);
         return;
     };
     let request = &mut core.requests.arena[key];
@@ -48,9 +48,9 @@
     let want = request.model()?;
     Some(Need {
         model: want.model.clone(),
-        prompt: want.prompt,
-        output: want.output,
-        prefix: want.pieces.first().copied().unwrap_or(0),
+        prompt: want.prompt_tokens,
+        output: want.max_output,
+        prefix: want.prefix_hashes.first().copied().unwrap_or(0),
         avoid: request.avoid.clone(),
     })
 }
@@ -67,11 +67,11 @@
     let filler = choice.prefill.unwrap_or(backend);
     let queued = load::queued(core, filler);
     let (prompt, output) = match &core.requests.arena[key].want {
-        Want::Model(want) => {
-            let output = load::expected_tokens(core, backend, want.output);
-            (u64::from(want.prompt), output)
+        RequestSpec::Model(want) => {
+            let output = load::expected_tokens(core, backend, want.max_output);
+            (u64::from(want.prompt_tokens), output)
         }
-        Want::Service(_) => (0, 0),
+        RequestSpec::Service(_) => (0, 0),
     };
     let request = &mut core.requests.arena[key];
     let resume = label.is_some().then_some(request.delivered);
@@ -105,27 +105,27 @@
         after: core.now.since(arrived),
     }));
     match &request.want {
-        Want::Model(_) => {
+        RequestSpec::Model(_) => {
             let uses = &core.config.lists.uses.plans;
             let priority = uses.get(&request.record.plan).map_or(0, |a| a.priority);
-            out.push(Effect::Open(Open {
+            out.push(Effect::OpenStream(OpenStream {
                 request: key,
                 attempt,
                 addr,
                 label,
-                resume,
+                resume_from: resume,
                 delivered: request.delivered,
                 priority,
-                prefill: choice.prefill.map(|key| core.fleet.arena[key].addr),
+                prefill_addr: choice.prefill.map(|key| core.fleet.arena[key].addr),
             }));
-            out.push(Effect::Wake {
+            out.push(Effect::SetTimer {
                 at: core.now.after(core.settings.limits.first_silence),
                 timer: Timer::Silence(attempt),
             });
         }
-        Want::Service(want) => {
+        RequestSpec::Service(want) => {
             let settings = &core.settings.services[&want.service];
-            out.push(Effect::Call {
+            out.push(Effect::CallService {
                 request: key,
                 attempt,
                 addr,
@@ -191,7 +191,7 @@
     }
     if offset > request.delivered {
         let detail = format!("tokens {} to {offset} are missing", request.delivered);
-        attempt_failed(core, key, Ran::Yes, Break::Cut, &detail, out);
+        attempt_failed(core, key, Ran::Yes, AttemptFailure::Cut, &detail, out);
         return;
     }
     out.push(Effect::Deliver {
@@ -204,11 +204,11 @@
     let class = request.class.clone();
     if let Some(last) = request.last_token {
         let gap = core.now.since(last);
-        out.push(Effect::Meter(Meter::Between { class, gap }));
+        out.push(Effect::Meter(Meter::TokenGap { class, gap }));
     } else {
         let after = core.now.since(request.arrived);
         let customer = request.record.customer.clone();
-        out.push(Effect::Meter(Meter::First {
+        out.push(Effect::Meter(Meter::FirstToken {
             class,
             customer,
             after,
@@ -246,7 +246,7 @@
     }
     if !core.requests.arena[request].finished {
         let detail = "the end marker came before the end of the answer";
-        attempt_failed(core, key, Ran::Yes, Break::Cut, detail, out);
+        attempt_failed(core, key, Ran::Yes, AttemptFailure::Cut, detail, out);
         return;
     }
     let (backend, span) = (attempt.backend, core.now.since(attempt.first_token));
@@ -254,14 +254,19 @@
     let entry = &core.requests.arena[request];
     let record = entry.record.attempts.last();
     let tokens = record.map_or(0, |record| u64::from(record.tokens));
-    let most = entry.model().map_or(0, |want| want.output);
+    let most = entry.model().map_or(0, |want| want.max_output);
     load::learn_decode(core, backend, span, tokens, most);
     close_attempt(core, key, "whole", Ran::Yes);
     out.push(Effect::Finish(request));
     end(core, request, "answered", Ran::Yes, out);
 }
 
-pub(super) fn answered(core: &mut Core, key: AttemptKey, result: Stored, out: &mut Effects) {
+pub(super) fn answered(
+    core: &mut Core,
+    key: AttemptKey,
+    result: StoredResponse,
+    out: &mut Effects,
+) {
     let Some(attempt) = core.requests.attempts.get(key) else {
         return;
     };
--- a/src/core/request/end.rs
+++ b/src/core/request/end.rs
@@ -1,7 +1,7 @@
 //! How a request ends.
 
 use super::super::effect::{Effect, Meter, Refusal};
-use super::super::event::Stored;
+use super::super::event::StoredResponse;
 use super::super::key::{AttemptKey, RequestKey};
 use super::super::{Core, Effects, once, share, stop};
 use super::{Phase, millis, note};
@@ -11,7 +11,7 @@
 pub fn reply(
     core: &mut Core,
     key: RequestKey,
-    result: Stored,
+    result: StoredResponse,
     first: Option<Box<str>>,
     out: &mut Effects,
 ) {
@@ -106,15 +106,15 @@
     request.record.outcome = outcome.into();
     request.record.ran = Some(ran);
     request.record.output = u32::try_from(request.delivered).unwrap_or(u32::MAX);
-    out.push(Effect::Meter(Meter::Ended {
+    out.push(Effect::Meter(Meter::RequestEnded {
         class: request.class,
         customer: request.record.customer.clone(),
         outcome,
-        lasted,
+        duration: lasted,
     }));
     // Whoever guesses keys must not push the records of customers out.
     if !request.record.customer.is_empty() {
         core.traces.keep(request.record);
     }
-    stop::look(core, out);
+    stop::finish_if_idle(core, out);
 }
--- a/src/core/request/failure.rs
+++ b/src/core/request/failure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::super::effect::{Effect, Meter, Refusal};
-use super::super::event::{Break, Timer, Want};
+use super::super::event::{AttemptFailure, RequestSpec, Timer};
 use super::super::key::{AttemptKey, BackendKey, RequestKey};
 use super::super::route::Choice;
 use super::super::{Core, Effects, poison};
@@ -28,7 +28,7 @@
     core: &mut Core,
     key: AttemptKey,
     ran: Ran,
-    how: Break,
+    how: AttemptFailure,
     detail: &str,
     out: &mut Effects,
 ) {
@@ -44,17 +44,20 @@
     out.push(Effect::Cancel(key));
     close_attempt(core, key, detail, ran);
     let entry = &mut core.requests.arena[request];
-    if matches!(entry.want, Want::Service(_)) {
+    if matches!(entry.want, RequestSpec::Service(_)) {
         core.fleet.record_failure(backend, core.now);
         service_failed(core, request, backend, ran, how, detail, out);
         return;
     }
-    if how == Break::Rejected {
-        let refusal = Refusal::new(Kind::Malformed, detail).ran(ran);
+    if how == AttemptFailure::Rejected {
+        let refusal = Refusal::new(Kind::Malformed, detail).with_ran(ran);
         refuse(core, request, refusal, out);
         return;
     }
-    if matches!(how, Break::Cut | Break::Silent) && entry.resumes < MAX_RESUMES && !split {
+    if matches!(how, AttemptFailure::Cut | AttemptFailure::Silent)
+        && entry.resumes < MAX_RESUMES
+        && !split
+    {
         entry.resumes += 1;
         entry.last_break = Some(how);
         note(
@@ -65,7 +68,7 @@
         resume(core, request, backend, label, out);
         return;
     }
-    if how == Break::Forgotten {
+    if how == AttemptFailure::Forgotten {
         core.fleet.record_success(backend);
     } else {
         core.fleet.record_failure(backend, core.now);
@@ -73,10 +76,11 @@
     let entry = &mut core.requests.arena[request];
     // It closed this stream and now neither answers nor knows it: it died while running it. After
     // a silence the same shows only that the connection or the network is lost.
-    let gone = matches!(how, Break::Unreachable | Break::Forgotten);
+    let gone = matches!(how, AttemptFailure::Unreachable | AttemptFailure::Forgotten);
     // While it prefills for another there is nothing to resume, and so nothing more to ask it.
-    let died = gone && entry.last_break == Some(Break::Cut) || split && how == Break::Cut;
-    if died || how != Break::Forgotten {
+    let died = gone && entry.last_break == Some(AttemptFailure::Cut)
+        || split && how == AttemptFailure::Cut;
+    if died || how != AttemptFailure::Forgotten {
         entry.avoid.push(backend);
     }
     entry.resumes = 0;
@@ -85,7 +89,7 @@
         poison::report_crash(core, request, backend, out);
     }
     let pause = match how {
-        Break::Refused | Break::Forgotten if !died => Duration::ZERO,
+        AttemptFailure::Refused | AttemptFailure::Forgotten if !died => Duration::ZERO,
         _ => RETRY_DELAY,
     };
     retry(core, request, detail, Kind::EngineFailed, pause, out);
@@ -117,7 +121,7 @@
     let request = &core.requests.arena[key];
     let ran = request.ran();
     if request.tries >= MAX_TRIES {
-        let refusal = Refusal::new(kind, format!("{detail}; no try is left")).ran(ran);
+        let refusal = Refusal::new(kind, format!("{detail}; no try is left")).with_ran(ran);
         give_up(core, key, refusal, out);
     } else if core.requests.take_retry() {
         let class = core.requests.arena[key].class.clone();
@@ -127,13 +131,14 @@
             dispatch(core, key, out);
         } else {
             core.requests.arena[key].phase = Phase::Pause;
-            out.push(Effect::Wake {
+            out.push(Effect::SetTimer {
                 at: core.now.after(pause),
                 timer: Timer::Request(key),
             });
         }
     } else {
-        let refusal = Refusal::new(kind, format!("{detail}; too many repeats just now")).ran(ran);
+        let refusal =
+            Refusal::new(kind, format!("{detail}; too many repeats just now")).with_ran(ran);
         give_up(core, key, refusal, out);
     }
 }
@@ -143,20 +148,23 @@
     key: RequestKey,
     backend: BackendKey,
     ran: Ran,
-    how: Break,
+    how: AttemptFailure,
     detail: &str,
     out: &mut Effects,
 ) {
     let request = &mut core.requests.arena[key];
     request.avoid.push(backend);
     let kind = match how {
-        Break::Unreachable | Break::Refused => Kind::ServiceDown,
-        Break::Cut | Break::Silent | Break::Forgotten | Break::Rejected => Kind::ServiceFailed,
+        AttemptFailure::Unreachable | AttemptFailure::Refused => Kind::ServiceDown,
+        AttemptFailure::Cut
+        | AttemptFailure::Silent
+        | AttemptFailure::Forgotten
+        | AttemptFailure::Rejected => Kind::ServiceFailed,
     };
     if ran == Ran::No || request.retryable {
         retry(core, key, detail, kind, Duration::ZERO, out);
     } else {
-        let refusal = Refusal::new(kind, detail).ran(ran);
+        let refusal = Refusal::new(kind, detail).with_ran(ran);
         give_up(core, key, refusal, out);
     }
 }
@@ -182,7 +190,7 @@
     };
     let due = last.after(bound);
     if due > core.now {
-        out.push(Effect::Wake {
+        out.push(Effect::SetTimer {
             at: due,
             timer: Timer::Silence(key),
         });
@@ -192,5 +200,12 @@
         "silent for {} ms",
         millis(core.now.since(attempt.last_progress))
     );
-    attempt_failed(core, key, Ran::Unknown, Break::Silent, &detail, out);
+    attempt_failed(
+        core,
+        key,
+        Ran::Unknown,
+        AttemptFailure::Silent,
+        &detail,
+        out,
+    );
 }
--- a/src/core/request/mod.rs
+++ b/src/core/request/mod.rs
@@ -9,7 +9,10 @@
 
 use slotmap::SlotMap;
 
-use super::event::{Break, ModelWant, Print, RequestEvent, ServiceWant, Stored, Timer, Want};
+use super::event::{
+    AttemptFailure, Fingerprint, ModelRequest, RequestEvent, RequestSpec, ServiceRequest,
+    StoredResponse, Timer,
+};
 use super::key::{AttemptKey, BackendKey, RequestKey};
 use super::trace::{Note, Record};
 use super::{Core, Effects, Time, share};
@@ -43,11 +46,11 @@
 #[derive(Debug)]
 pub struct Request {
     /// What the caller wants.
-    pub want: Want,
+    pub want: RequestSpec,
     /// The caller's idempotency key.
     pub idempotency_key: Option<Box<str>>,
     /// Fingerprint of target and body.
-    pub fingerprint: Print,
+    pub fingerprint: Fingerprint,
     /// When it arrived.
     pub arrived: Time,
     /// When the last token was passed on.
@@ -67,14 +70,14 @@
     /// Back ends that failed it.
     pub avoid: Vec<BackendKey>,
     /// Answer of a call that may not repeat, while its record is on its way.
-    pub result: Option<Stored>,
+    pub result: Option<StoredResponse>,
     /// Whether the caller has closed its connection.
     pub caller_left: bool,
     /// Whether the piece with the finish reason was passed on.
     finished: bool,
     progress: Progress,
     /// How the last attempt was lost, while the same engine is asked to go on with it.
-    last_break: Option<Break>,
+    last_break: Option<AttemptFailure>,
     tries: u8,
     resumes: u8,
     class: Box<str>,
@@ -159,17 +162,17 @@
 pub fn step(core: &mut Core, event: RequestEvent, out: &mut Effects) {
     match event {
         RequestEvent::Arrived(arrival) => arrive::arrived(core, *arrival, out),
-        RequestEvent::Left(request) => end::caller_left(core, request, out),
+        RequestEvent::CallerLeft(request) => end::caller_left(core, request, out),
         RequestEvent::Began(attempt) => attempt::began(core, attempt),
-        RequestEvent::Held(attempt) => attempt::delivery_blocked(core, attempt),
-        RequestEvent::Chunk {
+        RequestEvent::DeliveryBlocked(attempt) => attempt::delivery_blocked(core, attempt),
+        RequestEvent::StreamEvent {
             attempt,
             offset,
             tokens,
         } => attempt::stream_event(core, attempt, offset, tokens, out),
-        RequestEvent::Whole(attempt) => attempt::stream_completed(core, attempt, out),
+        RequestEvent::StreamCompleted(attempt) => attempt::stream_completed(core, attempt, out),
         RequestEvent::Answered { attempt, result } => attempt::answered(core, attempt, result, out),
-        RequestEvent::Broke {
+        RequestEvent::AttemptFailed {
             attempt,
             ran,
             end,
@@ -189,7 +192,7 @@
 
 /// Adds a decision to a request's record.
 pub fn note(core: &mut Core, key: RequestKey, text: impl Into<Box<str>>) {
-    let wall = core.wall();
+    let wall = core.wall_ms();
     if let Some(request) = core.requests.arena.get_mut(key) {
         let at = wall.saturating_sub(request.record.arrived);
         request.record.notes.push(Note {
@@ -222,19 +225,19 @@
 
     /// Returns the model that the caller wants.
     #[must_use]
-    pub fn model(&self) -> Option<&ModelWant> {
+    pub fn model(&self) -> Option<&ModelRequest> {
         match &self.want {
-            Want::Model(want) => Some(want),
-            Want::Service(_) => None,
+            RequestSpec::Model(want) => Some(want),
+            RequestSpec::Service(_) => None,
         }
     }
 
     /// Returns the service call that the caller wants.
     #[must_use]
-    pub fn service(&self) -> Option<&ServiceWant> {
+    pub fn service(&self) -> Option<&ServiceRequest> {
         match &self.want {
-            Want::Model(_) => None,
-            Want::Service(want) => Some(want),
+            RequestSpec::Model(_) => None,
+            RequestSpec::Service(want) => Some(want),
         }
     }
 }
--- a/src/core/share/borrow.rs
+++ b/src/core/share/borrow.rs
@@ -11,7 +11,7 @@
 };
 use crate::core::effect::Effect;
 use crate::core::key::HostKey;
-use crate::core::message::{Borrow, Lend, Loan, Message, Wish};
+use crate::core::message::{Borrow, Lend, Loan, LoanRequest, Message};
 use crate::core::{Core, Effects, Time};
 use crate::lists::Quota;
 
@@ -33,13 +33,13 @@
     let (requests, tokens) = part.available();
     wish.requests = (cost.requests - requests).max(0.0);
     wish.tokens = (cost.tokens + part.debt - tokens).max(0.0);
-    wish.least = wish.tokens;
+    wish.min_tokens = wish.tokens;
     wish.running = u32::from(cost.permit && part.running >= part.permits);
     let loan = lend(core, plan, &name, &wish, allowance);
     let part = core.shares.local.entry(plan.into()).or_default();
     part.add_loan(now.after(LOAN_LIFETIME), loan.requests, loan.tokens);
     add_permits(part, loan.running, now);
-    Duration::from_millis(u64::from(loan.wait))
+    Duration::from_millis(u64::from(loan.retry_ms))
 }
 
 fn add_permits(part: &mut LocalShare, running: u32, now: Time) {
@@ -50,7 +50,7 @@
 }
 
 /// Lends from the ledger that this host keeps of a plan.
-fn lend(core: &mut Core, plan: &str, host: &str, wish: &Wish, allowance: &Quota) -> Loan {
+fn lend(core: &mut Core, plan: &str, host: &str, wish: &LoanRequest, allowance: &Quota) -> Loan {
     let now = core.now;
     let apart = core
         .shares
@@ -98,7 +98,7 @@
         .filter(|(_, part)| part.source == Some(Source::Peer(owner)))
         .map(|(plan, _)| plan.clone())
         .collect();
-    let wishes: Vec<Wish> = plans
+    let wishes: Vec<LoanRequest> = plans
         .iter()
         .filter_map(|plan| build_wish(core, plan))
         .collect();
@@ -112,12 +112,15 @@
         .insert(owner, PendingBorrow { round, sent: now });
     out.push(Effect::Send {
         to: owner,
-        message: Message::Borrow(Borrow { round, wishes }),
+        message: Message::Borrow(Borrow {
+            round,
+            loan_requests: wishes,
+        }),
     });
 }
 
 /// Returns what to ask for a plan, if anything.
-fn build_wish(core: &mut Core, plan: &str) -> Option<Wish> {
+fn build_wish(core: &mut Core, plan: &str) -> Option<LoanRequest> {
     let now = core.now;
     let allowance = quota_of(core, plan).unwrap_or_default();
     let waiting = &core.shares.local.get(plan)?.waiting;
@@ -128,7 +131,7 @@
     let part = core.shares.local.get_mut(plan)?;
     let back = part.take_expiring(now);
     let mut wish = wish(plan, part, costs.first().copied());
-    (wish.back_requests, wish.back_tokens) = back;
+    (wish.returned_requests, wish.returned_tokens) = back;
     let (requests, tokens) = part.available();
     let short = |need: f64, ahead: f64, have: f64| {
         // Asking only when half is gone keeps the questions few.
@@ -149,7 +152,7 @@
     if allowance.tokens.is_some() {
         wish.tokens = short(needs(|cost| cost.tokens) + part.debt, part_ahead.1, tokens);
         let owed = if costs.is_empty() { 0.0 } else { part.debt };
-        wish.least = (wish.least + owed - tokens).max(0.0);
+        wish.min_tokens = (wish.min_tokens + owed - tokens).max(0.0);
     }
     if allowance.running.is_some() {
         let waiting = u32::try_from(costs.len()).unwrap_or(u32::MAX);
@@ -213,7 +216,7 @@
     };
     let back = part.take_expiring(now);
     let mut wish = wish(plan, part, None);
-    (wish.back_requests, wish.back_tokens) = back;
+    (wish.returned_requests, wish.returned_tokens) = back;
     let untold = part.reported_permits != Some(part.permits);
     part.reported_permits = Some(part.permits);
     if untold || back.0 + back.1 > 0.0 {
@@ -259,7 +262,7 @@
     core.shares.last_answered.insert(from, borrow.round);
     let name = core.members.arena[from].name.clone();
     let mut loans = Vec::new();
-    for wish in &borrow.wishes {
+    for wish in &borrow.loan_requests {
         if pledge::source(core, &wish.plan) != Source::Local {
             continue;
         }
@@ -272,7 +275,7 @@
         to: from,
         message: Message::Lend(Lend {
             round: borrow.round,
-            life: u32::try_from(LOAN_LIFETIME.as_millis()).unwrap_or(u32::MAX),
+            ttl_ms: u32::try_from(LOAN_LIFETIME.as_millis()).unwrap_or(u32::MAX),
             loans,
         }),
     });
@@ -304,12 +307,12 @@
             part.add_loan(until, loan.requests, loan.tokens);
             add_permits(part, loan.running, now);
         }
-        if loan.wait > 0 {
-            let wait = Duration::from_millis(u64::from(loan.wait));
+        if loan.retry_ms > 0 {
+            let wait = Duration::from_millis(u64::from(loan.retry_ms));
             part.retry_at = now.after(wait.min(MAX_BORROW_BACKOFF));
         }
         admit_waiting(core, &loan.plan, out);
-        let wait = Duration::from_millis(u64::from(loan.wait));
+        let wait = Duration::from_millis(u64::from(loan.retry_ms));
         let limits = quota_of(core, &loan.plan).unwrap_or_default();
         let part = core.shares.local.get(&loan.plan);
         if !part.is_some_and(|part| part.may_queue(&limits, wait)) {
--- a/src/core/share/ledger.rs
+++ b/src/core/share/ledger.rs
@@ -5,7 +5,7 @@
 
 use super::pledge::Pledged;
 use crate::core::Time;
-use crate::core::message::{Loan, Wish};
+use crate::core::message::{Loan, LoanRequest};
 use crate::lists::Quota;
 
 /// Seconds of its rate that a plan may save up at its home.
@@ -91,10 +91,10 @@
     }
 
     /// Lends what a host asks for, as far as there is.
-    pub fn lend(&mut self, host: &str, wish: &Wish, allowance: &Quota, now: Time) -> Loan {
+    pub fn lend(&mut self, host: &str, wish: &LoanRequest, allowance: &Quota, now: Time) -> Loan {
         self.last_used = now;
-        self.requests += wish.back_requests;
-        self.tokens += wish.back_tokens;
+        self.requests += wish.returned_requests;
+        self.tokens += wish.returned_tokens;
         self.clamp(allowance);
         let running = self.lend_permits(host, wish, allowance);
         let mut loan = Loan {
@@ -110,7 +110,7 @@
         if wait > 0.0 {
             let millis =
                 Duration::from_secs_f64(wait.clamp(MIN_WAIT_SECS, MAX_WAIT_SECS)).as_millis();
-            loan.wait = u32::try_from(millis).unwrap_or(u32::MAX);
+            loan.retry_ms = u32::try_from(millis).unwrap_or(u32::MAX);
             return loan;
         }
         if allowance.requests.is_some() {
@@ -119,7 +119,7 @@
             self.requests -= loan.requests;
         }
         if allowance.tokens.is_some() {
-            loan.tokens = wish.tokens.min(self.tokens).max(wish.least).max(0.0);
+            loan.tokens = wish.tokens.min(self.tokens).max(wish.min_tokens).max(0.0);
             self.tokens -= loan.tokens;
         }
         loan
@@ -128,7 +128,7 @@
     /// Returns the time until the first waiting request could go; 0 when it can.
     ///
     /// A request larger than what can be saved up goes when everything is saved up, and is owed.
-    fn wait_secs(&self, wish: &Wish, allowance: &Quota, running: u32) -> f64 {
+    fn wait_secs(&self, wish: &LoanRequest, allowance: &Quota, running: u32) -> f64 {
         let until = |need: f64, most: f64, have: f64, rate: Option<f64>| {
             let rate = rate? * self.fraction;
             Some((need.min(most * self.fraction) - have) / rate)
@@ -136,7 +136,7 @@
         let (most, rate) = (request_burst(allowance), allowance.requests);
         let requests = until(first_request(wish), most, self.requests, rate).unwrap_or(0.0);
         let (most, rate) = (token_burst(allowance), allowance.tokens);
-        let tokens = until(wish.least, most, self.tokens, rate).unwrap_or(0.0);
+        let tokens = until(wish.min_tokens, most, self.tokens, rate).unwrap_or(0.0);
         let placeless = wish.waiting > 0 && wish.running > 0 && running == 0;
         let place = match allowance.running {
             Some(_) if placeless => PERMIT_WAIT_SECS,
@@ -146,7 +146,7 @@
     }
 
     /// Lends places for running requests.
-    fn lend_permits(&mut self, host: &str, wish: &Wish, allowance: &Quota) -> u32 {
+    fn lend_permits(&mut self, host: &str, wish: &LoanRequest, allowance: &Quota) -> u32 {
         let Some(most) = allowance.running else {
             return 0;
         };
@@ -182,7 +182,7 @@
 }
 
 /// Returns the requests without which the first waiting one cannot go.
-fn first_request(wish: &Wish) -> f64 {
+fn first_request(wish: &LoanRequest) -> f64 {
     wish.requests.min(f64::from(wish.waiting.min(1)))
 }
 
--- a/src/core/share/mod.rs
+++ b/src/core/share/mod.rs
@@ -16,9 +16,9 @@
 use slotmap::SecondaryMap;
 
 use super::effect::Effect;
-use super::event::{Timer, Want};
+use super::event::{RequestSpec, Timer};
 use super::key::{HostKey, RequestKey};
-use super::message::Wish;
+use super::message::LoanRequest;
 use super::{Core, Effects, Time, request};
 use crate::lists::Quota;
 use ledger::Ledger;
@@ -206,8 +206,8 @@
 
 fn cost(core: &Core, key: RequestKey, allowance: &Quota) -> Cost {
     let tokens = match &core.requests.arena[key].want {
-        Want::Model(want) => f64::from(want.prompt) + f64::from(want.output),
-        Want::Service(_) => 0.0,
+        RequestSpec::Model(want) => f64::from(want.prompt_tokens) + f64::from(want.max_output),
+        RequestSpec::Service(_) => 0.0,
     };
     Cost {
         requests: f64::from(u8::from(allowance.requests.is_some())),
@@ -285,8 +285,8 @@
     let request = &core.requests.arena[key];
     let taken = request.taken;
     let used = match &request.want {
-        Want::Model(want) if request.delivered > 0 => {
-            f64::from(want.prompt) + request.delivered as f64
+        RequestSpec::Model(want) if request.delivered > 0 => {
+            f64::from(want.prompt_tokens) + request.delivered as f64
         }
         _ => 0.0,
     };
@@ -413,7 +413,7 @@
 fn arm_timer(core: &mut Core, out: &mut Effects) {
     if !core.shares.timer_armed {
         core.shares.timer_armed = true;
-        out.push(Effect::Wake {
+        out.push(Effect::SetTimer {
             at: core.now.after(BORROW_INTERVAL),
             timer: Timer::Shares,
         });
@@ -441,12 +441,12 @@
     }
 }
 
-fn wish(plan: &str, part: &LocalShare, cost: Option<Cost>) -> Wish {
-    Wish {
+fn wish(plan: &str, part: &LocalShare, cost: Option<Cost>) -> LoanRequest {
+    LoanRequest {
         plan: plan.into(),
         waiting: u32::from(cost.is_some()),
-        least: cost.map_or(0.0, |cost| cost.tokens),
+        min_tokens: cost.map_or(0.0, |cost| cost.tokens),
         held: part.permits,
-        ..Wish::default()
+        ..LoanRequest::default()
     }
 }
--- a/src/core/share/pledge.rs
+++ b/src/core/share/pledge.rs
@@ -14,7 +14,7 @@
 
 use crate::core::key::HostKey;
 use crate::core::member::{self, Member};
-use crate::core::message::{Beat, View};
+use crate::core::message::{Heartbeat, View};
 use crate::core::{Core, Time};
 
 /// Age at which a pledge counts no more, from when the beat that it echoes was sent.
@@ -210,7 +210,8 @@
     let members = &core.members;
     // The process that had this name before may have pledged until its end.
     let fresh = |at| core.now.since(at) < PLEDGE_LIFETIME;
-    if !members.registered || core.stop.begun() || pledges.registered_since.is_none_or(fresh) {
+    if !members.registered || core.stop.is_stopping() || pledges.registered_since.is_none_or(fresh)
+    {
         return false;
     }
     // A peer that knows of more hosts knows one that this host does not count, and that may not
@@ -236,7 +237,7 @@
     for seen in pledges.views.iter().take(MAX_HEARTBEAT_VIEWS) {
         let age = view_age(pledges, seen, core.now);
         let hash = seen.hash;
-        views.push(View { hash, age });
+        views.push(View { hash, age_ms: age });
         if Duration::from_millis(age) >= SETTLE_TIME {
             break;
         }
@@ -265,7 +266,7 @@
 }
 
 /// Takes in a peer's beat.
-pub fn heartbeat_received(core: &mut Core, from: HostKey, beat: &Beat) {
+pub fn heartbeat_received(core: &mut Core, from: HostKey, beat: &Heartbeat) {
     let now = core.now;
     let here = core.members.view;
     let registered = core.members.registered;
@@ -287,7 +288,7 @@
     let first = peer.withdrawn_since == Time::default() && now.since(begun) < SETTLE_TIME;
     peer.pledged_since
         .get_or_insert(if first { begun } else { now });
-    if registered && beat.view == here {
+    if registered && beat.view_hash == here {
         let member = &core.members.arena[from];
         let key = (member.name.clone(), member.incarnation);
         pledges.aware.insert(key);
@@ -347,8 +348,8 @@
 /// Returns whether a peer has pledged to this host, at the same view, for long enough.
 fn peer_settled(core: &Core, key: HostKey) -> bool {
     let beat = &core.members.arena[key].heartbeat;
-    let same = beat.view == core.members.view;
-    same && echo_fresh(core, key) && Duration::from_millis(beat.pledged) >= SETTLE_TIME
+    let same = beat.view_hash == core.members.view;
+    same && echo_fresh(core, key) && Duration::from_millis(beat.pledged_ms) >= SETTLE_TIME
 }
 
 fn echo_fresh(core: &Core, key: HostKey) -> bool {
@@ -398,20 +399,20 @@
     may_pledge(core) && owner_throughout(ages.zip(mine.iter().map(|mine| Some(*mine))))
 }
 
-fn pledge_state(core: &Core, key: HostKey, beat: &Beat, mine: &[bool]) -> PledgeState {
+fn pledge_state(core: &Core, key: HostKey, beat: &Heartbeat, mine: &[bool]) -> PledgeState {
     let views = &core.shares.pledges.views;
     let newest = View {
-        hash: beat.view,
-        age: beat.settled,
+        hash: beat.view_hash,
+        age_ms: beat.view_age_ms,
     };
     let known = std::iter::once(&newest).chain(&beat.views).map(|view| {
         let at = views.iter().position(|seen| seen.hash == view.hash);
-        (view.age, at.map(|at| mine[at]))
+        (view.age_ms, at.map(|at| mine[at]))
     });
     if !owner_throughout(known) {
         return PledgeState::PledgedElsewhere;
     }
-    let long = Duration::from_millis(beat.pledged) >= SETTLE_TIME;
+    let long = Duration::from_millis(beat.pledged_ms) >= SETTLE_TIME;
     if long && echo_fresh(core, key) {
         PledgeState::Counted
     } else {
--- a/src/core/share/tests/site.rs
+++ b/src/core/share/tests/site.rs
@@ -8,8 +8,9 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::core::event::{
-    Arrival, Entry, EntryKind, FleetEvent, Health, ModelWant, PeerEvent, Print, RequestEvent,
-    ServiceWant, StoreEvent, StoreReply, StoreResult, Stored, Want, Watched,
+    Arrival, Entry, EntryKind, Fingerprint, FleetEvent, Health, ModelRequest, PeerEvent,
+    RequestEvent, RequestSpec, ServiceRequest, StoreEvent, StoreReply, StoreResult, StoredResponse,
+    WatchedKey,
 };
 use crate::core::key::{AttemptKey, RequestKey};
 use crate::core::message::Message;
@@ -186,8 +187,8 @@
         self.watch(at, pairs);
     }
 
-    fn watched(&self, name: &str) -> Watched {
-        Watched {
+    fn watched(&self, name: &str) -> WatchedKey {
+        WatchedKey {
             key: format!("host/{name}").into(),
             value: self.registered.get(name).map(|(value, _)| value.clone()),
             modified: 1,
@@ -214,7 +215,7 @@
         self.push(at, QueuedEvent::Event { host, life, event });
     }
 
-    fn watch(&mut self, host: usize, pairs: Vec<Watched>) {
+    fn watch(&mut self, host: usize, pairs: Vec<WatchedKey>) {
         let life = self.hosts[host].life;
         let lag = Duration::from_micros(self.rng.random_range(500..2500));
         let at = self.now.after(lag).max(self.hosts[host].last_watch);
@@ -287,14 +288,14 @@
         self.tag += 1;
         self.arrived += 1;
         let target = if self.load.prompt > 0 {
-            Want::Model(ModelWant {
+            RequestSpec::Model(ModelRequest {
                 model: "m".into(),
-                prompt: self.load.prompt,
-                output: self.load.output,
-                pieces: Vec::new(),
+                prompt_tokens: self.load.prompt,
+                max_output: self.load.output,
+                prefix_hashes: Vec::new(),
             })
         } else {
-            Want::Service(ServiceWant {
+            RequestSpec::Service(ServiceRequest {
                 service: "s".into(),
                 method: "GET".into(),
                 path: "/".into(),
@@ -302,10 +303,10 @@
         };
         let arrival = Arrival {
             tag: self.tag,
-            caller: KeyHash::of(API_KEY),
-            want: target,
-            idem: None,
-            print: Print(u128::from(self.tag).to_le_bytes()),
+            key_hash: KeyHash::of(API_KEY),
+            spec: target,
+            idempotency_key: None,
+            fingerprint: Fingerprint(u128::from(self.tag).to_le_bytes()),
         };
         self.feed(
             host,
@@ -343,7 +344,7 @@
     fn apply(&mut self, at: usize, effect: Effect) {
         let life = self.hosts[at].life;
         match effect {
-            Effect::Wake { at: when, timer } => self.push(
+            Effect::SetTimer { at: when, timer } => self.push(
                 when,
                 QueuedEvent::Event {
                     host: at,
@@ -360,7 +361,7 @@
                 let mut bytes = BytesMut::new();
                 encode(&Frame::Message(message.clone()), &mut bytes);
                 // What requests leave behind is counted elsewhere.
-                if !matches!(message, Message::Traces(_)) {
+                if !matches!(message, Message::TraceCopies(_)) {
                     self.bytes += bytes.len() + FRAME_HEADER_BYTES;
                 }
                 let found = self.hosts.iter().position(|host| host.name == name);
@@ -371,10 +372,10 @@
                 let from = self.hosts[at].name.clone();
                 self.feed_delayed(other, Event::Peer(PeerEvent::Message { from, message }));
             }
-            Effect::Grant { job, .. } => {
+            Effect::GrantLease { job, .. } => {
                 self.reply(at, job, StoreResult::Lease(i64::from(life) + 7));
             }
-            Effect::Renew { job, lease } => {
+            Effect::RenewLease { job, lease } => {
                 let (now, store) = (self.now, self.hosts[at].store);
                 let entry = self
                     .registered
@@ -384,10 +385,10 @@
                 self.reply(at, job, StoreResult::Lease(kept));
             }
             Effect::Txn { job, txn } => self.write(at, job, &txn.then),
-            Effect::Call {
+            Effect::CallService {
                 request, attempt, ..
             } => self.admit(at, request, attempt, None),
-            Effect::Open(open) => {
+            Effect::OpenStream(open) => {
                 self.admit(at, open.request, open.attempt, Some(self.load.generated));
             }
             Effect::Reply { request, .. } | Effect::Finish(request) => {
@@ -443,20 +444,20 @@
         let events = match made {
             None => vec![RequestEvent::Answered {
                 attempt,
-                result: Stored::default(),
+                result: StoredResponse::default(),
             }],
             Some(tokens) => vec![
-                RequestEvent::Chunk {
+                RequestEvent::StreamEvent {
                     attempt,
                     offset: 0,
                     tokens,
                 },
-                RequestEvent::Chunk {
+                RequestEvent::StreamEvent {
                     attempt,
                     offset: u64::from(tokens),
                     tokens: 0,
                 },
-                RequestEvent::Whole(attempt),
+                RequestEvent::StreamCompleted(attempt),
             ],
         };
         for event in events {
--- a/src/core/stop.rs
+++ b/src/core/stop.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::effect::{Effect, Note, log_event};
+use super::effect::{Effect, LogFields, log_event};
 use super::event::{StopEvent, Timer};
 use super::{Core, Effects, Time, member, order, share, trace};
 
@@ -10,27 +10,27 @@
 ///
 /// The balancer hears of it from the readiness check, which it asks about once a second; closed
 /// at once, the listener would refuse callers whom the balancer still sends here.
-const NOTICE: Duration = Duration::from_secs(1);
+const DRAIN_NOTICE: Duration = Duration::from_secs(1);
 
 /// The same for a host that relays: its balancer takes a host out after two checks without a yes,
 /// which come once a second.
 ///
 /// Requests that come on kept connections later are refused: a stream taken then may last longer
 /// than the host may, and is cut when the host is killed.
-const RELAY_NOTICE: Duration = Duration::from_millis(2500);
+const RELAY_DRAIN_NOTICE: Duration = Duration::from_millis(2500);
 /// Part of the time for a planned stop that is left when a relaying host gives up what still runs.
 ///
 /// The platform kills the host at the end of that time: the callers would see their connections
 /// vanish, and the log would not say whose requests those were. Half a second of eight is enough
 /// for the last writes of a host with a fifth of a core.
-const LEFT: u32 = 16;
+const RELAY_RESERVE_DIVISOR: u32 = 16;
 /// Time for the last answers to be written once the bound is reached.
-const LAST_WRITES: Duration = Duration::from_millis(150);
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How far a planned stop is.
 #[derive(Debug, Default)]
 pub struct Stop {
-    since: Option<Time>,
+    started: Option<Time>,
     /// Whether every connection of a caller is closed.
     idle: bool,
     phase: Phase,
@@ -45,7 +45,7 @@
     /// No new connection is taken.
     Closed,
     /// What ran has been given up.
-    GivenUp,
+    Abandoned,
     /// The process may end.
     Done,
 }
@@ -53,13 +53,13 @@
 impl Stop {
     /// Returns whether this host is stopping.
     #[must_use]
-    pub fn begun(&self) -> bool {
-        self.since.is_some()
+    pub fn is_stopping(&self) -> bool {
+        self.started.is_some()
     }
 
     /// Returns whether this host takes no new connections any more.
     #[must_use]
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.phase >= Phase::Closed
     }
 }
@@ -67,19 +67,19 @@
 /// Begins the stop, or goes on with it.
 pub fn step(core: &mut Core, event: StopEvent, out: &mut Effects) {
     match event {
-        StopEvent::Begin if !core.stop.begun() => begin(core, out),
+        StopEvent::Begin if !core.stop.is_stopping() => begin(core, out),
         StopEvent::Begin => {}
         StopEvent::Idle => {
             core.stop.idle = true;
-            look(core, out);
+            finish_if_idle(core, out);
         }
     }
 }
 
 fn begin(core: &mut Core, out: &mut Effects) {
-    core.stop.since = Some(core.now);
+    core.stop.started = Some(core.now);
     let running = running(core);
-    say(
+    log_step(
         core,
         log::Level::Info,
         "host.stopping",
@@ -88,12 +88,12 @@
         out,
     );
     let notice = if core.settings.relay.is_some() {
-        RELAY_NOTICE
+        RELAY_DRAIN_NOTICE
     } else {
-        NOTICE
+        DRAIN_NOTICE
     };
     let notice = notice.min(core.settings.limits.stop / 3);
-    out.push(Effect::Wake {
+    out.push(Effect::SetTimer {
         at: core.now.after(notice),
         timer: Timer::Stop,
     });
@@ -102,7 +102,7 @@
     share::leave(core, out);
     order::release(core, out);
     super::once::view_changed(core, out);
-    look(core, out);
+    finish_if_idle(core, out);
 }
 
 /// Returns how many requests this host holds.
@@ -111,14 +111,14 @@
 }
 
 /// Ends the process once nothing is left to do.
-pub fn look(core: &mut Core, out: &mut Effects) {
+pub fn finish_if_idle(core: &mut Core, out: &mut Effects) {
     let stop = &core.stop;
-    if !stop.begun() || stop.phase == Phase::Done || !stop.idle {
+    if !stop.is_stopping() || stop.phase == Phase::Done || !stop.idle {
         return;
     }
     if running(core) == 0 && core.once.idle() {
-        let why = if stop.phase == Phase::GivenUp {
-            BOUND_REACHED
+        let why = if stop.phase == Phase::Abandoned {
+            STOP_TIMED_OUT
         } else {
             "every request is finished"
         };
@@ -127,53 +127,53 @@
 }
 
 /// Why a planned stop ended with requests still running.
-const BOUND_REACHED: &str = "the bound is reached";
+const STOP_TIMED_OUT: &str = "the bound is reached";
 
 /// The notice is over, or the stop has reached its bound.
 pub fn timer(core: &mut Core, out: &mut Effects) {
-    let Some(since) = core.stop.since else {
+    let Some(since) = core.stop.started else {
         return;
     };
     match core.stop.phase {
         Phase::Open => {
             core.stop.phase = Phase::Closed;
-            out.push(Effect::Close);
-            out.push(Effect::Wake {
-                at: since.after(bound(core)),
+            out.push(Effect::CloseListeners);
+            out.push(Effect::SetTimer {
+                at: since.after(abandon_after(core)),
                 timer: Timer::Stop,
             });
         }
-        Phase::Closed => give_up(core, out),
-        Phase::GivenUp => finish(core, BOUND_REACHED, out),
+        Phase::Closed => abandon_requests(core, out),
+        Phase::Abandoned => finish(core, STOP_TIMED_OUT, out),
         Phase::Done => {}
     }
 }
 
 /// Returns the time after which this host gives up what still runs.
-fn bound(core: &Core) -> Duration {
+fn abandon_after(core: &Core) -> Duration {
     let stop = core.settings.limits.stop;
     if core.settings.relay.is_some() {
-        stop.saturating_sub(stop / LEFT)
+        stop.saturating_sub(stop / RELAY_RESERVE_DIVISOR)
     } else {
         stop
     }
 }
 
 /// Ends what still runs, so that each caller is told, and each request is in the log.
-fn give_up(core: &mut Core, out: &mut Effects) {
-    core.stop.phase = Phase::GivenUp;
+fn abandon_requests(core: &mut Core, out: &mut Effects) {
+    core.stop.phase = Phase::Abandoned;
     let running = running(core);
-    say(
+    log_step(
         core,
         log::Level::Error,
         "host.stop_bound",
-        BOUND_REACHED,
+        STOP_TIMED_OUT,
         running,
         out,
     );
-    super::relay::abandon_all(core, BOUND_REACHED, out);
-    out.push(Effect::Wake {
-        at: core.now.after(LAST_WRITES),
+    super::relay::abandon_all(core, STOP_TIMED_OUT, out);
+    out.push(Effect::SetTimer {
+        at: core.now.after(FINAL_WRITE_TIMEOUT),
         timer: Timer::Stop,
     });
 }
@@ -183,12 +183,12 @@
     trace::flush(core, out);
     member::unregister(core, out);
     let running = running(core);
-    say(core, log::Level::Info, "host.stopped", why, running, out);
+    log_step(core, log::Level::Info, "host.stopped", why, running, out);
     out.push(Effect::Exit);
 }
 
 /// Logs a step of the stop, in the form of this host's other events.
-fn say(
+fn log_step(
     core: &Core,
     level: log::Level,
     name: &'static str,
@@ -197,7 +197,7 @@
     out: &mut Effects,
 ) {
     if core.settings.relay.is_some() {
-        out.push(Effect::Note(Note {
+        out.push(Effect::LogFields(LogFields {
             level,
             name,
             fields: vec![("why", why.into()), ("running", running.to_string().into())],
--- a/src/core/tests/carry.rs
+++ b/src/core/tests/carry.rs
@@ -4,7 +4,7 @@
 
 use super::{Called, Due, Got, World};
 use crate::core::event::{
-    Break, PeerEvent, RequestEvent, StoreEvent, StoreReply, StoreResult, Stored,
+    AttemptFailure, PeerEvent, RequestEvent, StoreEvent, StoreReply, StoreResult, StoredResponse,
 };
 use crate::core::key::{HostKey, RequestKey};
 use crate::core::message::Message;
@@ -24,25 +24,25 @@
                 request, result, ..
             } => self.got(at, request, &Got::Reply(result)),
             Effect::Refuse { request, refusal } => self.got(at, request, &Got::Refused(refusal)),
-            Effect::Wake { at: due, timer } => {
+            Effect::SetTimer { at: due, timer } => {
                 self.put(due, Due::Event(at, life, Box::new(Event::Timer(timer))));
             }
-            Effect::Peer { host, name, .. } => {
+            Effect::AddPeer { host, name, .. } => {
                 self.hosts[at].peers.insert(host, name);
             }
-            Effect::Unpeer(host) => {
+            Effect::RemovePeer(host) => {
                 self.hosts[at].peers.remove(&host);
             }
             Effect::Send { to, message } => self.message(at, to, &message),
             Effect::Read { .. }
             | Effect::Txn { .. }
-            | Effect::Grant { .. }
-            | Effect::Renew { .. }
-            | Effect::Revoke(_) => {
+            | Effect::GrantLease { .. }
+            | Effect::RenewLease { .. }
+            | Effect::RevokeLease(_) => {
                 let due = self.soon();
                 self.put(due, Due::Store(at, life, Box::new(effect)));
             }
-            Effect::Call {
+            Effect::CallService {
                 request, attempt, ..
             } => {
                 let call = &self.sent[self.hosts[at].calls[&request]];
@@ -57,7 +57,7 @@
                 let due = self.soon();
                 self.put(due, Due::Call(called));
             }
-            Effect::Meter(_) | Effect::Log(_) | Effect::List | Effect::Load { .. } => {}
+            Effect::Meter(_) | Effect::Log(_) | Effect::ReadListing | Effect::ReadLoad { .. } => {}
             other => self.other.push((at, other)),
         }
     }
@@ -112,8 +112,8 @@
     fn unheard(&mut self, at: usize, life: u64, effect: &Effect) {
         let (Effect::Read { job, .. }
         | Effect::Txn { job, .. }
-        | Effect::Grant { job, .. }
-        | Effect::Renew { job, .. }) = effect
+        | Effect::GrantLease { job, .. }
+        | Effect::RenewLease { job, .. }) = effect
         else {
             return;
         };
@@ -128,25 +128,25 @@
 
     pub(super) fn service(&mut self, called: Called) {
         let attempt = called.attempt;
-        let broke = |ran, end| RequestEvent::Broke {
+        let broke = |ran, end| RequestEvent::AttemptFailed {
             attempt,
             ran,
             end,
             detail: "on purpose".into(),
         };
         let event = if self.rng.random_bool(self.odds.refuse) {
-            broke(Ran::No, Break::Refused)
+            broke(Ran::No, AttemptFailure::Refused)
         } else {
             *self.runs.entry(called.key.clone()).or_default() += 1;
             *self.ran.entry(called.id).or_default() += 1;
             if self.rng.random_bool(self.odds.cut) {
-                broke(Ran::Unknown, Break::Cut)
+                broke(Ran::Unknown, AttemptFailure::Cut)
             } else {
                 RequestEvent::Answered {
                     attempt,
-                    result: Stored {
+                    result: StoredResponse {
                         status: 200,
-                        media: "text/plain".into(),
+                        content_type: "text/plain".into(),
                         body: called.key.as_bytes().into(),
                     },
                 }
--- a/src/core/tests/killer.rs
+++ b/src/core/tests/killer.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use super::super::event::Print;
+use super::super::event::Fingerprint;
 use super::super::message::Suspect;
 use super::super::{Core, Effects, Event, Time, event::Timer, poison};
 use super::{EPOCH, settings};
 use crate::error::Kind;
 
-const KILLER: Print = Print([1; 16]);
-const INNOCENT: Print = Print([2; 16]);
+const KILLER: Fingerprint = Fingerprint([1; 16]);
+const INNOCENT: Fingerprint = Fingerprint([2; 16]);
 
 /// One report: fingerprint, engine, seconds since the start, whether it was being answered.
-type Report = (Print, &'static str, u64, bool);
+type Report = (Fingerprint, &'static str, u64, bool);
 
 fn core_told(reports: &[Report], end: u64) -> Core {
     let mut core = Core::new(settings("host"), Time::default(), EPOCH, 7);
@@ -20,9 +20,9 @@
         let seconds = Time::default().after(Duration::from_secs(at));
         core.reduce(seconds, Event::Timer(Timer::Shares), &mut Effects::new());
         let suspect = Suspect {
-            print,
+            fingerprint: print,
             engine: engine.into(),
-            at: EPOCH + at * 1000,
+            at_ms: EPOCH + at * 1000,
             request: "r".into(),
             answering,
         };
--- a/src/core/tests/lists.rs
+++ b/src/core/tests/lists.rs
@@ -7,8 +7,8 @@
 
 use super::{CUSTOMER, World};
 use crate::core::effect::{Effect, OperatorAnswer};
-use crate::core::event::{Edit, Event, Job, OperatorEvent, StoreEvent, StoreResult, Which};
-use crate::core::key::AskKey;
+use crate::core::event::{Edit, Event, Job, ListKind, OperatorEvent, StoreEvent, StoreResult};
+use crate::core::key::CommandKey;
 use crate::core::{Effects, config};
 use crate::lists::KeyHash;
 
@@ -20,12 +20,15 @@
 
 fn apply(world: &mut World, at: usize, ask: u64, key: &str) {
     let edit = Edit {
-        list: Which::Plans,
+        list: ListKind::Plans,
         text: plans(key).into(),
-        base: world.hosts[at].core.config.revision(),
+        base_revision: world.hosts[at].core.config.revision(),
     };
-    let ask = AskKey(ask);
-    world.feed(at, Event::Operator(OperatorEvent::Apply { ask, edit }));
+    let ask = CommandKey(ask);
+    world.feed(
+        at,
+        Event::Operator(OperatorEvent::Apply { command: ask, edit }),
+    );
 }
 
 /// Returns what the operator was told.
@@ -35,7 +38,10 @@
         .iter()
         .rev()
         .find_map(|(_, effect)| match effect {
-            Effect::Answer { ask: asked, answer } if *asked == AskKey(ask) => Some(answer),
+            Effect::AnswerOperator {
+                command: asked,
+                answer,
+            } if *asked == CommandKey(ask) => Some(answer),
             _ => None,
         })
 }
@@ -131,7 +137,7 @@
     let mut lost = 0;
     for event in &mut world.hosts[0].held {
         if let Event::Store(StoreEvent::Reply(reply)) = event
-            && reply.job == Job::Apply(AskKey(1))
+            && reply.job == Job::Apply(CommandKey(1))
         {
             reply.result = StoreResult::Unknown;
             lost += 1;
--- a/src/core/tests/mod.rs
+++ b/src/core/tests/mod.rs
@@ -24,8 +24,8 @@
 
 use super::effect::Refusal;
 use super::event::{
-    Arrival, Entry, EntryKind, FleetEvent, Print, RequestEvent, ServiceWant, StoreEvent, Stored,
-    Want,
+    Arrival, Entry, EntryKind, Fingerprint, FleetEvent, RequestEvent, RequestSpec, ServiceRequest,
+    StoreEvent, StoredResponse,
 };
 use super::key::{AttemptKey, HostKey, RequestKey};
 use super::{Core, Effect, Effects, Event, Time, config};
@@ -63,7 +63,7 @@
 /// What a caller got.
 #[derive(Debug, Clone)]
 pub enum Got {
-    Reply(Stored),
+    Reply(StoredResponse),
     Refused(Refusal),
 }
 
@@ -325,14 +325,14 @@
         });
         let arrival = Arrival {
             tag: tag as u64,
-            caller: KeyHash::of(CUSTOMER_KEY),
-            want: Want::Service(ServiceWant {
+            key_hash: KeyHash::of(CUSTOMER_KEY),
+            spec: RequestSpec::Service(ServiceRequest {
                 service: SERVICE.into(),
                 method: method.into(),
                 path: "/extensions".into(),
             }),
-            idem: Some(key.into()),
-            print: Print([body; 16]),
+            idempotency_key: Some(key.into()),
+            fingerprint: Fingerprint([body; 16]),
         };
         let event = RequestEvent::Arrived(Box::new(arrival));
         if !self.hosts[at].dead {
--- a/src/core/tests/once.rs
+++ b/src/core/tests/once.rs
@@ -9,7 +9,7 @@
 use crate::core::Event;
 use crate::core::event::PeerEvent;
 use crate::core::key::ShardKey;
-use crate::core::message::{Beat, BeginState, Done, DoneState, Message};
+use crate::core::message::{BeginState, Done, DoneState, Heartbeat, Message};
 use crate::core::once::{RETENTION, is_canonical, shard_of};
 use crate::error::{Kind, Ran};
 
@@ -317,10 +317,10 @@
         number.set(number.get() + 1);
         Event::Peer(PeerEvent::Message {
             from: from.clone(),
-            message: Message::Beat(Beat {
+            message: Message::Heartbeat(Heartbeat {
                 number: number.get(),
                 stopping,
-                ..Beat::default()
+                ..Heartbeat::default()
             }),
         })
     }
--- a/src/core/tests/order.rs
+++ b/src/core/tests/order.rs
@@ -7,7 +7,9 @@
 
 use super::{LEASE, World};
 use crate::core::effect::{Action, Effect, Order};
-use crate::core::event::{Entry, EntryKind, Event, FleetEvent, Ordered, Probe, Report, Role};
+use crate::core::event::{
+    Entry, EntryKind, Event, FleetEvent, OrderResult, ProbeResult, Report, Role,
+};
 use crate::core::fleet::ServingState;
 use crate::core::key::PoolKey;
 use crate::core::order::authority;
@@ -192,11 +194,17 @@
                     let mut bound =
                         hosts.filter(|host| !host.dead && host.core.settings.host.peers == addr);
                     let probe = if bound.next().is_some() {
-                        Probe::Open
+                        ProbeResult::Open
                     } else {
-                        Probe::Refused
+                        ProbeResult::Refused
                     };
-                    self.tell(at, FleetEvent::Probed { addr, probe });
+                    self.tell(
+                        at,
+                        FleetEvent::Probed {
+                            addr,
+                            result: probe,
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -208,7 +216,7 @@
         let now = self.world.now;
         let hosts = &self.world.hosts;
         let waits = |host: usize, life: u64, order: &Order| {
-            hosts[host].frozen && hosts[host].life == life && order.order.is_multiple_of(2)
+            hosts[host].frozen && hosts[host].life == life && order.number.is_multiple_of(2)
         };
         let (due, later) = std::mem::take(&mut self.flight)
             .into_iter()
@@ -217,7 +225,7 @@
         for (_, host, life, order) in due {
             let result = self.order(&order);
             if self.world.rng.random_bool(self.lose) {
-                self.answer(host, life, &order, Ordered::Unknown);
+                self.answer(host, life, &order, OrderResult::Unknown);
             } else {
                 self.answer(host, life, &order, result);
             }
@@ -239,7 +247,7 @@
         }
     }
 
-    fn order(&mut self, order: &Order) -> Ordered {
+    fn order(&mut self, order: &Order) -> OrderResult {
         let at = (0..ENGINES).find(|at| name(*at) == order.engine);
         let at = at.expect("an engine of the list");
         let Action::Role(role) = order.action else {
@@ -248,14 +256,14 @@
         let running = self.running(at);
         let now = self.world.now;
         let engine = &mut self.engines[at];
-        let number = (order.fence, order.order);
+        let number = (order.fence, order.number);
         if self.fencing == Fencing::Checks {
             if number < engine.seen {
                 engine.refused += 1;
-                return Ordered::Fenced(engine.seen.0);
+                return OrderResult::Fenced(engine.seen.0);
             }
             if number == engine.seen {
-                return Ordered::Done;
+                return OrderResult::Done;
             }
         }
         engine.seen = number;
@@ -264,15 +272,15 @@
             assert_eq!(running, 0, "{} cut streams at {now:?}", order.engine);
             engine.next = Some((now.after(CHANGE), role));
         }
-        Ordered::Done
+        OrderResult::Done
     }
 
-    fn answer(&mut self, host: usize, life: u64, order: &Order, result: Ordered) {
+    fn answer(&mut self, host: usize, life: u64, order: &Order, result: OrderResult) {
         if self.lives(host, life) {
-            let event = FleetEvent::Ordered {
+            let event = FleetEvent::OrderAnswered {
                 name: order.engine.clone(),
                 fence: order.fence,
-                order: order.order,
+                number: order.number,
                 result,
             };
             self.tell(host, event);
@@ -286,7 +294,7 @@
             let report = Report {
                 running: u32::try_from(running).expect("few"),
                 role: engine.role,
-                age: 0,
+                age_ms: 0,
                 changing: engine.next.is_some(),
                 fence: engine.seen.0,
                 order: engine.seen.1,
--- a/src/core/tests/request.rs
+++ b/src/core/tests/request.rs
@@ -2,9 +2,10 @@
 
 use std::time::Duration;
 
-use super::super::effect::Open;
+use super::super::effect::OpenStream;
 use super::super::event::{
-    Arrival, Break, Entry, EntryKind, FleetEvent, ModelWant, Print, RequestEvent, Timer, Want,
+    Arrival, AttemptFailure, Entry, EntryKind, Fingerprint, FleetEvent, ModelRequest, RequestEvent,
+    RequestSpec, Timer,
 };
 use super::super::key::{AttemptKey, RequestKey};
 use super::super::{Core, Effect, Effects, Event, Time};
@@ -51,19 +52,19 @@
         self.feed(Event::Timer(timer));
     }
 
-    fn arrive(&mut self) -> Open {
-        let want = ModelWant {
+    fn arrive(&mut self) -> OpenStream {
+        let want = ModelRequest {
             model: MODEL.into(),
-            prompt: 10,
-            output: 3,
-            pieces: Vec::new(),
+            prompt_tokens: 10,
+            max_output: 3,
+            prefix_hashes: Vec::new(),
         };
         let arrival = Arrival {
             tag: 1,
-            caller: KeyHash::of(CUSTOMER_KEY),
-            want: Want::Model(want),
-            idem: None,
-            print: Print([3; 16]),
+            key_hash: KeyHash::of(CUSTOMER_KEY),
+            spec: RequestSpec::Model(want),
+            idempotency_key: None,
+            fingerprint: Fingerprint([3; 16]),
         };
         self.feed(Event::Request(RequestEvent::Arrived(Box::new(arrival))));
         let refused = self.refused();
@@ -71,16 +72,16 @@
             .unwrap_or_else(|| panic!("no attempt is opened: {refused:?} {:?}", self.out))
     }
 
-    fn opened(&self) -> Option<Open> {
+    fn opened(&self) -> Option<OpenStream> {
         self.out.iter().find_map(|effect| match effect {
-            Effect::Open(open) => Some(open.clone()),
+            Effect::OpenStream(open) => Some(open.clone()),
             _ => None,
         })
     }
 
     /// Takes in a piece; returns whether it was passed on.
     fn chunk(&mut self, attempt: AttemptKey, offset: u64, tokens: u32) -> bool {
-        self.feed(Event::Request(RequestEvent::Chunk {
+        self.feed(Event::Request(RequestEvent::StreamEvent {
             attempt,
             offset,
             tokens,
@@ -91,13 +92,13 @@
 
     /// Takes in the end marker; returns whether the answer is whole now.
     fn whole(&mut self, attempt: AttemptKey) -> bool {
-        self.feed(Event::Request(RequestEvent::Whole(attempt)));
+        self.feed(Event::Request(RequestEvent::StreamCompleted(attempt)));
         let whole = |effect: &Effect| matches!(effect, Effect::Finish(_));
         self.out.iter().any(whole)
     }
 
-    fn broke(&mut self, attempt: AttemptKey, end: Break) {
-        self.feed(Event::Request(RequestEvent::Broke {
+    fn broke(&mut self, attempt: AttemptKey, end: AttemptFailure) {
+        self.feed(Event::Request(RequestEvent::AttemptFailed {
             attempt,
             ran: Ran::Unknown,
             end,
@@ -137,9 +138,9 @@
     let mut bench = Bench::new(2);
     let first = bench.arrive().attempt;
     assert!(bench.chunk(first, 0, 1) && bench.chunk(first, 1, 0));
-    bench.broke(first, Break::Cut);
+    bench.broke(first, AttemptFailure::Cut);
     let again = bench.opened().expect("it is resumed");
-    assert_eq!(again.resume, Some(1));
+    assert_eq!(again.resume_from, Some(1));
     assert!(!bench.chunk(again.attempt, 1, 0));
     assert!(bench.whole(again.attempt));
     assert_eq!(bench.counted(), (0, 0, 0));
@@ -154,7 +155,7 @@
     assert!(bench.chunk(first, 0, 1));
     assert!(!bench.whole(first));
     let again = bench.opened().expect("it is resumed");
-    assert_eq!(again.resume, Some(1));
+    assert_eq!(again.resume_from, Some(1));
 }
 
 /// Pieces of an attempt that was given up still arrive while the next one runs.
@@ -163,7 +164,7 @@
     let mut bench = Bench::new(2);
     let first = bench.arrive().attempt;
     assert!(bench.chunk(first, 0, 1));
-    bench.broke(first, Break::Cut);
+    bench.broke(first, AttemptFailure::Cut);
     let again = bench.opened().expect("it is resumed").attempt;
     assert!(!bench.chunk(first, 1, 1));
     assert!(!bench.whole(first));
@@ -180,10 +181,10 @@
     let first = bench.arrive();
     bench.wait(Duration::from_secs(30), Timer::Silence(first.attempt));
     let resumed = bench.opened().expect("it is resumed");
-    assert!(resumed.resume.is_some());
-    bench.broke(resumed.attempt, Break::Forgotten);
+    assert!(resumed.resume_from.is_some());
+    bench.broke(resumed.attempt, AttemptFailure::Forgotten);
     let fresh = bench.opened().expect("it starts again at the same engine");
-    assert_eq!((fresh.resume, fresh.addr), (None, first.addr));
+    assert_eq!((fresh.resume_from, fresh.addr), (None, first.addr));
     assert!(bench.chunk(fresh.attempt, 0, 1));
 }
 
@@ -194,7 +195,7 @@
     let mut bench = Bench::new(1);
     let open = bench.arrive();
     assert!(bench.chunk(open.attempt, 0, 1));
-    bench.feed(Event::Request(RequestEvent::Held(open.attempt)));
+    bench.feed(Event::Request(RequestEvent::DeliveryBlocked(open.attempt)));
     bench.wait(Duration::from_secs(50), Timer::Silence(open.attempt));
     assert!(bench.opened().is_none() && bench.refused().is_none());
     bench.feed(Event::Request(RequestEvent::Began(open.attempt)));
@@ -208,7 +209,7 @@
 fn malformed_request_is_tried_once() {
     let mut bench = Bench::new(3);
     let open = bench.arrive();
-    bench.broke(open.attempt, Break::Rejected);
+    bench.broke(open.attempt, AttemptFailure::Rejected);
     assert_eq!(bench.refused(), Some(Kind::Malformed));
     let engines = bench.core.fleet.arena.values();
     assert!(engines.into_iter().all(|engine| engine.failures == 0));
@@ -221,10 +222,10 @@
     let mut bench = Bench::new(4);
     let mut open = bench.arrive();
     for _ in 0..2 {
-        bench.broke(open.attempt, Break::Cut);
+        bench.broke(open.attempt, AttemptFailure::Cut);
         let resumed = bench.opened().expect("it is resumed");
         assert_eq!(resumed.addr, open.addr);
-        bench.broke(resumed.attempt, Break::Unreachable);
+        bench.broke(resumed.attempt, AttemptFailure::Unreachable);
         assert!(bench.opened().is_none(), "it waits for what others know");
         bench.pause(open.request);
         if let Some(next) = bench.opened() {
--- a/src/core/tests/route.rs
+++ b/src/core/tests/route.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use crate::core::event::{Entry, EntryKind, Event, FleetEvent, Print, Report, Role};
+use crate::core::event::{Entry, EntryKind, Event, Fingerprint, FleetEvent, Report, Role};
 use crate::core::load;
-use crate::core::message::Sent;
+use crate::core::message::SentPrompt;
 use crate::core::route::{self, Need};
 use crate::core::{Core, Effects, Time, admit};
 
@@ -42,9 +42,9 @@
 
 fn told(core: &mut Core, engine: &str) {
     let key = core.fleet.find(engine).expect("a listed engine");
-    let sent = Sent {
+    let sent = SentPrompt {
         engine: core.fleet.arena[key].name_hash,
-        prompt: MUCH,
+        prompt_tokens: MUCH,
     };
     load::receive_sent(core, sent);
 }
@@ -83,10 +83,10 @@
     let mut core = core(1);
     told(&mut core, "engine-0");
     let times = (0..64_u8).map(|first| {
-        let mut print = Print::default();
+        let mut print = Fingerprint::default();
         print.0[0] = first;
         let refusal = admit::check(&mut core, &need(), print).expect_err("no room");
-        refusal.retry.expect("a time to come back")
+        refusal.retry_after.expect("a time to come back")
     });
     let times: std::collections::BTreeSet<Duration> = times.collect();
     assert_eq!(times.len(), 8);
@@ -110,7 +110,7 @@
         };
         core.reduce(at, Event::Fleet(report), &mut Effects::new());
     };
-    let refused = |core: &mut Core| admit::check(core, &need(), Print::default()).is_err();
+    let refused = |core: &mut Core| admit::check(core, &need(), Fingerprint::default()).is_err();
     assert!(refused(&mut core), "no report yet");
     report(&mut core, 4, Time::from_millis(2000));
     assert!(refused(&mut core), "others wait there");
--- a/src/core/tests/store.rs
+++ b/src/core/tests/store.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use crate::core::event::{Job, StoreReply, StoreResult, Watched};
+use crate::core::event::{Job, StoreReply, StoreResult, WatchedKey};
 use crate::core::{Effect, Time};
 use crate::store::{Compare, Op, Pair, Range, Reply, Span, Txn, TxnReply};
 
@@ -34,7 +34,7 @@
     values: BTreeMap<Box<str>, Value>,
     leases: BTreeMap<i64, (Duration, Time)>,
     revision: i64,
-    changed: Vec<Watched>,
+    changed: Vec<WatchedKey>,
 }
 
 impl FakeStore {
@@ -50,14 +50,14 @@
     }
 
     /// Returns every watched key as a new watch reports it.
-    pub fn watched(&self) -> Vec<Watched> {
+    pub fn watched(&self) -> Vec<WatchedKey> {
         let keys = self.values.iter();
         keys.filter_map(|(key, value)| watched(key, Some(value), value.modified))
             .collect()
     }
 
     /// Lets leases lapse, and returns the watched changes since the last call.
-    pub fn changes(&mut self, now: Time) -> Vec<Watched> {
+    pub fn changes(&mut self, now: Time) -> Vec<WatchedKey> {
         let lapsed: Vec<i64> = self
             .leases
             .iter()
@@ -98,17 +98,22 @@
 
     /// Carries out a call; `None` where no answer is wanted.
     pub fn carry(&mut self, now: Time, effect: Effect) -> Option<StoreReply> {
-        let renewal = matches!(effect, Effect::Grant { .. } | Effect::Renew { .. });
+        let renewal = matches!(
+            effect,
+            Effect::GrantLease { .. } | Effect::RenewLease { .. }
+        );
         self.renewals += u32::from(renewal);
         let (job, result) = match effect {
-            Effect::Revoke(lease) => {
+            Effect::RevokeLease(lease) => {
                 if !self.down {
                     self.revoke(lease);
                 }
                 return None;
             }
             Effect::Read { job, span } => (job, StoreResult::Read(self.range(&span))),
-            Effect::Txn { job, .. } | Effect::Grant { job, .. } | Effect::Renew { job, .. }
+            Effect::Txn { job, .. }
+            | Effect::GrantLease { job, .. }
+            | Effect::RenewLease { job, .. }
                 if self.down =>
             {
                 (job, StoreResult::Refused)
@@ -121,12 +126,12 @@
                 (job, StoreResult::Refused)
             }
             Effect::Txn { job, txn } => (job, StoreResult::Txn(self.txn(txn))),
-            Effect::Grant { job, life } => {
+            Effect::GrantLease { job, life } => {
                 self.revision += 1;
                 self.leases.insert(self.revision, (life, now));
                 (job, StoreResult::Lease(self.revision))
             }
-            Effect::Renew { job, lease } => {
+            Effect::RenewLease { job, lease } => {
                 let known = self.leases.get_mut(&lease);
                 let lease = known.map_or(0, |(_, renewed)| {
                     *renewed = now;
@@ -209,8 +214,8 @@
     }
 }
 
-fn watched(key: &str, value: Option<&Value>, modified: i64) -> Option<Watched> {
-    Some(Watched {
+fn watched(key: &str, value: Option<&Value>, modified: i64) -> Option<WatchedKey> {
+    Some(WatchedKey {
         key: key.strip_prefix(FOLDER)?.into(),
         value: value.map(|value| value.bytes.to_vec().into()),
         modified,
--- a/src/core/tests/trace.rs
+++ b/src/core/tests/trace.rs
@@ -7,7 +7,7 @@
 use super::World;
 use crate::core::effect::OperatorAnswer;
 use crate::core::event::OperatorEvent;
-use crate::core::key::AskKey;
+use crate::core::key::CommandKey;
 use crate::core::trace::{Attempt, Note, RETENTION, Traces};
 use crate::core::{Effect, Event};
 use crate::error::Ran;
@@ -15,12 +15,18 @@
 /// Asks a host what became of a request, and waits for its answer.
 fn explain(world: &mut World, at: usize, id: &str) -> OperatorAnswer {
     world.other.clear();
-    let ask = AskKey(world.now.micros());
+    let ask = CommandKey(world.now.micros());
     let id = id.into();
-    world.feed(at, Event::Operator(OperatorEvent::Explain { ask, id }));
+    world.feed(
+        at,
+        Event::Operator(OperatorEvent::Explain { command: ask, id }),
+    );
     world.run(Duration::from_secs(4));
     let answer = world.other.iter().find_map(|(_, effect)| match effect {
-        Effect::Answer { ask: of, answer } if *of == ask => Some(answer.clone()),
+        Effect::AnswerOperator {
+            command: of,
+            answer,
+        } if *of == ask => Some(answer.clone()),
         _ => None,
     });
     answer.expect("every question is answered")
@@ -28,7 +34,7 @@
 
 fn why(answer: OperatorAnswer) -> String {
     match answer {
-        OperatorAnswer::NoRecord { why } => why.into(),
+        OperatorAnswer::NoRecord { reason: why } => why.into(),
         other => panic!("{other:?} is no reason"),
     }
 }
