--- a/src/core/trace/mod.rs
+++ b/src/core/trace/mod.rs
@@ -197,7 +197,7 @@
 
 /// Starts the batches of copies.
 pub fn start(core: &mut Core, out: &mut Effects) {
-    out.push(Effect::Wake {
+    out.push(Effect::SetTimer {
         at: core.now.after(COPY_INTERVAL),
         timer: Timer::Traces,
     });
@@ -211,14 +211,14 @@
             segment::tick(core, out);
             start(core, out);
         }
-        Timer::Ask(ask) => search::timed_out(core, ask, out),
+        Timer::Command(ask) => search::timed_out(core, ask, out),
         _ => {}
     }
 }
 
 /// Copies every changed record to its peers.
 pub fn flush(core: &mut Core, out: &mut Effects) {
-    if core.stop.begun() {
+    if core.stop.is_stopping() {
         segment::write(core, out);
     }
     if core.traces.dirty.is_empty() {
@@ -234,7 +234,7 @@
         for batch in records.chunks(MAX_BATCH_RECORDS) {
             out.push(Effect::Send {
                 to,
-                message: Message::Traces(batch.to_vec()),
+                message: Message::TraceCopies(batch.to_vec()),
             });
         }
     }
--- a/src/core/trace/search.rs
+++ b/src/core/trace/search.rs
@@ -6,7 +6,7 @@
 use super::{Note, Record, arrival_of, process_tag, segment};
 use crate::core::effect::{Effect, OperatorAnswer};
 use crate::core::event::{StoreReply, StoreResult, Timer};
-use crate::core::key::{AskKey, HostKey};
+use crate::core::key::{CommandKey, HostKey};
 use crate::core::message::Message;
 use crate::core::{Core, Effects};
 use crate::error::Ran;
@@ -29,7 +29,7 @@
 /// An operator's question on its way.
 #[derive(Debug)]
 pub(super) struct Search {
-    ask: AskKey,
+    ask: CommandKey,
     id: Box<str>,
     stage: Stage,
     /// Unfinished record heard so far; a finished one ends the search.
@@ -45,7 +45,7 @@
 }
 
 /// Answers an operator from what is here, or asks every peer.
-pub fn explain(core: &mut Core, ask: AskKey, id: &str, out: &mut Effects) {
+pub fn explain(core: &mut Core, ask: CommandKey, id: &str, out: &mut Effects) {
     let best = core.traces.find(id).cloned().map(Box::new);
     let peers: BTreeSet<HostKey> = core.members.peers().collect();
     core.traces.last_round += 1;
@@ -70,16 +70,16 @@
     }
     for to in peers {
         let id = id.into();
-        let message = Message::Ask { round, id };
+        let message = Message::TraceQuery { round, id };
         out.push(Effect::Send { to, message });
     }
     wait(core, ask, out);
 }
 
-fn wait(core: &Core, ask: AskKey, out: &mut Effects) {
-    out.push(Effect::Wake {
+fn wait(core: &Core, ask: CommandKey, out: &mut Effects) {
+    out.push(Effect::SetTimer {
         at: core.now.after(SEARCH_TIMEOUT),
-        timer: Timer::Ask(ask),
+        timer: Timer::Command(ask),
     });
 }
 
@@ -87,7 +87,7 @@
 pub fn answer_peer(core: &mut Core, from: HostKey, round: u64, id: &str, out: &mut Effects) {
     let record = core.traces.find(id).cloned().map(Box::new);
     let since = core.traces.complete_since();
-    let message = Message::Told {
+    let message = Message::TraceReply {
         round,
         record,
         since,
@@ -139,7 +139,7 @@
 }
 
 /// A question has waited long enough for what it waits for.
-pub(super) fn timed_out(core: &mut Core, ask: AskKey, out: &mut Effects) {
+pub(super) fn timed_out(core: &mut Core, ask: CommandKey, out: &mut Effects) {
     let mut searches = core.traces.searches.iter_mut();
     let Some((&round, search)) = searches.find(|(_, search)| search.ask == ask) else {
         return;
@@ -199,7 +199,10 @@
         None => no_record(core, &search),
     };
     let ask = search.ask;
-    out.push(Effect::Answer { ask, answer });
+    out.push(Effect::AnswerOperator {
+        command: ask,
+        answer,
+    });
 }
 
 /// Returns whether the host that gave out an id is among the hosts, in the same life.
@@ -234,8 +237,8 @@
     let keep = u64::try_from(segment::RETENTION.as_millis()).unwrap_or(u64::MAX);
     let why: Box<str> = match arrival_of(&search.id) {
         None => "this is not a request id of this system".into(),
-        Some(arrived) if arrived > core.wall() => "no request of this id has arrived yet".into(),
-        Some(arrived) if arrived + keep < core.wall() => {
+        Some(arrived) if arrived > core.wall_ms() => "no request of this id has arrived yet".into(),
+        Some(arrived) if arrived + keep < core.wall_ms() => {
             format!("the record has aged out: none is kept for sure after {hours} hours").into()
         }
         Some(_) if search.unanswered > 0 => {
@@ -253,5 +256,5 @@
         }
         Some(_) => "no host has a record of this id".into(),
     };
-    OperatorAnswer::NoRecord { why }
+    OperatorAnswer::NoRecord { reason: why }
 }
--- a/src/core/trace/segment.rs
+++ b/src/core/trace/segment.rs
@@ -161,10 +161,10 @@
         return;
     }
     segments.in_flight = true;
-    let job = Job::Segment;
+    let job = Job::WriteSegment;
     if segments.lease == 0 || now.since(segments.lease_granted) > LEASE_REUSE {
         let life = RETENTION + LEASE_REUSE;
-        out.push(Effect::Grant { job, life });
+        out.push(Effect::GrantLease { job, life });
     } else {
         let txn = batch_txn(segments);
         out.push(Effect::Txn { job, txn });
@@ -212,7 +212,7 @@
 /// Reads the segments that may hold a request.
 pub(super) fn read(round: u64, folder: Box<str>, out: &mut Effects) {
     out.push(Effect::Read {
-        job: Job::Find(round),
+        job: Job::ReadSegments(round),
         span: Span::Prefix(folder),
     });
 }
--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -11,9 +11,10 @@
 use super::node::{Node, Prepared};
 use super::timer;
 use crate::backend::{self, Chunk, OpenError, OrderError};
-use crate::core::effect::{self, Open};
+use crate::core::effect::{self, OpenStream};
 use crate::core::event::{
-    Break, Entry, EntryKind, FleetEvent, Ordered, Probe, Report, RequestEvent, Role, Stored,
+    AttemptFailure, Entry, EntryKind, FleetEvent, OrderResult, ProbeResult, Report, RequestEvent,
+    Role, StoredResponse,
 };
 use crate::core::key::{AttemptKey, RequestKey};
 use crate::core::{Event, Time};
@@ -43,7 +44,7 @@
 const PROBE_TIME: Duration = Duration::from_secs(1);
 
 /// Opens a stream and reports it piece by piece until it ends or `ended` closes.
-pub async fn stream(node: Rc<Node>, open: Open, ended: oneshot::Receiver<()>) {
+pub async fn stream(node: Rc<Node>, open: OpenStream, ended: oneshot::Receiver<()>) {
     let attempt = open.attempt;
     tokio::select! {
         biased;
@@ -56,45 +57,55 @@
 }
 
 /// Follows a stream to its end, and returns how it ended.
-async fn follow(node: &Rc<Node>, open: &Open) -> RequestEvent {
+async fn follow(node: &Rc<Node>, open: &OpenStream) -> RequestEvent {
     let attempt = open.attempt;
     let Some(prepared) = node.prepared(open.request) else {
-        return broke(attempt, Ran::No, Break::Refused, "the request has ended");
+        return broke(
+            attempt,
+            Ran::No,
+            AttemptFailure::Refused,
+            "the request has ended",
+        );
     };
     let Prepared::Completion(completion) = &*prepared else {
-        return broke(attempt, Ran::No, Break::Rejected, "not a completion");
+        return broke(
+            attempt,
+            Ran::No,
+            AttemptFailure::Rejected,
+            "not a completion",
+        );
     };
     // A resumed stream goes on by itself; another engine needs the text delivered so far.
-    let (done, tokens) = match open.resume {
+    let (done, tokens) = match open.resume_from {
         Some(_) => (String::new(), 0),
         None => (node.text(open.request), open.delivered),
     };
     let body = |kv| completion.body(open.priority, &done, tokens, kv);
-    let body = match open.prefill {
+    let body = match open.prefill_addr {
         None => body(None),
         Some(source) => {
             let done = backend::prefill(&node.backends, source, body(None), &open.label).await;
             match done {
                 Ok(prefilled) => body(Some((source, &prefilled.kv))),
-                Err(err) => return unopened(attempt, &err, open.resume),
+                Err(err) => return unopened(attempt, &err, open.resume_from),
             }
         }
     };
     let path = completion.form.path();
     let priority = i64::from(open.priority);
-    let client = node.client(open.addr, open.resume);
+    let client = node.client(open.addr, open.resume_from);
     let opened = backend::open(
         client,
         open.addr,
         path,
         body,
         &open.label,
-        open.resume,
+        open.resume_from,
         priority,
     );
     let mut stream = match opened.await {
         Ok(stream) => stream,
-        Err(err) => return unopened(attempt, &err, open.resume),
+        Err(err) => return unopened(attempt, &err, open.resume_from),
     };
     node.apply(Event::Request(RequestEvent::Began(attempt)));
     let mut order = InOrder::new(open.delivered);
@@ -103,7 +114,7 @@
             Ok(Some(chunk)) => {
                 if !order.put(chunk) {
                     let detail = format!("tokens from {} on are missing", order.next);
-                    return broke(attempt, Ran::Yes, Break::Cut, &detail);
+                    return broke(attempt, Ran::Yes, AttemptFailure::Cut, &detail);
                 }
                 while let Some((offset, chunk)) = order.pop() {
                     let tokens = u32::from(!chunk.end);
@@ -113,25 +124,25 @@
                     return event;
                 }
             }
-            Ok(None) => return RequestEvent::Whole(attempt),
-            Err(err) => return broke(attempt, Ran::Yes, Break::Cut, &err.to_string()),
+            Ok(None) => return RequestEvent::StreamCompleted(attempt),
+            Err(err) => return broke(attempt, Ran::Yes, AttemptFailure::Cut, &err.to_string()),
         }
     }
 }
 
 /// Waits until the caller has taken enough of what came; returns the event that ends the attempt
 /// where it takes nothing for too long.
-async fn room(node: &Rc<Node>, open: &Open) -> Option<RequestEvent> {
+async fn room(node: &Rc<Node>, open: &OpenStream) -> Option<RequestEvent> {
     let queue = node.queue(open.request)?;
     if !queue.is_full() {
         return None;
     }
-    node.apply(Event::Request(RequestEvent::Held(open.attempt)));
+    node.apply(Event::Request(RequestEvent::DeliveryBlocked(open.attempt)));
     while queue.is_full() {
         let taken = queue.taken();
         if timeout(CALLER_TIME, queue.room()).await.is_err() && queue.taken() == taken {
             queue.close();
-            return Some(RequestEvent::Left(open.request));
+            return Some(RequestEvent::CallerLeft(open.request));
         }
     }
     node.apply(Event::Request(RequestEvent::Began(open.attempt)));
@@ -192,8 +203,8 @@
     chunk.offset.saturating_sub(u64::from(!chunk.end))
 }
 
-fn broke(attempt: AttemptKey, ran: Ran, end: Break, detail: &str) -> RequestEvent {
-    RequestEvent::Broke {
+fn broke(attempt: AttemptKey, ran: Ran, end: AttemptFailure, detail: &str) -> RequestEvent {
+    RequestEvent::AttemptFailed {
         attempt,
         ran,
         end,
@@ -204,15 +215,17 @@
 fn unopened(attempt: AttemptKey, err: &OpenError, resume: Option<u64>) -> RequestEvent {
     let ran = err.ran();
     let end = match (err, err.status()) {
-        (_, Some(404)) if resume.is_some() => Break::Forgotten,
+        (_, Some(404)) if resume.is_some() => AttemptFailure::Forgotten,
         // Every engine would say the same; tried at each, one bad request would put them all
         // under suspicion.
-        (_, Some(400 | 413 | 422)) => Break::Rejected,
-        (_, Some(status)) if (400..500).contains(&status) && ran != Ran::No => Break::Rejected,
-        _ if ran == Ran::No && err.status().is_some() => Break::Refused,
-        (OpenError::Connect | OpenError::Invalid, _) => Break::Unreachable,
-        (OpenError::Late, _) => Break::Silent,
-        _ => Break::Cut,
+        (_, Some(400 | 413 | 422)) => AttemptFailure::Rejected,
+        (_, Some(status)) if (400..500).contains(&status) && ran != Ran::No => {
+            AttemptFailure::Rejected
+        }
+        _ if ran == Ran::No && err.status().is_some() => AttemptFailure::Refused,
+        (OpenError::Connect | OpenError::Invalid, _) => AttemptFailure::Unreachable,
+        (OpenError::Late, _) => AttemptFailure::Silent,
+        _ => AttemptFailure::Cut,
     };
     broke(attempt, ran, end, &err.to_string())
 }
@@ -250,7 +263,7 @@
         answer = timeout(time, sent) => match answer {
             Ok(Ok(answer)) => answered(attempt, &answer),
             Ok(Err(err)) => service_broke(attempt, &err),
-            Err(_late) => broke(attempt, Ran::Unknown, Break::Cut, "no answer in time"),
+            Err(_late) => broke(attempt, Ran::Unknown, AttemptFailure::Cut, "no answer in time"),
         },
     };
     node.attempt_ended(attempt);
@@ -260,15 +273,15 @@
 fn answered(attempt: AttemptKey, answer: &backend::Answer) -> RequestEvent {
     if answer.ran == Ran::No {
         let detail = format!("the service refused with {}", answer.status);
-        return broke(attempt, Ran::No, Break::Refused, &detail);
+        return broke(attempt, Ran::No, AttemptFailure::Refused, &detail);
     }
     let media = answer
         .headers
         .iter()
         .find(|(name, _)| &**name == "content-type");
-    let result = Stored {
+    let result = StoredResponse {
         status: answer.status,
-        media: media.map(|(_, value)| value.clone()).unwrap_or_default(),
+        content_type: media.map(|(_, value)| value.clone()).unwrap_or_default(),
         body: answer.body.to_vec().into(),
     };
     RequestEvent::Answered { attempt, result }
@@ -276,8 +289,8 @@
 
 fn service_broke(attempt: AttemptKey, err: &OpenError) -> RequestEvent {
     let end = match err.ran() {
-        Ran::No => Break::Unreachable,
-        Ran::Yes | Ran::Unknown => Break::Cut,
+        Ran::No => AttemptFailure::Unreachable,
+        Ran::Yes | Ran::Unknown => AttemptFailure::Cut,
     };
     broke(attempt, err.ran(), end, &err.to_string())
 }
@@ -313,9 +326,9 @@
         Ok(Ok(load)) => Some(Report {
             running: small(load.running),
             waiting: small(load.waiting),
-            prefill: load.prefill_tokens,
-            role: Role::from_word(&load.role).unwrap_or_default(),
-            age: small(load.age_ms),
+            queued_prefill: load.prefill_tokens,
+            role: Role::from_name(&load.role).unwrap_or_default(),
+            age_ms: small(load.age_ms),
             changing: load.changing,
             fence: load.fence_seen,
             order: load.order_seen,
@@ -333,10 +346,13 @@
 pub async fn probe(node: Rc<Node>, addr: SocketAddr) {
     let tried = timeout(PROBE_TIME, tokio::net::TcpStream::connect(addr)).await;
     let probe = match tried {
-        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Probe::Refused,
-        _ => Probe::Open,
+        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => ProbeResult::Refused,
+        _ => ProbeResult::Open,
     };
-    node.apply(Event::Fleet(FleetEvent::Probed { addr, probe }));
+    node.apply(Event::Fleet(FleetEvent::Probed {
+        addr,
+        result: probe,
+    }));
 }
 
 /// Gives an order, unless the right to give it has ended.
@@ -344,12 +360,12 @@
     let fresh = backend::Fresh {
         life: ORDER_LIFE,
         gate: |until| timer::now() < Time::from_micros(until),
-        until: order.until.micros(),
+        until: order.valid_until.micros(),
     };
     let result = if let Ok(client) = backend::Client::fresh(ORDER_OPTIONS, fresh).await {
         let action = match &order.action {
             effect::Action::Role(role) => backend::Action::Role {
-                role: role.word().into(),
+                role: role.name().into(),
             },
             effect::Action::Model(name) => load_action("model", name),
             effect::Action::Adapter(name) => load_action("adapter", name),
@@ -359,25 +375,25 @@
             &client,
             order.addr,
             order.fence,
-            order.order,
+            order.number,
             &order.holder,
             &action,
         );
         match sent.await {
-            Ok(()) => Ordered::Done,
-            Err(OrderError::Fenced { fence }) => Ordered::Fenced(fence),
+            Ok(()) => OrderResult::Done,
+            Err(OrderError::Fenced { fence }) => OrderResult::Fenced(fence),
             Err(OrderError::Call { source }) => match source.ran() {
-                Ran::No => Ordered::Unsent,
-                Ran::Yes | Ran::Unknown => Ordered::Unknown,
+                Ran::No => OrderResult::Unsent,
+                Ran::Yes | Ran::Unknown => OrderResult::Unknown,
             },
         }
     } else {
-        Ordered::Unsent
+        OrderResult::Unsent
     };
-    node.apply(Event::Fleet(FleetEvent::Ordered {
+    node.apply(Event::Fleet(FleetEvent::OrderAnswered {
         name: order.engine,
         fence: order.fence,
-        order: order.order,
+        number: order.number,
         result,
     }));
 }
--- a/src/host/callers.rs
+++ b/src/host/callers.rs
@@ -16,7 +16,9 @@
 use super::queue;
 use crate::core::Event;
 use crate::core::effect::{Meter, Refusal};
-use crate::core::event::{Arrival, Print, RequestEvent, ServiceWant, Stored, Want};
+use crate::core::event::{
+    Arrival, Fingerprint, RequestEvent, RequestSpec, ServiceRequest, StoredResponse,
+};
 use crate::core::key::RequestKey;
 use crate::core::once;
 use crate::error::Kind;
@@ -48,7 +50,7 @@
 impl Drop for Presence {
     fn drop(&mut self) {
         if !self.ended {
-            let left = RequestEvent::Left(self.request);
+            let left = RequestEvent::CallerLeft(self.request);
             self.node.apply(Event::Request(left));
         }
     }
@@ -93,7 +95,7 @@
 /// Serves one request.
 pub async fn handle(node: Rc<Node>, req: Request) -> Response {
     let mut response = route(&node, req).await;
-    if node.look(|core| core.stop.begun()) {
+    if node.look(|core| core.stop.is_stopping()) {
         // The next request of this caller is to go to another host.
         close(&mut response);
     }
@@ -156,11 +158,11 @@
     let Some(refusal) = refusal else {
         return Ok(());
     };
-    node.meters.count(&Meter::Ended {
+    node.meters.count(&Meter::RequestEnded {
         class: "".into(),
         customer: "".into(),
         outcome: refusal.kind.answer().code,
-        lasted: Duration::ZERO,
+        duration: Duration::ZERO,
     });
     web::discard(req, DISCARD_LIMIT, DISCARD_TIME).await;
     let mut response = problem::answer(&refusal, "");
@@ -197,14 +199,14 @@
 }
 
 /// Returns the fingerprint of a request: equal targets and bodies have equal ones.
-pub(super) fn print(target: &str, body: &[u8]) -> Print {
+pub(super) fn print(target: &str, body: &[u8]) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     hasher.update(target.as_bytes());
     hasher.update(b"\n");
     hasher.update(body);
     let mut print = [0; 16];
     print.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-    Print(print)
+    Fingerprint(print)
 }
 
 async fn complete(node: &Rc<Node>, mut req: Request, form: Form) -> Response {
@@ -231,10 +233,10 @@
     };
     let arrival = Arrival {
         tag: 0,
-        caller: caller(&req),
-        want: Want::Model(want),
-        idem,
-        print: print(form.path(), &bytes),
+        key_hash: caller(&req),
+        spec: RequestSpec::Model(want),
+        idempotency_key: idem,
+        fingerprint: print(form.path(), &bytes),
     };
     let copy = completion.clone();
     let Some(taken) = node.take(arrival, Prepared::Completion(copy), req.io().cloned()) else {
@@ -390,14 +392,14 @@
     };
     let arrival = Arrival {
         tag: 0,
-        caller: caller(&req),
-        print: print(&format!("{service} {method} {full}"), &bytes),
-        want: Want::Service(ServiceWant {
+        key_hash: caller(&req),
+        fingerprint: print(&format!("{service} {method} {full}"), &bytes),
+        spec: RequestSpec::Service(ServiceRequest {
             service: service.into(),
             method,
             path: path.into(),
         }),
-        idem,
+        idempotency_key: idem,
     };
     let Some(taken) = node.take(arrival, Prepared::Call(call), req.io().cloned()) else {
         return refuse(Kind::Internal, "the request was lost");
@@ -414,12 +416,12 @@
     }
 }
 
-fn replied(result: &Stored, first: Option<&str>, id: &str) -> Response {
+fn replied(result: &StoredResponse, first: Option<&str>, id: &str) -> Response {
     let status = StatusCode::from_u16(result.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     response.header(REQUEST_ID, id);
-    if !result.media.is_empty() {
-        response.content_type(&*result.media);
+    if !result.content_type.is_empty() {
+        response.content_type(&*result.content_type);
     }
     if let Some(first) = first {
         response.header("x-first-request-id", first);
--- a/src/host/completion.rs
+++ b/src/host/completion.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 
-use crate::core::event::ModelWant;
+use crate::core::event::ModelRequest;
 
 /// Bytes taken for one token where the engine's own count is not known yet.
 const TOKEN_BYTES: usize = 4;
@@ -86,7 +86,7 @@
     form: Form,
     bytes: &[u8],
     piece: impl FnOnce(&str) -> usize,
-) -> Result<(Completion, ModelWant), Box<str>> {
+) -> Result<(Completion, ModelRequest), Box<str>> {
     let body: Value = serde_json::from_slice(bytes)
         .map_err(|err| format!("the body is not JSON: {err}").into_boxed_str())?;
     let Value::Object(mut body) = body else {
@@ -110,10 +110,10 @@
     body.insert("stream".into(), json!(true));
     body.remove("max_completion_tokens");
     let tokens = prompt.len().div_ceil(TOKEN_BYTES);
-    let want = ModelWant {
-        prompt: u32::try_from(tokens).unwrap_or(u32::MAX),
-        output,
-        pieces: pieces(&model, &prompt, piece(&model) * TOKEN_BYTES),
+    let want = ModelRequest {
+        prompt_tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
+        max_output: output,
+        prefix_hashes: pieces(&model, &prompt, piece(&model) * TOKEN_BYTES),
         model,
     };
     let completion = Completion {
--- a/src/host/keeper.rs
+++ b/src/host/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::node::Node;
-use crate::core::event::{Health, Job, StoreEvent, StoreReply, StoreResult, Watched};
+use crate::core::event::{Health, Job, StoreEvent, StoreReply, StoreResult, WatchedKey};
 use crate::core::{Effect, Event};
 use crate::error::Ran;
 use crate::store::{Batch, Compare, Op, Range, Reply, Span, StoreError, Txn};
@@ -54,14 +54,14 @@
             });
             (job, done.unwrap_or_else(|err| failed(&err)))
         }
-        Effect::Grant { job, life } => {
+        Effect::GrantLease { job, life } => {
             let lease = node.store.grant(life).await;
             (
                 job,
                 lease.map_or_else(|err| failed(&err), StoreResult::Lease),
             )
         }
-        Effect::Renew { job, lease } => {
+        Effect::RenewLease { job, lease } => {
             let left = node.store.keepalive(lease).await;
             let lease = left.map(|left| if left.is_some() { lease } else { 0 });
             (
@@ -69,7 +69,7 @@
                 lease.map_or_else(|err| failed(&err), StoreResult::Lease),
             )
         }
-        Effect::Revoke(lease) => {
+        Effect::RevokeLease(lease) => {
             if let Err(err) = node.store.revoke(lease).await {
                 log::debug!("a lease was not given back and will lapse: {err}");
             }
@@ -178,14 +178,14 @@
         let key = bare(folder, &pair.key);
         gone.remove(&key);
         known.insert(key.clone());
-        pairs.push(Watched {
+        pairs.push(WatchedKey {
             key,
             value: Some(pair.value.to_vec().into()),
             modified: pair.modified,
         });
     }
     // What vanished while no watch was open is told as well, or it would stay here for ever.
-    pairs.extend(gone.into_iter().map(|key| Watched {
+    pairs.extend(gone.into_iter().map(|key| WatchedKey {
         key,
         value: None,
         modified: range.revision,
@@ -216,7 +216,7 @@
         } else {
             known.remove(&key);
         }
-        Watched {
+        WatchedKey {
             key,
             value: change.value.map(|value| value.to_vec().into()),
             modified: change.modified,
--- a/src/host/meters.rs
+++ b/src/host/meters.rs
@@ -117,11 +117,11 @@
     /// Counts or times one thing.
     pub fn count(&self, meter: &Meter) {
         match meter {
-            Meter::Ended {
+            Meter::RequestEnded {
                 class,
                 customer,
                 outcome,
-                lasted,
+                duration: lasted,
             } => {
                 let labels = [
                     label("class", class),
@@ -130,7 +130,7 @@
                 ];
                 self.lasted.record(lasted.as_secs_f64(), &labels);
             }
-            Meter::First {
+            Meter::FirstToken {
                 class,
                 customer,
                 after,
@@ -138,7 +138,7 @@
                 let labels = [label("class", class), self.customer(customer)];
                 self.first.record(after.as_secs_f64(), &labels);
             }
-            Meter::Between { class, gap } => {
+            Meter::TokenGap { class, gap } => {
                 self.between
                     .record(gap.as_secs_f64(), &[label("class", class)]);
             }
@@ -147,7 +147,7 @@
                     .record(after.as_secs_f64(), &[label("class", class)]);
             }
             Meter::Retried { class } => self.retried.add(1, &[label("class", class)]),
-            Meter::Ordered { pool } => self.ordered.add(1, &[label("pool", pool)]),
+            Meter::OrderSent { pool } => self.ordered.add(1, &[label("pool", pool)]),
         }
     }
 
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -31,7 +31,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::core::Event;
-use crate::core::effect::Note;
+use crate::core::effect::LogFields;
 use crate::core::event::StopEvent;
 use crate::core::relay::event::RelayEvent;
 use crate::settings::relay::RelaySettings;
@@ -185,9 +185,9 @@
 }
 
 /// Returns the log event that names the listeners.
-fn listening(host: &HostSettings, relay: &RelaySettings) -> Note {
+fn listening(host: &HostSettings, relay: &RelaySettings) -> LogFields {
     let text = |addr: SocketAddr| addr.to_string().into();
-    Note {
+    LogFields {
         level: log::Level::Info,
         name: "host.listening",
         fields: vec![
--- a/src/host/node.rs
+++ b/src/host/node.rs
@@ -22,8 +22,8 @@
 use super::{HostError, logs};
 use crate::backend;
 use crate::core::effect::{OperatorAnswer, Refusal};
-use crate::core::event::{Arrival, OperatorEvent, RequestEvent, Stored};
-use crate::core::key::{AskKey, AttemptKey, HostKey, RequestKey};
+use crate::core::event::{Arrival, OperatorEvent, RequestEvent, StoredResponse};
+use crate::core::key::{AttemptKey, CommandKey, HostKey, RequestKey};
 use crate::core::{Core, Effect, Effects, Event, Time};
 use crate::settings::Settings;
 use crate::store::Store;
@@ -42,7 +42,7 @@
     /// The answer is whole.
     Whole,
     /// A service's answer, and the request that ran it where that was an earlier one.
-    Reply(Stored, Option<Box<str>>),
+    Reply(StoredResponse, Option<Box<str>>),
     /// There will be no whole answer.
     Refused(Refusal),
 }
@@ -114,7 +114,7 @@
     /// The piece whose arrival is being told to the core.
     piece: RefCell<Option<Bytes>>,
     links: RefCell<SecondaryMap<HostKey, Link>>,
-    asks: RefCell<BTreeMap<AskKey, oneshot::Sender<OperatorAnswer>>>,
+    asks: RefCell<BTreeMap<CommandKey, oneshot::Sender<OperatorAnswer>>>,
     count: Cell<u64>,
     close: RefCell<Option<watch::Sender<bool>>>,
     exit: Notify,
@@ -220,7 +220,7 @@
     /// Tells the core that a piece of an answer arrived.
     pub fn chunk(self: &Rc<Self>, attempt: AttemptKey, offset: u64, tokens: u32, data: Bytes) {
         *self.piece.borrow_mut() = Some(data);
-        self.apply(Event::Request(RequestEvent::Chunk {
+        self.apply(Event::Request(RequestEvent::StreamEvent {
             attempt,
             offset,
             tokens,
@@ -231,9 +231,9 @@
     /// Puts an operator's question.
     pub async fn ask(
         self: &Rc<Self>,
-        event: impl FnOnce(AskKey) -> OperatorEvent,
+        event: impl FnOnce(CommandKey) -> OperatorEvent,
     ) -> Option<OperatorAnswer> {
-        let ask = AskKey(self.number());
+        let ask = CommandKey(self.number());
         let (tx, rx) = oneshot::channel();
         self.asks.borrow_mut().insert(ask, tx);
         self.apply(Event::Operator(event(ask)));
@@ -311,11 +311,11 @@
                 first,
             } => self.end(request, Part::Reply(result, first)),
             Effect::Refuse { request, refusal } => self.end(request, Part::Refused(refusal)),
-            Effect::Open(open) => {
+            Effect::OpenStream(open) => {
                 let ended = self.attempt(open.attempt);
                 ntex::rt::spawn(backends::stream(Rc::clone(self), open, ended));
             }
-            Effect::Call {
+            Effect::CallService {
                 request,
                 attempt,
                 addr,
@@ -328,17 +328,17 @@
             Effect::Cancel(attempt) => {
                 self.attempts.borrow_mut().remove(attempt);
             }
-            Effect::Wake { at, timer } => self.timers.wake(at, timer),
+            Effect::SetTimer { at, timer } => self.timers.wake(at, timer),
             Effect::Meter(meter) => self.meters.count(&meter),
             Effect::Log(event) => logs::write(&event),
-            Effect::Answer { ask, answer } => {
-                if let Some(tx) = self.asks.borrow_mut().remove(&ask) {
+            Effect::AnswerOperator { command, answer } => {
+                if let Some(tx) = self.asks.borrow_mut().remove(&command) {
                     drop(tx.send(answer));
                 }
             }
-            Effect::Close => drop(self.close.borrow_mut().take()),
+            Effect::CloseListeners => drop(self.close.borrow_mut().take()),
             Effect::Exit => self.exit.notify_one(),
-            Effect::Note(note) => relay::journal::write(&note),
+            Effect::LogFields(note) => relay::journal::write(&note),
             Effect::Relay(effect) => relay::carry(self, effect),
             other => self.carry_out(other),
         }
@@ -352,8 +352,8 @@
                     link.send(message);
                 }
             }
-            Effect::Peer { host, name, addr } => self.link(host, name, addr),
-            Effect::Unpeer(host) => {
+            Effect::AddPeer { host, name, addr } => self.link(host, name, addr),
+            Effect::RemovePeer(host) => {
                 self.links.borrow_mut().remove(host);
             }
             Effect::Reconnect(host) => {
@@ -361,10 +361,10 @@
                     link.reconnect();
                 }
             }
-            Effect::List => {
+            Effect::ReadListing => {
                 ntex::rt::spawn(backends::list(Rc::clone(self)));
             }
-            Effect::Load { name, addr } => {
+            Effect::ReadLoad { name, addr } => {
                 ntex::rt::spawn(backends::load(Rc::clone(self), name, addr));
             }
             Effect::Probe(addr) => {
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -10,7 +10,7 @@
 use super::problem;
 use super::report;
 use crate::core::effect::{OperatorAnswer, Refusal};
-use crate::core::event::{Edit, OperatorEvent, Which};
+use crate::core::event::{Edit, ListKind, OperatorEvent};
 use crate::error::Kind;
 use crate::lists::{Lists, Plans, Uses, diff};
 use crate::web;
@@ -58,10 +58,10 @@
     problem::answer(&refusal, "")
 }
 
-fn which(list: &str) -> Option<Which> {
+fn which(list: &str) -> Option<ListKind> {
     match list {
-        "plans" => Some(Which::Plans),
-        "use" => Some(Which::Uses),
+        "plans" => Some(ListKind::Plans),
+        "use" => Some(ListKind::Uses),
         _ => None,
     }
 }
@@ -93,12 +93,12 @@
     key.is_some_and(|key| blake3::hash(key.trim().as_bytes()) == blake3::Hash::from_bytes(wanted))
 }
 
-fn show(node: &Rc<Node>, which: Which) -> Response {
+fn show(node: &Rc<Node>, which: ListKind) -> Response {
     let (revision, body) = node.look(|core| {
         let lists = &core.config.lists;
         let body = match which {
-            Which::Plans => lists.plans.to_string(),
-            Which::Uses => lists.uses.to_string(),
+            ListKind::Plans => lists.plans.to_string(),
+            ListKind::Uses => lists.uses.to_string(),
         };
         (lists.revision, body)
     });
@@ -108,7 +108,7 @@
         .body(body)
 }
 
-async fn apply(node: &Rc<Node>, mut req: Request, list: Which) -> Response {
+async fn apply(node: &Rc<Node>, mut req: Request, list: ListKind) -> Response {
     let base = req.headers().get("if-match");
     let base = base.and_then(|value| value.to_str().ok()?.trim_matches('"').parse().ok());
     let Some(base) = base else {
@@ -126,9 +126,11 @@
     let edit = Edit {
         list,
         text: body.into(),
-        base,
+        base_revision: base,
     };
-    let answer = node.ask(|ask| OperatorEvent::Apply { ask, edit }).await;
+    let answer = node
+        .ask(|ask| OperatorEvent::Apply { command: ask, edit })
+        .await;
     match answer {
         Some(OperatorAnswer::Accepted(revision)) => {
             json_answer(StatusCode::OK, &json!({"revision": revision}))
@@ -158,12 +160,12 @@
 }
 
 /// Returns the lines by which the list in force differs from an operator's edit.
-fn changes(list: Which, mine: &str, theirs: &str) -> String {
+fn changes(list: ListKind, mine: &str, theirs: &str) -> String {
     let read = |text: &str| {
         let mut lists = Lists::default();
         match list {
-            Which::Plans => lists.plans = Plans::parse(text, "plans").unwrap_or_default(),
-            Which::Uses => lists.uses = Uses::parse(text, "use").unwrap_or_default(),
+            ListKind::Plans => lists.plans = Plans::parse(text, "plans").unwrap_or_default(),
+            ListKind::Uses => lists.uses = Uses::parse(text, "use").unwrap_or_default(),
         }
         lists
     };
@@ -185,12 +187,14 @@
 
 async fn explain(node: &Rc<Node>, id: &str) -> Response {
     let id = id.into();
-    let answer = node.ask(|ask| OperatorEvent::Explain { ask, id }).await;
+    let answer = node
+        .ask(|ask| OperatorEvent::Explain { command: ask, id })
+        .await;
     match answer {
         Some(OperatorAnswer::Record(record)) => {
             json_answer(StatusCode::OK, &report::record(&record))
         }
-        Some(OperatorAnswer::NoRecord { why }) => {
+        Some(OperatorAnswer::NoRecord { reason: why }) => {
             problem::answer(&Refusal::new(Kind::NotFound, why), "")
         }
         _ => problem::answer(&Refusal::new(Kind::Internal, "no answer"), ""),
--- a/src/host/problem.rs
+++ b/src/host/problem.rs
@@ -21,7 +21,7 @@
     if !id.is_empty() {
         response.header(REQUEST_ID, id);
     }
-    if let Some(retry) = refusal.retry {
+    if let Some(retry) = refusal.retry_after {
         response.header("retry-after", whole_secs(retry).to_string());
     }
     response.body(document(refusal, id))
@@ -30,6 +30,6 @@
 /// Returns the problem document for a refusal.
 #[must_use]
 pub fn document(refusal: &Refusal, id: &str) -> String {
-    let retry: Option<Duration> = refusal.retry;
+    let retry: Option<Duration> = refusal.retry_after;
     problem(refusal.kind, refusal.ran, &refusal.detail, id, retry).to_string()
 }
--- a/src/host/relay/backends.rs
+++ b/src/host/relay/backends.rs
@@ -10,7 +10,7 @@
 use super::events::Splitter;
 use super::{Hand, Head, Prepared, tell, tell_with};
 use crate::backend::channel::{self, Answer, Call, ChannelError};
-use crate::core::event::Break;
+use crate::core::event::AttemptFailure;
 use crate::core::key::AttemptKey;
 use crate::core::relay::event::{OrderResult, Outgoing, RelayEvent, StageOrder, Task};
 use crate::error::Ran;
@@ -35,12 +35,12 @@
 /// How an attempt ended without a whole answer.
 struct Lost {
     ran: Ran,
-    end: Break,
+    end: AttemptFailure,
     detail: Box<str>,
 }
 
 impl Lost {
-    fn new(ran: Ran, end: Break, detail: impl Into<Box<str>>) -> Self {
+    fn new(ran: Ran, end: AttemptFailure, detail: impl Into<Box<str>>) -> Self {
         Self {
             ran,
             end,
@@ -52,9 +52,9 @@
 impl From<ChannelError> for Lost {
     fn from(err: ChannelError) -> Self {
         let end = match err {
-            ChannelError::Connect { .. } => Break::Unreachable,
-            ChannelError::Late => Break::Silent,
-            ChannelError::Broken { .. } | ChannelError::Long => Break::Cut,
+            ChannelError::Connect { .. } => AttemptFailure::Unreachable,
+            ChannelError::Late => AttemptFailure::Silent,
+            ChannelError::Broken { .. } | ChannelError::Long => AttemptFailure::Cut,
         };
         Self::new(err.ran(), end, err.to_string())
     }
@@ -124,23 +124,23 @@
     if reply.refused {
         keep(node, answer, out, reply.idle).await;
         let end = if status == 421 {
-            Break::Rejected
+            AttemptFailure::Rejected
         } else {
-            Break::Refused
+            AttemptFailure::Refused
         };
         return Err(Lost::new(Ran::No, end, format!("refused with {status}")));
     }
     if !echoed {
         // An answer to an earlier request on this connection.
         let detail = "the answer is not for this request";
-        return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
+        return Err(Lost::new(Ran::Unknown, AttemptFailure::Cut, detail));
     }
     if matches!(out.task, Task::Prefill) {
         return prefilled(node, out, answer, status, reply.idle).await;
     }
     if (200..300).contains(&status) && (!reply.signed || header::is_encoded(&reply.passed)) {
         let detail = "the answer is not the backend server's own";
-        return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
+        return Err(Lost::new(Ran::Unknown, AttemptFailure::Cut, detail));
     }
     let head = Head {
         status,
@@ -179,7 +179,7 @@
     let handle = engine::prefilled(&body).filter(|_| status == 200);
     let Some(handle) = handle else {
         let detail = format!("answered {status} to a prefill");
-        return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
+        return Err(Lost::new(Ran::Unknown, AttemptFailure::Cut, detail));
     };
     tell(
         node,
@@ -224,7 +224,11 @@
     while let Some(part) = channel::next(&mut answer).await {
         let part = part?;
         if splitter.push(&part).is_none() {
-            return Err(Lost::new(Ran::Yes, Break::Cut, "an event is too long"));
+            return Err(Lost::new(
+                Ran::Yes,
+                AttemptFailure::Cut,
+                "an event is too long",
+            ));
         }
         while let Some(event) = splitter.next() {
             piece(node, out.attempt, head, event.number, event.data);
--- a/src/host/relay/callers.rs
+++ b/src/host/relay/callers.rs
@@ -60,7 +60,7 @@
 /// Serves one request.
 pub async fn handle(node: Rc<Node>, req: Request) -> Response {
     let mut response = serve(&node, req).await;
-    if node.look(|core| core.stop.begun()) {
+    if node.look(|core| core.stop.is_stopping()) {
         // The next request of this caller is to go to another host.
         response
             .head_mut()
@@ -72,7 +72,7 @@
 /// Answers the readiness check.
 pub fn ready(node: &Rc<Node>, req: &Request) -> Response {
     let state = node.look(|core| {
-        if core.stop.begun() {
+        if core.stop.is_stopping() {
             Err("stopping")
         } else {
             core.relay.ready()
@@ -203,7 +203,7 @@
     let status = StatusCode::from_u16(status(refusal)).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     response.content_type("application/problem+json");
-    if let Some(retry) = refusal.retry {
+    if let Some(retry) = refusal.retry_after {
         response.header("retry-after", format!("{:.2}", retry.as_secs_f64()));
     }
     response.body(problem::document(refusal, id))
--- a/src/host/relay/journal.rs
+++ b/src/host/relay/journal.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::core::effect::Note;
+use crate::core::effect::LogFields;
 
 /// Lines a second that are written; more are counted and left out.
 ///
@@ -17,7 +17,7 @@
 }
 
 /// Writes one event.
-pub fn write(note: &Note) {
+pub fn write(note: &LogFields) {
     if note.level > log::max_level() {
         return;
     }
--- a/src/host/relay/keeper.rs
+++ b/src/host/relay/keeper.rs
@@ -9,7 +9,7 @@
 
 use super::{journal, tell};
 use crate::backend::channel::{Call, ChannelError};
-use crate::core::effect::Note;
+use crate::core::effect::LogFields;
 use crate::core::event::{Job, StoreEvent, StoreReply, StoreResult};
 use crate::core::relay::event::{Changes, RelayEvent, StoreAnswer, StoreCall, StoreChange};
 use crate::core::{Effect, Event};
@@ -84,7 +84,7 @@
         // One a host and half a second through an outage: the counter and `store.down` say enough.
         return result;
     }
-    journal::write(&Note {
+    journal::write(&LogFields {
         level: log::Level::Info,
         name: "store.call_failed",
         fields: vec![
@@ -149,10 +149,10 @@
 
 async fn run(node: &Rc<Node>, effect: Effect) -> Option<(Job, Result<StoreResult, Trouble>)> {
     match effect {
-        Effect::Grant { job, life } => Some((job, grant(node, life).await)),
-        Effect::Renew { job, lease } => Some((job, renew(node, lease).await)),
+        Effect::GrantLease { job, life } => Some((job, grant(node, life).await)),
+        Effect::RenewLease { job, lease } => Some((job, renew(node, lease).await)),
         Effect::Txn { job, txn } => Some((job, write(node, &own(txn)).await)),
-        Effect::Revoke(lease) => {
+        Effect::RevokeLease(lease) => {
             if let Err(trouble) = ask(node, store::end(lease), CALL).await {
                 log::debug!("a lease was not given back and will lapse: {trouble}");
             }
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -50,7 +50,7 @@
 
 /// Returns whether the balancer may send callers here, and why not.
 pub fn ready(core: &Core) -> Result<(), &'static str> {
-    if core.stop.begun() {
+    if core.stop.is_stopping() {
         Err("stopping")
     } else if core.config.revision() == 0 {
         Err("no lists in force yet")
@@ -74,7 +74,7 @@
         "domain": &*core.settings.host.domain,
         "revision": core.config.revision(),
         "heard_ms": 0,
-        "stopping": core.stop.begun(),
+        "stopping": core.stop.is_stopping(),
     })];
     for key in members.peers() {
         let peer = &members.arena[key];
--- a/src/host/tests.rs
+++ b/src/host/tests.rs
@@ -74,7 +74,7 @@
     fn any_document_is_taken_or_refused(body in any_json()) {
         for form in [Form::Text, Form::Chat] {
             if let Ok((completion, want)) = parse(form, body.to_string().as_bytes(), |_| 0) {
-                prop_assert!(!want.model.is_empty() && want.output > 0);
+                prop_assert!(!want.model.is_empty() && want.max_output > 0);
                 let sent = completion.body(0, "", 0, None);
                 prop_assert!(serde_json::from_slice::<serde_json::Value>(&sent).is_ok());
             }
--- a/src/wire/convert.rs
+++ b/src/wire/convert.rs
@@ -2,10 +2,10 @@
 
 use super::generated::{self as wire, frame::Kind};
 use super::{WireError, array};
-use crate::core::event::{Print, Stored};
+use crate::core::event::{Fingerprint, StoredResponse};
 use crate::core::message::{
-    Beat, Begin, BeginState, Borrow, Confirm, Demand, Done, DoneState, Lend, Listing, Loan,
-    Message, Sent, Suspect, View, Wish,
+    Begin, BeginState, Borrow, Confirm, Demand, Done, DoneState, Heartbeat, Lend, Listing, Loan,
+    LoanRequest, Message, SentPrompt, Suspect, View,
 };
 use crate::core::trace::{Attempt, Note, Record};
 use crate::error::Ran;
@@ -13,34 +13,34 @@
 pub(super) fn to_kind(message: &Message) -> Kind {
     match message {
         Message::Listing(listing) => Kind::Listing(wire::Listing {
-            age: listing.age,
+            age: listing.age_ms,
             leaving: listing.leaving.iter().map(ToString::to_string).collect(),
         }),
-        Message::Beat(beat) => Kind::Beat(wire::Beat {
+        Message::Heartbeat(beat) => Kind::Beat(wire::Beat {
             number: beat.number,
             echo: beat.echo,
-            view: beat.view,
-            settled: beat.settled,
+            view: beat.view_hash,
+            settled: beat.view_age_ms,
             revision: beat.revision,
             stopping: beat.stopping,
             views: beat.views.iter().map(to_view).collect(),
-            pledged: beat.pledged,
+            pledged: beat.pledged_ms,
             hosts: beat.hosts,
         }),
         Message::Borrow(borrow) => Kind::Borrow(wire::Borrow {
             round: borrow.round,
-            wishes: borrow.wishes.iter().map(to_wish).collect(),
+            wishes: borrow.loan_requests.iter().map(to_wish).collect(),
         }),
         Message::Lend(lend) => Kind::Lend(wire::Lend {
             round: lend.round,
-            life: lend.life,
+            life: lend.ttl_ms,
             loans: lend.loans.iter().map(to_loan).collect(),
         }),
         Message::Begin(begin) => Kind::Begin(wire::Begin {
             round: begin.round,
             customer: begin.customer.to_string(),
             key: begin.key.to_string(),
-            body: begin.print.0.to_vec(),
+            body: begin.fingerprint.0.to_vec(),
             request: begin.request.to_string(),
         }),
         Message::Begun {
@@ -53,14 +53,14 @@
             round: *round,
             durable: *durable,
         }),
-        Message::Traces(records) => Kind::Traces(wire::Traces {
+        Message::TraceCopies(records) => Kind::Traces(wire::Traces {
             traces: records.iter().map(to_trace).collect(),
         }),
-        Message::Ask { round, id } => Kind::Ask(wire::Ask {
+        Message::TraceQuery { round, id } => Kind::Ask(wire::Ask {
             round: *round,
             id: id.to_string(),
         }),
-        Message::Told {
+        Message::TraceReply {
             round,
             record,
             since,
@@ -69,7 +69,7 @@
             trace: record.as_deref().map(to_trace),
             since: *since,
         }),
-        Message::Fetch(revision) => Kind::Fetch(wire::Fetch {
+        Message::FetchLists(revision) => Kind::Fetch(wire::Fetch {
             revision: *revision,
         }),
         Message::Lists {
@@ -84,22 +84,22 @@
         Message::Confirm(confirm) => to_confirm(confirm),
         Message::Demand(demand) => Kind::Demand(wire::Demand {
             pool: demand.pool.to_string(),
-            prompt: demand.prompt,
-            output: demand.output,
-            refused: demand.refused,
+            prompt: demand.prompt_rate,
+            output: demand.output_rate,
+            refused: demand.refusal_rate,
         }),
-        Message::Sent(sent) => Kind::Sent(wire::Sent {
+        Message::SentPrompt(sent) => Kind::Sent(wire::Sent {
             engine: sent.engine,
-            prompt: sent.prompt,
+            prompt: sent.prompt_tokens,
         }),
-        Message::Running(streams) => Kind::Running(wire::Running {
+        Message::StreamCounts(streams) => Kind::Running(wire::Running {
             engines: streams.iter().map(|(engine, _)| *engine).collect(),
             counts: streams.iter().map(|(_, count)| *count).collect(),
         }),
         Message::Suspect(suspect) => Kind::Suspect(wire::Suspect {
-            print: suspect.print.0.to_vec(),
+            print: suspect.fingerprint.0.to_vec(),
             engine: suspect.engine.to_string(),
-            at: suspect.at,
+            at: suspect.at_ms,
             request: suspect.request.to_string(),
             answering: suspect.answering,
         }),
@@ -110,18 +110,18 @@
     Ok(match kind {
         Kind::Hello(_) | Kind::Proof(_) => return Err(WireError::Field { field: "kind" }),
         Kind::Listing(listing) => Message::Listing(Listing {
-            age: listing.age,
+            age_ms: listing.age,
             leaving: listing.leaving.into_iter().map(Into::into).collect(),
         }),
-        Kind::Beat(beat) => Message::Beat(Beat {
+        Kind::Beat(beat) => Message::Heartbeat(Heartbeat {
             number: beat.number,
             echo: beat.echo,
-            view: beat.view,
-            settled: beat.settled,
+            view_hash: beat.view,
+            view_age_ms: beat.settled,
             revision: beat.revision,
             stopping: beat.stopping,
             views: beat.views.iter().map(from_view).collect(),
-            pledged: beat.pledged,
+            pledged_ms: beat.pledged,
             hosts: beat.hosts,
         }),
         Kind::Borrow(borrow) => from_borrow(borrow)?,
@@ -130,7 +130,7 @@
             round: begin.round,
             customer: begin.customer.into(),
             key: begin.key.into(),
-            print: Print(array(&begin.body, "body")?),
+            fingerprint: Fingerprint(array(&begin.body, "body")?),
             request: begin.request.into(),
         }),
         Kind::Begun(begun) => from_begun(begun)?,
@@ -141,18 +141,18 @@
         },
         Kind::Traces(traces) => {
             let records: Result<Vec<_>, _> = traces.traces.into_iter().map(from_trace).collect();
-            Message::Traces(records?)
+            Message::TraceCopies(records?)
         }
-        Kind::Ask(ask) => Message::Ask {
+        Kind::Ask(ask) => Message::TraceQuery {
             round: ask.round,
             id: ask.id.into(),
         },
-        Kind::Told(told) => Message::Told {
+        Kind::Told(told) => Message::TraceReply {
             round: told.round,
             record: told.trace.map(from_trace).transpose()?.map(Box::new),
             since: told.since,
         },
-        Kind::Fetch(fetch) => Message::Fetch(fetch.revision),
+        Kind::Fetch(fetch) => Message::FetchLists(fetch.revision),
         Kind::Lists(lists) => Message::Lists {
             revision: lists.revision,
             plans: lists.plans.into(),
@@ -161,21 +161,21 @@
         Kind::Confirm(confirm) => from_confirm(confirm),
         Kind::Demand(demand) => Message::Demand(Demand {
             pool: demand.pool.into(),
-            prompt: amount(demand.prompt, "prompt")?,
-            output: amount(demand.output, "output")?,
-            refused: amount(demand.refused, "refused")?,
+            prompt_rate: amount(demand.prompt, "prompt")?,
+            output_rate: amount(demand.output, "output")?,
+            refusal_rate: amount(demand.refused, "refused")?,
         }),
-        Kind::Sent(sent) => Message::Sent(Sent {
+        Kind::Sent(sent) => Message::SentPrompt(SentPrompt {
             engine: sent.engine,
-            prompt: sent.prompt,
+            prompt_tokens: sent.prompt,
         }),
         Kind::Running(streams) => {
-            Message::Running(streams.engines.into_iter().zip(streams.counts).collect())
+            Message::StreamCounts(streams.engines.into_iter().zip(streams.counts).collect())
         }
         Kind::Suspect(suspect) => Message::Suspect(Suspect {
-            print: Print(array(&suspect.print, "print")?),
+            fingerprint: Fingerprint(array(&suspect.print, "print")?),
             engine: suspect.engine.into(),
-            at: suspect.at,
+            at_ms: suspect.at,
             request: suspect.request.into(),
             answering: suspect.answering,
         }),
@@ -193,28 +193,28 @@
 fn to_view(view: &View) -> wire::View {
     wire::View {
         hash: view.hash,
-        age: view.age,
+        age: view.age_ms,
     }
 }
 
 fn from_view(view: &wire::View) -> View {
     View {
         hash: view.hash,
-        age: view.age,
+        age_ms: view.age,
     }
 }
 
-fn to_wish(wish: &Wish) -> wire::Wish {
+fn to_wish(wish: &LoanRequest) -> wire::Wish {
     wire::Wish {
         plan: wish.plan.to_string(),
         requests: wish.requests,
         tokens: wish.tokens,
         running: wish.running,
-        least: wish.least,
+        least: wish.min_tokens,
         waiting: wish.waiting,
         held: wish.held,
-        back_requests: wish.back_requests,
-        back_tokens: wish.back_tokens,
+        back_requests: wish.returned_requests,
+        back_tokens: wish.returned_tokens,
     }
 }
 
@@ -224,7 +224,7 @@
         requests: loan.requests,
         tokens: loan.tokens,
         running: loan.running,
-        wait: loan.wait,
+        wait: loan.retry_ms,
     }
 }
 
@@ -232,21 +232,21 @@
     let wishes: Result<Vec<_>, _> = borrow.wishes.into_iter().map(from_wish).collect();
     Ok(Message::Borrow(Borrow {
         round: borrow.round,
-        wishes: wishes?,
+        loan_requests: wishes?,
     }))
 }
 
-fn from_wish(wish: wire::Wish) -> Result<Wish, WireError> {
-    Ok(Wish {
+fn from_wish(wish: wire::Wish) -> Result<LoanRequest, WireError> {
+    Ok(LoanRequest {
         plan: wish.plan.into(),
         requests: amount(wish.requests, "requests")?,
         tokens: amount(wish.tokens, "tokens")?,
         running: wish.running,
-        least: amount(wish.least, "least")?,
+        min_tokens: amount(wish.least, "least")?,
         waiting: wish.waiting,
         held: wish.held,
-        back_requests: amount(wish.back_requests, "back_requests")?,
-        back_tokens: amount(wish.back_tokens, "back_tokens")?,
+        returned_requests: amount(wish.back_requests, "back_requests")?,
+        returned_tokens: amount(wish.back_tokens, "back_tokens")?,
     })
 }
 
@@ -254,7 +254,7 @@
     let loans: Result<Vec<_>, _> = lend.loans.into_iter().map(from_loan).collect();
     Ok(Message::Lend(Lend {
         round: lend.round,
-        life: lend.life,
+        ttl_ms: lend.life,
         loans: loans?,
     }))
 }
@@ -265,24 +265,24 @@
         requests: amount(loan.requests, "requests")?,
         tokens: amount(loan.tokens, "tokens")?,
         running: loan.running,
-        wait: loan.wait,
+        retry_ms: loan.wait,
     })
 }
 
-pub(super) fn to_stored(stored: &Stored) -> wire::Stored {
+pub(super) fn to_stored(stored: &StoredResponse) -> wire::Stored {
     wire::Stored {
         status: u32::from(stored.status),
-        media: stored.media.to_string(),
+        media: stored.content_type.to_string(),
         body: stored.body.to_vec(),
     }
 }
 
-pub(super) fn from_stored(stored: wire::Stored) -> Result<Stored, WireError> {
+pub(super) fn from_stored(stored: wire::Stored) -> Result<StoredResponse, WireError> {
     let status =
         u16::try_from(stored.status).map_err(|_range| WireError::Field { field: "status" })?;
-    Ok(Stored {
+    Ok(StoredResponse {
         status,
-        media: stored.media.into(),
+        content_type: stored.media.into(),
         body: stored.body.into(),
     })
 }
--- a/src/wire/shard.rs
+++ b/src/wire/shard.rs
@@ -4,7 +4,7 @@
 
 use super::convert::{from_stored, from_trace, to_stored, to_trace};
 use super::{array, generated};
-use crate::core::event::Print;
+use crate::core::event::Fingerprint;
 use crate::core::once::{Call, CallName, CallState, Calls};
 use crate::core::trace::Record;
 
@@ -53,7 +53,7 @@
     };
     let name = (call.customer.into(), call.key.into());
     let call = Call {
-        fingerprint: Print(array(&call.print, "print").ok()?),
+        fingerprint: Fingerprint(array(&call.print, "print").ok()?),
         request: call.request.into(),
         state,
         recorded_ms: call.at,
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 use super::{Frame, Hello, VERSION, decode, decode_shard, encode, encode_shard};
-use crate::core::event::{Print, Stored};
+use crate::core::event::{Fingerprint, StoredResponse};
 use crate::core::message::{Begin, BeginState, Done, DoneState, Lend, Loan, Message};
 use crate::core::once::{Call, CallState, Calls};
 use crate::core::trace::{Attempt, Note, Record};
@@ -23,10 +23,10 @@
     )*};
 }
 
-fn stored() -> Stored {
-    Stored {
+fn stored() -> StoredResponse {
+    StoredResponse {
         status: 201,
-        media: "application/json".into(),
+        content_type: "application/json".into(),
         body: b"{\"ok\":true}".to_vec().into(),
     }
 }
@@ -56,7 +56,7 @@
         round: 4,
         customer: "Sønderborg".into(),
         key: "k-1".into(),
-        print: Print([3; 16]),
+        fingerprint: Fingerprint([3; 16]),
         request: "r".into(),
     })),
     begun_returns: Frame::Message(Message::Begun {
@@ -71,18 +71,18 @@
         request: "r".into(),
         outcome: DoneState::Result(stored()),
     })),
-    told_returns: Frame::Message(Message::Told {
+    told_returns: Frame::Message(Message::TraceReply {
         round: 1,
         record: Some(Box::new(record())),
         since: 12,
     }),
-    traces_return: Frame::Message(Message::Traces(vec![record(), Record::default()])),
+    traces_return: Frame::Message(Message::TraceCopies(vec![record(), Record::default()])),
 }
 
 #[test]
 fn shard_returns() {
     let call = |state| Call {
-        fingerprint: Print([1; 16]),
+        fingerprint: Fingerprint([1; 16]),
         request: "r".into(),
         state,
         recorded_ms: 99,
@@ -107,7 +107,7 @@
         };
         let lend = Lend {
             round: 1,
-            life: 1,
+            ttl_ms: 1,
             loans: vec![loan],
         };
         let mut bytes = BytesMut::new();
