--- a/src/core/tests/carry.rs
+++ b/src/core/tests/effects.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 
-use super::{Called, Due, Got, World};
+use super::{CallerResult, Cluster, Pending, ServiceCall};
 use crate::core::event::{
     AttemptFailure, PeerEvent, RequestEvent, StoreEvent, StoreReply, StoreResult, StoredResponse,
 };
@@ -11,9 +11,9 @@
 use crate::core::{Effect, Event};
 use crate::error::Ran;
 
-impl World {
-    pub(super) fn carry(&mut self, at: usize, effect: Effect) {
-        let life = self.hosts[at].life;
+impl Cluster {
+    pub(super) fn apply_effect(&mut self, at: usize, effect: Effect) {
+        let incarnation = self.hosts[at].incarnation;
         match effect {
             Effect::Opened { tag, request, id } => {
                 let tag = usize::try_from(tag).expect("a small number");
@@ -22,10 +22,15 @@
             }
             Effect::Reply {
                 request, result, ..
-            } => self.got(at, request, &Got::Reply(result)),
-            Effect::Refuse { request, refusal } => self.got(at, request, &Got::Refused(refusal)),
+            } => self.record_result(at, request, &CallerResult::Reply(result)),
+            Effect::Refuse { request, refusal } => {
+                self.record_result(at, request, &CallerResult::Refused(refusal))
+            }
             Effect::SetTimer { at: due, timer } => {
-                self.put(due, Due::Event(at, life, Box::new(Event::Timer(timer))));
+                self.schedule(
+                    due,
+                    Pending::Event(at, incarnation, Box::new(Event::Timer(timer))),
+                );
             }
             Effect::AddPeer { host, name, .. } => {
                 self.hosts[at].peers.insert(host, name);
@@ -33,83 +38,83 @@
             Effect::RemovePeer(host) => {
                 self.hosts[at].peers.remove(&host);
             }
-            Effect::Send { to, message } => self.message(at, to, &message),
+            Effect::Send { to, message } => self.send_message(at, to, &message),
             Effect::Read { .. }
             | Effect::Txn { .. }
             | Effect::GrantLease { .. }
             | Effect::RenewLease { .. }
             | Effect::RevokeLease(_) => {
-                let due = self.soon();
-                self.put(due, Due::Store(at, life, Box::new(effect)));
+                let due = self.delivery_time();
+                self.schedule(due, Pending::Store(at, incarnation, Box::new(effect)));
             }
             Effect::CallService {
                 request, attempt, ..
             } => {
                 let call = &self.sent[self.hosts[at].calls[&request]];
                 let (key, id) = (call.key.clone(), call.id.clone());
-                let called = Called {
+                let call = ServiceCall {
                     host: at,
-                    life,
+                    incarnation,
                     attempt,
                     key,
                     id,
                 };
-                let due = self.soon();
-                self.put(due, Due::Call(called));
+                let due = self.delivery_time();
+                self.schedule(due, Pending::Call(call));
             }
             Effect::Meter(_) | Effect::Log(_) | Effect::ReadListing | Effect::ReadLoad { .. } => {}
-            other => self.other.push((at, other)),
+            other => self.unhandled.push((at, other)),
         }
     }
 
-    fn got(&mut self, at: usize, request: RequestKey, got: &Got) {
+    fn record_result(&mut self, at: usize, request: RequestKey, got: &CallerResult) {
         if let Some(tag) = self.hosts[at].calls.get(&request) {
-            self.sent[*tag].got = Some(got.clone());
+            self.sent[*tag].result = Some(got.clone());
         }
     }
 
-    fn message(&mut self, at: usize, to: HostKey, message: &Message) {
+    fn send_message(&mut self, at: usize, to: HostKey, message: &Message) {
         let name = self.hosts[at].peers.get(&to);
         let Some(target) = self.hosts.iter().position(|host| Some(&host.name) == name) else {
             return;
         };
-        if self.cut.contains(&(at, target)) {
+        if self.blocked_links.contains(&(at, target)) {
             return;
         }
         let from = self.hosts[at].name.clone();
-        let life = self.hosts[target].life;
-        let copies = u8::from(!self.rng.random_bool(self.odds.drop))
-            + u8::from(self.rng.random_bool(self.odds.twice));
+        let incarnation = self.hosts[target].incarnation;
+        let copies = u8::from(!self.rng.random_bool(self.faults.drop_message))
+            + u8::from(self.rng.random_bool(self.faults.duplicate_message));
         for _ in 0..copies {
-            let due = self.soon();
+            let due = self.delivery_time();
             let event = Event::Peer(PeerEvent::Message {
                 from: from.clone(),
                 message: message.clone(),
             });
-            self.put(due, Due::Event(target, life, Box::new(event)));
+            self.schedule(due, Pending::Event(target, incarnation, Box::new(event)));
         }
     }
 
-    pub(super) fn store_call(&mut self, at: usize, life: u64, effect: Effect) {
+    pub(super) fn store_call(&mut self, at: usize, incarnation: u64, effect: Effect) {
         let write = matches!(effect, Effect::Txn { .. });
-        let lost = self.rng.random_bool(self.odds.lose);
-        if self.deaf.contains(&at) {
-            self.unheard(at, life, &effect);
+        let lost = self.rng.random_bool(self.faults.lose_store_reply);
+        if self.isolated.contains(&at) {
+            self.fail_store_call(at, incarnation, &effect);
             return;
         }
-        let Some(mut reply) = self.store.carry(self.now, effect) else {
+        let Some(mut reply) = self.store.apply(self.now, effect) else {
             return;
         };
-        if lost || write && self.store.lose(reply.job) {
+        if lost || write && self.store.take_lost_reply(reply.job) {
             reply.result = StoreResult::Unknown;
         }
-        let due = self.soon();
+        let due = self.delivery_time();
         let event = Event::Store(StoreEvent::Reply(reply));
-        self.put(due, Due::Event(at, life, Box::new(event)));
+        self.schedule(due, Pending::Event(at, incarnation, Box::new(event)));
     }
 
     /// A call that the key-value service never got ends without an answer.
-    fn unheard(&mut self, at: usize, life: u64, effect: &Effect) {
+    fn fail_store_call(&mut self, at: usize, incarnation: u64, effect: &Effect) {
         let (Effect::Read { job, .. }
         | Effect::Txn { job, .. }
         | Effect::GrantLease { job, .. }
@@ -121,25 +126,25 @@
             job: *job,
             result: StoreResult::Unknown,
         };
-        let due = self.soon();
+        let due = self.delivery_time();
         let event = Event::Store(StoreEvent::Reply(reply));
-        self.put(due, Due::Event(at, life, Box::new(event)));
+        self.schedule(due, Pending::Event(at, incarnation, Box::new(event)));
     }
 
-    pub(super) fn service(&mut self, called: Called) {
-        let attempt = called.attempt;
+    pub(super) fn run_service(&mut self, call: ServiceCall) {
+        let attempt = call.attempt;
         let broke = |ran, end| RequestEvent::AttemptFailed {
             attempt,
             ran,
             end,
             detail: "on purpose".into(),
         };
-        let event = if self.rng.random_bool(self.odds.refuse) {
+        let event = if self.rng.random_bool(self.faults.refuse_call) {
             broke(Ran::No, AttemptFailure::Refused)
         } else {
-            *self.runs.entry(called.key.clone()).or_default() += 1;
-            *self.ran.entry(called.id).or_default() += 1;
-            if self.rng.random_bool(self.odds.cut) {
+            *self.runs_by_key.entry(call.key.clone()).or_default() += 1;
+            *self.runs_by_id.entry(call.id).or_default() += 1;
+            if self.rng.random_bool(self.faults.lose_service_reply) {
                 broke(Ran::Unknown, AttemptFailure::Cut)
             } else {
                 RequestEvent::Answered {
@@ -147,13 +152,16 @@
                     result: StoredResponse {
                         status: 200,
                         content_type: "text/plain".into(),
-                        body: called.key.as_bytes().into(),
+                        body: call.key.as_bytes().into(),
                     },
                 }
             }
         };
-        let due = self.soon().after(self.work);
+        let due = self.delivery_time().after(self.service_time);
         let event = Event::Request(event);
-        self.put(due, Due::Event(called.host, called.life, Box::new(event)));
+        self.schedule(
+            due,
+            Pending::Event(call.host, call.incarnation, Box::new(event)),
+        );
     }
 }
--- a/src/core/tests/mod.rs
+++ b/src/core/tests/mod.rs
@@ -4,12 +4,12 @@
 //! Everything that is on its way lies in one bag, ordered by the time it falls due. The same seed
 //! gives the same run.
 
-mod carry;
-mod killer;
+mod effects;
 mod lease;
 mod lists;
 mod once;
 mod order;
+mod poison;
 mod request;
 mod role;
 mod route;
@@ -43,36 +43,36 @@
 /// Wall clock at time zero, in milliseconds since the Unix epoch.
 const EPOCH: u64 = 1_700_000_000_000;
 /// Life of a host's registration.
-const LEASE: Duration = Duration::from_secs(2);
+const LEASE_TTL: Duration = Duration::from_secs(2);
 
 /// What goes wrong on the way, in parts of one.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Odds {
+pub struct FaultRates {
     /// Messages between hosts that never arrive.
-    pub drop: f64,
+    pub drop_message: f64,
     /// Messages between hosts that arrive twice.
-    pub twice: f64,
+    pub duplicate_message: f64,
     /// Calls of the key-value service whose answer is lost.
-    pub lose: f64,
+    pub lose_store_reply: f64,
     /// Calls of the service whose answer is lost.
-    pub cut: f64,
+    pub lose_service_reply: f64,
     /// Calls that the service refuses before it runs them.
-    pub refuse: f64,
+    pub refuse_call: f64,
 }
 
 /// What a caller got.
 #[derive(Debug, Clone)]
-pub enum Got {
+pub enum CallerResult {
     Reply(StoredResponse),
     Refused(Refusal),
 }
 
 /// A call as its caller sees it.
 #[derive(Debug, Clone)]
-pub struct Sent {
+pub struct SentCall {
     pub key: Box<str>,
     pub id: Box<str>,
-    pub got: Option<Got>,
+    pub result: Option<CallerResult>,
 }
 
 /// A host: its core, and what its process would hold.
@@ -81,31 +81,31 @@
     pub name: Box<str>,
     pub core: Core,
     pub frozen: bool,
-    pub dead: bool,
+    pub crashed: bool,
     /// Number of the process under this name.
-    life: u64,
+    incarnation: u64,
     peers: BTreeMap<HostKey, Box<str>>,
     calls: BTreeMap<RequestKey, usize>,
-    held: Vec<Event>,
+    queued_events: Vec<Event>,
     /// When the last watched change reached it, so that changes stay in order.
-    watched: Time,
+    last_watch_event: Time,
 }
 
 /// Something on its way.
 #[derive(Debug, Clone)]
-enum Due {
+enum Pending {
     /// An event for a host, in this life.
     Event(usize, u64, Box<Event>),
     /// A call of the key-value service.
     Store(usize, u64, Box<Effect>),
     /// A call of the service.
-    Call(Called),
+    Call(ServiceCall),
 }
 
 #[derive(Debug, Clone)]
-struct Called {
+struct ServiceCall {
     host: usize,
-    life: u64,
+    incarnation: u64,
     attempt: AttemptKey,
     key: Box<str>,
     id: Box<str>,
@@ -113,29 +113,29 @@
 
 /// The hosts and everything around them.
 #[derive(Debug)]
-pub struct World {
+pub struct Cluster {
     pub now: Time,
     pub rng: SmallRng,
-    pub odds: Odds,
+    pub faults: FaultRates,
     pub hosts: Vec<Host>,
     pub store: FakeStore,
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentCall>,
     /// Runs of the service by idempotency key.
-    pub runs: BTreeMap<Box<str>, u32>,
+    pub runs_by_key: BTreeMap<Box<str>, u32>,
     /// Runs of the service by request id.
-    pub ran: BTreeMap<Box<str>, u32>,
+    pub runs_by_id: BTreeMap<Box<str>, u32>,
     /// Effects that nothing here carries out, for tests to read.
-    pub other: Vec<(usize, Effect)>,
+    pub unhandled: Vec<(usize, Effect)>,
     /// Time the service takes.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Pairs of hosts: nothing passes from the first to the second.
-    pub cut: Vec<(usize, usize)>,
+    pub blocked_links: Vec<(usize, usize)>,
     /// Hosts that the key-value service does not reach, though they do not notice.
-    pub deaf: BTreeSet<usize>,
+    pub isolated: BTreeSet<usize>,
     /// Hosts whose watch lags, and by how much.
-    pub lags: BTreeMap<usize, Duration>,
-    bag: BTreeMap<(Time, u64), Due>,
-    count: u64,
+    pub watch_lags: BTreeMap<usize, Duration>,
+    pending: BTreeMap<(Time, u64), Pending>,
+    sequence: u64,
 }
 
 fn settings(name: &str) -> Settings {
@@ -146,48 +146,48 @@
          [platform]\nkv = 127.0.0.1:4\nlist = 127.0.0.1:4\nlease = {}s\n\
          [pool raadgiver]\nmodel = raadgiver\nfencing = checks\n[service {SERVICE}]\n",
         1000 + name.len() + usize::from(*name.as_bytes().last().expect("a name")),
-        LEASE.as_secs()
+        LEASE_TTL.as_secs()
     );
     Settings::parse(&text, "test").expect("the settings are right")
 }
 
-impl World {
+impl Cluster {
     /// Starts `count` hosts and runs until they know each other.
     pub fn new(count: usize, seed: u64) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             now: Time::default(),
             rng: SmallRng::seed_from_u64(seed),
-            odds: Odds::default(),
+            faults: FaultRates::default(),
             hosts: Vec::new(),
             store: FakeStore::default(),
             sent: Vec::new(),
-            runs: BTreeMap::new(),
-            ran: BTreeMap::new(),
-            other: Vec::new(),
-            work: Duration::from_millis(20),
-            cut: Vec::new(),
-            deaf: BTreeSet::new(),
-            lags: BTreeMap::new(),
-            bag: BTreeMap::new(),
-            count: 0,
+            runs_by_key: BTreeMap::new(),
+            runs_by_id: BTreeMap::new(),
+            unhandled: Vec::new(),
+            service_time: Duration::from_millis(20),
+            blocked_links: Vec::new(),
+            isolated: BTreeSet::new(),
+            watch_lags: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            sequence: 0,
         };
         for at in 0..count {
             let name = format!("host-{at}");
-            world.hosts.push(Host {
-                core: Core::new(settings(&name), world.now, EPOCH, seed),
+            cluster.hosts.push(Host {
+                core: Core::new(settings(&name), cluster.now, EPOCH, seed),
                 name: name.into(),
                 frozen: false,
-                dead: false,
-                life: 0,
+                crashed: false,
+                incarnation: 0,
                 peers: BTreeMap::new(),
                 calls: BTreeMap::new(),
-                held: Vec::new(),
-                watched: Time::default(),
+                queued_events: Vec::new(),
+                last_watch_event: Time::default(),
             });
-            world.boot(at);
+            cluster.boot(at);
         }
-        world.run(Duration::from_secs(2));
-        world
+        cluster.run(Duration::from_secs(2));
+        cluster
     }
 
     /// Starts a host's process anew, under the same name and with nothing kept.
@@ -195,24 +195,24 @@
         let seed = self.rng.random();
         let host = &mut self.hosts[at];
         host.core = Core::new(settings(&host.name), self.now, EPOCH, seed);
-        host.life += 1;
-        host.dead = false;
+        host.incarnation += 1;
+        host.crashed = false;
         host.frozen = false;
         host.peers.clear();
         host.calls.clear();
-        host.held.clear();
-        host.watched = self.now;
+        host.queued_events.clear();
+        host.last_watch_event = self.now;
         self.boot(at);
     }
 
     /// Ends a host's process; what it sent before is still on its way.
     pub fn kill(&mut self, at: usize) {
-        self.hosts[at].dead = true;
-        self.hosts[at].life += 1;
+        self.hosts[at].crashed = true;
+        self.hosts[at].incarnation += 1;
     }
 
     /// Replaces every host by a new process after `span`, in which nothing happens.
-    pub fn sleep(&mut self, span: Duration) {
+    pub fn replace_all_hosts(&mut self, span: Duration) {
         for at in 0..self.hosts.len() {
             self.kill(at);
         }
@@ -231,7 +231,7 @@
     /// Lets a suspended process go on; what came meanwhile is taken in at once, in order.
     pub fn thaw(&mut self, at: usize) {
         self.hosts[at].frozen = false;
-        for event in std::mem::take(&mut self.hosts[at].held) {
+        for event in std::mem::take(&mut self.hosts[at].queued_events) {
             self.feed(at, event);
         }
     }
@@ -241,7 +241,7 @@
         self.store.down = down;
         for at in 0..self.hosts.len() {
             if down {
-                self.post(
+                self.deliver_watch(
                     at,
                     Event::Store(StoreEvent::Health(super::event::Health::Down)),
                 );
@@ -263,7 +263,7 @@
         self.feed(at, Event::Start);
         let mut out = Effects::new();
         config::handle_lists(&mut self.hosts[at].core, 1, &plans, &uses, &mut out);
-        self.carry_all(at, out);
+        self.apply_effects(at, out);
         let entries = (1..=2).map(|number| Entry {
             name: format!("{SERVICE}-{number}").into(),
             kind: EntryKind::Service,
@@ -281,33 +281,36 @@
     /// Opens a host's watch anew.
     pub fn open_watch(&mut self, at: usize) {
         let pairs = self.store.watched();
-        self.post(
+        self.deliver_watch(
             at,
             Event::Store(StoreEvent::Health(super::event::Health::Up)),
         );
-        self.post(at, Event::Store(StoreEvent::Watched(pairs)));
+        self.deliver_watch(at, Event::Store(StoreEvent::Watched(pairs)));
     }
 
     /// Puts an event on its way to a host, after everything watched that is on its way there.
-    fn post(&mut self, at: usize, event: Event) {
-        if self.deaf.contains(&at) {
+    fn deliver_watch(&mut self, at: usize, event: Event) {
+        if self.isolated.contains(&at) {
             return;
         }
-        let lag = self.lags.get(&at).copied().unwrap_or_default();
-        let due = self.soon().after(lag).max(self.hosts[at].watched);
-        self.hosts[at].watched = due;
-        let life = self.hosts[at].life;
-        self.put(due, Due::Event(at, life, Box::new(event)));
+        let lag = self.watch_lags.get(&at).copied().unwrap_or_default();
+        let due = self
+            .delivery_time()
+            .after(lag)
+            .max(self.hosts[at].last_watch_event);
+        self.hosts[at].last_watch_event = due;
+        let incarnation = self.hosts[at].incarnation;
+        self.schedule(due, Pending::Event(at, incarnation, Box::new(event)));
     }
 
-    fn soon(&mut self) -> Time {
+    fn delivery_time(&mut self) -> Time {
         let micros = self.rng.random_range(200..4000);
         self.now.after(Duration::from_micros(micros))
     }
 
-    fn put(&mut self, due: Time, what: Due) {
-        self.count += 1;
-        self.bag.insert((due, self.count), what);
+    fn schedule(&mut self, due: Time, what: Pending) {
+        self.sequence += 1;
+        self.pending.insert((due, self.sequence), what);
     }
 
     /// Sends a call that may not repeat to a host; returns its number.
@@ -318,10 +321,10 @@
     /// Sends a call to a host; returns its number.
     pub fn send(&mut self, at: usize, method: &str, key: &str, body: u8) -> usize {
         let tag = self.sent.len();
-        self.sent.push(Sent {
+        self.sent.push(SentCall {
             key: key.into(),
             id: "".into(),
-            got: None,
+            result: None,
         });
         let arrival = Arrival {
             tag: tag as u64,
@@ -335,7 +338,7 @@
             fingerprint: Fingerprint([body; 16]),
         };
         let event = RequestEvent::Arrived(Box::new(arrival));
-        if !self.hosts[at].dead {
+        if !self.hosts[at].crashed {
             self.feed(at, Event::Request(event));
         }
         tag
@@ -344,31 +347,31 @@
     /// Runs until `span` has passed.
     pub fn run(&mut self, span: Duration) {
         let end = self.now.after(span);
-        while let Some((&(due, number), _)) = self.bag.first_key_value() {
+        while let Some((&(due, number), _)) = self.pending.first_key_value() {
             if due > end {
                 break;
             }
-            let what = self.bag.remove(&(due, number)).expect("it was there");
+            let what = self.pending.remove(&(due, number)).expect("it was there");
             self.now = self.now.max(due);
-            self.happen(what);
+            self.handle(what);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, what: Due) {
+    fn handle(&mut self, what: Pending) {
         match what {
-            Due::Event(at, life, event) => {
-                if self.hosts[at].life == life && !self.hosts[at].dead {
+            Pending::Event(at, incarnation, event) => {
+                if self.hosts[at].incarnation == incarnation && !self.hosts[at].crashed {
                     self.feed(at, *event);
                 }
             }
-            Due::Store(at, life, effect) => self.store_call(at, life, *effect),
-            Due::Call(called) => self.service(called),
+            Pending::Store(at, incarnation, effect) => self.store_call(at, incarnation, *effect),
+            Pending::Call(call) => self.run_service(call),
         }
         for pair in self.store.changes(self.now) {
             for at in 0..self.hosts.len() {
                 if !self.store.down {
-                    self.post(at, Event::Store(StoreEvent::Watched(vec![pair.clone()])));
+                    self.deliver_watch(at, Event::Store(StoreEvent::Watched(vec![pair.clone()])));
                 }
             }
         }
@@ -377,32 +380,32 @@
     /// Feeds an event to a host and puts what follows on its way.
     pub fn feed(&mut self, at: usize, event: Event) {
         if self.hosts[at].frozen {
-            self.hosts[at].held.push(event);
+            self.hosts[at].queued_events.push(event);
             return;
         }
         let mut out = Effects::new();
         self.hosts[at].core.reduce(self.now, event, &mut out);
-        self.carry_all(at, out);
+        self.apply_effects(at, out);
     }
 
-    fn carry_all(&mut self, at: usize, out: Effects) {
+    fn apply_effects(&mut self, at: usize, out: Effects) {
         for effect in out {
-            self.carry(at, effect);
+            self.apply_effect(at, effect);
         }
     }
 
     /// Fails unless what every caller was told is true and no key ran twice.
     pub fn check(&self, what: &str) {
-        for (key, runs) in &self.runs {
+        for (key, runs) in &self.runs_by_key {
             assert!(*runs <= 1, "{what}: {key} ran {runs} times");
         }
         for sent in &self.sent {
-            let ran = self.ran.contains_key(&sent.id);
-            match &sent.got {
-                Some(Got::Refused(refusal)) if refusal.ran == Ran::No => {
+            let ran = self.runs_by_id.contains_key(&sent.id);
+            match &sent.result {
+                Some(CallerResult::Refused(refusal)) if refusal.ran == Ran::No => {
                     assert!(!ran, "{what}: {} ran and was told that it did not", sent.id);
                 }
-                Some(Got::Reply(result)) => {
+                Some(CallerResult::Reply(result)) => {
                     assert_eq!(
                         *result.body,
                         *sent.key.as_bytes(),
--- a/src/core/tests/route.rs
+++ b/src/core/tests/route.rs
@@ -9,7 +9,7 @@
 use crate::core::{Core, Effects, Time, admit};
 
 /// Prompt tokens that keep an engine busy for long.
-const MUCH: u32 = 1_000_000;
+const LONG_PROMPT_TOKENS: u32 = 1_000_000;
 
 fn core(engines: usize) -> Core {
     let mut core = Core::new(super::settings("host"), Time::default(), 0, 1);
@@ -40,11 +40,11 @@
     }
 }
 
-fn told(core: &mut Core, engine: &str) {
+fn receive_sent(core: &mut Core, engine: &str) {
     let key = core.fleet.find(engine).expect("a listed engine");
     let sent = SentPrompt {
         engine: core.fleet.arena[key].name_hash,
-        prompt_tokens: MUCH,
+        prompt_tokens: LONG_PROMPT_TOKENS,
     };
     load::receive_sent(core, sent);
 }
@@ -52,10 +52,10 @@
 /// Another host has just sent much to an engine whose report still says idle. Whoever believed
 /// the report would wait behind it.
 #[test]
-fn engine_that_another_host_filled_is_left_alone() {
+fn engine_filled_by_another_host_is_avoided() {
     let mut core = core(3);
     let busy = core.fleet.find("engine-1");
-    told(&mut core, "engine-1");
+    receive_sent(&mut core, "engine-1");
     for _ in 0..50 {
         let choice = route::choose_engine(&mut core, &need()).expect("an engine");
         assert_ne!(Some(choice.engine), busy);
@@ -79,9 +79,9 @@
 /// Every engine is busy: the caller is told at once when to come back. Callers of many requests
 /// must not all be told the same second, or they would find each other there.
 #[test]
-fn refused_callers_are_spread() {
+fn retry_times_are_spread() {
     let mut core = core(1);
-    told(&mut core, "engine-0");
+    receive_sent(&mut core, "engine-0");
     let times = (0..64_u8).map(|first| {
         let mut print = Fingerprint::default();
         print.0[0] = first;
@@ -97,9 +97,9 @@
 /// time. By what that host tells, the engine is full for ever; a host that believed it alone would
 /// refuse every caller beside an engine that reports it is idle.
 #[test]
-fn idle_engine_is_tried_whatever_others_tell() {
+fn idle_engine_is_tried_despite_other_hosts() {
     let mut core = core(1);
-    told(&mut core, "engine-0");
+    receive_sent(&mut core, "engine-0");
     let report = |core: &mut Core, waiting, at| {
         let report = FleetEvent::Report {
             name: "engine-0".into(),
--- a/src/core/tests/store.rs
+++ b/src/core/tests/store.rs
@@ -9,7 +9,7 @@
 use crate::core::{Effect, Time};
 use crate::store::{Compare, Op, Pair, Range, Reply, Span, Txn, TxnReply};
 
-const FOLDER: &str = "w/";
+const WATCHED_PREFIX: &str = "w/";
 
 #[derive(Debug, Clone)]
 struct Value {
@@ -24,13 +24,13 @@
     /// Whether every call is refused.
     pub down: bool,
     /// Answers of writes to records that are still to be lost.
-    pub lose_records: u32,
+    pub lose_record_replies: u32,
     /// Writes to records that are still to be refused.
     pub refuse_records: u32,
     /// Transactions carried out, by the first key they write.
     pub writes: BTreeMap<Box<str>, u32>,
     /// Leases granted and renewed.
-    pub renewals: u32,
+    pub lease_calls: u32,
     values: BTreeMap<Box<str>, Value>,
     leases: BTreeMap<i64, (Duration, Time)>,
     revision: i64,
@@ -73,9 +73,9 @@
     }
 
     /// Takes one lost answer of a record's write.
-    pub fn lose(&mut self, job: Job) -> bool {
-        let lose = matches!(job, Job::Record(..)) && self.lose_records > 0;
-        self.lose_records -= u32::from(lose);
+    pub fn take_lost_reply(&mut self, job: Job) -> bool {
+        let lose = matches!(job, Job::Record(..)) && self.lose_record_replies > 0;
+        self.lose_record_replies -= u32::from(lose);
         lose
     }
 
@@ -97,12 +97,12 @@
     }
 
     /// Carries out a call; `None` where no answer is wanted.
-    pub fn carry(&mut self, now: Time, effect: Effect) -> Option<StoreReply> {
+    pub fn apply(&mut self, now: Time, effect: Effect) -> Option<StoreReply> {
         let renewal = matches!(
             effect,
             Effect::GrantLease { .. } | Effect::RenewLease { .. }
         );
-        self.renewals += u32::from(renewal);
+        self.lease_calls += u32::from(renewal);
         let (job, result) = match effect {
             Effect::RevokeLease(lease) => {
                 if !self.down {
@@ -216,7 +216,7 @@
 
 fn watched(key: &str, value: Option<&Value>, modified: i64) -> Option<WatchedKey> {
     Some(WatchedKey {
-        key: key.strip_prefix(FOLDER)?.into(),
+        key: key.strip_prefix(WATCHED_PREFIX)?.into(),
         value: value.map(|value| value.bytes.to_vec().into()),
         modified,
     })
--- a/src/core/tests/trace.rs
+++ b/src/core/tests/trace.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 
-use super::World;
+use super::Cluster;
 use crate::core::effect::OperatorAnswer;
 use crate::core::event::OperatorEvent;
 use crate::core::key::CommandKey;
@@ -13,26 +13,29 @@
 use crate::error::Ran;
 
 /// Asks a host what became of a request, and waits for its answer.
-fn explain(world: &mut World, at: usize, id: &str) -> OperatorAnswer {
-    world.other.clear();
-    let ask = CommandKey(world.now.micros());
+fn explain(cluster: &mut Cluster, at: usize, id: &str) -> OperatorAnswer {
+    cluster.unhandled.clear();
+    let ask = CommandKey(cluster.now.micros());
     let id = id.into();
-    world.feed(
+    cluster.feed(
         at,
         Event::Operator(OperatorEvent::Explain { command: ask, id }),
     );
-    world.run(Duration::from_secs(4));
-    let answer = world.other.iter().find_map(|(_, effect)| match effect {
-        Effect::AnswerOperator {
-            command: of,
-            answer,
-        } if *of == ask => Some(answer.clone()),
-        _ => None,
-    });
+    cluster.run(Duration::from_secs(4));
+    let answer = cluster
+        .unhandled
+        .iter()
+        .find_map(|(_, effect)| match effect {
+            Effect::AnswerOperator {
+                command: of,
+                answer,
+            } if *of == ask => Some(answer.clone()),
+            _ => None,
+        });
     answer.expect("every question is answered")
 }
 
-fn why(answer: OperatorAnswer) -> String {
+fn reason(answer: OperatorAnswer) -> String {
     match answer {
         OperatorAnswer::NoRecord { reason: why } => why.into(),
         other => panic!("{other:?} is no reason"),
@@ -43,21 +46,21 @@
 /// filing, which may not repeat; what became of a question about a deadline goes with the hosts,
 /// and the answer says so.
 #[test]
-fn a_filing_is_explained_after_every_host_is_gone() {
-    let mut world = World::new(3, 1);
-    let filing = world.call(0, "k", 1);
-    let question = world.send(1, "GET", "q", 1);
-    world.run(Duration::from_secs(5));
-    world.sleep(Duration::from_secs(5));
+fn filing_is_explained_after_all_hosts_are_replaced() {
+    let mut cluster = Cluster::new(3, 1);
+    let filing = cluster.call(0, "k", 1);
+    let question = cluster.send(1, "GET", "q", 1);
+    cluster.run(Duration::from_secs(5));
+    cluster.replace_all_hosts(Duration::from_secs(5));
     for at in 0..3 {
-        let id = world.sent[filing].id.clone();
+        let id = cluster.sent[filing].id.clone();
         assert_matches!(
-            explain(&mut world, at, &id),
+            explain(&mut cluster, at, &id),
             OperatorAnswer::Record(record) if &*record.outcome == "answered" && &*record.key == "k"
         );
     }
-    let id = world.sent[question].id.clone();
-    let why = why(explain(&mut world, 0, &id));
+    let id = cluster.sent[question].id.clone();
+    let why = reason(explain(&mut cluster, 0, &id));
     assert!(why.contains("host that served it is gone"), "{why}");
 }
 
@@ -65,16 +68,16 @@
 /// explanation must be there all the same when it is needed.
 #[test]
 fn a_segment_is_written_again_after_an_outage() {
-    let mut world = World::new(3, 2);
-    let filing = world.call(0, "k", 1);
-    world.run(Duration::from_millis(100));
-    world.outage(true);
-    world.run(Duration::from_secs(20));
-    world.outage(false);
-    world.run(Duration::from_secs(20));
-    world.sleep(Duration::from_secs(5));
-    let id = world.sent[filing].id.clone();
-    assert_matches!(explain(&mut world, 2, &id), OperatorAnswer::Record(_));
+    let mut cluster = Cluster::new(3, 2);
+    let filing = cluster.call(0, "k", 1);
+    cluster.run(Duration::from_millis(100));
+    cluster.outage(true);
+    cluster.run(Duration::from_secs(20));
+    cluster.outage(false);
+    cluster.run(Duration::from_secs(20));
+    cluster.replace_all_hosts(Duration::from_secs(5));
+    let id = cluster.sent[filing].id.clone();
+    assert_matches!(explain(&mut cluster, 2, &id), OperatorAnswer::Record(_));
 }
 
 /// Late on the evening of a cutoff every member files. The key-value service takes a few hundred
@@ -83,14 +86,14 @@
 #[test]
 fn writes_do_not_grow_with_the_traffic() {
     let writes = |calls: u64| {
-        let mut world = World::new(3, 3);
+        let mut cluster = Cluster::new(3, 3);
         for number in 0..calls {
-            world.call(0, &format!("k-{number}"), 1);
-            world.send(1, "GET", "", 1);
-            world.run(Duration::from_millis(10_000 / calls));
+            cluster.call(0, &format!("k-{number}"), 1);
+            cluster.send(1, "GET", "", 1);
+            cluster.run(Duration::from_millis(10_000 / calls));
         }
-        world.run(Duration::from_secs(10));
-        world.store.keys("d/trace/").len()
+        cluster.run(Duration::from_secs(10));
+        cluster.store.keys("d/trace/").len()
     };
     let (few, many) = (writes(10), writes(1000));
     assert!(few > 0);
@@ -101,16 +104,16 @@
 /// A host dies while the service works on a call. Its last copy says that the request runs; an
 /// engineer who reads "running" would wait for an end that never comes.
 #[test]
-fn a_request_whose_host_died_is_called_lost() {
-    let mut world = World::new(3, 4);
-    world.work = Duration::from_secs(30);
-    let call = world.call(0, "k", 1);
-    world.run(Duration::from_secs(1));
-    world.kill(0);
-    world.run(Duration::from_secs(4));
-    let id = world.sent[call].id.clone();
+fn request_of_a_crashed_host_is_reported_lost() {
+    let mut cluster = Cluster::new(3, 4);
+    cluster.service_time = Duration::from_secs(30);
+    let call = cluster.call(0, "k", 1);
+    cluster.run(Duration::from_secs(1));
+    cluster.kill(0);
+    cluster.run(Duration::from_secs(4));
+    let id = cluster.sent[call].id.clone();
     assert_matches!(
-        explain(&mut world, 1, &id),
+        explain(&mut cluster, 1, &id),
         OperatorAnswer::Record(record)
             if &*record.outcome == "lost" && record.ran == Some(Ran::Unknown)
     );
@@ -119,31 +122,31 @@
 /// An engineer asks about an old request, a mistyped one and one that has not been made. Each
 /// gets its own reason, so that nobody takes an aged-out record for a request that never came.
 #[test]
-fn a_missing_record_is_given_its_reason() {
-    let mut world = World::new(2, 5);
-    let call = world.call(0, "k", 1);
-    let id = world.sent[call].id.clone();
-    world.run(Duration::from_secs(5));
-    assert!(why(explain(&mut world, 1, "no-id")).contains("not a request id"));
+fn reason_is_given_for_a_missing_record() {
+    let mut cluster = Cluster::new(2, 5);
+    let call = cluster.call(0, "k", 1);
+    let id = cluster.sent[call].id.clone();
+    cluster.run(Duration::from_secs(5));
+    assert!(reason(explain(&mut cluster, 1, "no-id")).contains("not a request id"));
     let unknown = format!("{}0", &id[..id.len()]);
-    assert!(why(explain(&mut world, 1, &unknown)).contains("no host has a record"));
+    assert!(reason(explain(&mut cluster, 1, &unknown)).contains("no host has a record"));
     let later = "0123abcd-fffffffffff-1";
-    assert!(why(explain(&mut world, 1, later)).contains("arrived yet"));
-    world.sleep(Duration::from_secs(5));
-    world.outage(true);
-    world.run(Duration::from_millis(10));
-    assert!(why(explain(&mut world, 1, &id)).contains("did not answer"));
-    world.outage(false);
-    world.sleep(RETENTION + Duration::from_hours(2));
-    assert!(why(explain(&mut world, 1, &id)).contains("aged out"));
-    assert!(world.store.keys("d/trace/").is_empty(), "segments expire");
+    assert!(reason(explain(&mut cluster, 1, later)).contains("arrived yet"));
+    cluster.replace_all_hosts(Duration::from_secs(5));
+    cluster.outage(true);
+    cluster.run(Duration::from_millis(10));
+    assert!(reason(explain(&mut cluster, 1, &id)).contains("did not answer"));
+    cluster.outage(false);
+    cluster.replace_all_hosts(RETENTION + Duration::from_hours(2));
+    assert!(reason(explain(&mut cluster, 1, &id)).contains("aged out"));
+    assert!(cluster.store.keys("d/trace/").is_empty(), "segments expire");
 }
 
 /// A host serves for weeks. Its explanations must stay within its memory, whatever their size.
 #[test]
-fn records_stay_within_their_memory() {
-    let world = World::new(1, 6);
-    let mut traces = Traces::new(&world.hosts[0].core.settings.host, 1);
+fn records_stay_within_the_memory_limit() {
+    let cluster = Cluster::new(1, 6);
+    let mut traces = Traces::new(&cluster.hosts[0].core.settings.host, 1);
     let mut kept = 0;
     for number in 0..60_000_u64 {
         let mut record = traces.new_record(number);
