--- a/src/core/effect.rs
+++ b/src/core/effect.rs
@@ -1,4 +1,4 @@
-//! Everything a host can do.
+//! Effects: the actions of a host, which the adapters execute.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,141 +15,141 @@
 /// One effect.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// The request just arrived has this key and id.
+    /// Assigns a key and an id to the request that just arrived.
     Opened {
-        /// Number the adapter gave it.
+        /// Number that the adapter gave the request.
         tag: u64,
         /// Its key.
         request: RequestKey,
         /// Its id, as callers and operators see it.
         id: Box<str>,
     },
-    /// Send the request to an engine and stream its answer back as events.
+    /// Sends the request to an engine and streams the answer back as events.
     OpenStream(OpenStream),
-    /// Send the request to a service.
+    /// Sends the request to a service.
     CallService {
         /// The request.
         request: RequestKey,
         /// The attempt.
         attempt: AttemptKey,
-        /// Where the service listens.
+        /// Address that the service listens on.
         addr: SocketAddr,
-        /// Time the call may take.
+        /// Time limit of the call.
         timeout: Duration,
     },
-    /// Close the attempt's connection and forget it.
+    /// Closes the attempt's connection and drops the attempt.
     Cancel(AttemptKey),
-    /// Pass the piece just reported on to the caller, less its first `skip` tokens.
+    /// Forwards the chunk that was just reported to the caller.
     Deliver {
         /// The request.
         request: RequestKey,
     },
-    /// The caller has the whole answer.
+    /// Ends the request: the caller has the complete answer.
     Finish(RequestKey),
-    /// Answer with the service's answer.
+    /// Answers the caller with a service's response.
     Reply {
         /// The request.
         request: RequestKey,
-        /// The answer.
+        /// The response.
         result: StoredResponse,
-        /// The request that ran it, where that was an earlier one.
+        /// Id of the earlier request that ran the call, if it was not this one.
         first: Option<Box<str>>,
     },
-    /// Answer that there will be no whole answer.
+    /// Ends the request without a complete answer.
     Refuse {
         /// The request.
         request: RequestKey,
-        /// Why.
+        /// The error for the caller.
         refusal: Refusal,
     },
-    /// Send a message to a peer.
+    /// Sends a message to a peer.
     Send {
         /// The peer.
         to: HostKey,
         /// The message.
         message: Message,
     },
-    /// A peer is at this address; connect on the first message.
+    /// Adds a peer; the connection is opened with the first message.
     AddPeer {
         /// The peer.
         host: HostKey,
         /// Its name, which it must prove.
         name: Box<str>,
-        /// Where it listens for peers.
+        /// Address that it listens on for peers.
         addr: SocketAddr,
     },
-    /// A peer is gone; close its connection.
+    /// Removes a peer and closes its connection.
     RemovePeer(HostKey),
-    /// Close the connection to a peer; the next message opens a new one.
+    /// Closes the connection to a peer; the next message opens a new one.
     Reconnect(HostKey),
-    /// Read from the key-value service.
+    /// Reads from the key-value service.
     Read {
-        /// What for.
+        /// Purpose of the call.
         job: Job,
-        /// Which keys, without the deployment's prefix.
+        /// Keys to read, without the deployment's prefix.
         span: Span,
     },
-    /// Write to the key-value service.
+    /// Runs a transaction of the key-value service.
     Txn {
-        /// What for.
+        /// Purpose of the call.
         job: Job,
         /// The transaction; keys without the deployment's prefix.
         txn: Txn,
     },
-    /// Get a lease from the key-value service.
+    /// Requests a lease from the key-value service.
     GrantLease {
-        /// What for.
+        /// Purpose of the call.
         job: Job,
-        /// Life of the lease.
+        /// Time to live of the lease.
         life: Duration,
     },
-    /// Renew a lease.
+    /// Renews a lease.
     RenewLease {
-        /// What for.
+        /// Purpose of the call.
         job: Job,
         /// The lease.
         lease: i64,
     },
-    /// Give a lease back.
+    /// Revokes a lease.
     RevokeLease(i64),
-    /// Read the platform's list.
+    /// Reads the platform's list.
     ReadListing,
-    /// Read the load report of a back end.
+    /// Reads the load report of a backend server.
     ReadLoad {
-        /// Name of the back end.
+        /// Name of the backend server.
         name: Box<str>,
-        /// Where it listens.
+        /// Address that it listens on.
         addr: SocketAddr,
     },
-    /// Give an order to an engine.
+    /// Sends an order to an engine.
     Order(Order),
-    /// Try to connect, to see whether a process listens there.
+    /// Opens a connection to check whether a process listens at this address.
     Probe(SocketAddr),
-    /// Ask for a timer event.
+    /// Schedules a timer event.
     SetTimer {
-        /// When.
+        /// When it is due.
         at: Time,
-        /// Which.
+        /// The timer.
         timer: Timer,
     },
-    /// Answer an operator's question.
+    /// Answers an operator's command.
     AnswerOperator {
-        /// The question.
+        /// The command.
         command: CommandKey,
         /// The answer.
         answer: OperatorAnswer,
     },
-    /// Count something.
+    /// Records a metric.
     Meter(Meter),
-    /// Write a log event.
+    /// Writes a log event with a message.
     Log(LogEvent),
-    /// Write a log event with fields.
+    /// Writes a log event with fields.
     LogFields(LogFields),
-    /// Something for relayed requests.
+    /// An effect for relayed requests.
     Relay(RelayEffect),
-    /// Close listeners: new connections go to other hosts.
+    /// Closes the listeners, so that new connections go to other hosts.
     CloseListeners,
-    /// End the process in good order.
+    /// Ends the process normally.
     Exit,
 }
 
@@ -160,35 +160,35 @@
     pub request: RequestKey,
     /// The attempt.
     pub attempt: AttemptKey,
-    /// Where the engine listens.
+    /// Address that the engine listens on.
     pub addr: SocketAddr,
     /// Name of the attempt at the engine.
     pub label: Box<str>,
-    /// Resume the attempt of this label from this offset.
+    /// Token offset at which to resume the attempt of this label; `None` to start a new one.
     pub resume_from: Option<u64>,
-    /// Tokens already delivered by an earlier attempt, which the engine is to continue from.
+    /// Tokens that earlier attempts delivered, after which the engine continues.
     pub delivered: u64,
     /// Priority at the engine; higher goes first.
     pub priority: u8,
-    /// Prefill at this engine first and take its KV cache from there.
+    /// Address of another engine that prefills the prompt and hands over its KV cache.
     pub prefill_addr: Option<SocketAddr>,
 }
 
-/// Why a request gets no whole answer.
+/// The error of a request that gets no complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Kind of the refusal.
+    /// Kind of the error.
     pub kind: Kind,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
     /// One sentence about this case.
     pub detail: Box<str>,
 }
 
 impl Refusal {
-    /// Creates a refusal with the kind's own answer.
+    /// Creates a refusal with the defaults of its kind.
     #[must_use]
     pub fn new(kind: Kind, detail: impl Into<Box<str>>) -> Self {
         let answer = kind.answer();
@@ -200,10 +200,10 @@
         }
     }
 
-    /// Sets when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
-    pub fn with_retry_after(mut self, retry: Duration) -> Self {
-        self.retry_after = Some(retry);
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 
@@ -220,24 +220,24 @@
 pub struct Order {
     /// Name of the engine.
     pub engine: Box<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Fencing number of the holder.
+    /// Fencing number of the authority's holder.
     pub fence: u64,
     /// Number of the order under this fencing number.
     pub number: u64,
     /// The holder's name, for the engine's log.
     pub holder: Box<str>,
-    /// What to do.
+    /// Action to perform.
     pub action: Action,
-    /// The sender's right to send ends here; checked again just before the write.
+    /// End of the sender's authority; checked again just before the write.
     pub valid_until: Time,
 }
 
-/// What an order tells an engine to do.
+/// Action that an order demands of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Take this role.
+    /// Change to this role.
     Role(super::event::Role),
     /// Load a model.
     Model(Box<str>),
@@ -247,34 +247,34 @@
     Version(Box<str>),
 }
 
-/// Answer to an operator's question.
+/// Answer to an operator's command.
 #[derive(Debug, Clone)]
 pub enum OperatorAnswer {
-    /// The record of a request.
+    /// The trace record of a request.
     Record(Box<Record>),
     /// No host has a record of the request.
     NoRecord {
-        /// Why not: never seen, aged out, or the hosts that had it are gone.
+        /// Why: never received, expired, or the hosts that stored it are gone.
         reason: Box<str>,
     },
-    /// The edit is accepted under this revision.
+    /// The edit was accepted as this revision.
     Accepted(u64),
-    /// Another edit came first.
+    /// Another edit was accepted first.
     Conflict {
         /// Revision in force.
         revision: u64,
         /// Text of the list in force.
         text: Box<str>,
     },
-    /// The edit has faults.
+    /// The edit is invalid, for these reasons.
     Faults(Vec<Box<str>>),
     /// The key-value service does not answer; the edit had no effect.
     StoreDown,
-    /// Whether the edit was accepted could not be found out.
+    /// It is unknown whether the edit was accepted.
     Unclear,
 }
 
-/// Something counted or timed.
+/// A measurement for the metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Meter {
     /// A request ended.
@@ -285,67 +285,67 @@
         customer: Box<str>,
         /// Code of the outcome.
         outcome: &'static str,
-        /// From arrival to the end.
+        /// Time from arrival to the end.
         duration: Duration,
     },
-    /// The first token was passed on.
+    /// The first token was forwarded to the caller.
     FirstToken {
         /// Model.
         class: Box<str>,
         /// Customer.
         customer: Box<str>,
-        /// From arrival.
+        /// Time since arrival.
         after: Duration,
     },
-    /// Another token was passed on.
+    /// A later token was forwarded to the caller.
     TokenGap {
         /// Model.
         class: Box<str>,
-        /// Since the one before.
+        /// Time since the token before it.
         gap: Duration,
     },
-    /// A request went to a back end.
+    /// A request was sent to a backend server.
     Queued {
         /// Model or service.
         class: Box<str>,
-        /// From arrival.
+        /// Time since arrival.
         after: Duration,
     },
-    /// An attempt was repeated.
+    /// A request was retried.
     Retried {
         /// Model or service.
         class: Box<str>,
     },
-    /// An order was given.
+    /// An order was sent to an engine.
     OrderSent {
         /// Pool.
         pool: Box<str>,
     },
 }
 
-/// A structured log event.
+/// A log event with a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogEvent {
     /// Level.
     pub level: log::Level,
-    /// Name of the event, dotted.
+    /// Dotted name of the event.
     pub name: &'static str,
-    /// Sentence with the values in it.
+    /// Message, which includes the values.
     pub text: Box<str>,
 }
 
-/// A structured log event whose values are fields.
+/// A log event whose values are fields.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogFields {
     /// Level.
     pub level: log::Level,
-    /// Name of the event, dotted.
+    /// Dotted name of the event.
     pub name: &'static str,
-    /// Names and values.
+    /// Names and values of the fields.
     pub fields: Vec<(&'static str, Box<str>)>,
 }
 
-/// Returns a log effect.
+/// Returns the effect of a log event with a message.
 #[must_use]
 pub fn log_event(level: log::Level, name: &'static str, text: impl Into<Box<str>>) -> Effect {
     Effect::Log(LogEvent {
--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to a host.
+//! Events: the inputs of a host, which the adapters deliver.
 
 use std::net::SocketAddr;
 
@@ -13,30 +13,30 @@
 /// One event.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The adapters are ready; the first event.
+    /// The adapters are ready; always the first event.
     Start,
-    /// A caller or a back end did something about a request.
+    /// Event of a request, from its caller or a backend server.
     Request(RequestEvent),
-    /// A peer did something.
+    /// Event of a peer.
     Peer(PeerEvent),
-    /// The key-value service did something.
+    /// Event of the key-value service.
     Store(StoreEvent),
-    /// The platform's list or a back end's report arrived.
+    /// Event of the backend servers or the platform's list.
     Fleet(FleetEvent),
-    /// An operator asked something.
+    /// Command of an operator.
     Operator(OperatorEvent),
-    /// A time that was asked for has come.
+    /// A timer is due.
     Timer(Timer),
-    /// A planned stop goes on.
+    /// Event of a planned stop.
     Stop(StopEvent),
-    /// Something about relayed requests.
+    /// Event of relayed requests.
     Relay(RelayEvent),
 }
 
-/// A time that a part asked for.
+/// A timer, set by [`Effect::SetTimer`](super::Effect::SetTimer).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Send beats to peers and check on them.
+    /// Send heartbeats to peers and check their pledges.
     Heartbeat,
     /// Renew this host's registration.
     Register,
@@ -44,36 +44,36 @@
     FetchLists,
     /// Read the platform's list.
     Listing,
-    /// Read the back ends' load reports.
+    /// Read the load reports of backend servers.
     Reports,
-    /// A request has waited long enough for what it waits for.
+    /// The wait of a request has ended.
     Request(RequestKey),
-    /// Look whether an attempt has fallen silent.
+    /// Check whether an attempt has been silent for too long.
     Silence(AttemptKey),
-    /// Refill, lend and expire loans.
+    /// Refill shares, and lend and expire loans.
     Shares,
-    /// Write grouped records and expire old ones.
+    /// Resend pending record operations and unload idle shards.
     Once,
-    /// Renew authority and go on with orders.
+    /// Renew authorities and continue orders.
     Orders,
-    /// Copy records to peers.
+    /// Copy trace records to peers.
     Traces,
-    /// An operator's question has waited long enough.
+    /// A command of an operator has timed out.
     Command(CommandKey),
-    /// The planned stop has reached its bound.
+    /// The next phase of a planned stop is due.
     Stop,
-    /// A part of the relay asked for it.
+    /// A timer of the relay.
     Relay(RelayTimer),
 }
 
-/// What a caller wants.
+/// A request that arrived.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Number by which the adapter knows the request until it has a key.
+    /// Number by which the adapter identifies the request until it has a key.
     pub tag: u64,
     /// Hash of the customer's key.
     pub key_hash: KeyHash,
-    /// What the request is for.
+    /// Completion or service call that is requested.
     pub spec: RequestSpec,
     /// The caller's idempotency key.
     pub idempotency_key: Option<Box<str>>,
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Fingerprint(pub [u8; 16]);
 
-/// What a request is for.
+/// A completion or a service call that a caller requests.
 #[derive(Debug, Clone)]
 pub enum RequestSpec {
     /// A completion.
@@ -94,20 +94,20 @@
     Service(ServiceRequest),
 }
 
-/// A completion that a caller wants.
+/// A requested completion.
 #[derive(Debug, Clone)]
 pub struct ModelRequest {
     /// Model name.
     pub model: Box<str>,
     /// Estimated prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Largest number of tokens to generate.
     pub max_output: u32,
-    /// Hashes of the prompt's pieces, each over everything up to its end.
+    /// Hashes of the prompt's prefixes: one per prefix block, over the prompt up to its end.
     pub prefix_hashes: Vec<u64>,
 }
 
-/// A service call that a caller wants.
+/// A requested service call.
 #[derive(Debug, Clone)]
 pub struct ServiceRequest {
     /// Service name.
@@ -118,66 +118,67 @@
     pub path: Box<str>,
 }
 
-/// Something about a request.
+/// Event of a request.
 #[derive(Debug, Clone)]
 pub enum RequestEvent {
     /// A caller sent a request.
     Arrived(Box<Arrival>),
     /// The caller closed its connection.
     CallerLeft(RequestKey),
-    /// The engine or service took the request and began to answer.
+    /// The engine or service accepted the request and began to answer, or reading from it resumed
+    /// after [`RequestEvent::DeliveryBlocked`].
     Began(AttemptKey),
-    /// The caller does not take what came; nothing more is read until it does.
+    /// The caller does not read the answer; the engine's stream is not read until it does.
     DeliveryBlocked(AttemptKey),
-    /// A piece of the answer arrived: tokens from `offset` on.
+    /// A chunk of the answer arrived: tokens from `offset` on.
     StreamEvent {
-        /// The attempt it came in on.
+        /// The attempt that received it.
         attempt: AttemptKey,
-        /// Position of the first token of the piece in the whole answer.
+        /// Position of the chunk's first token in the complete answer.
         offset: u64,
-        /// Tokens in the piece; 0 for a piece that carries none, such as the end marker.
+        /// Tokens in the chunk; 0 for a chunk without any, such as the finish reason.
         tokens: u32,
     },
-    /// The end marker arrived: the answer is whole.
+    /// The end marker of the stream arrived.
     StreamCompleted(AttemptKey),
-    /// The service's whole answer arrived.
+    /// The complete response of a service arrived.
     Answered {
-        /// The attempt it came in on.
+        /// The attempt that received it.
         attempt: AttemptKey,
-        /// The answer.
+        /// The response.
         result: StoredResponse,
     },
-    /// The attempt ended without a whole answer.
+    /// The attempt ended without a complete answer.
     AttemptFailed {
         /// The attempt.
         attempt: AttemptKey,
-        /// Whether the back end ran the request.
+        /// Whether the backend server ran the request.
         ran: Ran,
-        /// How it ended.
+        /// How the attempt ended.
         end: AttemptFailure,
-        /// What the adapter saw, for the explanation.
+        /// Description of the failure from the adapter, for the trace record.
         detail: Box<str>,
     },
 }
 
-/// How an attempt ended without a whole answer.
+/// How an attempt ended without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptFailure {
     /// No connection could be opened.
     Unreachable,
-    /// The back end refused before it started.
+    /// The backend server refused the request before it started.
     Refused,
-    /// The back end answered that the request is at fault.
+    /// The backend server answered that the request is invalid.
     Rejected,
     /// The connection ended before the end marker.
     Cut,
-    /// The connection stayed open and brought nothing for too long.
+    /// The connection stayed open and delivered nothing for too long.
     Silent,
-    /// The back end does not know the attempt that was to be resumed.
+    /// The backend server has no attempt with the label that was to be resumed.
     Forgotten,
 }
 
-/// The answer of a service, as it is kept for repeats.
+/// Response of a service, as it is stored for retries.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoredResponse {
     /// HTTP status.
@@ -188,28 +189,28 @@
     pub body: Box<[u8]>,
 }
 
-/// Something about a peer.
+/// Event of a peer.
 #[derive(Debug, Clone)]
 pub enum PeerEvent {
-    /// A message arrived from a peer that proved who it is.
+    /// A message arrived from an authenticated peer.
     Message {
-        /// Name the peer proved.
+        /// Name that the peer proved.
         from: Box<str>,
         /// The message.
         message: Message,
     },
-    /// The connection to a peer could not be opened or broke.
+    /// The connection to a peer could not be opened, or was lost.
     Down(HostKey),
 }
 
-/// Something about the key-value service.
+/// Event of the key-value service.
 #[derive(Debug, Clone)]
 pub enum StoreEvent {
-    /// Watched keys have these values now; keys are without the deployment's prefix.
+    /// Current values of watched keys; the keys come without the deployment's prefix.
     Watched(Vec<WatchedKey>),
-    /// A job ended.
+    /// A call was answered or failed.
     Reply(StoreReply),
-    /// The service began to answer, or stopped answering.
+    /// The service started or stopped answering.
     Health(Health),
 }
 
@@ -218,7 +219,7 @@
 pub enum Health {
     /// It answers and the watch is open.
     Up,
-    /// It does not answer or the watch broke.
+    /// It does not answer, or the watch is closed.
     Down,
 }
 
@@ -227,112 +228,113 @@
 pub struct WatchedKey {
     /// Key without the deployment's prefix and the watched folder.
     pub key: Box<str>,
-    /// Value; `None` when the key is gone.
+    /// Value; `None` if the key was removed.
     pub value: Option<Box<[u8]>>,
-    /// Revision of the key-value service at which it changed.
+    /// Revision of the key-value service at which the key changed.
     pub modified: i64,
 }
 
-/// What a call to the key-value service is for.
+/// Purpose of a call to the key-value service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Job {
-    /// Register this host; numbered by the try.
+    /// Register this host, in the round of this number.
     Register(u64),
     /// Put new lists in force for an operator.
     Apply(CommandKey),
     /// Read the chunks of new lists, for this revision.
     Chunk(u64),
-    /// Read or write a shard of records; numbered, since shards move away and back.
+    /// Read or write a shard of records. The number tells apart the calls of a shard that moved
+    /// away and back.
     Record(ShardKey, u64),
-    /// Write explanations, or get the lease they go with.
+    /// Write trace records, or get the lease for them.
     WriteSegment,
-    /// Read explanations for the question of this number.
+    /// Read trace records for the query of this number.
     ReadSegments(u64),
-    /// Take, renew or give back the authority over a pool.
+    /// Acquire, renew or release the authority over a pool.
     Authority(PoolKey),
     /// Read or write the intended orders of a pool.
     Intent(PoolKey),
     /// Write the routing state of a pool.
     Route(PoolKey),
-    /// A job of the relay, and how many eras of the store had ended when it was asked for.
+    /// A job of the relay, and the number of store eras that had ended when it was requested.
     Relay(RelayJob, u32),
 }
 
-/// End of a job.
+/// Result of a call to the key-value service, with the call's purpose.
 #[derive(Debug, Clone)]
 pub struct StoreReply {
-    /// The job.
+    /// Purpose of the call.
     pub job: Job,
-    /// What came of it.
+    /// Its result.
     pub result: StoreResult,
 }
 
-/// What came of a call to the key-value service.
+/// Result of a call to the key-value service.
 #[derive(Debug, Clone)]
 pub enum StoreResult {
-    /// A read's answer.
+    /// Answer to a read.
     Read(Range),
-    /// A transaction's answer.
+    /// Answer to a transaction.
     Txn(TxnReply),
-    /// A lease was granted or renewed; 0 when it has lapsed.
+    /// Lease that was granted or renewed; 0 if it has expired.
     Lease(i64),
-    /// The call surely had no effect.
+    /// The call certainly had no effect.
     Refused,
     /// The call may have taken effect.
     Unknown,
 }
 
-/// Something about back ends.
+/// Event of backend servers.
 #[derive(Debug, Clone)]
 pub enum FleetEvent {
     /// The platform's list was read.
     Listed(Vec<Entry>),
-    /// A back end's load report was read.
+    /// A backend server was asked for its load report.
     Report {
-        /// Name of the back end.
+        /// Name of the backend server.
         name: Box<str>,
-        /// The report; `None` when the back end did not answer.
+        /// The report; `None` if the backend server did not answer.
         report: Option<Report>,
     },
-    /// A try to connect ended.
+    /// A probe of an address ended.
     Probed {
-        /// Where.
+        /// The address.
         addr: SocketAddr,
-        /// What it met.
+        /// Result of the probe.
         result: ProbeResult,
     },
-    /// An order was answered.
+    /// An order was answered or failed.
     OrderAnswered {
         /// Name of the engine.
         name: Box<str>,
-        /// Fencing number the order carried.
+        /// Fencing number of the order.
         fence: u64,
         /// Number of the order.
         number: u64,
-        /// What came of it.
+        /// Result of the order.
         result: OrderResult,
     },
 }
 
-/// What a try to connect met.
+/// Result of an attempt to connect to an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// No process listens there.
+    /// The connection was refused: no process listens there.
     Refused,
-    /// A process listens there, or nothing is known.
+    /// A process listens there, or it is unknown whether one does.
     Open,
 }
 
-/// What came of an order.
+/// Result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The engine carried it out.
+    /// The engine accepted it.
     Done,
-    /// The engine knows a higher fencing number.
+    /// The engine has seen this higher fencing number.
     Fenced(u64),
-    /// The engine surely did not see it.
+    /// The engine certainly did not receive it.
     Unsent,
-    /// The engine may have seen it.
+    /// The engine may have received it.
     Unknown,
 }
 
@@ -341,19 +343,19 @@
 pub struct Entry {
     /// Name.
     pub name: Box<str>,
-    /// What it is.
+    /// Kind of the listed process.
     pub kind: EntryKind,
-    /// Pool or service it belongs to.
+    /// Pool or service that it belongs to.
     pub pool: Box<str>,
-    /// Address it listens on.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     /// Failure domain.
     pub domain: Box<str>,
-    /// Whether it is on its way out.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// What a line of the platform's list names.
+/// Kind of a process in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryKind {
     /// An entry host.
@@ -364,7 +366,7 @@
     Service,
 }
 
-/// Which part of a request an engine does.
+/// Stages of a request that an engine serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Role {
     /// Prefill and decode.
@@ -395,40 +397,40 @@
     }
 }
 
-/// An engine's load, late by some unknown time.
+/// Load of an engine, as it was at an unknown time before.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Report {
     /// Streams being decoded.
     pub running: u32,
-    /// Requests waiting.
+    /// Queued requests.
     pub waiting: u32,
     /// Prompt tokens waiting to be prefilled.
     pub queued_prefill: u64,
-    /// Role the engine has.
+    /// Current role of the engine.
     pub role: Role,
-    /// Age that the engine gives for its figures, in milliseconds.
+    /// Age of the figures by the engine's own account, in milliseconds.
     pub age_ms: u32,
-    /// Whether a change is under way there.
+    /// Whether the engine is executing an order.
     pub changing: bool,
-    /// Highest fencing number it has seen; 0 for none.
+    /// Highest fencing number that the engine has seen; 0 for none.
     pub fence: u64,
-    /// Highest order number it has seen with that fencing number; 0 for none.
+    /// Highest order number that the engine has seen with that fencing number; 0 for none.
     pub order: u64,
 }
 
-/// Something an operator asks.
+/// Command of an operator.
 #[derive(Debug, Clone)]
 pub enum OperatorEvent {
-    /// What became of a request.
+    /// Return the trace record of a request.
     Explain {
-        /// Question.
+        /// Key of the command.
         command: CommandKey,
         /// Request id.
         id: Box<str>,
     },
-    /// Put a list in force.
+    /// Put an edited list in force.
     Apply {
-        /// Question.
+        /// Key of the command.
         command: CommandKey,
         /// The edit.
         edit: Edit,
@@ -438,11 +440,11 @@
 /// An operator's edit of one list.
 #[derive(Debug, Clone)]
 pub struct Edit {
-    /// Which list.
+    /// List to edit.
     pub list: ListKind,
-    /// Whole new text.
+    /// Complete new text.
     pub text: Box<str>,
-    /// Revision that was edited.
+    /// Revision that the edit started from.
     pub base_revision: u64,
 }
 
@@ -451,15 +453,15 @@
 pub enum ListKind {
     /// The customers' plans.
     Plans,
-    /// What each plan may use.
+    /// Models, services and limits of each plan.
     Uses,
 }
 
-/// Something about a planned stop.
+/// Event of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopEvent {
-    /// Stop in good order.
+    /// The stop was requested.
     Begin,
-    /// Every open connection has been served.
+    /// Every connection of a caller is closed.
     Idle,
 }
--- a/src/core/key.rs
+++ b/src/core/key.rs
@@ -1,9 +1,9 @@
-//! Small copyable keys into the core's arenas.
+//! Keys of the core's arenas and of pending commands.
 
 slotmap::new_key_type! {
     /// A request being served.
     pub struct RequestKey;
-    /// One attempt to serve a request at one back end.
+    /// One attempt to serve a request at one backend server.
     pub struct AttemptKey;
     /// An engine or a service instance.
     pub struct BackendKey;
@@ -13,14 +13,14 @@
     pub struct CallKey;
 }
 
-/// An operator's question that waits for an answer; numbered by the adapter that put it.
+/// A pending command of an operator, numbered by the adapter that received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CommandKey(pub u64);
 
-/// A shard of the records of calls that may not repeat.
+/// A shard of the records of calls that must run at most once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ShardKey(pub u16);
 
-/// Position of a pool in the settings, in name order.
+/// Index of a pool in the settings, in the order of names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PoolKey(pub u16);
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts, in the core's own types.
+//! Messages between hosts, as the core's own types.
 
 use super::event::{Fingerprint, StoredResponse};
 use super::trace::Record;
@@ -6,51 +6,51 @@
 /// One message.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// The sender is there.
+    /// Shows that the sender is alive, and carries its state.
     Heartbeat(Heartbeat),
-    /// Asks the home of a plan's share for a part of it.
+    /// Requests loans from the owner of plans' shares.
     Borrow(Borrow),
     /// Answers [`Message::Borrow`].
     Lend(Lend),
-    /// Asks the owner of a record shard to record that a call starts.
+    /// Requests the owner of a record shard to record the start of a call.
     Begin(Begin),
     /// Answers [`Message::Begin`].
     Begun {
-        /// Number of the question.
+        /// Number of the query.
         round: u64,
-        /// What the record says.
+        /// State of the call's record.
         state: BeginState,
         /// Request that first used the key.
         request: Box<str>,
     },
-    /// Tells the owner of a record shard how a call ended.
+    /// Reports the end of a call to the owner of a record shard.
     Done(Done),
     /// Answers [`Message::Done`].
     Recorded {
-        /// Number of the question.
+        /// Number of the query.
         round: u64,
-        /// Whether the record is in the key-value service.
+        /// Whether the record is stored in the key-value service.
         durable: bool,
     },
-    /// Copies of records for safe keeping.
+    /// Copies of trace records, which outlive a crash of the sender.
     TraceCopies(Vec<Record>),
-    /// Asks for the record of a request.
+    /// Queries the trace record of a request.
     TraceQuery {
-        /// Number of the question.
+        /// Number of the query.
         round: u64,
         /// Request id.
         id: Box<str>,
     },
     /// Answers [`Message::TraceQuery`].
     TraceReply {
-        /// Number of the question.
+        /// Number of the query.
         round: u64,
-        /// The record, where the peer has it.
+        /// The record, if the peer has it.
         record: Option<Box<Record>>,
-        /// The peer keeps records since this time; milliseconds since the Unix epoch.
+        /// Start of the time for which the peer has records; milliseconds since the Unix epoch.
         since: u64,
     },
-    /// Asks for the lists in force at the peer if newer than this revision.
+    /// Requests the lists in force at the peer if they are newer than this revision.
     FetchLists(u64),
     /// Answers [`Message::FetchLists`].
     Lists {
@@ -61,63 +61,64 @@
         /// Text of what each plan may use.
         uses: Box<str>,
     },
-    /// A host acts on a routing revision.
+    /// Confirms that the sender applies a routing revision.
     Confirm(Confirm),
-    /// Work the sender took in for a pool.
+    /// Load that the sender accepted for a pool.
     Demand(Demand),
-    /// Prompts the sender sent to an engine.
+    /// Prompt tokens that the sender sent to an engine.
     SentPrompt(SentPrompt),
     /// The sender's streams at each engine where it has any: low half of the hash of the
     /// engine's name, and count.
     StreamCounts(Vec<(u32, u32)>),
-    /// Back ends that are leaving by the platform's list.
+    /// Backend servers that are leaving according to the platform's list.
     Listing(Listing),
-    /// An engine died while this request ran on it.
+    /// An engine crashed while it ran this request.
     Suspect(Suspect),
 }
 
-/// See the protocol's definition of the fields.
+/// State of a host, sent to each peer at an interval.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Heartbeat {
-    /// Counts beats to this peer.
+    /// Number of this heartbeat among those to this peer.
     pub number: u64,
     /// Last number received from this peer.
     pub echo: u64,
-    /// Hash of the member set the sender acts on.
+    /// Hash of the member set that the sender applies.
     pub view_hash: u64,
-    /// Milliseconds the sender has been at that view; more where no other came before it.
+    /// Milliseconds for which the sender has pledged by that view alone; for its first view, longer
+    /// than the view's age, as there was no pledge before it.
     pub view_age_ms: u64,
     /// Revision of the lists in force at the sender.
     pub revision: u64,
     /// The sender is shutting down.
     pub stopping: bool,
-    /// Views the sender acted on before, newest first, while they may still matter.
+    /// Earlier views of the sender, newest first, while pledges by them may be in use.
     pub views: Vec<View>,
-    /// Milliseconds the sender has let the recipient lend the sender's part of each share.
+    /// Milliseconds for which the sender has pledged its part of each share to the recipient.
     pub pledged_ms: u64,
-    /// Hosts that may be alive, as far as the sender knows.
+    /// Number of hosts that may be alive by the sender's view.
     pub hosts: u32,
 }
 
-/// Member set that a host acted on.
+/// A member set that a host applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct View {
     /// Hash of the names and incarnations.
     pub hash: u64,
-    /// Milliseconds since the sender began to act on it.
+    /// Milliseconds since the sender began to apply it; see [`Heartbeat::view_age_ms`].
     pub age_ms: u64,
 }
 
-/// Wishes for loans, sent to the home of their plans' shares.
+/// Loan requests to the owner of the plans' shares.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Borrow {
-    /// Number of the question.
+    /// Number of the query.
     pub round: u64,
-    /// One wish a plan.
+    /// Loan requests, one per plan.
     pub loan_requests: Vec<LoanRequest>,
 }
 
-/// Wish for a loan of one plan's share; see the protocol's definition of the fields.
+/// Request for a loan of one plan's share.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct LoanRequest {
     /// Plan.
@@ -126,28 +127,28 @@
     pub requests: f64,
     /// Tokens wanted.
     pub tokens: f64,
-    /// Places for running requests wanted.
+    /// Permits for running requests wanted.
     pub running: u32,
-    /// Tokens without which the first waiting request cannot go.
+    /// Tokens that the first waiting request needs at least.
     pub min_tokens: f64,
-    /// Requests waiting for the answer.
+    /// Requests that wait for the answer.
     pub waiting: u32,
-    /// Places that the sender has, used or idle.
+    /// Permits that the sender holds, used or idle.
     pub held: u32,
-    /// Requests given back.
+    /// Requests returned.
     pub returned_requests: f64,
-    /// Tokens given back.
+    /// Tokens returned.
     pub returned_tokens: f64,
 }
 
 /// Answer to [`Borrow`].
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Lend {
-    /// Number of the question.
+    /// Number of the query.
     pub round: u64,
-    /// Life in milliseconds from when the question was sent.
+    /// Time to live of the loans in milliseconds, from when the query was sent.
     pub ttl_ms: u32,
-    /// One loan a wish.
+    /// Loans, one per loan request.
     pub loans: Vec<Loan>,
 }
 
@@ -160,16 +161,16 @@
     pub requests: f64,
     /// Tokens lent.
     pub tokens: f64,
-    /// Places for running requests lent.
+    /// Permits for running requests lent.
     pub running: u32,
-    /// If nothing was lent: milliseconds until it is worth asking again.
+    /// Milliseconds after which to ask again, if nothing was lent.
     pub retry_ms: u32,
 }
 
-/// Start of a call that may not repeat.
+/// Start of a call that must run at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Begin {
-    /// Number of the question.
+    /// Number of the query.
     pub round: u64,
     /// Customer.
     pub customer: Box<str>,
@@ -181,18 +182,18 @@
     pub request: Box<str>,
 }
 
-/// What the record of a call says when another with its key arrives.
+/// State of a call's record when a request with its key arrives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BeginState {
-    /// It was recorded just now: run it.
+    /// The start was recorded for this request, which is to run the call.
     Started,
-    /// It ran; this is its answer.
+    /// The call ran, with this response.
     Done(StoredResponse),
-    /// It is running.
+    /// The call is running.
     Running,
-    /// It may have run and will not be run again.
+    /// The call may have run and will not be run again.
     MayHaveRun,
-    /// The key belongs to another call.
+    /// The key was used with another call.
     OtherBody,
     /// The key-value service does not answer; nothing was recorded for this request.
     StoreDown,
@@ -204,10 +205,10 @@
     NotOwner,
 }
 
-/// End of a call that may not repeat.
+/// End of a call that must run at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Done {
-    /// Number of the question.
+    /// Number of the query.
     pub round: u64,
     /// Customer.
     pub customer: Box<str>,
@@ -215,46 +216,46 @@
     pub key: Box<str>,
     /// Request id.
     pub request: Box<str>,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: DoneState,
 }
 
-/// How a call that may not repeat ended.
+/// Outcome of a call that must run at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DoneState {
-    /// With this answer.
+    /// It ran, with this response.
     Result(StoredResponse),
-    /// It surely did not run; the key may be used again.
+    /// It certainly did not run; the key may be used again.
     NotRun,
     /// It may have run.
     MayHaveRun,
 }
 
-/// How many streams run on withdrawn engines at the sender.
+/// Confirmation of a routing revision, with the sender's streams on withdrawn engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Confirm {
     /// Pool.
     pub pool: Box<str>,
-    /// Routing revision the sender acts on.
+    /// Routing revision that the sender applies.
     pub revision: u64,
     /// Streams by engine name, for engines withdrawn at that revision.
     pub streams: Vec<(Box<str>, u32)>,
 }
 
-/// Work a host took in for a pool.
+/// Load that a host accepted for a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
     /// Pool.
     pub pool: Box<str>,
-    /// Prompt tokens a second over the last period.
+    /// Prompt tokens per second over the last period.
     pub prompt_rate: f64,
-    /// Output tokens a second over the last period.
+    /// Output tokens per second over the last period.
     pub output_rate: f64,
-    /// Requests a second refused for want of engines over the last period.
+    /// Requests per second refused for lack of engines over the last period.
     pub refusal_rate: f64,
 }
 
-/// Prompts that a host has sent to an engine since it last told.
+/// Prompt tokens that a host has sent to an engine since its last such message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentPrompt {
     /// Low half of the hash of the engine's name.
@@ -263,23 +264,23 @@
     pub prompt_tokens: u32,
 }
 
-/// Back ends that the platform's list calls leaving, or no longer names.
+/// Backend servers that the platform's list marks as leaving or no longer contains.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
     /// Milliseconds since the sender read the list.
     pub age_ms: u64,
-    /// Names.
+    /// Names of the backend servers.
     pub leaving: Vec<Box<str>>,
 }
 
-/// A request that was running on an engine when it died.
+/// A request that was running on an engine when the engine crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
     /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Engine that died.
+    /// Engine that crashed.
     pub engine: Box<str>,
-    /// When; milliseconds since the Unix epoch.
+    /// Time of the crash; milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// Request id.
     pub request: Box<str>,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! The decisions of a host: one reducer over all events, with effects as data.
+//! Decision logic of a host: a deterministic reducer that turns events into effects.
 //!
-//! Nothing here does I/O, reads a clock or draws from the operating system's randomness: time
-//! comes with each event and the random seed with [`Core::new`], so that the same events give the
-//! same effects. The adapters in [`crate::host`] feed events in and carry effects out.
+//! Nothing here does I/O, reads a clock or uses the operating system's random numbers: time comes
+//! with each event and the random seed with [`Core::new`], so the same events give the same
+//! effects. The adapters in [`crate::host`] deliver events and execute effects.
 
 pub mod admit;
 pub mod config;
@@ -36,37 +36,37 @@
 
 use crate::settings::Settings;
 
-/// Effects of one event, in the order they are to be carried out.
+/// Effects of one event, in the order of execution.
 pub type Effects = Vec<Effect>;
 
-/// Everything a host knows and has decided.
+/// Complete state of a host.
 #[derive(Debug)]
 pub struct Core {
-    /// Checked settings; they do not change while the host runs.
+    /// Validated settings; only a reload of a relaying host changes them.
     pub settings: Settings,
-    /// Time of the event in hand.
+    /// Time of the current event.
     pub now: Time,
     /// Milliseconds since the Unix epoch at [`Time`] zero.
     pub epoch_ms: u64,
-    /// Source of all random choices.
+    /// Random number generator for all random choices.
     pub rng: SmallRng,
-    /// The lists in force.
+    /// Lists in force.
     pub config: config::Config,
-    /// The hosts.
+    /// Hosts of the deployment.
     pub members: member::Members,
     /// Engines and services.
     pub fleet: fleet::Fleet,
     /// Requests being served.
     pub requests: request::Requests,
-    /// What each plan may still use here.
+    /// Quota of each plan that is available at this host.
     pub shares: share::Shares,
-    /// Calls that may not repeat.
+    /// Calls that must run at most once.
     pub once: once::Once,
     /// Orders to engines.
     pub orders: order::Orders,
-    /// Requests that engines died of.
+    /// Requests suspected of crashing engines.
     pub poison_requests: poison::PoisonRequests,
-    /// What became of requests.
+    /// Trace records of requests.
     pub traces: trace::Traces,
     /// Planned stop of this host.
     pub stop: stop::Stop,
@@ -75,13 +75,13 @@
 }
 
 impl Core {
-    /// Creates the state of a host that has heard nothing yet.
+    /// Creates the state of a host that has received no event yet.
     ///
-    /// `epoch` is the wall clock, in milliseconds since the Unix epoch, at [`Time`] zero. `seed`
-    /// decides every random choice.
+    /// `epoch_ms` is the wall clock, in milliseconds since the Unix epoch, at [`Time`] zero. `seed`
+    /// determines every random choice.
     #[must_use]
-    pub fn new(settings: Settings, now: Time, epoch: u64, seed: u64) -> Self {
-        let incarnation = epoch + now.millis();
+    pub fn new(settings: Settings, now: Time, epoch_ms: u64, seed: u64) -> Self {
+        let incarnation = epoch_ms + now.millis();
         Self {
             members: member::Members::new(&settings.host, incarnation),
             traces: trace::Traces::new(&settings.host, incarnation),
@@ -89,7 +89,7 @@
             orders: order::Orders::new(&settings),
             settings,
             now,
-            epoch_ms: epoch,
+            epoch_ms,
             rng: SmallRng::seed_from_u64(seed),
             config: config::Config::default(),
             requests: request::Requests::default(),
@@ -101,16 +101,16 @@
         }
     }
 
-    /// Returns the wall clock at the event in hand, in milliseconds since the Unix epoch.
+    /// Returns the wall clock at the current event, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn wall_ms(&self) -> u64 {
         self.epoch_ms + self.now.millis()
     }
 
-    /// Takes in one event and appends its effects to `out`.
+    /// Processes one event and appends its effects to `out`.
     pub fn reduce(&mut self, at: Time, event: Event, out: &mut Effects) {
         let gap = at.since(self.now);
-        // Time never runs backwards here, whatever order adapters read the clock in.
+        // Adapters may read the clock in any order; time must not go backwards here.
         self.now = self.now.max(at);
         member::detect_pause(self, gap, out);
         match event {
@@ -167,22 +167,22 @@
                 Job::Authority(_) | Job::Intent(_) | Job::Route(_) => {
                     order::reply(self, reply, out)
                 }
-                Job::Relay(job, ended) => relay::reply(self, job, ended, &reply, out),
+                Job::Relay(job, ended_eras) => relay::reply(self, job, ended_eras, &reply, out),
             },
         }
     }
 
-    /// Hands each watched key to the part that its first word belongs to.
+    /// Dispatches each watched key to the module that owns its first path segment.
     fn dispatch_watched(&mut self, pairs: Vec<event::WatchedKey>, out: &mut Effects) {
-        let mut moved = false;
+        let mut members_changed = false;
         for pair in pairs {
-            let Some((word, rest)) = pair.key.split_once('/') else {
+            let Some((folder, rest)) = pair.key.split_once('/') else {
                 continue;
             };
-            match word {
+            match folder {
                 member::WATCH_PREFIX => {
                     member::watched(self, rest, &pair, out);
-                    moved = true;
+                    members_changed = true;
                 }
                 config::WATCH_PREFIX => config::watched(self, &pair, out),
                 order::ROUTE => order::route_watched(self, rest, &pair, out),
@@ -190,7 +190,7 @@
                 _ => {}
             }
         }
-        if moved {
+        if members_changed {
             member::view_changed(self, out);
         }
     }
--- a/src/core/stop.rs
+++ b/src/core/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stop of this host: no new work, every request finished, then the end.
+//! Planned stop of this host: it refuses new work, finishes running requests, then exits.
 
 use std::time::Duration;
 
@@ -6,28 +6,31 @@
 use super::event::{StopEvent, Timer};
 use super::{Core, Effects, Time, member, order, share, trace};
 
-/// Time between the first word of the stop and the end of new connections.
+/// Time from the start of the stop until the listeners close.
 ///
-/// The balancer hears of it from the readiness check, which it asks about once a second; closed
-/// at once, the listener would refuse callers whom the balancer still sends here.
+/// The load balancer learns of the stop from its readiness check, about once a second; listeners
+/// that closed immediately would refuse callers that the balancer still sends here.
 const DRAIN_NOTICE: Duration = Duration::from_secs(1);
 
-/// The same for a host that relays: its balancer takes a host out after two checks without a yes,
-/// which come once a second.
+/// The same for a relaying host, whose load balancer removes a host after two failed readiness
+/// checks, one per second.
 ///
-/// Requests that come on kept connections later are refused: a stream taken then may last longer
-/// than the host may, and is cut when the host is killed.
+/// Requests that arrive later on kept-alive connections are refused: a stream accepted then may
+/// outlast the stop, and would be cut when the platform kills the host.
 const RELAY_DRAIN_NOTICE: Duration = Duration::from_millis(2500);
-/// Part of the time for a planned stop that is left when a relaying host gives up what still runs.
+
+/// Divisor that gives the part of the stop's time that a relaying host reserves at its end, after
+/// it has abandoned the requests that still run.
 ///
-/// The platform kills the host at the end of that time: the callers would see their connections
-/// vanish, and the log would not say whose requests those were. Half a second of eight is enough
-/// for the last writes of a host with a fifth of a core.
+/// The platform kills the host at the end of that time: callers would lose their connections
+/// without an answer, and the log would not name their requests. Half a second of eight suffices
+/// for the final writes of a host with a fifth of a core.
 const RELAY_RESERVE_DIVISOR: u32 = 16;
-/// Time for the last answers to be written once the bound is reached.
+
+/// Time to write final answers after requests were abandoned.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How far a planned stop is.
+/// Progress of a planned stop.
 #[derive(Debug, Default)]
 pub struct Stop {
     started: Option<Time>,
@@ -36,17 +39,17 @@
     phase: Phase,
 }
 
-/// Parts of a planned stop, in their order.
+/// Phases of a planned stop, in order.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// New callers may come.
+    /// New connections are accepted.
     #[default]
     Open,
-    /// No new connection is taken.
+    /// The listeners are closed.
     Closed,
-    /// What ran has been given up.
+    /// Requests that still ran have been abandoned.
     Abandoned,
-    /// The process may end.
+    /// The process may exit.
     Done,
 }
 
@@ -57,14 +60,14 @@
         self.started.is_some()
     }
 
-    /// Returns whether this host takes no new connections any more.
+    /// Returns whether the listeners are closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.phase >= Phase::Closed
     }
 }
 
-/// Begins the stop, or goes on with it.
+/// Handles a stop event.
 pub fn step(core: &mut Core, event: StopEvent, out: &mut Effects) {
     match event {
         StopEvent::Begin if !core.stop.is_stopping() => begin(core, out),
@@ -83,7 +86,7 @@
         core,
         log::Level::Info,
         "host.stopping",
-        "a planned stop began",
+        "planned stop started",
         running,
         out,
     );
@@ -97,7 +100,7 @@
         at: core.now.after(notice),
         timer: Timer::Stop,
     });
-    // Peers pass this host over from now on; shards and loans move while it still answers.
+    // From here on peers skip this host; its shards and loans move while it still answers.
     member::send_heartbeats(core, out);
     share::leave(core, out);
     order::release(core, out);
@@ -105,12 +108,12 @@
     finish_if_idle(core, out);
 }
 
-/// Returns how many requests this host holds.
+/// Returns the number of requests that this host is serving.
 fn running(core: &Core) -> usize {
     core.requests.arena.len() + core.relay.calls.len()
 }
 
-/// Ends the process once nothing is left to do.
+/// Ends the process once every connection is closed and no work is left.
 pub fn finish_if_idle(core: &mut Core, out: &mut Effects) {
     let stop = &core.stop;
     if !stop.is_stopping() || stop.phase == Phase::Done || !stop.idle {
@@ -126,10 +129,10 @@
     }
 }
 
-/// Why a planned stop ended with requests still running.
+/// Reason of a planned stop that ended with requests still running.
 const STOP_TIMED_OUT: &str = "the bound is reached";
 
-/// The notice is over, or the stop has reached its bound.
+/// Enters the next phase of the stop when its time has come.
 pub fn timer(core: &mut Core, out: &mut Effects) {
     let Some(since) = core.stop.started else {
         return;
@@ -149,7 +152,7 @@
     }
 }
 
-/// Returns the time after which this host gives up what still runs.
+/// Returns the time after which this host abandons the requests that still run.
 fn abandon_after(core: &Core) -> Duration {
     let stop = core.settings.limits.stop;
     if core.settings.relay.is_some() {
@@ -159,7 +162,7 @@
     }
 }
 
-/// Ends what still runs, so that each caller is told, and each request is in the log.
+/// Ends the requests that still run, so that each caller gets an answer and each request is logged.
 fn abandon_requests(core: &mut Core, out: &mut Effects) {
     core.stop.phase = Phase::Abandoned;
     let running = running(core);
@@ -187,7 +190,7 @@
     out.push(Effect::Exit);
 }
 
-/// Logs a step of the stop, in the form of this host's other events.
+/// Logs a step of the stop, in the same form as this host's other events.
 fn log_step(
     core: &Core,
     level: log::Level,
--- a/src/core/time.rs
+++ b/src/core/time.rs
@@ -1,8 +1,8 @@
-//! Points in time as the core sees them.
+//! Points in time on a monotonic clock.
 
 use std::time::Duration;
 
-/// Microseconds on a clock that never goes back and keeps running while a process is suspended.
+/// Microseconds on a monotonic clock that keeps running while the process is suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Time(u64);
 
@@ -38,14 +38,14 @@
         Self(self.0.saturating_add(micros))
     }
 
-    /// Returns the point `span` earlier; zero if that is before the clock began.
+    /// Returns the point `span` earlier, or zero if that is before the clock's start.
     #[must_use]
     pub fn before(self, span: Duration) -> Self {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 
-    /// Returns the time from `earlier` to here; zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
