--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -52,7 +52,7 @@
     Silence(AttemptKey),
     /// Refill shares, and lend and expire loans.
     Shares,
-    /// Resend pending record operations and unload idle shards.
+    /// Resend or time out pending record operations, and unload idle shards.
     Once,
     /// Renew authorities and continue orders.
     Orders,
--- a/src/core/tests/effects.rs
+++ b/src/core/tests/effects.rs
@@ -1,4 +1,4 @@
-//! What becomes of the effects of a core: most are put on their way, some answer a caller.
+//! Execution of a simulated host's effects.
 
 use rand::RngExt;
 
@@ -16,7 +16,7 @@
         let incarnation = self.hosts[at].incarnation;
         match effect {
             Effect::Opened { tag, request, id } => {
-                let tag = usize::try_from(tag).expect("a small number");
+                let tag = usize::try_from(tag).expect("tags are indexes of calls");
                 self.sent[tag].id = id;
                 self.hosts[at].calls.insert(request, tag);
             }
@@ -113,7 +113,7 @@
         self.schedule(due, Pending::Event(at, incarnation, Box::new(event)));
     }
 
-    /// A call that the key-value service never got ends without an answer.
+    /// Fails a call that does not reach the key-value service.
     fn fail_store_call(&mut self, at: usize, incarnation: u64, effect: &Effect) {
         let (Effect::Read { job, .. }
         | Effect::Txn { job, .. }
@@ -133,19 +133,19 @@
 
     pub(super) fn run_service(&mut self, call: ServiceCall) {
         let attempt = call.attempt;
-        let broke = |ran, end| RequestEvent::AttemptFailed {
+        let failed = |ran, end| RequestEvent::AttemptFailed {
             attempt,
             ran,
             end,
-            detail: "on purpose".into(),
+            detail: "injected fault".into(),
         };
         let event = if self.rng.random_bool(self.faults.refuse_call) {
-            broke(Ran::No, AttemptFailure::Refused)
+            failed(Ran::No, AttemptFailure::Refused)
         } else {
             *self.runs_by_key.entry(call.key.clone()).or_default() += 1;
             *self.runs_by_id.entry(call.id).or_default() += 1;
             if self.rng.random_bool(self.faults.lose_service_reply) {
-                broke(Ran::Unknown, AttemptFailure::Cut)
+                failed(Ran::Unknown, AttemptFailure::Cut)
             } else {
                 RequestEvent::Answered {
                     attempt,
--- a/src/core/tests/lease.rs
+++ b/src/core/tests/lease.rs
@@ -1,10 +1,10 @@
-//! Registration of a host by a lease.
+//! Registration of a host under a lease.
 
 use super::{Cluster, LEASE_TTL};
 
-/// A host is paused past its lease a few times in an hour. Each time it registers anew; if each
-/// time one more clock were to ask for renewals, and each of those another, the calls would
-/// double with every lapse until the platform's budget is used up for everyone.
+/// A host is suspended past its lease several times and registers again each time. If each new
+/// registration started a renewal timer beside the old one, renewals would double with every
+/// lapse until they used up the platform's quota of calls.
 #[test]
 fn lapsed_lease_starts_no_second_renewal_timer() {
     let mut cluster = Cluster::new(1, 1);
@@ -16,8 +16,8 @@
     }
     cluster.store.lease_calls = 0;
     cluster.run(LEASE_TTL * 10);
-    // The registration and the pool's lease are each renewed three times in a life.
-    let most = 2 * 3 * 10 + 2;
-    let found = cluster.store.lease_calls;
-    assert!(found <= most, "{found} calls where {most} are enough");
+    // The leases of the registration and of the pool are each renewed three times per TTL.
+    let max = 2 * 3 * 10 + 2;
+    let calls = cluster.store.lease_calls;
+    assert!(calls <= max, "{calls} lease calls, expected at most {max}");
 }
--- a/src/core/tests/mod.rs
+++ b/src/core/tests/mod.rs
@@ -1,8 +1,7 @@
-//! Several cores under a seeded schedule: messages, calls of the key-value service and calls of
-//! services are delivered late, twice, out of order or not at all.
+//! Deterministic simulation of several cores: messages, calls of the key-value service and calls
+//! of services are delayed, duplicated, reordered or lost.
 //!
-//! Everything that is on its way lies in one bag, ordered by the time it falls due. The same seed
-//! gives the same run.
+//! All pending deliveries are in one queue, ordered by due time. The same seed gives the same run.
 
 mod effects;
 mod lease;
@@ -35,32 +34,32 @@
 
 pub use store::FakeStore;
 
-/// Customer of every request.
+/// Customer of all requests.
 pub const CUSTOMER: &str = "Ærø";
 const CUSTOMER_KEY: &str = "key";
-/// Service of every call.
+/// Service of all calls.
 pub const SERVICE: &str = "fristportal";
 /// Wall clock at time zero, in milliseconds since the Unix epoch.
 const EPOCH: u64 = 1_700_000_000_000;
-/// Life of a host's registration.
+/// Time to live of the lease of a host's registration.
 const LEASE_TTL: Duration = Duration::from_secs(2);
 
-/// What goes wrong on the way, in parts of one.
+/// Probabilities of injected faults.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FaultRates {
-    /// Messages between hosts that never arrive.
+    /// A message between hosts is lost.
     pub drop_message: f64,
-    /// Messages between hosts that arrive twice.
+    /// A message between hosts arrives twice.
     pub duplicate_message: f64,
-    /// Calls of the key-value service whose answer is lost.
+    /// The reply of the key-value service to a call is lost.
     pub lose_store_reply: f64,
-    /// Calls of the service whose answer is lost.
+    /// The service's response to a call is lost.
     pub lose_service_reply: f64,
-    /// Calls that the service refuses before it runs them.
+    /// The service refuses a call before it runs it.
     pub refuse_call: f64,
 }
 
-/// What a caller got.
+/// Result of a call for its caller.
 #[derive(Debug, Clone)]
 pub enum CallerResult {
     Reply(StoredResponse),
@@ -75,26 +74,26 @@
     pub result: Option<CallerResult>,
 }
 
-/// A host: its core, and what its process would hold.
+/// A host: its core, and the state of its process's adapters.
 #[derive(Debug)]
 pub struct Host {
     pub name: Box<str>,
     pub core: Core,
     pub frozen: bool,
     pub crashed: bool,
-    /// Number of the process under this name.
+    /// Number of the current process under this name.
     incarnation: u64,
     peers: BTreeMap<HostKey, Box<str>>,
     calls: BTreeMap<RequestKey, usize>,
     queued_events: Vec<Event>,
-    /// When the last watched change reached it, so that changes stay in order.
+    /// When the last scheduled event of its watch is due, which keeps those events in order.
     last_watch_event: Time,
 }
 
-/// Something on its way.
+/// A scheduled delivery.
 #[derive(Debug, Clone)]
 enum Pending {
-    /// An event for a host, in this life.
+    /// An event for a host's process, by the number of the host and of its process.
     Event(usize, u64, Box<Event>),
     /// A call of the key-value service.
     Store(usize, u64, Box<Effect>),
@@ -111,7 +110,7 @@
     id: Box<str>,
 }
 
-/// The hosts and everything around them.
+/// The simulated hosts and their environment.
 #[derive(Debug)]
 pub struct Cluster {
     pub now: Time,
@@ -120,19 +119,19 @@
     pub hosts: Vec<Host>,
     pub store: FakeStore,
     pub sent: Vec<SentCall>,
-    /// Runs of the service by idempotency key.
+    /// Number of runs by the service, by idempotency key.
     pub runs_by_key: BTreeMap<Box<str>, u32>,
-    /// Runs of the service by request id.
+    /// Number of runs by the service, by request id.
     pub runs_by_id: BTreeMap<Box<str>, u32>,
-    /// Effects that nothing here carries out, for tests to read.
+    /// Effects that the simulation does not execute, for tests to inspect.
     pub unhandled: Vec<(usize, Effect)>,
-    /// Time the service takes.
+    /// Time that the service takes for a call.
     pub service_time: Duration,
-    /// Pairs of hosts: nothing passes from the first to the second.
+    /// Pairs of hosts: messages from the first to the second are lost.
     pub blocked_links: Vec<(usize, usize)>,
-    /// Hosts that the key-value service does not reach, though they do not notice.
+    /// Hosts that the key-value service cannot reach, without any sign of it.
     pub isolated: BTreeSet<usize>,
-    /// Hosts whose watch lags, and by how much.
+    /// Lag of the watch, for hosts whose watch lags.
     pub watch_lags: BTreeMap<usize, Duration>,
     pending: BTreeMap<(Time, u64), Pending>,
     sequence: u64,
@@ -145,14 +144,14 @@
          operator-key-hash = af1349b9f5f9a1a6a0404dea36dcc9499bcb25c9adc112b7cc9a93cae41f3262\n\
          [platform]\nkv = 127.0.0.1:4\nlist = 127.0.0.1:4\nlease = {}s\n\
          [pool raadgiver]\nmodel = raadgiver\nfencing = checks\n[service {SERVICE}]\n",
-        1000 + name.len() + usize::from(*name.as_bytes().last().expect("a name")),
+        1000 + name.len() + usize::from(*name.as_bytes().last().expect("the name is not empty")),
         LEASE_TTL.as_secs()
     );
-    Settings::parse(&text, "test").expect("the settings are right")
+    Settings::parse(&text, "test").expect("the settings are valid")
 }
 
 impl Cluster {
-    /// Starts `count` hosts and runs until they know each other.
+    /// Starts `count` hosts and runs until they have discovered each other.
     pub fn new(count: usize, seed: u64) -> Self {
         let mut cluster = Self {
             now: Time::default(),
@@ -190,7 +189,7 @@
         cluster
     }
 
-    /// Starts a host's process anew, under the same name and with nothing kept.
+    /// Starts a new process of a host, under the same name and with empty state.
     pub fn restart(&mut self, at: usize) {
         let seed = self.rng.random();
         let host = &mut self.hosts[at];
@@ -205,13 +204,13 @@
         self.boot(at);
     }
 
-    /// Ends a host's process; what it sent before is still on its way.
+    /// Crashes a host's process; what it sent before is still delivered.
     pub fn kill(&mut self, at: usize) {
         self.hosts[at].crashed = true;
         self.hosts[at].incarnation += 1;
     }
 
-    /// Replaces every host by a new process after `span`, in which nothing happens.
+    /// Crashes all hosts, and starts new processes of them after `span`.
     pub fn replace_all_hosts(&mut self, span: Duration) {
         for at in 0..self.hosts.len() {
             self.kill(at);
@@ -228,7 +227,7 @@
         self.hosts[at].frozen = true;
     }
 
-    /// Lets a suspended process go on; what came meanwhile is taken in at once, in order.
+    /// Resumes a suspended process, which first processes the events that queued up, in order.
     pub fn thaw(&mut self, at: usize) {
         self.hosts[at].frozen = false;
         for event in std::mem::take(&mut self.hosts[at].queued_events) {
@@ -236,7 +235,7 @@
         }
     }
 
-    /// Begins or ends an outage of the store.
+    /// Starts or ends an outage of the key-value service.
     pub fn outage(&mut self, down: bool) {
         self.store.down = down;
         for at in 0..self.hosts.len() {
@@ -278,7 +277,7 @@
         }
     }
 
-    /// Opens a host's watch anew.
+    /// Reopens a host's watch.
     pub fn open_watch(&mut self, at: usize) {
         let pairs = self.store.watched();
         self.deliver_watch(
@@ -288,7 +287,7 @@
         self.deliver_watch(at, Event::Store(StoreEvent::Watched(pairs)));
     }
 
-    /// Puts an event on its way to a host, after everything watched that is on its way there.
+    /// Schedules an event of a host's watch, after all events of that watch scheduled before.
     fn deliver_watch(&mut self, at: usize, event: Event) {
         if self.isolated.contains(&at) {
             return;
@@ -313,7 +312,7 @@
         self.pending.insert((due, self.sequence), what);
     }
 
-    /// Sends a call that may not repeat to a host; returns its number.
+    /// Sends a call that must run at most once to a host; returns its number.
     pub fn call(&mut self, at: usize, key: &str, body: u8) -> usize {
         self.send(at, "POST", key, body)
     }
@@ -344,14 +343,17 @@
         tag
     }
 
-    /// Runs until `span` has passed.
+    /// Advances the simulation by `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now.after(span);
         while let Some((&(due, number), _)) = self.pending.first_key_value() {
             if due > end {
                 break;
             }
-            let what = self.pending.remove(&(due, number)).expect("it was there");
+            let what = self
+                .pending
+                .remove(&(due, number))
+                .expect("the first entry exists");
             self.now = self.now.max(due);
             self.handle(what);
         }
@@ -377,7 +379,7 @@
         }
     }
 
-    /// Feeds an event to a host and puts what follows on its way.
+    /// Delivers an event to a host and applies the effects.
     pub fn feed(&mut self, at: usize, event: Event) {
         if self.hosts[at].frozen {
             self.hosts[at].queued_events.push(event);
@@ -394,7 +396,8 @@
         }
     }
 
-    /// Fails unless what every caller was told is true and no key ran twice.
+    /// Asserts that no idempotency key ran twice, that no call that ran was reported as not run,
+    /// and that each response belongs to its call.
     pub fn check(&self, what: &str) {
         for (key, runs) in &self.runs_by_key {
             assert!(*runs <= 1, "{what}: {key} ran {runs} times");
@@ -403,13 +406,14 @@
             let ran = self.runs_by_id.contains_key(&sent.id);
             match &sent.result {
                 Some(CallerResult::Refused(refusal)) if refusal.ran == Ran::No => {
-                    assert!(!ran, "{what}: {} ran and was told that it did not", sent.id);
+                    assert!(!ran, "{what}: {} ran but was reported as not run", sent.id);
                 }
                 Some(CallerResult::Reply(result)) => {
                     assert_eq!(
                         *result.body,
                         *sent.key.as_bytes(),
-                        "{what}: another's answer"
+                        "{what}: {} got the response of another call",
+                        sent.id
                     );
                 }
                 _ => {}
--- a/src/core/tests/poison.rs
+++ b/src/core/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Which deaths of engines count against which request.
+//! Crashes of engines that count against a request.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
 const POISON: Fingerprint = Fingerprint([1; 16]);
 const INNOCENT: Fingerprint = Fingerprint([2; 16]);
 
-/// One report: fingerprint, engine, seconds since the start, whether it was being answered.
+/// A crash report: fingerprint, engine, seconds since the start, whether the engine had begun to
+/// answer.
 type Report = (Fingerprint, &'static str, u64, bool);
 
 fn core_after_reports(reports: &[Report], end: u64) -> Core {
@@ -33,14 +34,14 @@
     core
 }
 
-/// Makes one test of each set of reports: whether the fingerprint is refused at the end.
+/// Defines one test per set of reports, which checks whether the fingerprint is blocked at the end.
 macro_rules! cases {
-    ($($name:ident: $print:expr, $reports:expr, $end:expr => $refused:expr,)*) => {$(
+    ($($name:ident: $print:expr, $reports:expr, $end:expr => $blocked:expr,)*) => {$(
         #[test]
         fn $name() {
             let core = core_after_reports(&$reports, $end);
             let kind = poison::check(&core, $print).map_err(|refusal| refusal.kind);
-            assert_eq!(kind, if $refused { Err(Kind::EngineKiller) } else { Ok(()) });
+            assert_eq!(kind, if $blocked { Err(Kind::EngineKiller) } else { Ok(()) });
         }
     )*};
 }
--- a/src/core/tests/store.rs
+++ b/src/core/tests/store.rs
@@ -1,4 +1,4 @@
-//! A small fake of the key-value service: compare-and-swap, leases, watched keys, outages.
+//! Fake of the key-value service: compare-and-swap, leases, watched keys, outages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,18 +18,18 @@
     lease: i64,
 }
 
-/// The store and its switches.
+/// The fake store, with switches for its faults.
 #[derive(Debug, Default)]
 pub struct FakeStore {
     /// Whether every call is refused.
     pub down: bool,
-    /// Answers of writes to records that are still to be lost.
+    /// Number of replies to writes of records still to be lost.
     pub lose_record_replies: u32,
-    /// Writes to records that are still to be refused.
+    /// Number of writes of records still to be refused.
     pub refuse_records: u32,
-    /// Transactions carried out, by the first key they write.
+    /// Number of writes by key.
     pub writes: BTreeMap<Box<str>, u32>,
-    /// Leases granted and renewed.
+    /// Number of calls that grant or renew a lease.
     pub lease_calls: u32,
     values: BTreeMap<Box<str>, Value>,
     leases: BTreeMap<i64, (Duration, Time)>,
@@ -43,20 +43,20 @@
         self.values.get(key).map(|value| &value.bytes)
     }
 
-    /// Returns the keys that begin so.
+    /// Returns the keys with this prefix.
     pub fn keys(&self, prefix: &str) -> Vec<Box<str>> {
         let keys = self.values.keys().filter(|key| key.starts_with(prefix));
         keys.cloned().collect()
     }
 
-    /// Returns every watched key as a new watch reports it.
+    /// Returns all watched keys, as a new watch reports them.
     pub fn watched(&self) -> Vec<WatchedKey> {
         let keys = self.values.iter();
         keys.filter_map(|(key, value)| watched(key, Some(value), value.modified))
             .collect()
     }
 
-    /// Lets leases lapse, and returns the watched changes since the last call.
+    /// Expires leases, and returns the watched changes since the last call.
     pub fn changes(&mut self, now: Time) -> Vec<WatchedKey> {
         let lapsed: Vec<i64> = self
             .leases
@@ -72,7 +72,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Takes one lost answer of a record's write.
+    /// Returns whether the reply to this call is to be lost, and counts it if so.
     pub fn take_lost_reply(&mut self, job: Job) -> bool {
         let lose = matches!(job, Job::Record(..)) && self.lose_record_replies > 0;
         self.lose_record_replies -= u32::from(lose);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Carries out a call; `None` where no answer is wanted.
+    /// Executes a call; returns `None` for calls without a reply.
     pub fn apply(&mut self, now: Time, effect: Effect) -> Option<StoreReply> {
         let renewal = matches!(
             effect,
