--- a/src/core/effect.rs
+++ b/src/core/effect.rs
@@ -101,7 +101,7 @@
         /// Purpose of the call.
         job: Job,
         /// Time to live of the lease.
-        life: Duration,
+        ttl: Duration,
     },
     /// Renews a lease.
     RenewLease {
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -308,7 +308,7 @@
     let job = Job::Register(core.members.last_round);
     let life = core.settings.platform.lease;
     if core.members.lease == 0 {
-        out.push(Effect::GrantLease { job, life });
+        out.push(Effect::GrantLease { job, ttl: life });
     } else {
         let lease = core.members.lease;
         out.push(Effect::RenewLease { job, lease });
--- a/src/core/order/authority.rs
+++ b/src/core/order/authority.rs
@@ -248,7 +248,7 @@
     (hold.record, hold.record_revision) = record;
     hold.stage = Stage::Granting;
     let job = Job::Authority(pool);
-    start_call(core, pool, Effect::GrantLease { job, life }, out);
+    start_call(core, pool, Effect::GrantLease { job, ttl: life }, out);
 }
 
 /// Writes both keys, provided that nobody did so since they were read.
--- a/src/core/relay/peers.rs
+++ b/src/core/relay/peers.rs
@@ -167,7 +167,7 @@
     out.push(match peers.lease {
         0 => Effect::GrantLease {
             job,
-            life: LEASE_TTL,
+            ttl: LEASE_TTL,
         },
         lease => Effect::RenewLease { job, lease },
     });
--- a/src/core/relay/planner.rs
+++ b/src/core/relay/planner.rs
@@ -159,7 +159,7 @@
         let job = job(core, RelayJob::AuthorityLease(core.now));
         out.push(Effect::GrantLease {
             job,
-            life: lease_ttl(core),
+            ttl: lease_ttl(core),
         });
     }
 }
--- a/src/core/tests/store.rs
+++ b/src/core/tests/store.rs
@@ -61,7 +61,7 @@
         let lapsed: Vec<i64> = self
             .leases
             .iter()
-            .filter(|(_, (life, renewed))| now.since(*renewed) > *life)
+            .filter(|(_, (ttl, renewed))| now.since(*renewed) > *ttl)
             .map(|(lease, _)| *lease)
             .collect();
         if !self.down {
@@ -126,9 +126,9 @@
                 (job, StoreResult::Refused)
             }
             Effect::Txn { job, txn } => (job, StoreResult::Txn(self.txn(txn))),
-            Effect::GrantLease { job, life } => {
+            Effect::GrantLease { job, ttl } => {
                 self.revision += 1;
-                self.leases.insert(self.revision, (life, now));
+                self.leases.insert(self.revision, (ttl, now));
                 (job, StoreResult::Lease(self.revision))
             }
             Effect::RenewLease { job, lease } => {
--- a/src/core/trace/segment.rs
+++ b/src/core/trace/segment.rs
@@ -164,7 +164,7 @@
     let job = Job::WriteSegment;
     if segments.lease == 0 || now.since(segments.lease_granted) > LEASE_REUSE {
         let life = RETENTION + LEASE_REUSE;
-        out.push(Effect::GrantLease { job, life });
+        out.push(Effect::GrantLease { job, ttl: life });
     } else {
         let txn = batch_txn(segments);
         out.push(Effect::Txn { job, txn });
--- a/src/host/keeper.rs
+++ b/src/host/keeper.rs
@@ -54,8 +54,8 @@
             });
             (job, done.unwrap_or_else(|err| failed(&err)))
         }
-        Effect::GrantLease { job, life } => {
-            let lease = node.store.grant(life).await;
+        Effect::GrantLease { job, ttl } => {
+            let lease = node.store.grant(ttl).await;
             (
                 job,
                 lease.map_or_else(|err| failed(&err), StoreResult::Lease),
--- a/src/host/relay/keeper.rs
+++ b/src/host/relay/keeper.rs
@@ -149,7 +149,7 @@
 
 async fn run(node: &Rc<Node>, effect: Effect) -> Option<(Job, Result<StoreResult, Trouble>)> {
     match effect {
-        Effect::GrantLease { job, life } => Some((job, grant(node, life).await)),
+        Effect::GrantLease { job, ttl } => Some((job, grant(node, ttl).await)),
         Effect::RenewLease { job, lease } => Some((job, renew(node, lease).await)),
         Effect::Txn { job, txn } => Some((job, write(node, &own(txn)).await)),
         Effect::RevokeLease(lease) => {
