--- a/src/core/tests/lists.rs
+++ b/src/core/tests/lists.rs
@@ -12,7 +12,7 @@
 use crate::core::{Effects, config};
 use crate::lists::KeyHash;
 
-/// Returns a list of plans that tells its author.
+/// Returns a list of plans whose customer key identifies the edit.
 fn plans(key: &str) -> String {
     let key = KeyHash::of(key);
     format!("[customer {CUSTOMER}]\nplan = p\nkeys = {key}\n")
@@ -31,7 +31,7 @@
     );
 }
 
-/// Returns what the operator was told.
+/// Returns the answer to an operator's command.
 fn answer(cluster: &Cluster, ask: u64) -> Option<&OperatorAnswer> {
     cluster
         .unhandled
@@ -58,9 +58,9 @@
     cluster.run(Duration::from_secs(seconds));
 }
 
-/// Two operators edit the same revision at two hosts, again and again, while answers of the store
-/// are lost. One is accepted and one is told of a conflict: were both accepted, one of them would
-/// find a customer let in that was just shut out.
+/// Two operators repeatedly edit the same revision at two hosts while replies of the store are
+/// lost. Exactly one edit is accepted: if both were, one would silently overwrite the other, and a
+/// customer whose access was just removed would have it back.
 fn race(seed: u64) {
     let mut cluster = Cluster::new(3, seed);
     cluster.faults.lose_store_reply = 0.3;
@@ -94,7 +94,7 @@
         }
         ask += 2;
     }
-    // What no list names any more goes: two lists, and the one before each.
+    // Unreferenced chunks are deleted; what remains belongs to two lists and their predecessors.
     assert!(cluster.store.keys("d/chunk/").len() <= 12 + 4);
 }
 
@@ -115,9 +115,9 @@
     racing_operators_5: 5;
 }
 
-/// The answer to the accepting write is lost, and before the host has asked again the next
-/// operator's edit stands on top of it. Told of a conflict, the first operator would apply the
-/// edit a second time and undo the second's.
+/// The reply to the write that accepts an edit is lost, and another edit is accepted before the
+/// host reads the state again. If the first operator got a conflict, applying the edit again would
+/// undo the second one.
 #[test]
 fn lost_reply_followed_by_another_edit() {
     let mut cluster = Cluster::new(2, 1);
@@ -134,24 +134,24 @@
     apply(&mut cluster, 1, 2, "second");
     run(&mut cluster, 1);
     assert!(accepted(&cluster, 2));
-    let mut lost = 0;
+    let mut lost_replies = 0;
     for event in &mut cluster.hosts[0].queued_events {
         if let Event::Store(StoreEvent::Reply(reply)) = event
             && reply.job == Job::Apply(CommandKey(1))
         {
             reply.result = StoreResult::Unknown;
-            lost += 1;
+            lost_replies += 1;
         }
     }
-    assert_eq!(lost, 1);
+    assert_eq!(lost_replies, 1);
     cluster.thaw(0);
     run(&mut cluster, 3);
     assert!(accepted(&cluster, 1), "{:?}", answer(&cluster, 1));
     assert!(has_key(&cluster, 0, "second") && !has_key(&cluster, 0, "first"));
 }
 
-/// A host's watch is silent for good and it has the newest lists from its peers. An operator who
-/// edits there was told of a conflict with nothing, again and again.
+/// A host's watch delivers nothing, and the host has the newest lists from its peers. An edit at
+/// this host must be accepted, not fail forever with a conflict against an unchanged revision.
 #[test]
 fn edit_at_a_host_with_a_silent_watch() {
     let mut cluster = Cluster::new(2, 3);
@@ -160,7 +160,7 @@
     let stale = cluster.store.watched();
     apply(&mut cluster, 1, 2, "second");
     run(&mut cluster, 2);
-    // What the silent watch last told, with the lists of the peer in force.
+    // State of the host: last event of the watch, and the lists that the peer has in force.
     let mut host = std::mem::replace(
         &mut cluster.hosts[0].core,
         Cluster::new(1, 9).hosts.remove(0).core,
@@ -184,8 +184,8 @@
     assert!(has_key(&cluster, 1, "third"));
 }
 
-/// A host starts while the newest lists cannot be read, and a peer that was cut off offers older
-/// ones. A customer that lost access would come in again by the new host.
+/// A host starts while the newest lists cannot be read, and a partitioned peer offers older ones.
+/// Applying those would give access to a customer that has lost it.
 #[test]
 fn new_host_does_not_start_on_old_lists() {
     let mut cluster = Cluster::new(2, 4);
@@ -203,7 +203,8 @@
     assert_eq!(core.config.revision(), 2);
 }
 
-/// A host sleeps through an edit and wakes with the old lists still in its sockets.
+/// A host is suspended during several edits; when it resumes, messages with old lists are still in
+/// its socket buffers and must not replace newer ones.
 #[test]
 fn frozen_host_does_not_bring_old_lists_back() {
     let mut cluster = Cluster::new(3, 6);
--- a/src/core/tests/mod.rs
+++ b/src/core/tests/mod.rs
@@ -412,8 +412,7 @@
                     assert_eq!(
                         *result.body,
                         *sent.key.as_bytes(),
-                        "{what}: {} got the response of another call",
-                        sent.id
+                        "{what}: the caller got the response of another call"
                     );
                 }
                 _ => {}
--- a/src/core/tests/once.rs
+++ b/src/core/tests/once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not repeat, under failures of hosts, network and key-value service.
+//! Calls that must run at most once, under failures of hosts, network and key-value service.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 use crate::core::once::{RETENTION, is_canonical, shard_of};
 use crate::error::{Kind, Ran};
 
-/// Anglers book from the shore with a weak signal: the same key reaches several hosts at once and
-/// again later, while messages are lost, repeated and reordered and answers of the key-value
-/// service are lost. A double booking would be charged twice.
+/// One key arrives at several hosts concurrently and again later, while messages are lost,
+/// duplicated and reordered and replies of the key-value service are lost. A call that ran twice
+/// would be charged twice.
 #[test]
 fn one_key_runs_once_despite_lost_messages() {
     for seed in 0..40 {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Nothing fails: the call runs, and its repeat at another host gets the same answer.
+/// Without faults the call runs once, and its retry at another host gets the same response.
 #[test]
 fn retry_at_another_host_gets_the_first_answer() {
     let mut cluster = Cluster::new(3, 1);
@@ -63,10 +63,9 @@
     assert_eq!(cluster.runs_by_key["k"], 1);
 }
 
-/// Hosts are killed, restarted under their old names and frozen past their leases, and the
-/// key-value service goes down, while callers repeat their keys at whatever host the balancer
-/// picks. Afterwards everything works again, and each key is either answered or known to be in
-/// doubt.
+/// Hosts crash, restart under their old names and are suspended past their leases, and the
+/// key-value service has outages, while callers retry their keys at random hosts. After recovery
+/// each key is either answered or reported as possibly run.
 #[test]
 fn one_key_runs_once_despite_crashes() {
     for seed in 0..40 {
@@ -121,8 +120,8 @@
     cluster.run(Duration::from_secs(8));
 }
 
-/// Repeats every key; a key that never ran must run now or at the next repeat, and one that ran
-/// must not run again.
+/// Retries every key: one that never ran must run within three retries, one that ran must not run
+/// again.
 fn check_retries(cluster: &mut Cluster, what: &str) {
     let keys: std::collections::BTreeSet<Box<str>> =
         cluster.sent.iter().map(|sent| sent.key.clone()).collect();
@@ -133,19 +132,19 @@
             cluster.run(Duration::from_secs(3));
             last = cluster.sent[tag].result.clone();
         }
-        let told = match &last {
+        let is_resolved = match &last {
             Some(CallerResult::Reply(_)) => true,
             Some(CallerResult::Refused(refusal)) => refusal.kind == Kind::MayHaveRun,
             None => false,
         };
-        assert!(told, "{what}: {key} stays at {last:?}");
+        assert!(is_resolved, "{what}: {key} stays at {last:?}");
     }
     cluster.check(what);
 }
 
-/// The key-value service takes a start's record and its answer is lost, and then the service is
-/// down. The caller is told "not run", which is true; its repeat must run, and not be told for a
-/// day that the first one is still running.
+/// The key-value service stores the record of a start and its reply is lost. The caller gets "not
+/// run", which is true. Its retry must run: it must not be refused as still running until the
+/// record expires.
 #[test]
 fn start_with_a_lost_reply_is_released() {
     for asker in 0..3 {
@@ -157,12 +156,12 @@
         let second = cluster.call(1, "k", 1);
         cluster.run(Duration::from_secs(3));
         assert_matches!(&cluster.sent[second].result, Some(CallerResult::Reply(_)));
-        cluster.check("after the repeat");
+        cluster.check("after the retry");
     }
 }
 
-/// The owner of a record cannot reach the host that asks, which tells its caller "not run" in the
-/// end, while the record says "started". The record must not block the caller's repeat.
+/// The owner of a record cannot reach the requesting host, which times out and answers "not run"
+/// while the record says "started". The record must not block the caller's retry.
 #[test]
 fn start_answered_after_the_timeout_is_released() {
     for owner in 0..3 {
@@ -181,13 +180,13 @@
             Some(CallerResult::Reply(_)),
             "owner {owner}"
         );
-        cluster.check("after the repeat");
+        cluster.check("after the retry");
     }
 }
 
-/// A shard moves to another host and back while a write of it is on its way. The answer of that
-/// write must not be taken for the answer of the read that came after it: the records would be
-/// lost, and a repeat of any of them would run again.
+/// A shard moves to another host and back while a write of it is in flight. The reply to that write
+/// must not be matched to the later read: the records would be lost, and a retry of any of them
+/// would run again.
 #[test]
 fn a_shard_that_moves_away_and_back_keeps_its_records() {
     let keys = (0..10_000).map(|number| format!("k-{number}"));
@@ -210,8 +209,8 @@
     }
 }
 
-/// A host is replaced by a new process under its name while an owner still has a question of the
-/// old one. The answer then reaches the new process, which must not take it for its own.
+/// A host is replaced by a new process under its name while an owner still processes a query of the
+/// old one. The new process must not match the reply to one of its own queries.
 #[test]
 fn reply_to_an_earlier_incarnation_starts_nothing() {
     let mut cluster = Cluster::new(2, 3);
@@ -243,8 +242,8 @@
     );
 }
 
-/// A message that a call did not run arrives again, long after the key's record says that it did.
-/// The record must stand, or the next repeat runs a second time.
+/// A message that a call did not run is delivered late, after the record has its result. The record
+/// must stay, or the next retry would run the call a second time.
 #[test]
 fn late_release_does_not_overwrite_a_result() {
     let mut cluster = Cluster::new(2, 5);
@@ -268,8 +267,8 @@
     cluster.check("after the late message");
 }
 
-/// Writing a result fails once for a passing reason while the service counts as up. The result
-/// must be written soon after, or every repeat is told that the call is running.
+/// A write of a result fails once while the key-value service counts as up. It must be retried
+/// soon, or every retry of the call is refused as still running.
 #[test]
 fn failed_write_of_a_result_is_retried() {
     let mut cluster = Cluster::new(2, 9);
@@ -284,8 +283,8 @@
     assert_matches!(&cluster.sent[again].result, Some(CallerResult::Reply(_)));
 }
 
-/// Records last for the stated time and not longer: within it a repeat gets the first answer,
-/// after it the key is free, whether the shard is full or not.
+/// Within the retention time a retry gets the first response; after it the key may be used for a
+/// new call, whether the shard is full or not.
 #[test]
 fn record_expires_after_its_retention() {
     let mut cluster = Cluster::new(2, 13);
@@ -301,8 +300,8 @@
     assert_eq!(cluster.runs_by_key["k"], 2);
 }
 
-/// Anglers book all day, each under a key of its own. A host must not hold every record of the
-/// day in memory.
+/// Many keys are used once each. A host must unload idle shards, so that it does not keep the
+/// records of a whole day in memory.
 #[test]
 fn idle_shards_are_unloaded() {
     let mut cluster = Cluster::new(1, 17);
@@ -317,10 +316,10 @@
     assert_eq!(cluster.hosts[0].core.once.loaded_shards(), 0);
     cluster.call(0, "k-7", 1);
     cluster.run(Duration::from_secs(1));
-    cluster.check("read again");
+    cluster.check("after reloading a shard");
 }
 
-/// Returns what host `at` says to its peers when it begins a planned stop, or takes it back.
+/// Returns a function that makes heartbeats of host `at`, which report it as stopping or not.
 fn stop_heartbeats(cluster: &Cluster, at: usize) -> impl Fn(bool) -> Event + use<> {
     let from = cluster.hosts[at].name.clone();
     let number = std::cell::Cell::new(cluster.now.micros());
@@ -337,15 +336,15 @@
     }
 }
 
-/// Names each case: a method, a path, and whether rules may be matched against them.
+/// Defines one test per case: a method, a path, and whether both are in canonical form.
 ///
-/// A rule that allows repeats of `/deadlines*` is matched against the bytes of the path. A service
-/// that reads `/deadlines/../extensions` as `/extensions` would file a member's request twice.
+/// A rule that allows retries of `/deadlines*` is matched against the bytes of the path. A service
+/// that normalizes `/deadlines/../extensions` to `/extensions` would run a call twice.
 macro_rules! paths {
-    ($($name:ident: $method:literal $path:literal => $fit:literal;)+) => {
+    ($($name:ident: $method:literal $path:literal => $canonical:literal;)+) => {
         $(#[test]
         fn $name() {
-            assert_eq!(is_canonical($method, $path), $fit);
+            assert_eq!(is_canonical($method, $path), $canonical);
         })+
     };
 }
--- a/src/core/tests/order.rs
+++ b/src/core/tests/order.rs
@@ -1,4 +1,5 @@
-//! Orders, withdrawals and roles: several holders in turn, engines that check and that do not.
+//! Orders to engines, withdrawals and role changes: several holders of the authority in turn, with
+//! engines that check fencing numbers and engines that ignore them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,71 +20,71 @@
 
 const POOL: PoolKey = PoolKey(0);
 const ENGINES: usize = 3;
-/// Time between two looks of the fake engines.
+/// Time between two steps of the fake engines.
 const TICK: Duration = Duration::from_millis(50);
-/// Time a role change takes.
+/// Duration of a role change.
 const CHANGE_DURATION: Duration = Duration::from_secs(2);
 
-/// One fake engine.
+/// A fake engine.
 #[derive(Debug, Default)]
 struct Engine {
     role: Role,
     next_role: Option<(Time, Role)>,
     highest_order: (u64, u64),
-    /// Orders carried out: fencing number, number, role.
+    /// Executed orders: fencing number, order number, role.
     applied: Vec<(u64, u64, Role)>,
     refused: u32,
-    /// Crashes before its next change is over.
+    /// Whether the engine crashes before it completes its next change.
     crashes_in_change: bool,
 }
 
-/// A stream: host and its life, engine, end.
+/// A stream from a host's process to an engine.
 #[derive(Debug)]
 struct Stream {
     host: usize,
     incarnation: u64,
     engine: usize,
     end: Time,
-    /// The host has noticed the end.
+    /// Whether the host has processed the end.
     ended: bool,
 }
 
-/// Engines and streams around the hosts.
+/// The simulated hosts, with engines and streams.
 #[derive(Debug)]
 struct Site {
     cluster: Cluster,
     fencing: Fencing,
     engines: Vec<Engine>,
     streams: Vec<Stream>,
-    /// Orders on their way: when they arrive, who sent them.
+    /// Orders in flight: time of arrival, host and process that sent them, order.
     in_flight: Vec<(Time, usize, u64, Order)>,
-    /// Part of orders whose answer is lost.
+    /// Probability that the reply to an order is lost.
     lose_reply: f64,
-    /// Longest time an order is on its way.
+    /// Largest delay of an order.
     max_delay: Duration,
     last_report: Time,
     leaving: Option<usize>,
-    /// Reports say idle whatever runs.
+    /// Whether all reports show idle engines.
     reports_idle: bool,
 }
 
-/// Wishes another role for one engine after the other.
-fn alternate(view: &View<'_>, _memory: &mut DecisionState) -> Option<Change> {
-    let at = usize::try_from(view.now.millis() / 5_000).expect("a short test");
+/// Decides to change the role of one engine after the other.
+fn alternate(view: &View<'_>, _state: &mut DecisionState) -> Option<Change> {
+    let at = usize::try_from(view.now.millis() / 5_000).expect("the simulated time is short");
     let engine = &view.engines[at % view.engines.len()];
-    let wish = if (at / view.engines.len()).is_multiple_of(2) {
+    let role = if (at / view.engines.len()).is_multiple_of(2) {
         Role::Prefill
     } else {
         Role::Both
     };
-    (engine.role != wish).then_some(Change {
+    (engine.role != role).then_some(Change {
         engine: engine.key,
-        role: wish,
+        role,
     })
 }
 
-/// Wishes every engine for prompts only.
-fn all_prefill(view: &View<'_>, _memory: &mut DecisionState) -> Option<Change> {
+/// Decides to change every engine to prefill.
+fn all_prefill(view: &View<'_>, _state: &mut DecisionState) -> Option<Change> {
     let engine = view.engines.iter().find(|one| one.role == Role::Both)?;
     Some(Change {
         engine: engine.key,
@@ -91,7 +92,7 @@
     })
 }
 
-fn never(_view: &View<'_>, _memory: &mut DecisionState) -> Option<Change> {
+fn never(_view: &View<'_>, _state: &mut DecisionState) -> Option<Change> {
     None
 }
 
@@ -166,7 +167,7 @@
         host.incarnation == incarnation && !host.crashed
     }
 
-    /// Runs for a while.
+    /// Advances the simulation by at least `span`.
     fn run(&mut self, span: Duration) {
         let end = self.cluster.now.after(span);
         while self.cluster.now < end {
@@ -213,17 +214,21 @@
         }
     }
 
-    /// Orders reach their engines; half of those of a paused process are still to be written.
+    /// Delivers due orders and completes changes.
+    ///
+    /// Half of the orders of a suspended process are not written yet and wait until it resumes.
     fn deliver_orders(&mut self) {
         let now = self.cluster.now;
         let hosts = &self.cluster.hosts;
-        let waits = |host: usize, incarnation: u64, order: &Order| {
+        let is_unwritten = |host: usize, incarnation: u64, order: &Order| {
             hosts[host].frozen
                 && hosts[host].incarnation == incarnation
                 && order.number.is_multiple_of(2)
         };
         let (due, later) = std::mem::take(&mut self.in_flight).into_iter().partition(
-            |(due, host, incarnation, order)| *due <= now && !waits(*host, *incarnation, order),
+            |(due, host, incarnation, order)| {
+                *due <= now && !is_unwritten(*host, *incarnation, order)
+            },
         );
         self.in_flight = later;
         for (_, host, incarnation, order) in due {
@@ -239,8 +244,8 @@
                 engine.next_role = None;
                 if std::mem::take(&mut engine.crashes_in_change) {
                     engine.role = Role::Both;
-                    // An engine that forgets its number takes any order after a crash, and is to
-                    // be named as one that ignores it.
+                    // An engine that loses its fencing number in a crash accepts any order after
+                    // it, and must be configured as one that ignores fencing.
                     if self.fencing == Fencing::Ignores {
                         engine.highest_order = (0, 0);
                     }
@@ -253,9 +258,9 @@
 
     fn apply_order(&mut self, order: &Order) -> OrderResult {
         let at = (0..ENGINES).find(|at| name(*at) == order.engine);
-        let at = at.expect("an engine of the list");
+        let at = at.expect("a listed engine");
         let Action::Role(role) = order.action else {
-            panic!("an order nobody gives");
+            panic!("the holder sent an order that is not a role change");
         };
         let running = self.running(at);
         let now = self.cluster.now;
@@ -273,7 +278,11 @@
         engine.highest_order = number;
         engine.applied.push((number.0, number.1, role));
         if engine.role != role {
-            assert_eq!(running, 0, "{} cut streams at {now:?}", order.engine);
+            assert_eq!(
+                running, 0,
+                "{} changed its role with running streams at {now:?}",
+                order.engine
+            );
             engine.next_role = Some((now.after(CHANGE_DURATION), role));
         }
         OrderResult::Done
@@ -300,7 +309,7 @@
             };
             let engine = &self.engines[at];
             let report = Report {
-                running: u32::try_from(running).expect("few"),
+                running: u32::try_from(running).expect("a small count"),
                 role: engine.role,
                 age_ms: 0,
                 changing: engine.next_role.is_some(),
@@ -318,7 +327,7 @@
         }
     }
 
-    /// Opens a stream from a host where that host's view lets it; returns whether it did.
+    /// Opens a stream from a host if that host's view permits it; returns whether it did.
     fn open(&mut self, host: usize, engine: usize, span: Duration) -> bool {
         let now = self.cluster.now;
         let one = &mut self.cluster.hosts[host];
@@ -344,7 +353,7 @@
         true
     }
 
-    /// Hosts that are awake notice the end of their streams.
+    /// Lets hosts that are not suspended process the end of their streams.
     fn end_streams(&mut self) {
         let now = self.cluster.now;
         for stream in &mut self.streams {
@@ -361,22 +370,22 @@
         }
     }
 
-    /// Opens a stream from these hosts wherever an order is about to land, if their view lets it.
+    /// Opens streams from these hosts to engines with an order in flight, if their view permits it.
     fn open_at_order_targets(&mut self, hosts: &[usize]) {
-        let aims = self.in_flight.iter().map(|(_, _, _, order)| &order.engine);
-        let aims: Vec<usize> = aims
-            .filter_map(|aim| (0..ENGINES).find(|at| name(*at) == *aim))
+        let targets = self.in_flight.iter().map(|(_, _, _, order)| &order.engine);
+        let targets: Vec<usize> = targets
+            .filter_map(|target| (0..ENGINES).find(|at| name(*at) == *target))
             .collect();
-        for engine in aims {
+        for engine in targets {
             for host in hosts {
                 self.open(*host, engine, Duration::from_millis(500));
             }
         }
     }
 
-    /// Lets the orders on their way arrive after this time.
+    /// Delays the orders in flight to arrive after `span`.
     fn delay_orders(&mut self, span: Duration) {
-        assert!(!self.in_flight.is_empty(), "no order is on its way");
+        assert!(!self.in_flight.is_empty(), "no order is in flight");
         let due = self.cluster.now.after(span);
         for late in &mut self.in_flight {
             late.0 = due;
@@ -390,11 +399,11 @@
             .filter(|(_, host)| !host.crashed && !host.frozen && authority::holds(&host.core, POOL))
             .map(|(at, _)| at);
         let first = holders.next();
-        assert_eq!(holders.next(), None, "two hosts hold the pool");
+        assert_eq!(holders.next(), None, "two hosts hold the authority");
         first
     }
 
-    /// Runs until `done` holds.
+    /// Runs until `done` returns true; fails after 4000 steps.
     fn run_until(&mut self, what: &str, done: impl Fn(&Self) -> bool) {
         for _ in 0..4000 {
             if done(self) {
@@ -402,25 +411,28 @@
             }
             self.run(TICK);
         }
-        panic!("waited in vain: {what}");
+        panic!("not reached within 4000 steps: {what}");
     }
 
-    /// Fails unless each engine's orders came in the order of their numbers and none was for
-    /// anything but what its number first said.
+    /// Asserts that each engine executed orders in the order of their numbers, and that orders with
+    /// the same number demanded the same role.
     fn check(&self, what: &str) {
         for (at, engine) in self.engines.iter().enumerate() {
-            let mut said = BTreeMap::new();
+            let mut roles = BTreeMap::new();
             for pair in engine.applied.windows(2) {
                 let (one, two) = ((pair[0].0, pair[0].1), (pair[1].0, pair[1].1));
                 assert!(
                     one <= two,
-                    "{what}: engine {at} took {two:?} after {one:?}: {:?}",
+                    "{what}: engine {at} executed {two:?} after {one:?}: {:?}",
                     engine.applied
                 );
             }
             for (fence, order, role) in &engine.applied {
-                let first = said.entry((*fence, *order)).or_insert(*role);
-                assert_eq!(first, role, "{what}: engine {at} got one number twice");
+                let first = roles.entry((*fence, *order)).or_insert(*role);
+                assert_eq!(
+                    first, role,
+                    "{what}: engine {at} got two orders ({fence}, {order})"
+                );
             }
         }
     }
@@ -433,10 +445,10 @@
     }
 }
 
-/// One host after the other holds the pool; hosts freeze past their lease and wake, die and come
-/// back, lose the key-value service's answers, and lose sight of it. Orders are slow and their
-/// answers get lost. A caller would notice a stream cut by an order that was not meant for that
-/// moment; an operator would find an engine in a role that nobody wants.
+/// Several hosts hold the authority in turn; hosts are suspended past their lease, crash, restart,
+/// lose replies of the key-value service and are partitioned from it. Orders are delayed and their
+/// replies lost. A late order must not cut a running stream or leave an engine in a role that no
+/// holder decided.
 fn run_with_faults(seed: u64, fencing: Fencing) {
     let mut site = Site::new(3, fencing, seed);
     site.set_decide(alternate);
@@ -457,8 +469,11 @@
         site.holder();
     }
     site.check(&format!("seed {seed}"));
-    let given: usize = site.engines.iter().map(|one| one.applied.len()).sum();
-    assert!(given > 10, "seed {seed}: only {given} orders were given");
+    let executed: usize = site.engines.iter().map(|one| one.applied.len()).sum();
+    assert!(
+        executed > 10,
+        "seed {seed}: {executed} orders were executed, expected more than 10"
+    );
 }
 
 fn inject_fault(site: &mut Site) {
@@ -518,8 +533,7 @@
     no_conflicting_order_at_engines_that_ignore: 101..107, Fencing::Ignores;
 }
 
-/// Everything works and the mix calls for other roles. An operator sees each engine change once
-/// a turn and go back to work.
+/// Without faults, each engine executes one order per decided change and is put back into service.
 #[test]
 fn wanted_change_is_made() {
     let mut site = Site::new(3, Fencing::Checks, 5);
@@ -528,37 +542,37 @@
         site.run_until("the engine changes", |site| {
             site.engines[at].role == Role::Prefill
         });
-        site.run_until("the engine works again", |site| {
+        site.run_until("the engine is back in service", |site| {
             (0..3).all(|host| !site.is_withdrawn(host, at))
         });
         assert_eq!(site.engines[at].applied.len(), 1);
     }
 }
 
-/// A host is paused while an engine is to change its role; it may hold streams there and cannot
-/// say so. A caller of that host would lose its answer if the order were given. The change is
-/// called off, and the engine works on.
+/// Messages of one host do not reach the holder while an engine is to change its role. That host
+/// may have streams there, which an order would cut, so the change is cancelled and the engine
+/// stays in service.
 #[test]
 fn unconfirmed_withdrawal_cancels_the_change() {
     let mut site = Site::new(3, Fencing::Checks, 6);
-    site.run_until("somebody holds the pool", |site| site.holder().is_some());
+    site.run_until("a host holds the authority", |site| site.holder().is_some());
     site.run(Duration::from_secs(15));
-    let holder = site.holder().expect("it was there");
+    let holder = site.holder().expect("a host holds the authority");
     let other = (holder + 1) % 3;
-    // Its lease is kept alive: it is slow, not gone.
+    // Its lease is renewed, so it counts as alive.
     site.cluster.blocked_links = vec![(other, holder)];
     site.set_decide(all_prefill);
     site.run_until("the engine is withdrawn", |site| {
         (0..ENGINES).any(|at| site.is_withdrawn(other, at))
     });
-    site.run_until("it goes back to work", |site| {
+    site.run_until("the engine is back in service", |site| {
         (0..ENGINES).all(|at| !site.is_withdrawn(other, at))
     });
     assert!(site.engines.iter().all(|engine| engine.applied.is_empty()));
 }
 
-/// A long answer runs on an engine that is to change its role, and outlasts the drain. Its caller
-/// must get it whole, so the change is called off.
+/// A stream on an engine that is to change its role lasts longer than the drain. It must complete,
+/// so the change is cancelled.
 #[test]
 fn stream_longer_than_the_drain_cancels_the_change() {
     let mut site = Site::new(3, Fencing::Checks, 7);
@@ -572,8 +586,8 @@
     assert!((0..ENGINES).any(|at| !site.is_withdrawn(0, at)));
 }
 
-/// Reports lag or err: the engine says it is idle while a host still streams from it. Only the
-/// hosts' own counts keep the order back until the caller has its answer.
+/// Reports lag or are wrong: the engine reports that it is idle while a host still streams from it.
+/// The hosts' own counts must delay the order until the stream ends.
 #[test]
 fn idle_report_does_not_permit_an_order() {
     let mut site = Site::new(3, Fencing::Checks, 8);
@@ -583,21 +597,22 @@
         assert!(site.open(1, at, Duration::from_secs(10)));
     }
     site.set_decide(all_prefill);
-    // An order before the streams end fails the engine's own check.
+    // The fake engine fails the test if an order arrives before its streams end.
     site.run_until("an engine changes", |site| {
         site.engines.iter().any(|engine| !engine.applied.is_empty())
     });
     assert!(site.streams.iter().any(|stream| stream.ended));
 }
 
-/// A host loses the key-value service and its peers without noticing, and goes on sending work by
-/// what it knew, until its bound. Its streams would be cut by a change that did not wait for that.
+/// A host is partitioned from the key-value service and its peers without any sign of it, and sends
+/// requests by its stale view until its cut-off time. A change must wait that long, or it would cut
+/// these streams.
 #[test]
 fn partitioned_host_loses_no_stream() {
     for seed in 20..30 {
         let mut site = Site::new(3, Fencing::Checks, seed);
         site.run(Duration::from_secs(15));
-        let holder = site.holder().expect("a host holds the pool");
+        let holder = site.holder().expect("a host holds the authority");
         let other = (holder + 1) % 3;
         site.cluster.isolated.insert(other);
         for peer in 0..3 {
@@ -605,7 +620,7 @@
                 .blocked_links
                 .extend([(other, peer), (peer, other)]);
         }
-        // With some seeds it has a stream all the while, with the others only new ones.
+        // With even seeds it also has a stream from before; with the others only new ones.
         if seed % 2 == 0 {
             assert!(site.open(other, 0, Duration::from_secs(12)));
         }
@@ -619,18 +634,18 @@
             site.run(TICK);
         }
         let changed = site.engines.iter().filter(|one| !one.applied.is_empty());
-        assert!(changed.count() > 0, "no engine changed in the end");
+        assert!(changed.count() > 0, "no engine got an order");
     }
 }
 
-/// A host starts and takes work just before an engine is withdrawn, and the holder's own watch
-/// lags, so that it knows the withdrawal stands but not that there is one host more. It must not
-/// count hosts before its watch has caught up, or it would cut the new host's streams.
+/// A host starts and takes requests just before an engine is withdrawn, and the holder's watch lags:
+/// the holder knows that the withdrawal is stored, but not of the new host. It must not count hosts
+/// before its watch has caught up, or its order would cut the new host's streams.
 #[test]
 fn host_unknown_to_the_holder_loses_no_stream() {
     let mut site = Site::new(3, Fencing::Checks, 18);
     site.run(Duration::from_secs(5));
-    let holder = site.holder().expect("a host holds the pool");
+    let holder = site.holder().expect("a host holds the authority");
     let other = (holder + 1) % 3;
     site.cluster.kill(other);
     site.run(Duration::from_secs(20));
@@ -652,13 +667,14 @@
     assert!(site.engines.iter().any(|one| !one.applied.is_empty()));
 }
 
-/// The holder's watch breaks and opens anew; a host may have come and gone meanwhile, and may be
-/// cut off with streams by an old view. The holder begins no change until such a host has stopped.
+/// The holder's watch breaks and is reopened. A host may have joined and been partitioned meanwhile,
+/// with streams by an old view. The holder starts no change until such a host has reached its
+/// cut-off time.
 #[test]
 fn holder_with_a_broken_watch_waits() {
     let mut site = Site::new(3, Fencing::Checks, 19);
     site.run(Duration::from_secs(15));
-    let holder = site.holder().expect("a host holds the pool");
+    let holder = site.holder().expect("a host holds the authority");
     let down = crate::core::event::StoreEvent::Health(crate::core::event::Health::Down);
     site.cluster.feed(holder, Event::Store(down));
     site.cluster.open_watch(holder);
@@ -666,24 +682,24 @@
     let any = |site: &Site| (0..ENGINES).any(|at| site.is_withdrawn(holder, at));
     for _ in 0..LEASE_TTL.as_millis() / TICK.as_millis() {
         site.run(TICK);
-        assert!(!any(&site), "an engine is withdrawn at once");
+        assert!(!any(&site), "an engine is withdrawn within the lease's TTL");
     }
     site.run_until("an engine is withdrawn", any);
 }
 
-/// The holder is paused with an order recorded and on its way, past its lease; another takes
-/// over. To an engine that takes any order the first one may still come, so the successor gives
-/// none while the paused process lives, and goes on once it is known dead.
+/// The holder is suspended past its lease with an order recorded and in flight, and another host
+/// takes over. An engine that ignores fencing may still execute the first order, so the successor
+/// sends none while the suspended process is alive, and continues once it is known dead.
 #[test]
 fn paused_holder_blocks_orders_to_engines_that_ignore() {
     let mut site = Site::new(3, Fencing::Ignores, 9);
     site.set_decide(all_prefill);
     site.max_delay = Duration::from_secs(1000);
-    site.run_until("an order is on its way", |site| !site.in_flight.is_empty());
-    let first = site.holder().expect("it gave the order");
+    site.run_until("an order is in flight", |site| !site.in_flight.is_empty());
+    let first = site.holder().expect("the sender of the order");
     site.delay_orders(Duration::from_hours(1));
     site.cluster.freeze(first);
-    site.run_until("another holds the pool", |site| {
+    site.run_until("another host holds the authority", |site| {
         site.holder().is_some_and(|at| at != first)
     });
     site.run(Duration::from_mins(1));
@@ -692,30 +708,30 @@
 
     site.cluster.hosts[first].frozen = false;
     site.cluster.kill(first);
-    // Its last bytes are still on their way when it dies.
+    // Its order is still in flight when it crashes.
     site.delay_orders(Duration::from_millis(2900));
     site.max_delay = Duration::from_millis(100);
-    site.run_until("the successor goes on", |site| {
+    site.run_until("the successor's order is executed", |site| {
         let mut applied = site.engines.iter().flat_map(|engine| &engine.applied);
         applied.any(|order| order.0 > 1)
     });
     site.run(Duration::from_secs(5));
-    site.check("the last bytes of a dead holder");
+    site.check("orders of a crashed holder");
 }
 
-/// The same with engines that check: the successor orders, the paused one's order comes late, and
-/// the engine refuses it.
+/// The same with engines that check fencing numbers: the successor sends an order, the suspended
+/// holder's order arrives later, and the engine refuses it.
 #[test]
 fn order_of_a_paused_holder_is_refused_by_engines_that_check() {
     let mut site = Site::new(3, Fencing::Checks, 10);
     site.set_decide(all_prefill);
     site.max_delay = Duration::from_secs(1000);
-    site.run_until("an order is on its way", |site| !site.in_flight.is_empty());
-    let first = site.holder().expect("it gave the order");
+    site.run_until("an order is in flight", |site| !site.in_flight.is_empty());
+    let first = site.holder().expect("the sender of the order");
     site.delay_orders(Duration::from_hours(1));
     site.cluster.freeze(first);
     site.max_delay = Duration::from_millis(100);
-    site.run_until("the successor's order is carried out", |site| {
+    site.run_until("the successor's order is executed", |site| {
         site.engines.iter().any(|engine| !engine.applied.is_empty())
     });
     site.delay_orders(Duration::ZERO);
@@ -724,36 +740,38 @@
     });
     site.cluster.thaw(first);
     site.run(Duration::from_secs(30));
-    site.check("a paused holder");
+    site.check("orders of a suspended holder");
 }
 
-/// The holder is stopped as planned. It gives the pool back and takes its name out of the record,
-/// so that the next holder need not wait for a lease to lapse nor for the process to be known
-/// dead, also where engines take any order.
+/// In a planned stop the holder releases the authority and removes itself from the record, so that
+/// the next holder waits neither for a lease to expire nor for the process to be known dead, even
+/// where engines ignore fencing.
 #[test]
 fn planned_stop_releases_the_pool() {
     let mut site = Site::new(3, Fencing::Ignores, 17);
     site.run(Duration::from_secs(15));
-    let first = site.holder().expect("a host holds the pool");
+    let first = site.holder().expect("a host holds the authority");
     let stop = Event::Stop(crate::core::event::StopEvent::Begin);
     site.cluster.feed(first, stop);
     assert_eq!(site.holder(), None);
-    site.run_until("another holds the pool", |site| site.holder().is_some());
-    let next = site.holder().expect("it was there");
+    site.run_until("another host holds the authority", |site| {
+        site.holder().is_some()
+    });
+    let next = site.holder().expect("a host holds the authority");
     assert_ne!(next, first);
     let hold = &site.cluster.hosts[next].core.orders.pool(POOL).authority;
     assert!(hold.suspects.is_empty(), "{:?}", hold.suspects);
 }
 
-/// Two holders in a row lose the pool before they gave an order. Each take-over has its own
-/// fencing number, also after the leased key has vanished.
+/// Several holders in a row lose the authority without sending an order. Each holder has its own
+/// fencing number, even after the leased key has expired.
 #[test]
 fn fencing_numbers_never_repeat() {
     let mut site = Site::new(3, Fencing::Checks, 11);
     let mut last = 0;
     for _ in 0..4 {
-        site.run_until("somebody holds the pool", |site| site.holder().is_some());
-        let at = site.holder().expect("it was there");
+        site.run_until("a host holds the authority", |site| site.holder().is_some());
+        let at = site.holder().expect("a host holds the authority");
         let fence = site.cluster.hosts[at]
             .core
             .orders
@@ -769,9 +787,9 @@
     }
 }
 
-/// Every answer of the key-value service is lost for a while, renewals' and take-overs' too. The
-/// writes took effect all the same; nobody gives orders on a lease it does not know of, and work
-/// goes on after it.
+/// All replies of the key-value service are lost for some time, including those to renewals and
+/// acquisitions of the authority, while the writes take effect. No host sends orders under a lease
+/// that it has no reply for, and changes continue afterwards.
 #[test]
 fn authority_recovers_from_lost_replies() {
     let mut site = Site::new(3, Fencing::Checks, 12);
@@ -785,11 +803,11 @@
             .iter()
             .any(|engine| engine.role == Role::Prefill)
     });
-    site.check("lost answers");
+    site.check("lost replies");
 }
 
-/// An engine crashes halfway through its change and comes back in its first role, the order
-/// without effect. The holder sees it and gives the order again.
+/// An engine crashes during its change and restarts in its previous role, so that the order has no
+/// effect. The holder sees this in the report and sends the order again.
 #[test]
 fn change_is_completed_after_an_engine_crash() {
     let mut site = Site::new(3, Fencing::Checks, 13);
@@ -802,32 +820,32 @@
             .iter()
             .any(|engine| engine.role == Role::Prefill)
     });
-    let most = site.engines.iter().map(|engine| engine.applied.len()).max();
-    assert_eq!(most, Some(2));
-    site.check("a crash halfway");
+    let max_orders = site.engines.iter().map(|engine| engine.applied.len()).max();
+    assert_eq!(max_orders, Some(2));
+    site.check("a crash during a change");
 }
 
-/// The key-value service goes down between the record and the end of a change. The engine stays
-/// withdrawn, nothing conflicts, and the change is finished on its return.
+/// The key-value service has an outage between the record and the end of a change. The engine stays
+/// withdrawn, no conflicting order is sent, and the change is completed after the outage.
 #[test]
 fn change_is_completed_after_a_store_outage() {
     let mut site = Site::new(3, Fencing::Checks, 14);
     site.set_decide(all_prefill);
-    site.run_until("an order is carried out", |site| {
+    site.run_until("an order is executed", |site| {
         site.engines.iter().any(|engine| !engine.applied.is_empty())
     });
     site.cluster.outage(true);
     site.run(Duration::from_secs(30));
     site.cluster.outage(false);
-    site.run_until("the engine works again", |site| {
+    site.run_until("the engine is back in service", |site| {
         site.engines[0].role == Role::Prefill && (0..3).all(|host| !site.is_withdrawn(host, 0))
             || site.engines[1].role == Role::Prefill && !site.is_withdrawn(0, 1)
     });
-    site.check("an outage halfway");
+    site.check("an outage during a change");
 }
 
-/// A host sleeps while engines are withdrawn and ordered; what waits in its sockets when it wakes
-/// is from before. It must not send work by what it knew.
+/// A host is suspended while engines may be withdrawn and get orders; when it resumes, its socket
+/// buffers hold events from before. It must not send requests by that stale state.
 #[test]
 fn resumed_host_takes_no_work_before_it_is_registered() {
     let mut site = Site::new(3, Fencing::Checks, 15);
@@ -837,16 +855,17 @@
     site.cluster.freeze(1);
     site.cluster.feed(1, Event::Store(before));
     site.run(LEASE_TTL * 3);
-    // All that waited in its sockets is taken in at this moment, and sounds like news; so does
-    // its own registration, read just before it slept.
+    // The buffered events are processed on resuming and look current; so does its own registration,
+    // read just before the host was suspended.
     site.cluster.thaw(1);
     assert!(member::cut_off(&site.cluster.hosts[1].core));
-    site.run_until("it is registered anew", |site| {
+    site.run_until("the host is registered again", |site| {
         !member::cut_off(&site.cluster.hosts[1].core)
     });
 }
 
-/// The platform's list calls an engine leaving. From the next read on no host sends it work.
+/// The platform's list marks an engine as leaving. After the next read of the list, no host sends it
+/// new requests.
 #[test]
 fn a_leaving_engine_gets_no_new_work() {
     let mut site = Site::new(3, Fencing::Checks, 16);
--- a/src/core/tests/request.rs
+++ b/src/core/tests/request.rs
@@ -1,4 +1,4 @@
-//! One stream through the core: pieces late, twice, missing, and ends without an end.
+//! One streamed request in the core: late, duplicate and missing chunks, and broken streams.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 }
 
 impl TestHost {
-    /// Starts a host that knows `engines` engines.
+    /// Starts a host with `engines` listed engines.
     fn new(engines: u16) -> Self {
         let mut cluster = Cluster::new(1, 7);
         let mut host = Self {
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Takes in a piece; returns whether it was passed on.
+    /// Delivers a chunk to the core; returns whether it was forwarded.
     fn stream_event(&mut self, attempt: AttemptKey, offset: u64, tokens: u32) -> bool {
         self.feed(Event::Request(RequestEvent::StreamEvent {
             attempt,
@@ -90,7 +90,7 @@
         self.out.iter().any(passed)
     }
 
-    /// Takes in the end marker; returns whether the answer is whole now.
+    /// Delivers the end marker to the core; returns whether the answer is complete.
     fn stream_completed(&mut self, attempt: AttemptKey) -> bool {
         self.feed(Event::Request(RequestEvent::StreamCompleted(attempt)));
         let whole = |effect: &Effect| matches!(effect, Effect::Finish(_));
@@ -102,7 +102,7 @@
             attempt,
             ran: Ran::Unknown,
             end,
-            detail: "in the test".into(),
+            detail: "injected fault".into(),
         }));
     }
 
@@ -113,12 +113,12 @@
         })
     }
 
-    /// Waits out the pause after an engine's loss.
+    /// Waits for the retry delay after the loss of an engine.
     fn wait_retry_delay(&mut self, request: RequestKey) {
         self.wait(Duration::from_millis(100), Timer::Request(request));
     }
 
-    /// Returns streams, prefill and decode tokens counted at all engines.
+    /// Returns the sums of streams, prefill and decode tokens over all engines.
     fn total_work(&self) -> (u32, u64, u64) {
         let engines = self.core.fleet.arena.values();
         engines.fold((0, 0, 0), |(streams, prefill, decode), engine| {
@@ -131,8 +131,8 @@
     }
 }
 
-/// The stream breaks between the finish reason and the end marker. It is read again from there,
-/// and the caller would see a second finish reason, which a client takes for a second answer.
+/// The stream breaks between the finish reason and the end marker, and is resumed before the finish
+/// reason. It must not be forwarded again: a client would read it as the end of a second answer.
 #[test]
 fn finish_reason_is_delivered_once() {
     let mut host = TestHost::new(2);
@@ -146,8 +146,7 @@
     assert_eq!(host.total_work(), (0, 0, 0));
 }
 
-/// The end marker comes although the last pieces did not. The answer would be passed off as
-/// whole.
+/// The end marker arrives without the last chunks. The truncated answer must not count as complete.
 #[test]
 fn end_marker_without_the_last_tokens_is_no_end() {
     let mut host = TestHost::new(2);
@@ -158,7 +157,7 @@
     assert_eq!(again.resume_from, Some(1));
 }
 
-/// Pieces of an attempt that was given up still arrive while the next one runs.
+/// Chunks of an abandoned attempt still arrive while the next attempt runs.
 #[test]
 fn events_of_an_abandoned_attempt_are_dropped() {
     let mut host = TestHost::new(2);
@@ -168,13 +167,16 @@
     let again = host.opened().expect("it is resumed").attempt;
     assert!(!host.stream_event(first, 1, 1));
     assert!(!host.stream_completed(first));
-    assert!(!host.stream_event(again, 0, 1), "the caller has it already");
+    assert!(
+        !host.stream_event(again, 0, 1),
+        "the token was forwarded before"
+    );
     assert!(host.stream_event(again, 1, 1));
 }
 
-/// An engine that answers 404 to a resume after a silence never saw the request: its connection
-/// was dead from the start. Counted as a death, two such connections would have the request
-/// refused for ten minutes.
+/// An engine that answers 404 to a resume after a silence never received the request: its
+/// connection was dead from the start. If that counted as a crash, two such connections would block
+/// the request for ten minutes.
 #[test]
 fn silence_is_not_a_crash() {
     let mut host = TestHost::new(1);
@@ -188,8 +190,8 @@
     assert!(host.stream_event(fresh.attempt, 0, 1));
 }
 
-/// A caller that takes nothing has its engine wait. Read as silence of the engine, the stream
-/// would be cut and started elsewhere again and again.
+/// A caller that does not read blocks the stream of its engine. If that counted as silence of the
+/// engine, the stream would be closed and restarted elsewhere repeatedly.
 #[test]
 fn slow_caller_is_not_a_silent_engine() {
     let mut host = TestHost::new(1);
@@ -203,8 +205,8 @@
     assert!(host.opened().is_some(), "now the engine is silent");
 }
 
-/// A body that the engine calls malformed is malformed for every engine. Tried at each, one
-/// caller's mistake would take them all out of service for a while.
+/// A body that one engine rejects as malformed is malformed for every engine. If it were retried at
+/// each, one caller's mistake would mark them all as failed.
 #[test]
 fn malformed_request_is_tried_once() {
     let mut host = TestHost::new(3);
@@ -215,8 +217,8 @@
     assert!(engines.into_iter().all(|engine| engine.failures == 0));
 }
 
-/// Two engines die while they run the request; the third is spared, and the counts of work at
-/// the engines come back to nothing.
+/// Two engines crash while they run the request. It must not be sent to a third, and the work
+/// counted at the engines must return to zero.
 #[test]
 fn poison_request_crashes_at_most_two_engines() {
     let mut host = TestHost::new(4);
@@ -226,7 +228,10 @@
         let resumed = host.opened().expect("it is resumed");
         assert_eq!(resumed.addr, open.addr);
         host.fail_attempt(resumed.attempt, AttemptFailure::Unreachable);
-        assert!(host.opened().is_none(), "it waits for what others know");
+        assert!(
+            host.opened().is_none(),
+            "it waits for reports of other hosts"
+        );
         host.wait_retry_delay(open.request);
         if let Some(next) = host.opened() {
             open = next;
--- a/src/core/tests/role.rs
+++ b/src/core/tests/role.rs
@@ -1,4 +1,4 @@
-//! When an engine's role changes, and when it does not.
+//! Decisions to change an engine's role.
 
 use crate::core::Time;
 use crate::core::event::Role;
@@ -7,11 +7,11 @@
 use crate::settings::PoolSettings;
 use slotmap::SlotMap;
 
-/// Work of nine engines for which a third of them for prefill is right.
+/// Prompt and output tokens per second for which three prefill engines of nine are right.
 const BALANCED: (f64, f64) = (16_000.0, 4_000.0);
-/// Twice the prompts, for which it is not.
+/// Twice the prompt tokens, which needs more prefill engines.
 const PREFILL_HEAVY: (f64, f64) = (32_000.0, 3_000.0);
-/// Two demands for whose mean it is right, and for the second alone it is not.
+/// Two demands: three prefill engines are right for their mean, but not for the second alone.
 const ALTERNATING: [(f64, f64); 2] = [(12_000.0, 5_000.0), (24_000.0, 3_000.0)];
 
 /// A split pool of nine engines, three of them for prefill.
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Lets seconds pass under a demand, and returns the changes wished for; none is carried out.
+    /// Decides once per second under a demand, and returns the decided changes, without applying
+    /// them.
     fn run(&mut self, seconds: std::ops::Range<u64>, demand: fn(u64) -> (f64, f64)) -> Vec<Change> {
         let changes = seconds.filter_map(|second| {
             let (prompt, output) = demand(second);
@@ -60,7 +61,7 @@
     }
 }
 
-/// Prompts grow longer and stay so: without a change they would wait for ever.
+/// Prompts grow longer permanently; without a role change their queue would grow without limit.
 #[test]
 fn lasting_shift_changes_a_role() {
     for (goodput, change) in [(4.0, 5.0), (1.0, 30.0)] {
@@ -77,8 +78,8 @@
     }
 }
 
-/// The mix swings to and fro within seconds. An engine that followed would be away most of the
-/// time, and callers would wait for it.
+/// The mix alternates within seconds. An engine that changed its role each time would be
+/// unavailable most of the time.
 #[test]
 fn short_swing_changes_no_role() {
     let swing = |second| {
@@ -93,8 +94,8 @@
     }
 }
 
-/// One engine is away for a change already. A second one taken from so small a pool would cost
-/// more than the shift does.
+/// One engine is unavailable because of a change. Taking a second one from so small a pool would
+/// cost more than the shift in demand.
 #[test]
 fn one_engine_changes_at_a_time() {
     let mut pool = Pool::new(4.0, 5.0);
@@ -102,7 +103,7 @@
     assert_eq!(pool.run(0..120, |_| PREFILL_HEAVY), []);
 }
 
-/// Engines of a pool that is not split serve both parts; an order to change would only stop one.
+/// Engines of an unsplit pool serve both stages; a role change would only make one unavailable.
 #[test]
 fn unsplit_pool_changes_no_role() {
     let mut pool = Pool::new(4.0, 5.0);
@@ -110,7 +111,8 @@
     assert_eq!(pool.run(0..120, |_| PREFILL_HEAVY), []);
 }
 
-/// A split pool starts with engines that do both; left so, long prompts hold up every answer.
+/// A split pool starts with engines that serve both stages. If they kept doing so, long prompts
+/// would delay the decoding of other requests.
 #[test]
 fn engine_with_both_roles_gets_one() {
     let mut pool = Pool::new(4.0, 5.0);
--- a/src/core/tests/route.rs
+++ b/src/core/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which engine a request goes to, and when it is refused.
+//! Choice of an engine, and admission.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::core::route::{self, Need};
 use crate::core::{Core, Effects, Time, admit};
 
-/// Prompt tokens that keep an engine busy for long.
+/// Prompt tokens that keep an engine busy for a long time.
 const LONG_PROMPT_TOKENS: u32 = 1_000_000;
 
 fn core(engines: usize) -> Core {
@@ -49,8 +49,8 @@
     load::receive_sent(core, sent);
 }
 
-/// Another host has just sent much to an engine whose report still says idle. Whoever believed
-/// the report would wait behind it.
+/// Another host has just sent a long prompt to an engine whose last report shows it idle. A request
+/// routed by the report alone would queue behind that prompt.
 #[test]
 fn engine_filled_by_another_host_is_avoided() {
     let mut core = core(3);
@@ -62,8 +62,8 @@
     }
 }
 
-/// A split pool needs an engine of each role; the prompt goes to one and the answer comes from
-/// the other. Without one of them there is nowhere to send a request.
+/// A split pool needs an engine of each role: one prefills the prompt, the other decodes. Without
+/// either, no engine can be chosen.
 #[test]
 fn split_pool_needs_both_roles() {
     let mut core = core(2);
@@ -76,8 +76,8 @@
     assert_eq!(route::choose_engine(&mut core, &need()), None);
 }
 
-/// Every engine is busy: the caller is told at once when to come back. Callers of many requests
-/// must not all be told the same second, or they would find each other there.
+/// All engines are busy and requests are refused with a time to retry. These times must be spread:
+/// callers that all retried in the same second would overload the engines again.
 #[test]
 fn retry_times_are_spread() {
     let mut core = core(1);
@@ -93,9 +93,9 @@
     assert!(times.iter().all(|time| (1..=8).contains(&time.as_secs())));
 }
 
-/// The settings call an engine far slower than it is, and another host is served by it all the
-/// time. By what that host tells, the engine is full for ever; a host that believed it alone would
-/// refuse every caller beside an engine that reports it is idle.
+/// The settings state a speed far below the engine's, and another host keeps sending it prompts. By
+/// that host's messages alone the engine always seems full, and every request would be refused
+/// although the engine reports that it is idle.
 #[test]
 fn idle_engine_is_tried_despite_other_hosts() {
     let mut core = core(1);
@@ -113,10 +113,10 @@
     let refused = |core: &mut Core| admit::check(core, &need(), Fingerprint::default()).is_err();
     assert!(refused(&mut core), "no report yet");
     report(&mut core, 4, Time::from_millis(2000));
-    assert!(refused(&mut core), "others wait there");
+    assert!(refused(&mut core), "the report shows queued requests");
     report(&mut core, 0, Time::from_millis(3000));
-    assert!(!refused(&mut core), "it is idle");
+    assert!(!refused(&mut core), "the report shows an idle engine");
     let key = core.fleet.find("engine-0").expect("a listed engine");
     load::record_sent(&mut core, key, 100, &mut Effects::new());
-    assert!(refused(&mut core), "it was tried just now");
+    assert!(refused(&mut core), "a prompt was sent since the report");
 }
--- a/src/core/tests/trace.rs
+++ b/src/core/tests/trace.rs
@@ -1,4 +1,4 @@
-//! What became of a request, when hosts and the key-value service fail.
+//! Trace records of requests, under failures of hosts and the key-value service.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::core::{Effect, Event};
 use crate::error::Ran;
 
-/// Asks a host what became of a request, and waits for its answer.
+/// Queries the trace record of a request at a host, and waits for the answer.
 fn explain(cluster: &mut Cluster, at: usize, id: &str) -> OperatorAnswer {
     cluster.unhandled.clear();
     let ask = CommandKey(cluster.now.micros());
@@ -32,19 +32,18 @@
             } if *of == ask => Some(answer.clone()),
             _ => None,
         });
-    answer.expect("every question is answered")
+    answer.expect("every command is answered")
 }
 
 fn reason(answer: OperatorAnswer) -> String {
     match answer {
         OperatorAnswer::NoRecord { reason: why } => why.into(),
-        other => panic!("{other:?} is no reason"),
+        other => panic!("expected no record, got {other:?}"),
     }
 }
 
-/// Every host is replaced at once. A support engineer must still be able to say what became of a
-/// filing, which may not repeat; what became of a question about a deadline goes with the hosts,
-/// and the answer says so.
+/// All hosts are replaced at the same time. The record of a call that must run at most once must
+/// survive; records of other calls are lost with the hosts, and the answer must say so.
 #[test]
 fn filing_is_explained_after_all_hosts_are_replaced() {
     let mut cluster = Cluster::new(3, 1);
@@ -64,8 +63,8 @@
     assert!(why.contains("host that served it is gone"), "{why}");
 }
 
-/// The only answer of the key-value service to a segment is lost, or it is out for a while. The
-/// explanation must be there all the same when it is needed.
+/// The key-value service has an outage when a segment of trace records is written. The records must
+/// be written after it.
 #[test]
 fn a_segment_is_written_again_after_an_outage() {
     let mut cluster = Cluster::new(3, 2);
@@ -80,9 +79,8 @@
     assert_matches!(explain(&mut cluster, 2, &id), OperatorAnswer::Record(_));
 }
 
-/// Late on the evening of a cutoff every member files. The key-value service takes a few hundred
-/// writes a second for everyone; explanations must not take more of them because there is more
-/// traffic, and ordinary requests must take none.
+/// The key-value service accepts a few hundred writes per second from all hosts together. Writes of
+/// trace records must not grow with traffic, and ordinary requests must cause none.
 #[test]
 fn writes_do_not_grow_with_the_traffic() {
     let writes = |calls: u64| {
@@ -97,12 +95,13 @@
     };
     let (few, many) = (writes(10), writes(1000));
     assert!(few > 0);
-    // At most one write in two seconds from the one host with filings, in two folders each.
+    // At most one write per two seconds from the one host with unrepeatable calls, each to two
+    // folders.
     assert!(many <= 20, "{many} segments for 1000 filings, {few} for 10");
 }
 
-/// A host dies while the service works on a call. Its last copy says that the request runs; an
-/// engineer who reads "running" would wait for an end that never comes.
+/// A host crashes while the service runs a call. The copy of its record still says "running"; it
+/// must be reported as lost, as its end will never be recorded.
 #[test]
 fn request_of_a_crashed_host_is_reported_lost() {
     let mut cluster = Cluster::new(3, 4);
@@ -119,8 +118,8 @@
     );
 }
 
-/// An engineer asks about an old request, a mistyped one and one that has not been made. Each
-/// gets its own reason, so that nobody takes an aged-out record for a request that never came.
+/// Expired, mistyped and future request ids each get their own reason, so that an expired record is
+/// not mistaken for a request that never arrived.
 #[test]
 fn reason_is_given_for_a_missing_record() {
     let mut cluster = Cluster::new(2, 5);
@@ -142,7 +141,7 @@
     assert!(cluster.store.keys("d/trace/").is_empty(), "segments expire");
 }
 
-/// A host serves for weeks. Its explanations must stay within its memory, whatever their size.
+/// Trace records of any size must stay within their memory limit, however many there are.
 #[test]
 fn records_stay_within_the_memory_limit() {
     let cluster = Cluster::new(1, 6);
@@ -161,5 +160,8 @@
         traces.keep(record);
         kept = traces.count().0;
     }
-    assert!((5_000..20_000).contains(&kept), "{kept} records in 12 MiB");
+    assert!(
+        (5_000..20_000).contains(&kept),
+        "{kept} records kept in 12 MiB, expected 5000 to 20000"
+    );
 }
