--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -391,9 +391,9 @@
 
     /// Returns the role of that name.
     #[must_use]
-    pub fn from_name(word: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         let all = [Self::Both, Self::Prefill, Self::Decode];
-        all.into_iter().find(|role| role.name() == word)
+        all.into_iter().find(|role| role.name() == name)
     }
 }
 
--- a/src/core/tests/lists.rs
+++ b/src/core/tests/lists.rs
@@ -18,36 +18,33 @@
     format!("[customer {CUSTOMER}]\nplan = p\nkeys = {key}\n")
 }
 
-fn apply(cluster: &mut Cluster, at: usize, ask: u64, key: &str) {
+fn apply(cluster: &mut Cluster, at: usize, command: u64, key: &str) {
     let edit = Edit {
         list: ListKind::Plans,
         text: plans(key).into(),
         base_revision: cluster.hosts[at].core.config.revision(),
     };
-    let ask = CommandKey(ask);
-    cluster.feed(
-        at,
-        Event::Operator(OperatorEvent::Apply { command: ask, edit }),
-    );
+    let command = CommandKey(command);
+    cluster.feed(at, Event::Operator(OperatorEvent::Apply { command, edit }));
 }
 
 /// Returns the answer to an operator's command.
-fn answer(cluster: &Cluster, ask: u64) -> Option<&OperatorAnswer> {
+fn answer(cluster: &Cluster, command: u64) -> Option<&OperatorAnswer> {
     cluster
         .unhandled
         .iter()
         .rev()
         .find_map(|(_, effect)| match effect {
             Effect::AnswerOperator {
-                command: asked,
+                command: key,
                 answer,
-            } if *asked == CommandKey(ask) => Some(answer),
+            } if *key == CommandKey(command) => Some(answer),
             _ => None,
         })
 }
 
-fn accepted(cluster: &Cluster, ask: u64) -> bool {
-    matches!(answer(cluster, ask), Some(OperatorAnswer::Accepted(_)))
+fn accepted(cluster: &Cluster, command: u64) -> bool {
+    matches!(answer(cluster, command), Some(OperatorAnswer::Accepted(_)))
 }
 
 fn has_key(cluster: &Cluster, at: usize, key: &str) -> bool {
@@ -64,22 +61,22 @@
 fn race(seed: u64) {
     let mut cluster = Cluster::new(3, seed);
     cluster.faults.lose_store_reply = 0.3;
-    let mut ask = 0;
+    let mut command = 0;
     for round in 0..12 {
         let before = cluster.hosts[0].core.config.revision();
         let names = [format!("a-{round}"), format!("b-{round}")];
         for (at, name) in names.iter().enumerate() {
-            apply(&mut cluster, at, ask + at as u64, name);
+            apply(&mut cluster, at, command + at as u64, name);
             let span = Duration::from_millis(cluster.rng.random_range(0..4));
             cluster.run(span);
         }
         run(&mut cluster, 8);
         let wins: Vec<&String> = (0..2)
-            .filter(|at| accepted(&cluster, ask + *at as u64))
+            .filter(|at| accepted(&cluster, command + *at as u64))
             .map(|at| &names[at])
             .collect();
-        let told = (answer(&cluster, ask), answer(&cluster, ask + 1));
-        assert_eq!(wins.len(), 1, "seed {seed}, round {round}: {told:?}");
+        let answers = (answer(&cluster, command), answer(&cluster, command + 1));
+        assert_eq!(wins.len(), 1, "seed {seed}, round {round}: {answers:?}");
         for at in 0..3 {
             let revision = cluster.hosts[at].core.config.revision();
             assert_eq!(
@@ -92,7 +89,7 @@
                 "seed {seed}: host {at} has another list"
             );
         }
-        ask += 2;
+        command += 2;
     }
     // Unreferenced chunks are deleted; what remains belongs to two lists and their predecessors.
     assert!(cluster.store.keys("d/chunk/").len() <= 12 + 4);
@@ -209,8 +206,8 @@
 fn frozen_host_does_not_bring_old_lists_back() {
     let mut cluster = Cluster::new(3, 6);
     cluster.freeze(2);
-    for (ask, key) in [(1, "one"), (2, "two"), (3, "three")] {
-        apply(&mut cluster, 0, ask, key);
+    for (command, key) in [(1, "one"), (2, "two"), (3, "three")] {
+        apply(&mut cluster, 0, command, key);
         run(&mut cluster, 2);
     }
     cluster.thaw(2);
--- a/src/core/tests/once.rs
+++ b/src/core/tests/once.rs
@@ -147,10 +147,10 @@
 /// record expires.
 #[test]
 fn start_with_a_lost_reply_is_released() {
-    for asker in 0..3 {
+    for requester in 0..3 {
         let mut cluster = Cluster::new(3, 7);
         cluster.store.lose_record_replies = 1;
-        let first = cluster.call(asker, "k", 1);
+        let first = cluster.call(requester, "k", 1);
         cluster.run(Duration::from_secs(3));
         assert_matches!(&cluster.sent[first].result, Some(CallerResult::Refused(refusal)) if refusal.ran == Ran::No);
         let second = cluster.call(1, "k", 1);
@@ -166,14 +166,14 @@
 fn start_answered_after_the_timeout_is_released() {
     for owner in 0..3 {
         let mut cluster = Cluster::new(3, 11);
-        let asker = (owner + 1) % 3;
-        cluster.blocked_links.push((owner, asker));
-        let first = cluster.call(asker, "k", 1);
+        let requester = (owner + 1) % 3;
+        cluster.blocked_links.push((owner, requester));
+        let first = cluster.call(requester, "k", 1);
         cluster.run(Duration::from_millis(2500));
         cluster.blocked_links.clear();
         cluster.run(Duration::from_secs(2));
         assert!(cluster.sent[first].result.is_some());
-        let second = cluster.call(asker, "k", 1);
+        let second = cluster.call(requester, "k", 1);
         cluster.run(Duration::from_secs(4));
         assert_matches!(
             &cluster.sent[second].result,
--- a/src/core/tests/order.rs
+++ b/src/core/tests/order.rs
@@ -638,9 +638,9 @@
     }
 }
 
-/// A host starts and takes requests just before an engine is withdrawn, and the holder's watch lags:
-/// the holder knows that the withdrawal is stored, but not of the new host. It must not count hosts
-/// before its watch has caught up, or its order would cut the new host's streams.
+/// A host starts and takes requests just before an engine is withdrawn, and the holder's watch
+/// lags: the holder has stored the withdrawal, but has not seen the new host. It must not count
+/// hosts before its watch has caught up, or its order would cut the new host's streams.
 #[test]
 fn host_unknown_to_the_holder_loses_no_stream() {
     let mut site = Site::new(3, Fencing::Checks, 18);
@@ -667,9 +667,9 @@
     assert!(site.engines.iter().any(|one| !one.applied.is_empty()));
 }
 
-/// The holder's watch breaks and is reopened. A host may have joined and been partitioned meanwhile,
-/// with streams by an old view. The holder starts no change until such a host has reached its
-/// cut-off time.
+/// The holder's watch breaks and is reopened. A host may have joined and been partitioned
+/// meanwhile, with streams by an old view. The holder starts no change until such a host has
+/// reached its cut-off time.
 #[test]
 fn holder_with_a_broken_watch_waits() {
     let mut site = Site::new(3, Fencing::Checks, 19);
@@ -864,8 +864,8 @@
     });
 }
 
-/// The platform's list marks an engine as leaving. After the next read of the list, no host sends it
-/// new requests.
+/// The platform's list marks an engine as leaving. After the next read of the list, no host sends
+/// it new requests.
 #[test]
 fn a_leaving_engine_gets_no_new_work() {
     let mut site = Site::new(3, Fencing::Checks, 16);
--- a/src/core/tests/poison.rs
+++ b/src/core/tests/poison.rs
@@ -51,8 +51,8 @@
     two_crashes_block: POISON, [(POISON, "e1", 1, false), (POISON, "e2", 2, false)], 3 => true,
     two_reports_of_one_crash: POISON, [(POISON, "e1", 1, false), (POISON, "e1", 2, false)], 3
         => false,
-    two_crashes_of_one_engine_block: POISON, [(POISON, "e1", 1, false), (POISON, "e1", 60, false)], 61
-        => true,
+    two_crashes_of_one_engine_block: POISON, [(POISON, "e1", 1, false), (POISON, "e1", 60, false)],
+        61 => true,
     request_that_shared_both_engines_is_not_blocked: INNOCENT, [
         (INNOCENT, "e1", 1, true), (POISON, "e1", 1, false),
         (INNOCENT, "e2", 3, true), (POISON, "e2", 3, false),
@@ -65,6 +65,6 @@
         3 => true,
     block_expires_after_ten_minutes: POISON, [(POISON, "e1", 1, false), (POISON, "e2", 2, false)],
         700 => false,
-    other_fingerprint_is_not_blocked: INNOCENT, [(POISON, "e1", 1, false), (POISON, "e2", 2, false)], 3
-        => false,
+    other_fingerprint_is_not_blocked: INNOCENT, [(POISON, "e1", 1, false), (POISON, "e2", 2, false)],
+        3 => false,
 }
--- a/src/core/tests/request.rs
+++ b/src/core/tests/request.rs
@@ -86,15 +86,15 @@
             offset,
             tokens,
         }));
-        let passed = |effect: &Effect| matches!(effect, Effect::Deliver { .. });
-        self.out.iter().any(passed)
+        let forwarded = |effect: &Effect| matches!(effect, Effect::Deliver { .. });
+        self.out.iter().any(forwarded)
     }
 
     /// Delivers the end marker to the core; returns whether the answer is complete.
     fn stream_completed(&mut self, attempt: AttemptKey) -> bool {
         self.feed(Event::Request(RequestEvent::StreamCompleted(attempt)));
-        let whole = |effect: &Effect| matches!(effect, Effect::Finish(_));
-        self.out.iter().any(whole)
+        let completed = |effect: &Effect| matches!(effect, Effect::Finish(_));
+        self.out.iter().any(completed)
     }
 
     fn fail_attempt(&mut self, attempt: AttemptKey, end: AttemptFailure) {
--- a/src/core/tests/trace.rs
+++ b/src/core/tests/trace.rs
@@ -15,21 +15,18 @@
 /// Queries the trace record of a request at a host, and waits for the answer.
 fn explain(cluster: &mut Cluster, at: usize, id: &str) -> OperatorAnswer {
     cluster.unhandled.clear();
-    let ask = CommandKey(cluster.now.micros());
+    let command = CommandKey(cluster.now.micros());
     let id = id.into();
-    cluster.feed(
-        at,
-        Event::Operator(OperatorEvent::Explain { command: ask, id }),
-    );
+    cluster.feed(at, Event::Operator(OperatorEvent::Explain { command, id }));
     cluster.run(Duration::from_secs(4));
     let answer = cluster
         .unhandled
         .iter()
         .find_map(|(_, effect)| match effect {
             Effect::AnswerOperator {
-                command: of,
+                command: key,
                 answer,
-            } if *of == ask => Some(answer.clone()),
+            } if *key == command => Some(answer.clone()),
             _ => None,
         });
     answer.expect("every command is answered")
