--- a/src/core/tests/role.rs
+++ b/src/core/tests/role.rs
@@ -8,11 +8,11 @@
 use slotmap::SlotMap;
 
 /// Prompt and output tokens per second for which three prefill engines of nine are right.
-const BALANCED: (f64, f64) = (16_000.0, 4_000.0);
+const BALANCED_DEMAND: (f64, f64) = (16_000.0, 4_000.0);
 /// Twice the prompt tokens, which needs more prefill engines.
-const PREFILL_HEAVY: (f64, f64) = (32_000.0, 3_000.0);
+const PREFILL_HEAVY_DEMAND: (f64, f64) = (32_000.0, 3_000.0);
 /// Two demands: three prefill engines are right for their mean, but not for the second alone.
-const ALTERNATING: [(f64, f64); 2] = [(12_000.0, 5_000.0), (24_000.0, 3_000.0)];
+const ALTERNATING_DEMANDS: [(f64, f64); 2] = [(12_000.0, 5_000.0), (24_000.0, 3_000.0)];
 
 /// A split pool of nine engines, three of them for prefill.
 struct Pool {
@@ -43,9 +43,13 @@
         }
     }
 
-    /// Decides once per second under a demand, and returns the decided changes, without applying
+    /// Decides once per second under a demand; returns the decided changes, without applying
     /// them.
-    fn run(&mut self, seconds: std::ops::Range<u64>, demand: fn(u64) -> (f64, f64)) -> Vec<Change> {
+    fn decide_during(
+        &mut self,
+        seconds: std::ops::Range<u64>,
+        demand: fn(u64) -> (f64, f64),
+    ) -> Vec<Change> {
         let changes = seconds.filter_map(|second| {
             let (prompt, output) = demand(second);
             let view = View {
@@ -66,8 +70,8 @@
 fn lasting_shift_changes_a_role() {
     for (goodput, change) in [(4.0, 5.0), (1.0, 30.0)] {
         let mut pool = Pool::new(goodput, change);
-        assert_eq!(pool.run(0..60, |_| BALANCED), []);
-        let changes = pool.run(60..120, |_| PREFILL_HEAVY);
+        assert_eq!(pool.decide_during(0..60, |_| BALANCED_DEMAND), []);
+        let changes = pool.decide_during(60..120, |_| PREFILL_HEAVY_DEMAND);
         let first = changes.first().expect("a change");
         assert_eq!(first.role, Role::Prefill);
         let engine = pool
@@ -84,13 +88,13 @@
 fn short_swing_changes_no_role() {
     let swing = |second| {
         if second % 10 < 5 {
-            ALTERNATING[0]
+            ALTERNATING_DEMANDS[0]
         } else {
-            ALTERNATING[1]
+            ALTERNATING_DEMANDS[1]
         }
     };
     for (goodput, change) in [(4.0, 5.0), (1.0, 30.0)] {
-        assert_eq!(Pool::new(goodput, change).run(0..300, swing), []);
+        assert_eq!(Pool::new(goodput, change).decide_during(0..300, swing), []);
     }
 }
 
@@ -100,7 +104,7 @@
 fn one_engine_changes_at_a_time() {
     let mut pool = Pool::new(4.0, 5.0);
     pool.engines[8].serving = false;
-    assert_eq!(pool.run(0..120, |_| PREFILL_HEAVY), []);
+    assert_eq!(pool.decide_during(0..120, |_| PREFILL_HEAVY_DEMAND), []);
 }
 
 /// Engines of an unsplit pool serve both stages; a role change would only make one unavailable.
@@ -108,7 +112,7 @@
 fn unsplit_pool_changes_no_role() {
     let mut pool = Pool::new(4.0, 5.0);
     pool.settings.split = false;
-    assert_eq!(pool.run(0..120, |_| PREFILL_HEAVY), []);
+    assert_eq!(pool.decide_during(0..120, |_| PREFILL_HEAVY_DEMAND), []);
 }
 
 /// A split pool starts with engines that serve both stages. If they kept doing so, long prompts
@@ -117,7 +121,7 @@
 fn engine_with_both_roles_gets_one() {
     let mut pool = Pool::new(4.0, 5.0);
     pool.engines[0].role = Role::Both;
-    let changes = pool.run(0..1, |_| BALANCED);
+    let changes = pool.decide_during(0..1, |_| BALANCED_DEMAND);
     assert_eq!(
         changes.first().map(|change| change.engine),
         Some(pool.engines[0].key)
