--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::effect::Refusal;
-use super::event::Print;
+use super::event::Fingerprint;
 use super::key::BackendKey;
 use super::route::{self, FREE_STREAM_MARGIN, Need};
 use super::{Core, load};
@@ -28,7 +28,7 @@
 ///
 /// Returns [`Kind::NoEngine`] if no engine of the model accepts work, and [`Kind::Overloaded`] if the answer would be
 /// late: a late answer is of no use to its caller and delays the next ones too.
-pub fn check(core: &mut Core, need: &Need, fingerprint: Print) -> Result<(), Refusal> {
+pub fn check(core: &mut Core, need: &Need, fingerprint: Fingerprint) -> Result<(), Refusal> {
     let Some(offer) = route::offer(core, need) else {
         return Err(Refusal::new(
             Kind::NoEngine,
@@ -38,7 +38,7 @@
     let Some(settings) = settings(core, need) else {
         return Ok(());
     };
-    let second = core.wall() / 1000;
+    let second = core.wall_ms() / 1000;
     let (fraction, margin) = if is_due(fingerprint, second) {
         (DUE_MAX_WAIT_FRACTION, 0.0)
     } else {
@@ -61,7 +61,7 @@
         return Ok(());
     }
     count_refused_demand(core, offer.choice.engine, need);
-    Err(Refusal::new(Kind::Overloaded, detail).retry(retry_after(fingerprint, second)))
+    Err(Refusal::new(Kind::Overloaded, detail).with_retry_after(retry_after(fingerprint, second)))
 }
 
 /// Whether a request arrives in its slot, or in the next one because of clock skew and network delay.
@@ -69,18 +69,18 @@
 /// Slots let hosts without shared state honor the retry time of a refusal: a refused caller is asked to retry in the
 /// slot given by its request's fingerprint, and any host then prefers it to requests outside their slots. The hosts'
 /// clocks agree within a second.
-fn is_due(fingerprint: Print, second: u64) -> bool {
+fn is_due(fingerprint: Fingerprint, second: u64) -> bool {
     let slot = slot(fingerprint);
     second % RETRY_SLOTS == slot || (second + RETRY_SLOTS - 1) % RETRY_SLOTS == slot
 }
 
 /// Returns the time until a request's slot, at least a second.
-fn retry_after(fingerprint: Print, second: u64) -> Duration {
+fn retry_after(fingerprint: Fingerprint, second: u64) -> Duration {
     let ahead = (slot(fingerprint) + RETRY_SLOTS - second % RETRY_SLOTS) % RETRY_SLOTS;
     Duration::from_secs(if ahead == 0 { RETRY_SLOTS } else { ahead })
 }
 
-fn slot(fingerprint: Print) -> u64 {
+fn slot(fingerprint: Fingerprint) -> u64 {
     u64::from(fingerprint.0[0]) % RETRY_SLOTS
 }
 
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -5,8 +5,8 @@
     read_plans, write_head,
 };
 use crate::core::effect::{Effect, OperatorAnswer};
-use crate::core::event::{Edit, Health, Job, StoreResult, Which};
-use crate::core::key::AskKey;
+use crate::core::event::{Edit, Health, Job, ListKind, StoreResult};
+use crate::core::key::CommandKey;
 use crate::core::{Core, Effects};
 use crate::lists::{self, Chunk, Lists, Uses};
 use crate::store::{Compare, Op, Pair, Reply, Span, Txn, TxnReply};
@@ -22,7 +22,7 @@
 /// An edit that is being written to the store.
 #[derive(Debug)]
 pub struct Pending {
-    list: Which,
+    list: ListKind,
     head: Head,
     /// Store revision at which the edited head was written; 0 if there is no head.
     base_modified: i64,
@@ -40,10 +40,13 @@
 ///
 /// While the store is known to be down, an edit is refused immediately: none of it was sent, and
 /// the operator need not wait for a timeout.
-pub fn apply(core: &mut Core, ask: AskKey, edit: &Edit, out: &mut Effects) {
+pub fn apply(core: &mut Core, ask: CommandKey, edit: &Edit, out: &mut Effects) {
     if core.members.store == Health::Down {
         let answer = OperatorAnswer::StoreDown;
-        out.push(Effect::Answer { ask, answer });
+        out.push(Effect::AnswerOperator {
+            command: ask,
+            answer,
+        });
         return;
     }
     match prepare(core, edit) {
@@ -51,7 +54,10 @@
             core.config.pending.insert(ask, pending);
             write_next(core, ask, out);
         }
-        Err(answer) => out.push(Effect::Answer { ask, answer }),
+        Err(answer) => out.push(Effect::AnswerOperator {
+            command: ask,
+            answer,
+        }),
     }
 }
 
@@ -59,16 +65,16 @@
     let current = &core.config.lists;
     // With a newer head that is not in force here yet, the edit would be checked against an
     // outdated version of the other list.
-    if edit.base != current.revision || core.config.newest_known() > current.revision {
+    if edit.base_revision != current.revision || core.config.newest_known() > current.revision {
         return Err(conflict(core, edit.list));
     }
     let mut lists = current.clone();
     let parsed = match edit.list {
-        Which::Plans => {
+        ListKind::Plans => {
             let parts = lists::chunks(&edit.text, MAX_CHUNK_BYTES);
             read_plans(&core.config, &parts).map(|plans| lists.plans = plans)
         }
-        Which::Uses => Uses::parse(&edit.text, "use").map(|uses| lists.uses = uses),
+        ListKind::Uses => Uses::parse(&edit.text, "use").map(|uses| lists.uses = uses),
     };
     parsed.map_err(|found| faults(&found))?;
     let found = lists::check(&lists.plans, &lists.uses);
@@ -132,11 +138,11 @@
     OperatorAnswer::Faults(lines.collect())
 }
 
-fn conflict(core: &Core, list: Which) -> OperatorAnswer {
+fn conflict(core: &Core, list: ListKind) -> OperatorAnswer {
     let lists = &core.config.lists;
     let text = match list {
-        Which::Plans => lists.plans.to_string(),
-        Which::Uses => lists.uses.to_string(),
+        ListKind::Plans => lists.plans.to_string(),
+        ListKind::Uses => lists.uses.to_string(),
     };
     OperatorAnswer::Conflict {
         revision: lists.revision,
@@ -145,7 +151,7 @@
 }
 
 /// Writes the next chunk, or swaps the head when all chunks are written.
-fn write_next(core: &mut Core, ask: AskKey, out: &mut Effects) {
+fn write_next(core: &mut Core, ask: CommandKey, out: &mut Effects) {
     let Some(pending) = core.config.pending.get(&ask) else {
         return;
     };
@@ -192,7 +198,7 @@
 }
 
 /// Continues an edit after an answer of the store.
-pub fn handle_reply(core: &mut Core, ask: AskKey, result: &StoreResult, out: &mut Effects) {
+pub fn handle_reply(core: &mut Core, ask: CommandKey, result: &StoreResult, out: &mut Effects) {
     let Some(pending) = core.config.pending.get_mut(&ask) else {
         return;
     };
@@ -230,7 +236,7 @@
 /// Resolves a failed swap: finds out whether this edit or another one was written.
 fn resolve_conflict(
     core: &mut Core,
-    ask: AskKey,
+    ask: CommandKey,
     found_head: Option<(Head, i64)>,
     out: &mut Effects,
 ) {
@@ -277,7 +283,7 @@
 
 /// Ends an edit: accepted if its head was written, at this store revision (0 if unknown), and
 /// otherwise refused with a conflict.
-fn finish(core: &mut Core, ask: AskKey, written_at: Option<i64>, out: &mut Effects) {
+fn finish(core: &mut Core, ask: CommandKey, written_at: Option<i64>, out: &mut Effects) {
     let Some(pending) = core.config.pending.remove(&ask) else {
         return;
     };
@@ -294,10 +300,16 @@
     } else {
         conflict(core, pending.list)
     };
-    out.push(Effect::Answer { ask, answer });
+    out.push(Effect::AnswerOperator {
+        command: ask,
+        answer,
+    });
 }
 
-fn close(core: &mut Core, ask: AskKey, answer: OperatorAnswer, out: &mut Effects) {
+fn close(core: &mut Core, ask: CommandKey, answer: OperatorAnswer, out: &mut Effects) {
     core.config.pending.remove(&ask);
-    out.push(Effect::Answer { ask, answer });
+    out.push(Effect::AnswerOperator {
+        command: ask,
+        answer,
+    });
 }
--- a/src/core/once/ask.rs
+++ b/src/core/once/ask.rs
@@ -6,7 +6,7 @@
 use super::owner::{self, QueuedOp};
 use super::{PendingOp, RecordOp, SWEEP_INTERVAL, remote_owner, schedule_check};
 use crate::core::effect::{Effect, Refusal};
-use crate::core::event::Stored;
+use crate::core::event::StoredResponse;
 use crate::core::key::{HostKey, RequestKey};
 use crate::core::message::{Begin, BeginState, Done, DoneState};
 use crate::core::request::{self, Phase};
@@ -41,14 +41,14 @@
         round,
         customer: request.record.customer.clone(),
         key: request.idempotency_key.clone().unwrap_or_default(),
-        print: request.fingerprint,
+        fingerprint: request.fingerprint,
         request: request.record.id.clone(),
     });
     submit(core, round, Some(key), op, out);
 }
 
 /// Requests the record of a call's response; the caller is answered when it is stored.
-pub fn finish(core: &mut Core, key: RequestKey, result: Stored, out: &mut Effects) {
+pub fn finish(core: &mut Core, key: RequestKey, result: StoredResponse, out: &mut Effects) {
     let kept = if result.body.len() > MAX_RESULT_BYTES {
         oversized_placeholder(result.status)
     } else {
@@ -59,11 +59,11 @@
 }
 
 /// Returns the placeholder for a response that is too large to keep.
-pub(super) fn oversized_placeholder(status: u16) -> Stored {
+pub(super) fn oversized_placeholder(status: u16) -> StoredResponse {
     let text = "{\"title\":\"The call ran; its answer was too long to be kept for a repeat.\"}";
-    Stored {
+    StoredResponse {
         status,
-        media: PROBLEM_MEDIA.into(),
+        content_type: PROBLEM_MEDIA.into(),
         body: text.as_bytes().into(),
     }
 }
@@ -308,7 +308,7 @@
         }
         state => apply_state(core, round, state, first, out),
     }
-    stop::look(core, out);
+    stop::finish_if_idle(core, out);
 }
 
 /// Continues a call according to the state of its record.
@@ -341,7 +341,7 @@
             Kind::StillRunning,
             format!("request {first} with the same idempotency key is still running"),
         )
-        .ran(Ran::Unknown),
+        .with_ran(Ran::Unknown),
         BeginState::MayHaveRun => Refusal::new(
             Kind::MayHaveRun,
             format!("request {first} may have run the call"),
@@ -373,7 +373,7 @@
     if let Some(key) = pending.and_then(|pending| pending.request) {
         deliver_result(core, key, out);
     }
-    stop::look(core, out);
+    stop::finish_if_idle(core, out);
 }
 
 /// Sends the caller the response that waited for its record.
--- a/src/core/order/authority.rs
+++ b/src/core/order/authority.rs
@@ -15,7 +15,7 @@
 use super::suspect::{Process, Suspect};
 use super::{RETRY_DELAY, name};
 use crate::core::effect::{Effect, log_event};
-use crate::core::event::{Health, Job, Ordered, StoreResult, Watched};
+use crate::core::event::{Health, Job, OrderResult, StoreResult, WatchedKey};
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects, Time};
 use crate::store::{Compare, Op, Range, Reply, Span, Txn, TxnReply};
@@ -113,7 +113,7 @@
     }
 
     /// Notes the end of an order; returns whether it was one of this pool's.
-    pub fn order_ended(&mut self, fence: u64, result: Ordered, now: Time) -> bool {
+    pub fn order_ended(&mut self, fence: u64, result: OrderResult, now: Time) -> bool {
         let Some(count) = self.in_flight.get_mut(&fence) else {
             return false;
         };
@@ -121,7 +121,7 @@
         if *count == 0 {
             self.in_flight.remove(&fence);
         }
-        if result == Ordered::Unknown {
+        if result == OrderResult::Unknown {
             self.in_flight_until = now.after(MAX_FLIGHT_TIME);
         }
         true
@@ -132,7 +132,7 @@
 #[must_use]
 pub fn holds(core: &Core, pool: PoolKey) -> bool {
     let authority = &core.orders.pool(pool).authority;
-    authority.stage == Stage::Held && core.now < authority.valid_until && !core.stop.begun()
+    authority.stage == Stage::Held && core.now < authority.valid_until && !core.stop.is_stopping()
 }
 
 /// Starts the next call about the authority over a pool, if one is due.
@@ -159,8 +159,8 @@
         Stage::ReadingBack if now >= authority.valid_until => give_up(core, pool, out),
         Stage::ReadingBack => read(core, pool, out),
         Stage::Held => {
-            let job = Job::Holder(pool);
-            start_call(core, pool, Effect::Renew { job, lease }, out);
+            let job = Job::Authority(pool);
+            start_call(core, pool, Effect::RenewLease { job, lease }, out);
         }
         _ => {}
     }
@@ -169,7 +169,7 @@
 /// Returns whether this host should try to become the holder now.
 fn may_try(core: &Core, pool: PoolKey) -> bool {
     let members = &core.members;
-    if core.stop.begun() || !members.registered || members.store != Health::Up {
+    if core.stop.is_stopping() || !members.registered || members.store != Health::Up {
         return false;
     }
     let Some(vacant) = core.orders.pool(pool).authority.vacant_since else {
@@ -199,7 +199,7 @@
         then: read_both(&name(core, pool)),
         otherwise: Vec::new(),
     };
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
@@ -250,8 +250,8 @@
     };
     (authority.record, authority.record_revision) = record;
     authority.stage = Stage::Granting;
-    let job = Job::Holder(pool);
-    start_call(core, pool, Effect::Grant { job, life }, out);
+    let job = Job::Authority(pool);
+    start_call(core, pool, Effect::GrantLease { job, ttl: life }, out);
 }
 
 /// Writes both keys, provided that nobody wrote them since they were read.
@@ -302,7 +302,7 @@
     };
     authority.record = record;
     authority.stage = Stage::Swapping;
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
@@ -368,7 +368,7 @@
         return;
     }
     let span = Span::Key(fence_key(&name(core, pool)));
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Read { job, span }, out);
 }
 
@@ -402,7 +402,7 @@
         then: vec![put_record(&pool_name, &authority.record)],
         otherwise: Vec::new(),
     };
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
@@ -429,7 +429,7 @@
         then: vec![put_record(&name, &record)],
         otherwise: Vec::new(),
     };
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     start_call(core, pool, Effect::Txn { job, txn }, out);
 }
 
@@ -439,7 +439,7 @@
     authority.maybe_recorded = true;
     let lease = std::mem::take(&mut authority.lease);
     if lease != 0 {
-        out.push(Effect::Revoke(lease));
+        out.push(Effect::RevokeLease(lease));
     }
 }
 
@@ -456,7 +456,7 @@
 }
 
 /// Handles a change of the holder's key.
-pub(super) fn watched(core: &mut Core, pool: PoolKey, pair: &Watched, out: &mut Effects) {
+pub(super) fn watched(core: &mut Core, pool: PoolKey, pair: &WatchedKey, out: &mut Effects) {
     let now = core.now;
     let authority = &mut core.orders.pool_mut(pool).authority;
     // Changes from before the takeover concern an earlier holder.
@@ -506,6 +506,6 @@
     };
     authority.stage = Stage::NotHeld;
     authority.lease = 0;
-    let job = Job::Holder(pool);
+    let job = Job::Authority(pool);
     out.push(Effect::Txn { job, txn });
 }
--- a/src/core/poison.rs
+++ b/src/core/poison.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use super::effect::{Effect, Refusal, log_event};
-use super::event::{Print, Role};
+use super::event::{Fingerprint, Role};
 use super::key::{BackendKey, HostKey, RequestKey};
 use super::load;
 use super::message::{Message, Suspect};
@@ -61,14 +61,14 @@
 /// Fingerprints of suspects.
 #[derive(Debug, Default)]
 pub struct PoisonRequests {
-    records: BTreeMap<Print, CrashRecord>,
+    records: BTreeMap<Fingerprint, CrashRecord>,
     /// Crash times, by engine, of crashes with a suspect that the engine had not begun to answer.
     unanswered_crashes: BTreeMap<Box<str>, Vec<u64>>,
 }
 
 impl PoisonRequests {
     /// Returns the record of a fingerprint, unless it has expired.
-    fn record(&self, fingerprint: Print, wall: u64) -> Option<&CrashRecord> {
+    fn record(&self, fingerprint: Fingerprint, wall: u64) -> Option<&CrashRecord> {
         let record = self.records.get(&fingerprint)?;
         let age = Duration::from_millis(wall.saturating_sub(record.last()));
         (age < SUSPICION_TTL).then_some(record)
@@ -82,7 +82,7 @@
     }
 
     /// Returns the crashes that count against a fingerprint.
-    fn counted(&self, fingerprint: Print, wall: u64) -> Vec<&Crash> {
+    fn counted(&self, fingerprint: Fingerprint, wall: u64) -> Vec<&Crash> {
         let crashes = self
             .record(fingerprint, wall)
             .map(|record| record.crashes.iter());
@@ -97,8 +97,8 @@
 ///
 /// Returns [`Kind::EngineKiller`] if requests with this fingerprint crashed `MAX_CRASHED_ENGINES` engines, with the
 /// time after which it may be retried.
-pub fn check(core: &Core, fingerprint: Print) -> Result<(), Refusal> {
-    let wall = core.wall();
+pub fn check(core: &Core, fingerprint: Fingerprint) -> Result<(), Refusal> {
+    let wall = core.wall_ms();
     let Some(record) = core.poison_requests.record(fingerprint, wall) else {
         return Ok(());
     };
@@ -112,18 +112,18 @@
         record.request
     );
     Err(Refusal::new(Kind::EngineKiller, detail)
-        .ran(crate::error::Ran::No)
-        .retry(SUSPICION_TTL.saturating_sub(age)))
+        .with_ran(crate::error::Ran::No)
+        .with_retry_after(SUSPICION_TTL.saturating_sub(age)))
 }
 
 /// Adds to `need` the engines that a request with this fingerprint must avoid.
 ///
 /// A request that crashed an engine goes to a single engine, the same from every host. Other requests go to one of two
 /// engines while these are not busy: the one with the prompt's prefix and the first one by fingerprint.
-pub fn restrict_engines(core: &Core, need: &mut Need, fingerprint: Print) {
+pub fn restrict_engines(core: &Core, need: &mut Need, fingerprint: Fingerprint) {
     let available = available_engines(core, need);
     let crashed: BTreeSet<Box<str>> = {
-        let crashes = core.poison_requests.counted(fingerprint, core.wall());
+        let crashes = core.poison_requests.counted(fingerprint, core.wall_ms());
         crashes.iter().map(|crash| crash.engine.clone()).collect()
     };
     let mut allowed = BTreeSet::new();
@@ -168,7 +168,7 @@
     }
 }
 
-fn rank(fingerprint: Print, engine: &str) -> [u8; 32] {
+fn rank(fingerprint: Fingerprint, engine: &str) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&fingerprint.0);
     hasher.update(engine.as_bytes());
@@ -187,9 +187,9 @@
     };
     let request = &core.requests.arena[key];
     let suspect = Suspect {
-        print: request.fingerprint,
+        fingerprint: request.fingerprint,
         engine,
-        at: core.wall(),
+        at_ms: core.wall_ms(),
         request: request.record.id.clone(),
         answering: request.answering(),
     };
@@ -207,23 +207,23 @@
 
 /// Sends the known suspects to a new host, which would otherwise run each of them once more.
 pub fn sync_new_host(core: &Core, to: HostKey, out: &mut Effects) {
-    let wall = core.wall();
+    let wall = core.wall_ms();
     let requests = &core.poison_requests;
     let records = requests.records.keys();
     let records = records
         .filter_map(|fingerprint| Some((*fingerprint, requests.record(*fingerprint, wall)?)));
     let suspects = records.flat_map(|(fingerprint, record)| {
         let suspect = move |crash: &Crash| Suspect {
-            print: fingerprint,
+            fingerprint: print: fingerprint,
             engine: crash.engine.clone(),
-            at: crash.at,
+            at_ms: crash.at,
             request: record.request.clone(),
             answering: crash.answering,
         };
         record.crashes.iter().map(suspect)
     });
     let mut suspects: Vec<Suspect> = suspects.collect();
-    suspects.sort_by_key(|suspect| std::cmp::Reverse(suspect.at));
+    suspects.sort_by_key(|suspect| std::cmp::Reverse(suspect.at_ms));
     suspects.truncate(MAX_SYNCED_SUSPECTS);
     out.extend(suspects.into_iter().map(|suspect| Effect::Send {
         to,
@@ -234,7 +234,7 @@
 /// Records a suspect reported by this host or by a peer.
 pub fn receive(core: &mut Core, suspect: Suspect) {
     // A peer's clock that runs ahead must not extend the suspicion.
-    let at = suspect.at.min(core.wall());
+    let at = suspect.at_ms.min(core.wall_ms());
     let requests = &mut core.poison_requests;
     if !suspect.answering {
         let times = requests
@@ -246,7 +246,7 @@
             times.push(at);
         }
     }
-    let record = requests.records.entry(suspect.print).or_default();
+    let record = requests.records.entry(suspect.fingerprint).or_default();
     let known = record
         .crashes
         .iter_mut()
--- a/src/core/request/failure.rs
+++ b/src/core/request/failure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::super::effect::{Effect, Meter, Refusal};
-use super::super::event::{Break, Timer, Want};
+use super::super::event::{AttemptFailure, RequestSpec, Timer};
 use super::super::key::{AttemptKey, BackendKey, RequestKey};
 use super::super::route::Choice;
 use super::super::{Core, Effects, poison};
@@ -28,7 +28,7 @@
     core: &mut Core,
     key: AttemptKey,
     ran: Ran,
-    cause: Break,
+    cause: AttemptFailure,
     detail: &str,
     out: &mut Effects,
 ) {
@@ -44,17 +44,20 @@
     out.push(Effect::Cancel(key));
     close_attempt(core, key, detail, ran);
     let entry = &mut core.requests.arena[request];
-    if matches!(entry.want, Want::Service(_)) {
+    if matches!(entry.want, RequestSpec::Service(_)) {
         core.fleet.record_failure(backend, core.now);
         service_failed(core, request, backend, ran, cause, detail, out);
         return;
     }
-    if cause == Break::Rejected {
-        let refusal = Refusal::new(Kind::Malformed, detail).ran(ran);
+    if cause == AttemptFailure::Rejected {
+        let refusal = Refusal::new(Kind::Malformed, detail).with_ran(ran);
         refuse(core, request, refusal, out);
         return;
     }
-    if matches!(cause, Break::Cut | Break::Silent) && entry.resumes < MAX_RESUMES && !split {
+    if matches!(cause, AttemptFailure::Cut | AttemptFailure::Silent)
+        && entry.resumes < MAX_RESUMES
+        && !split
+    {
         entry.resumes += 1;
         entry.last_break = Some(cause);
         note(
@@ -65,7 +68,7 @@
         resume(core, request, backend, label, out);
         return;
     }
-    if cause == Break::Forgotten {
+    if cause == AttemptFailure::Forgotten {
         core.fleet.record_success(backend);
     } else {
         core.fleet.record_failure(backend, core.now);
@@ -74,10 +77,11 @@
     // The engine closed this stream and now does not answer or does not know the attempt: it
     // crashed while running it. After a silence the same only shows that the connection or the
     // network was lost.
-    let gone = matches!(cause, Break::Unreachable | Break::Forgotten);
+    let gone = matches!(cause, AttemptFailure::Unreachable | AttemptFailure::Forgotten);
     // A prefill for another engine cannot be resumed, so a closed connection counts as a crash.
-    let crashed = gone && entry.last_break == Some(Break::Cut) || split && cause == Break::Cut;
-    if crashed || cause != Break::Forgotten {
+    let crashed = gone && entry.last_break == Some(AttemptFailure::Cut)
+        || split && cause == AttemptFailure::Cut;
+    if crashed || cause != AttemptFailure::Forgotten {
         entry.avoid.push(backend);
     }
     entry.resumes = 0;
@@ -86,7 +90,7 @@
         poison::report_crash(core, request, backend, out);
     }
     let delay = match cause {
-        Break::Refused | Break::Forgotten if !crashed => Duration::ZERO,
+        AttemptFailure::Refused | AttemptFailure::Forgotten if !crashed => Duration::ZERO,
         _ => RETRY_DELAY,
     };
     retry(core, request, detail, Kind::EngineFailed, delay, out);
@@ -119,7 +123,7 @@
     let request = &core.requests.arena[key];
     let ran = request.ran();
     if request.tries >= MAX_TRIES {
-        let refusal = Refusal::new(kind, format!("{detail}; no attempts left")).ran(ran);
+        let refusal = Refusal::new(kind, format!("{detail}; no attempts left")).with_ran(ran);
         give_up(core, key, refusal, out);
     } else if core.requests.take_retry() {
         let class = core.requests.arena[key].class.clone();
@@ -129,14 +133,14 @@
             dispatch(core, key, out);
         } else {
             core.requests.arena[key].phase = Phase::Pause;
-            out.push(Effect::Wake {
+            out.push(Effect::SetTimer {
                 at: core.now.after(delay),
                 timer: Timer::Request(key),
             });
         }
     } else {
         let refusal =
-            Refusal::new(kind, format!("{detail}; the retry budget is exhausted")).ran(ran);
+            Refusal::new(kind, format!("{detail}; the retry budget is exhausted")).with_ran(ran);
         give_up(core, key, refusal, out);
     }
 }
@@ -146,20 +150,23 @@
     key: RequestKey,
     backend: BackendKey,
     ran: Ran,
-    cause: Break,
+    cause: AttemptFailure,
     detail: &str,
     out: &mut Effects,
 ) {
     let request = &mut core.requests.arena[key];
     request.avoid.push(backend);
     let kind = match cause {
-        Break::Unreachable | Break::Refused => Kind::ServiceDown,
-        Break::Cut | Break::Silent | Break::Forgotten | Break::Rejected => Kind::ServiceFailed,
+        AttemptFailure::Unreachable | AttemptFailure::Refused => Kind::ServiceDown,
+        AttemptFailure::Cut
+        | AttemptFailure::Silent
+        | AttemptFailure::Forgotten
+        | AttemptFailure::Rejected => Kind::ServiceFailed,
     };
     if ran == Ran::No || request.retryable {
         retry(core, key, detail, kind, Duration::ZERO, out);
     } else {
-        let refusal = Refusal::new(kind, detail).ran(ran);
+        let refusal = Refusal::new(kind, detail).with_ran(ran);
         give_up(core, key, refusal, out);
     }
 }
@@ -184,7 +191,7 @@
     };
     let due = last.after(bound);
     if due > core.now {
-        out.push(Effect::Wake {
+        out.push(Effect::SetTimer {
             at: due,
             timer: Timer::Silence(key),
         });
@@ -194,5 +201,12 @@
         "silent for {} ms",
         millis(core.now.since(attempt.last_progress))
     );
-    attempt_failed(core, key, Ran::Unknown, Break::Silent, &detail, out);
+    attempt_failed(
+        core,
+        key,
+        Ran::Unknown,
+        AttemptFailure::Silent,
+        &detail,
+        out,
+    );
 }
--- a/src/core/request/mod.rs
+++ b/src/core/request/mod.rs
@@ -9,7 +9,10 @@
 
 use slotmap::SlotMap;
 
-use super::event::{Break, ModelWant, Print, RequestEvent, ServiceWant, Stored, Timer, Want};
+use super::event::{
+    AttemptFailure, Fingerprint, ModelRequest, RequestEvent, RequestSpec, ServiceRequest,
+    StoredResponse, Timer,
+};
 use super::key::{AttemptKey, BackendKey, RequestKey};
 use super::trace::{Note, Record};
 use super::{Core, Effects, Time, share};
@@ -43,11 +46,11 @@
 #[derive(Debug)]
 pub struct Request {
     /// Model or service that the caller requests.
-    pub want: Want,
+    pub want: RequestSpec,
     /// The caller's idempotency key.
     pub idempotency_key: Option<Box<str>>,
     /// Fingerprint of target and body.
-    pub fingerprint: Print,
+    pub fingerprint: Fingerprint,
     /// When it arrived.
     pub arrived: Time,
     /// When the last token was forwarded.
@@ -67,14 +70,14 @@
     /// Backend servers that failed it.
     pub avoid: Vec<BackendKey>,
     /// Response of a call that is not retryable, while its record is pending.
-    pub result: Option<Stored>,
+    pub result: Option<StoredResponse>,
     /// Whether the caller has closed its connection.
     pub caller_left: bool,
     /// Whether the event with the finish reason was forwarded.
     finished: bool,
     progress: Progress,
     /// How the last attempt ended, while it is being resumed at the same engine.
-    last_break: Option<Break>,
+    last_break: Option<AttemptFailure>,
     tries: u8,
     resumes: u8,
     class: Box<str>,
@@ -160,17 +163,17 @@
 pub fn step(core: &mut Core, event: RequestEvent, out: &mut Effects) {
     match event {
         RequestEvent::Arrived(arrival) => arrive::arrived(core, *arrival, out),
-        RequestEvent::Left(request) => end::caller_left(core, request, out),
+        RequestEvent::CallerLeft(request) => end::caller_left(core, request, out),
         RequestEvent::Began(attempt) => attempt::began(core, attempt),
-        RequestEvent::Held(attempt) => attempt::delivery_blocked(core, attempt),
-        RequestEvent::Chunk {
+        RequestEvent::DeliveryBlocked(attempt) => attempt::delivery_blocked(core, attempt),
+        RequestEvent::StreamEvent {
             attempt,
             offset,
             tokens,
         } => attempt::stream_event(core, attempt, offset, tokens, out),
-        RequestEvent::Whole(attempt) => attempt::stream_completed(core, attempt, out),
+        RequestEvent::StreamCompleted(attempt) => attempt::stream_completed(core, attempt, out),
         RequestEvent::Answered { attempt, result } => attempt::answered(core, attempt, result, out),
-        RequestEvent::Broke {
+        RequestEvent::AttemptFailed {
             attempt,
             ran,
             end,
@@ -190,7 +193,7 @@
 
 /// Adds a note on a decision to the trace record of a request.
 pub fn note(core: &mut Core, key: RequestKey, text: impl Into<Box<str>>) {
-    let wall = core.wall();
+    let wall = core.wall_ms();
     if let Some(request) = core.requests.arena.get_mut(key) {
         let at = wall.saturating_sub(request.record.arrived);
         request.record.notes.push(Note {
@@ -223,19 +226,19 @@
 
     /// Returns the completion that the caller requests, if it is one.
     #[must_use]
-    pub fn model(&self) -> Option<&ModelWant> {
+    pub fn model(&self) -> Option<&ModelRequest> {
         match &self.want {
-            Want::Model(want) => Some(want),
-            Want::Service(_) => None,
+            RequestSpec::Model(want) => Some(want),
+            RequestSpec::Service(_) => None,
         }
     }
 
     /// Returns the service call that the caller requests, if it is one.
     #[must_use]
-    pub fn service(&self) -> Option<&ServiceWant> {
+    pub fn service(&self) -> Option<&ServiceRequest> {
         match &self.want {
-            Want::Model(_) => None,
-            Want::Service(want) => Some(want),
+            RequestSpec::Model(_) => None,
+            RequestSpec::Service(want) => Some(want),
         }
     }
 }
--- a/src/core/share/ledger.rs
+++ b/src/core/share/ledger.rs
@@ -6,7 +6,7 @@
 
 use super::pledge::Pledged;
 use crate::core::Time;
-use crate::core::message::{Loan, Wish};
+use crate::core::message::{Loan, LoanRequest};
 use crate::lists::Quota;
 
 /// Seconds of a plan's rate that accrue at the owner while unused.
@@ -93,10 +93,10 @@
     }
 
     /// Lends what a host requests, as far as available.
-    pub fn lend(&mut self, host: &str, wish: &Wish, quota: &Quota, now: Time) -> Loan {
+    pub fn lend(&mut self, host: &str, wish: &LoanRequest, quota: &Quota, now: Time) -> Loan {
         self.last_used = now;
-        self.requests += wish.back_requests;
-        self.tokens += wish.back_tokens;
+        self.requests += wish.returned_requests;
+        self.tokens += wish.returned_tokens;
         self.clamp(quota);
         let running = self.lend_permits(host, wish, quota);
         let mut loan = Loan {
@@ -112,7 +112,7 @@
         if wait > 0.0 {
             let millis =
                 Duration::from_secs_f64(wait.clamp(MIN_WAIT_SECS, MAX_WAIT_SECS)).as_millis();
-            loan.wait = u32::try_from(millis).unwrap_or(u32::MAX);
+            loan.retry_ms = u32::try_from(millis).unwrap_or(u32::MAX);
             return loan;
         }
         if quota.requests.is_some() {
@@ -121,7 +121,7 @@
             self.requests -= loan.requests;
         }
         if quota.tokens.is_some() {
-            loan.tokens = wish.tokens.min(self.tokens).max(wish.least).max(0.0);
+            loan.tokens = wish.tokens.min(self.tokens).max(wish.min_tokens).max(0.0);
             self.tokens -= loan.tokens;
         }
         loan
@@ -131,7 +131,7 @@
     ///
     /// A request larger than the full burst goes once the burst is full, and leaves the balance
     /// negative.
-    fn wait_secs(&self, wish: &Wish, quota: &Quota, running: u32) -> f64 {
+    fn wait_secs(&self, wish: &LoanRequest, quota: &Quota, running: u32) -> f64 {
         let until = |need: f64, burst: f64, have: f64, rate: Option<f64>| {
             let rate = rate? * self.fraction;
             Some((need.min(burst * self.fraction) - have) / rate)
@@ -139,7 +139,7 @@
         let (burst, rate) = (request_burst(quota), quota.requests);
         let requests = until(first_request(wish), burst, self.requests, rate).unwrap_or(0.0);
         let (burst, rate) = (token_burst(quota), quota.tokens);
-        let tokens = until(wish.least, burst, self.tokens, rate).unwrap_or(0.0);
+        let tokens = until(wish.min_tokens, burst, self.tokens, rate).unwrap_or(0.0);
         let no_permit = wish.waiting > 0 && wish.running > 0 && running == 0;
         let permit = match quota.running {
             Some(_) if no_permit => PERMIT_WAIT_SECS,
@@ -149,7 +149,7 @@
     }
 
     /// Lends permits for running requests; returns how many.
-    fn lend_permits(&mut self, host: &str, wish: &Wish, quota: &Quota) -> u32 {
+    fn lend_permits(&mut self, host: &str, wish: &LoanRequest, quota: &Quota) -> u32 {
         let Some(limit) = quota.running else {
             return 0;
         };
@@ -184,7 +184,7 @@
 }
 
 /// Returns the requests without which the first waiting one cannot go.
-fn first_request(wish: &Wish) -> f64 {
+fn first_request(wish: &LoanRequest) -> f64 {
     wish.requests.min(f64::from(wish.waiting.min(1)))
 }
 
--- a/src/core/stop.rs
+++ b/src/core/stop.rs
@@ -1,124 +1,127 @@
-//! Planned stop of this host: no new work, every request finished, then the end.
+//! Planned stop of this host: it refuses new work, finishes running requests, then exits.
 
 use std::time::Duration;
 
-use super::effect::{Effect, Note, log_event};
+use super::effect::{Effect, LogFields, log_event};
 use super::event::{StopEvent, Timer};
 use super::{Core, Effects, Time, member, order, share, trace};
 
-/// Time between the first word of the stop and the end of new connections.
+/// Time from the start of the stop until the listeners close.
 ///
-/// The balancer hears of it from the readiness check, which it asks about once a second; closed
-/// at once, the listener would refuse callers whom the balancer still sends here.
-const NOTICE: Duration = Duration::from_secs(1);
+/// The load balancer learns of the stop from its readiness check, about once a second; listeners
+/// that closed immediately would refuse callers that the balancer still sends here.
+const DRAIN_NOTICE: Duration = Duration::from_secs(1);
 
-/// The same for a host that relays: its balancer takes a host out after two checks without a yes,
-/// which come once a second.
+/// The same for a relaying host, whose load balancer removes a host after two failed readiness
+/// checks, one per second.
 ///
-/// Requests that come on kept connections later are refused: a stream taken then may last longer
-/// than the host may, and is cut when the host is killed.
-const RELAY_NOTICE: Duration = Duration::from_millis(2500);
-/// Part of the time for a planned stop that is left when a relaying host gives up what still runs.
+/// Requests that arrive later on kept-alive connections are refused: a stream accepted then may
+/// outlast the stop, and would be cut when the platform kills the host.
+const RELAY_DRAIN_NOTICE: Duration = Duration::from_millis(2500);
+
+/// Divisor that gives the part of the stop's time that a relaying host reserves at its end, after
+/// it has abandoned the requests that still run.
 ///
-/// The platform kills the host at the end of that time: the callers would see their connections
-/// vanish, and the log would not say whose requests those were. Half a second of eight is enough
-/// for the last writes of a host with a fifth of a core.
-const LEFT: u32 = 16;
-/// Time for the last answers to be written once the bound is reached.
-const LAST_WRITES: Duration = Duration::from_millis(150);
-
-/// How far a planned stop is.
+/// The platform kills the host at the end of that time: callers would lose their connections
+/// without an answer, and the log would not name their requests. Half a second of eight suffices
+/// for the final writes of a host with a fifth of a core.
+const RELAY_RESERVE_DIVISOR: u32 = 16;
+
+/// Time to write final answers after requests were abandoned.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// Progress of a planned stop.
 #[derive(Debug, Default)]
 pub struct Stop {
-    since: Option<Time>,
+    started: Option<Time>,
     /// Whether every connection of a caller is closed.
     idle: bool,
     phase: Phase,
 }
 
-/// Parts of a planned stop, in their order.
+/// Phases of a planned stop, in order.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// New callers may come.
+    /// New connections are accepted.
     #[default]
     Open,
-    /// No new connection is taken.
+    /// The listeners are closed.
     Closed,
-    /// What ran has been given up.
-    GivenUp,
-    /// The process may end.
+    /// Requests that still ran have been abandoned.
+    Abandoned,
+    /// The process may exit.
     Done,
 }
 
 impl Stop {
     /// Returns whether this host is stopping.
     #[must_use]
-    pub fn begun(&self) -> bool {
-        self.since.is_some()
+    pub fn is_stopping(&self) -> bool {
+        self.started.is_some()
     }
 
-    /// Returns whether this host takes no new connections any more.
+    /// Returns whether the listeners are closed.
     #[must_use]
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.phase >= Phase::Closed
     }
 }
 
-/// Begins the stop, or goes on with it.
+/// Handles a stop event.
 pub fn step(core: &mut Core, event: StopEvent, out: &mut Effects) {
     match event {
-        StopEvent::Begin if !core.stop.begun() => begin(core, out),
+        StopEvent::Begin if !core.stop.is_stopping() => begin(core, out),
         StopEvent::Begin => {}
         StopEvent::Idle => {
             core.stop.idle = true;
-            look(core, out);
+            finish_if_idle(core, out);
         }
     }
 }
 
 fn begin(core: &mut Core, out: &mut Effects) {
-    core.stop.since = Some(core.now);
+    core.stop.started = Some(core.now);
     let running = running(core);
-    say(
+    log_step(
         core,
         log::Level::Info,
         "host.stopping",
-        "a planned stop began",
+        "planned stop started",
         running,
         out,
     );
     let notice = if core.settings.relay.is_some() {
-        RELAY_NOTICE
+        RELAY_DRAIN_NOTICE
     } else {
-        NOTICE
+        DRAIN_NOTICE
     };
     let notice = notice.min(core.settings.limits.stop / 3);
-    out.push(Effect::Wake {
+    out.push(Effect::SetTimer {
         at: core.now.after(notice),
         timer: Timer::Stop,
     });
-    // Peers pass this host over from now on; shards and loans move while it still answers.
+    // From here on peers skip this host; its shards and loans move while it still answers.
     member::send_heartbeats(core, out);
     share::leave(core, out);
     order::release(core, out);
     super::once::view_changed(core, out);
-    look(core, out);
+    finish_if_idle(core, out);
 }
 
-/// Returns how many requests this host holds.
+/// Returns the number of requests that this host is serving.
 fn running(core: &Core) -> usize {
     core.requests.arena.len() + core.relay.calls.len()
 }
 
-/// Ends the process once nothing is left to do.
-pub fn look(core: &mut Core, out: &mut Effects) {
+/// Ends the process once every connection is closed and no work is left.
+pub fn finish_if_idle(core: &mut Core, out: &mut Effects) {
     let stop = &core.stop;
-    if !stop.begun() || stop.phase == Phase::Done || !stop.idle {
+    if !stop.is_stopping() || stop.phase == Phase::Done || !stop.idle {
         return;
     }
     if running(core) == 0 && core.once.idle() {
-        let why = if stop.phase == Phase::GivenUp {
-            BOUND_REACHED
+        let why = if stop.phase == Phase::Abandoned {
+            STOP_TIMED_OUT
         } else {
             "every request is finished"
         };
@@ -126,54 +129,54 @@
     }
 }
 
-/// Why a planned stop ended with requests still running.
-const BOUND_REACHED: &str = "the bound is reached";
+/// Reason of a planned stop that ended with requests still running.
+const STOP_TIMED_OUT: &str = "the bound is reached";
 
-/// The notice is over, or the stop has reached its bound.
+/// Enters the next phase of the stop when its time has come.
 pub fn timer(core: &mut Core, out: &mut Effects) {
-    let Some(since) = core.stop.since else {
+    let Some(since) = core.stop.started else {
         return;
     };
     match core.stop.phase {
         Phase::Open => {
             core.stop.phase = Phase::Closed;
-            out.push(Effect::Close);
-            out.push(Effect::Wake {
-                at: since.after(bound(core)),
+            out.push(Effect::CloseListeners);
+            out.push(Effect::SetTimer {
+                at: since.after(abandon_after(core)),
                 timer: Timer::Stop,
             });
         }
-        Phase::Closed => give_up(core, out),
-        Phase::GivenUp => finish(core, BOUND_REACHED, out),
+        Phase::Closed => abandon_requests(core, out),
+        Phase::Abandoned => finish(core, STOP_TIMED_OUT, out),
         Phase::Done => {}
     }
 }
 
-/// Returns the time after which this host gives up what still runs.
-fn bound(core: &Core) -> Duration {
+/// Returns the time after which this host abandons the requests that still run.
+fn abandon_after(core: &Core) -> Duration {
     let stop = core.settings.limits.stop;
     if core.settings.relay.is_some() {
-        stop.saturating_sub(stop / LEFT)
+        stop.saturating_sub(stop / RELAY_RESERVE_DIVISOR)
     } else {
         stop
     }
 }
 
-/// Ends what still runs, so that each caller is told, and each request is in the log.
-fn give_up(core: &mut Core, out: &mut Effects) {
-    core.stop.phase = Phase::GivenUp;
+/// Ends the requests that still run, so that each caller gets an answer and each request is logged.
+fn abandon_requests(core: &mut Core, out: &mut Effects) {
+    core.stop.phase = Phase::Abandoned;
     let running = running(core);
-    say(
+    log_step(
         core,
         log::Level::Error,
         "host.stop_bound",
-        BOUND_REACHED,
+        STOP_TIMED_OUT,
         running,
         out,
     );
-    super::relay::abandon_all(core, BOUND_REACHED, out);
-    out.push(Effect::Wake {
-        at: core.now.after(LAST_WRITES),
+    super::relay::abandon_all(core, STOP_TIMED_OUT, out);
+    out.push(Effect::SetTimer {
+        at: core.now.after(FINAL_WRITE_TIMEOUT),
         timer: Timer::Stop,
     });
 }
@@ -183,12 +186,12 @@
     trace::flush(core, out);
     member::unregister(core, out);
     let running = running(core);
-    say(core, log::Level::Info, "host.stopped", why, running, out);
+    log_step(core, log::Level::Info, "host.stopped", why, running, out);
     out.push(Effect::Exit);
 }
 
-/// Logs a step of the stop, in the form of this host's other events.
-fn say(
+/// Logs a step of the stop, in the same form as this host's other events.
+fn log_step(
     core: &Core,
     level: log::Level,
     name: &'static str,
@@ -197,7 +200,7 @@
     out: &mut Effects,
 ) {
     if core.settings.relay.is_some() {
-        out.push(Effect::Note(Note {
+        out.push(Effect::LogFields(LogFields {
             level,
             name,
             fields: vec![("why", why.into()), ("running", running.to_string().into())],
--- a/src/core/tests/role.rs
+++ b/src/core/tests/role.rs
@@ -1,4 +1,4 @@
-//! When an engine's role changes, and when it does not.
+//! Decisions to change an engine's role.
 
 use crate::core::Time;
 use crate::core::event::Role;
@@ -7,18 +7,18 @@
 use crate::settings::PoolSettings;
 use slotmap::SlotMap;
 
-/// Work of nine engines for which a third of them for prefill is right.
-const USUAL: (f64, f64) = (16_000.0, 4_000.0);
-/// Twice the prompts, for which it is not.
-const PROMPTS: (f64, f64) = (32_000.0, 3_000.0);
-/// Two demands for whose mean it is right, and for the second alone it is not.
-const SWING: [(f64, f64); 2] = [(12_000.0, 5_000.0), (24_000.0, 3_000.0)];
+/// Prompt and output tokens per second for which three prefill engines of nine are right.
+const BALANCED_DEMAND: (f64, f64) = (16_000.0, 4_000.0);
+/// Twice the prompt tokens, which needs more prefill engines.
+const PREFILL_HEAVY_DEMAND: (f64, f64) = (32_000.0, 3_000.0);
+/// Two demands: three prefill engines are right for their mean, but not for the second alone.
+const ALTERNATING_DEMANDS: [(f64, f64); 2] = [(12_000.0, 5_000.0), (24_000.0, 3_000.0)];
 
 /// A split pool of nine engines, three of them for prefill.
 struct Pool {
     settings: PoolSettings,
     engines: Vec<Engine>,
-    memory: DecisionState,
+    state: DecisionState,
 }
 
 impl Pool {
@@ -39,12 +39,13 @@
         Self {
             settings,
             engines: (0..9).map(engine).collect(),
-            memory: DecisionState::default(),
+            state: DecisionState::default(),
         }
     }
 
-    /// Lets seconds pass under a demand, and returns the changes wished for; none is carried out.
-    fn pass(
+    /// Decides once per second under a demand; returns the decided changes, without applying
+    /// them.
+    fn decide_during(
         &mut self,
         seconds: std::ops::Range<u64>,
         demand: fn(u64) -> (f64, f64),
@@ -58,19 +59,19 @@
                 prompt,
                 output,
             };
-            decide(&view, &mut self.memory)
+            decide(&view, &mut self.state)
         });
         changes.collect()
     }
 }
 
-/// Prompts grow longer and stay so: without a change they would wait for ever.
+/// Prompts grow longer permanently; without a role change their queue would grow without limit.
 #[test]
-fn lasting_shift_is_followed() {
+fn lasting_shift_changes_a_role() {
     for (goodput, change) in [(4.0, 5.0), (1.0, 30.0)] {
         let mut pool = Pool::new(goodput, change);
-        assert_eq!(pool.pass(0..60, |_| USUAL), []);
-        let changes = pool.pass(60..120, |_| PROMPTS);
+        assert_eq!(pool.decide_during(0..60, |_| BALANCED_DEMAND), []);
+        let changes = pool.decide_during(60..120, |_| PREFILL_HEAVY_DEMAND);
         let first = changes.first().expect("a change");
         assert_eq!(first.role, Role::Prefill);
         let engine = pool
@@ -81,39 +82,46 @@
     }
 }
 
-/// The mix swings to and fro within seconds. An engine that followed would be away most of the
-/// time, and callers would wait for it.
+/// The mix alternates within seconds. An engine that changed its role each time would be
+/// unavailable most of the time.
 #[test]
-fn swing_is_not_followed() {
-    let swing = |second| if second % 10 < 5 { SWING[0] } else { SWING[1] };
+fn short_swing_changes_no_role() {
+    let swing = |second| {
+        if second % 10 < 5 {
+            ALTERNATING_DEMANDS[0]
+        } else {
+            ALTERNATING_DEMANDS[1]
+        }
+    };
     for (goodput, change) in [(4.0, 5.0), (1.0, 30.0)] {
-        assert_eq!(Pool::new(goodput, change).pass(0..300, swing), []);
+        assert_eq!(Pool::new(goodput, change).decide_during(0..300, swing), []);
     }
 }
 
-/// One engine is away for a change already. A second one taken from so small a pool would cost
-/// more than the shift does.
+/// One engine is unavailable because of a change. Taking a second one from so small a pool would
+/// cost more than the shift in demand.
 #[test]
-fn one_engine_is_away_at_a_time() {
+fn one_engine_changes_at_a_time() {
     let mut pool = Pool::new(4.0, 5.0);
     pool.engines[8].serving = false;
-    assert_eq!(pool.pass(0..120, |_| PROMPTS), []);
+    assert_eq!(pool.decide_during(0..120, |_| PREFILL_HEAVY_DEMAND), []);
 }
 
-/// Engines of a pool that is not split serve both parts; an order to change would only stop one.
+/// Engines of an unsplit pool serve both stages; a role change would only make one unavailable.
 #[test]
-fn unsplit_pool_is_left_alone() {
+fn unsplit_pool_changes_no_role() {
     let mut pool = Pool::new(4.0, 5.0);
     pool.settings.split = false;
-    assert_eq!(pool.pass(0..120, |_| PROMPTS), []);
+    assert_eq!(pool.decide_during(0..120, |_| PREFILL_HEAVY_DEMAND), []);
 }
 
-/// A split pool starts with engines that do both; left so, long prompts hold up every answer.
+/// A split pool starts with engines that serve both stages. If they kept doing so, long prompts
+/// would delay the decoding of other requests.
 #[test]
-fn engines_that_do_both_get_a_role() {
+fn engine_with_both_roles_gets_one() {
     let mut pool = Pool::new(4.0, 5.0);
     pool.engines[0].role = Role::Both;
-    let changes = pool.pass(0..1, |_| USUAL);
+    let changes = pool.decide_during(0..1, |_| BALANCED_DEMAND);
     assert_eq!(
         changes.first().map(|change| change.engine),
         Some(pool.engines[0].key)
--- a/src/core/tests/route.rs
+++ b/src/core/tests/route.rs
@@ -1,15 +1,15 @@
-//! Which engine a request goes to, and when it is refused.
+//! Choice of an engine, and admission.
 
 use std::time::Duration;
 
-use crate::core::event::{Entry, EntryKind, Event, FleetEvent, Print, Report, Role};
+use crate::core::event::{Entry, EntryKind, Event, Fingerprint, FleetEvent, Report, Role};
 use crate::core::load;
-use crate::core::message::Sent;
+use crate::core::message::SentPrompt;
 use crate::core::route::{self, Need};
 use crate::core::{Core, Effects, Time, admit};
 
-/// Prompt tokens that keep an engine busy for long.
-const MUCH: u32 = 1_000_000;
+/// Prompt tokens that keep an engine busy for a long time.
+const LONG_PROMPT_TOKENS: u32 = 1_000_000;
 
 fn core(engines: usize) -> Core {
     let mut core = Core::new(super::settings("host"), Time::default(), 0, 1);
@@ -40,30 +40,30 @@
     }
 }
 
-fn told(core: &mut Core, engine: &str) {
+fn receive_sent(core: &mut Core, engine: &str) {
     let key = core.fleet.find(engine).expect("a listed engine");
-    let sent = Sent {
+    let sent = SentPrompt {
         engine: core.fleet.arena[key].name_hash,
-        prompt: MUCH,
+        prompt_tokens: LONG_PROMPT_TOKENS,
     };
     load::receive_sent(core, sent);
 }
 
-/// Another host has just sent much to an engine whose report still says idle. Whoever believed
-/// the report would wait behind it.
+/// Another host has just sent a long prompt to an engine whose last report shows it idle. A request
+/// routed by the report alone would queue behind that prompt.
 #[test]
-fn engine_that_another_host_filled_is_left_alone() {
+fn engine_filled_by_another_host_is_avoided() {
     let mut core = core(3);
     let busy = core.fleet.find("engine-1");
-    told(&mut core, "engine-1");
+    receive_sent(&mut core, "engine-1");
     for _ in 0..50 {
         let choice = route::choose_engine(&mut core, &need()).expect("an engine");
         assert_ne!(Some(choice.engine), busy);
     }
 }
 
-/// A split pool needs an engine of each role; the prompt goes to one and the answer comes from
-/// the other. Without one of them there is nowhere to send a request.
+/// A split pool needs an engine of each role: one prefills the prompt, the other decodes. Without
+/// either, no engine can be chosen.
 #[test]
 fn split_pool_needs_both_roles() {
     let mut core = core(2);
@@ -76,30 +76,30 @@
     assert_eq!(route::choose_engine(&mut core, &need()), None);
 }
 
-/// Every engine is busy: the caller is told at once when to come back. Callers of many requests
-/// must not all be told the same second, or they would find each other there.
+/// All engines are busy and requests are refused with a time to retry. These times must be spread:
+/// callers that all retried in the same second would overload the engines again.
 #[test]
-fn refused_callers_are_spread() {
+fn retry_times_are_spread() {
     let mut core = core(1);
-    told(&mut core, "engine-0");
+    receive_sent(&mut core, "engine-0");
     let times = (0..64_u8).map(|first| {
-        let mut print = Print::default();
+        let mut print = Fingerprint::default();
         print.0[0] = first;
         let refusal = admit::check(&mut core, &need(), print).expect_err("no room");
-        refusal.retry.expect("a time to come back")
+        refusal.retry_after.expect("a time to come back")
     });
     let times: std::collections::BTreeSet<Duration> = times.collect();
     assert_eq!(times.len(), 8);
     assert!(times.iter().all(|time| (1..=8).contains(&time.as_secs())));
 }
 
-/// The settings call an engine far slower than it is, and another host is served by it all the
-/// time. By what that host tells, the engine is full for ever; a host that believed it alone would
-/// refuse every caller beside an engine that reports it is idle.
+/// The settings state a speed far below the engine's, and another host keeps sending it prompts. By
+/// that host's messages alone the engine always seems full, and every request would be refused
+/// although the engine reports that it is idle.
 #[test]
-fn idle_engine_is_tried_whatever_others_tell() {
+fn idle_engine_is_tried_despite_other_hosts() {
     let mut core = core(1);
-    told(&mut core, "engine-0");
+    receive_sent(&mut core, "engine-0");
     let report = |core: &mut Core, waiting, at| {
         let report = FleetEvent::Report {
             name: "engine-0".into(),
@@ -110,13 +110,13 @@
         };
         core.reduce(at, Event::Fleet(report), &mut Effects::new());
     };
-    let refused = |core: &mut Core| admit::check(core, &need(), Print::default()).is_err();
+    let refused = |core: &mut Core| admit::check(core, &need(), Fingerprint::default()).is_err();
     assert!(refused(&mut core), "no report yet");
     report(&mut core, 4, Time::from_millis(2000));
-    assert!(refused(&mut core), "others wait there");
+    assert!(refused(&mut core), "the report shows queued requests");
     report(&mut core, 0, Time::from_millis(3000));
-    assert!(!refused(&mut core), "it is idle");
+    assert!(!refused(&mut core), "the report shows an idle engine");
     let key = core.fleet.find("engine-0").expect("a listed engine");
     load::record_sent(&mut core, key, 100, &mut Effects::new());
-    assert!(refused(&mut core), "it was tried just now");
+    assert!(refused(&mut core), "a prompt was sent since the report");
 }
--- a/src/core/tests/store.rs
+++ b/src/core/tests/store.rs
@@ -1,15 +1,15 @@
-//! A small fake of the key-value service: compare-and-swap, leases, watched keys, outages.
+//! Fake of the key-value service: compare-and-swap, leases, watched keys, outages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use bytes::Bytes;
 
-use crate::core::event::{Job, StoreReply, StoreResult, Watched};
+use crate::core::event::{Job, StoreReply, StoreResult, WatchedKey};
 use crate::core::{Effect, Time};
 use crate::store::{Compare, Op, Pair, Range, Reply, Span, Txn, TxnReply};
 
-const FOLDER: &str = "w/";
+const WATCHED_PREFIX: &str = "w/";
 
 #[derive(Debug, Clone)]
 struct Value {
@@ -18,23 +18,23 @@
     lease: i64,
 }
 
-/// The store and its switches.
+/// The fake store, with switches for its faults.
 #[derive(Debug, Default)]
 pub struct FakeStore {
     /// Whether every call is refused.
     pub down: bool,
-    /// Answers of writes to records that are still to be lost.
-    pub lose_records: u32,
-    /// Writes to records that are still to be refused.
+    /// Number of replies to writes of records still to be lost.
+    pub lose_record_replies: u32,
+    /// Number of writes of records still to be refused.
     pub refuse_records: u32,
-    /// Transactions carried out, by the first key they write.
+    /// Number of writes by key.
     pub writes: BTreeMap<Box<str>, u32>,
-    /// Leases granted and renewed.
-    pub renewals: u32,
+    /// Number of calls that grant or renew a lease.
+    pub lease_calls: u32,
     values: BTreeMap<Box<str>, Value>,
     leases: BTreeMap<i64, (Duration, Time)>,
     revision: i64,
-    changed: Vec<Watched>,
+    changed: Vec<WatchedKey>,
 }
 
 impl FakeStore {
@@ -43,25 +43,25 @@
         self.values.get(key).map(|value| &value.bytes)
     }
 
-    /// Returns the keys that begin so.
+    /// Returns the keys with this prefix.
     pub fn keys(&self, prefix: &str) -> Vec<Box<str>> {
         let keys = self.values.keys().filter(|key| key.starts_with(prefix));
         keys.cloned().collect()
     }
 
-    /// Returns every watched key as a new watch reports it.
-    pub fn watched(&self) -> Vec<Watched> {
+    /// Returns all watched keys, as a new watch reports them.
+    pub fn watched(&self) -> Vec<WatchedKey> {
         let keys = self.values.iter();
         keys.filter_map(|(key, value)| watched(key, Some(value), value.modified))
             .collect()
     }
 
-    /// Lets leases lapse, and returns the watched changes since the last call.
-    pub fn changes(&mut self, now: Time) -> Vec<Watched> {
+    /// Expires leases, and returns the watched changes since the last call.
+    pub fn changes(&mut self, now: Time) -> Vec<WatchedKey> {
         let lapsed: Vec<i64> = self
             .leases
             .iter()
-            .filter(|(_, (life, renewed))| now.since(*renewed) > *life)
+            .filter(|(_, (ttl, renewed))| now.since(*renewed) > *ttl)
             .map(|(lease, _)| *lease)
             .collect();
         if !self.down {
@@ -72,10 +72,10 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Takes one lost answer of a record's write.
-    pub fn lose(&mut self, job: Job) -> bool {
-        let lose = matches!(job, Job::Record(..)) && self.lose_records > 0;
-        self.lose_records -= u32::from(lose);
+    /// Returns whether the reply to this call is to be lost, and counts it if so.
+    pub fn take_lost_reply(&mut self, job: Job) -> bool {
+        let lose = matches!(job, Job::Record(..)) && self.lose_record_replies > 0;
+        self.lose_record_replies -= u32::from(lose);
         lose
     }
 
@@ -96,19 +96,24 @@
         }
     }
 
-    /// Carries out a call; `None` where no answer is wanted.
-    pub fn carry(&mut self, now: Time, effect: Effect) -> Option<StoreReply> {
-        let renewal = matches!(effect, Effect::Grant { .. } | Effect::Renew { .. });
-        self.renewals += u32::from(renewal);
+    /// Executes a call; returns `None` for calls without a reply.
+    pub fn apply(&mut self, now: Time, effect: Effect) -> Option<StoreReply> {
+        let renewal = matches!(
+            effect,
+            Effect::GrantLease { .. } | Effect::RenewLease { .. }
+        );
+        self.lease_calls += u32::from(renewal);
         let (job, result) = match effect {
-            Effect::Revoke(lease) => {
+            Effect::RevokeLease(lease) => {
                 if !self.down {
                     self.revoke(lease);
                 }
                 return None;
             }
             Effect::Read { job, span } => (job, StoreResult::Read(self.range(&span))),
-            Effect::Txn { job, .. } | Effect::Grant { job, .. } | Effect::Renew { job, .. }
+            Effect::Txn { job, .. }
+            | Effect::GrantLease { job, .. }
+            | Effect::RenewLease { job, .. }
                 if self.down =>
             {
                 (job, StoreResult::Refused)
@@ -121,12 +126,12 @@
                 (job, StoreResult::Refused)
             }
             Effect::Txn { job, txn } => (job, StoreResult::Txn(self.txn(txn))),
-            Effect::Grant { job, life } => {
+            Effect::GrantLease { job, ttl } => {
                 self.revision += 1;
-                self.leases.insert(self.revision, (life, now));
+                self.leases.insert(self.revision, (ttl, now));
                 (job, StoreResult::Lease(self.revision))
             }
-            Effect::Renew { job, lease } => {
+            Effect::RenewLease { job, lease } => {
                 let known = self.leases.get_mut(&lease);
                 let lease = known.map_or(0, |(_, renewed)| {
                     *renewed = now;
@@ -209,9 +214,9 @@
     }
 }
 
-fn watched(key: &str, value: Option<&Value>, modified: i64) -> Option<Watched> {
-    Some(Watched {
-        key: key.strip_prefix(FOLDER)?.into(),
+fn watched(key: &str, value: Option<&Value>, modified: i64) -> Option<WatchedKey> {
+    Some(WatchedKey {
+        key: key.strip_prefix(WATCHED_PREFIX)?.into(),
         value: value.map(|value| value.bytes.to_vec().into()),
         modified,
     })
--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -11,9 +11,10 @@
 use super::node::{Node, Prepared};
 use super::timer;
 use crate::backend::{self, Chunk, OpenError, OrderError};
-use crate::core::effect::{self, Open};
+use crate::core::effect::{self, OpenStream};
 use crate::core::event::{
-    Break, Entry, EntryKind, FleetEvent, Ordered, Probe, Report, RequestEvent, Role, Stored,
+    AttemptFailure, Entry, EntryKind, FleetEvent, OrderResult, ProbeResult, Report, RequestEvent,
+    Role, StoredResponse,
 };
 use crate::core::key::{AttemptKey, RequestKey};
 use crate::core::{Event, Time};
@@ -43,7 +44,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Opens a stream and reports each chunk to the core until the stream ends or `ended` closes.
-pub async fn run_stream(node: Rc<Node>, open: Open, ended: oneshot::Receiver<()>) {
+pub async fn run_stream(node: Rc<Node>, open: OpenStream, ended: oneshot::Receiver<()>) {
     let attempt = open.attempt;
     tokio::select! {
         biased;
@@ -56,13 +57,13 @@
 }
 
 /// Reads a stream to its end, and returns the event that reports how it ended.
-async fn follow_stream(node: &Rc<Node>, open: &Open) -> RequestEvent {
+async fn follow_stream(node: &Rc<Node>, open: &OpenStream) -> RequestEvent {
     let attempt = open.attempt;
     let Some(prepared) = node.prepared(open.request) else {
         return attempt_failed(
             attempt,
             Ran::No,
-            Break::Refused,
+            AttemptFailure::Refused,
             "the request has already ended",
         );
     };
@@ -70,41 +71,41 @@
         return attempt_failed(
             attempt,
             Ran::No,
-            Break::Rejected,
+            AttemptFailure::Rejected,
             "the request is not a completion",
         );
     };
     // A resumed stream continues at its engine; another engine needs the text delivered so far.
-    let (delivered, tokens) = match open.resume {
+    let (delivered, tokens) = match open.resume_from {
         Some(_) => (String::new(), 0),
         None => (node.delivered_text(open.request), open.delivered),
     };
     let body = |kv| completion.body(open.priority, &delivered, tokens, kv);
-    let body = match open.prefill {
+    let body = match open.prefill_addr {
         None => body(None),
         Some(source) => {
             let prefilled = backend::prefill(&node.backends, source, body(None), &open.label).await;
             match prefilled {
                 Ok(prefilled) => body(Some((source, &prefilled.kv))),
-                Err(err) => return open_failed(attempt, &err, open.resume),
+                Err(err) => return open_failed(attempt, &err, open.resume_from),
             }
         }
     };
     let path = completion.endpoint.path();
     let priority = i64::from(open.priority);
-    let client = node.client(open.addr, open.resume);
+    let client = node.client(open.addr, open.resume_from);
     let opened = backend::open(
         client,
         open.addr,
         path,
         body,
         &open.label,
-        open.resume,
+        open.resume_from,
         priority,
     );
     let mut stream = match opened.await {
         Ok(stream) => stream,
-        Err(err) => return open_failed(attempt, &err, open.resume),
+        Err(err) => return open_failed(attempt, &err, open.resume_from),
     };
     node.apply(Event::Request(RequestEvent::Began(attempt)));
     let mut reorder = ReorderBuffer::new(open.delivered);
@@ -113,7 +114,7 @@
             Ok(Some(chunk)) => {
                 if !reorder.insert(chunk) {
                     let detail = format!("missing tokens from offset {}", reorder.next_offset);
-                    return attempt_failed(attempt, Ran::Yes, Break::Cut, &detail);
+                    return attempt_failed(attempt, Ran::Yes, AttemptFailure::Cut, &detail);
                 }
                 while let Some((offset, chunk)) = reorder.pop() {
                     let tokens = u32::from(!chunk.end);
@@ -123,20 +124,20 @@
                     return event;
                 }
             }
-            Ok(None) => return RequestEvent::Whole(attempt),
-            Err(err) => return attempt_failed(attempt, Ran::Yes, Break::Cut, &err.to_string()),
+            Ok(None) => return RequestEvent::StreamCompleted(attempt),
+            Err(err) => return attempt_failed(attempt, Ran::Yes, AttemptFailure::Cut, &err.to_string()),
         }
     }
 }
 
 /// Waits until the caller's queue has space; returns the event that ends the request if the caller
 /// reads nothing for too long.
-async fn wait_for_caller(node: &Rc<Node>, open: &Open) -> Option<RequestEvent> {
+async fn wait_for_caller(node: &Rc<Node>, open: &OpenStream) -> Option<RequestEvent> {
     let queue = node.queue(open.request)?;
     if !queue.is_full() {
         return None;
     }
-    node.apply(Event::Request(RequestEvent::Held(open.attempt)));
+    node.apply(Event::Request(RequestEvent::DeliveryBlocked(open.attempt)));
     while queue.is_full() {
         let before = queue.consumed();
         if timeout(CALLER_STALL_TIMEOUT, queue.wait_for_space())
@@ -145,7 +146,7 @@
             && queue.consumed() == before
         {
             queue.close_connection();
-            return Some(RequestEvent::Left(open.request));
+            return Some(RequestEvent::CallerLeft(open.request));
         }
     }
     node.apply(Event::Request(RequestEvent::Began(open.attempt)));
@@ -208,8 +209,8 @@
     chunk.offset.saturating_sub(u64::from(!chunk.end))
 }
 
-fn attempt_failed(attempt: AttemptKey, ran: Ran, end: Break, detail: &str) -> RequestEvent {
-    RequestEvent::Broke {
+fn attempt_failed(attempt: AttemptKey, ran: Ran, end: AttemptFailure, detail: &str) -> RequestEvent {
+    RequestEvent::AttemptFailed {
         attempt,
         ran,
         end,
@@ -220,15 +221,17 @@
 fn open_failed(attempt: AttemptKey, err: &OpenError, resume: Option<u64>) -> RequestEvent {
     let ran = err.ran();
     let end = match (err, err.status()) {
-        (_, Some(404)) if resume.is_some() => Break::Forgotten,
+        (_, Some(404)) if resume.is_some() => AttemptFailure::Forgotten,
         // Every engine would answer the same: retried elsewhere, one invalid request would make
         // all engines suspects.
-        (_, Some(400 | 413 | 422)) => Break::Rejected,
-        (_, Some(status)) if (400..500).contains(&status) && ran != Ran::No => Break::Rejected,
-        _ if ran == Ran::No && err.status().is_some() => Break::Refused,
-        (OpenError::Connect | OpenError::Invalid, _) => Break::Unreachable,
-        (OpenError::Late, _) => Break::Silent,
-        _ => Break::Cut,
+        (_, Some(400 | 413 | 422)) => AttemptFailure::Rejected,
+        (_, Some(status)) if (400..500).contains(&status) && ran != Ran::No => {
+            AttemptFailure::Rejected
+        }
+        _ if ran == Ran::No && err.status().is_some() => AttemptFailure::Refused,
+        (OpenError::Connect | OpenError::Invalid, _) => AttemptFailure::Unreachable,
+        (OpenError::Late, _) => AttemptFailure::Silent,
+        _ => AttemptFailure::Cut,
     };
     attempt_failed(attempt, ran, end, &err.to_string())
 }
@@ -266,7 +269,7 @@
         answer = timeout(time, sent) => match answer {
             Ok(Ok(answer)) => service_answered(attempt, &answer),
             Ok(Err(err)) => service_failed(attempt, &err),
-            Err(_late) => attempt_failed(attempt, Ran::Unknown, Break::Cut, "the call timed out"),
+            Err(_late) => attempt_failed(attempt, Ran::Unknown, AttemptFailure::Cut, "the call timed out"),
         },
     };
     node.attempt_ended(attempt);
@@ -276,15 +279,15 @@
 fn service_answered(attempt: AttemptKey, answer: &backend::Answer) -> RequestEvent {
     if answer.ran == Ran::No {
         let detail = format!("the service refused the call with status {}", answer.status);
-        return attempt_failed(attempt, Ran::No, Break::Refused, &detail);
+        return attempt_failed(attempt, Ran::No, AttemptFailure::Refused, &detail);
     }
     let media = answer
         .headers
         .iter()
         .find(|(name, _)| &**name == "content-type");
-    let result = Stored {
+    let result = StoredResponse {
         status: answer.status,
-        media: media.map(|(_, value)| value.clone()).unwrap_or_default(),
+        content_type: media.map(|(_, value)| value.clone()).unwrap_or_default(),
         body: answer.body.to_vec().into(),
     };
     RequestEvent::Answered { attempt, result }
@@ -292,8 +295,8 @@
 
 fn service_failed(attempt: AttemptKey, err: &OpenError) -> RequestEvent {
     let end = match err.ran() {
-        Ran::No => Break::Unreachable,
-        Ran::Yes | Ran::Unknown => Break::Cut,
+        Ran::No => AttemptFailure::Unreachable,
+        Ran::Yes | Ran::Unknown => AttemptFailure::Cut,
     };
     attempt_failed(attempt, err.ran(), end, &err.to_string())
 }
@@ -329,9 +332,9 @@
         Ok(Ok(load)) => Some(Report {
             running: saturating_u32(load.running),
             waiting: saturating_u32(load.waiting),
-            prefill: load.prefill_tokens,
-            role: Role::from_word(&load.role).unwrap_or_default(),
-            age: saturating_u32(load.age_ms),
+            queued_prefill: load.prefill_tokens,
+            role: Role::from_name(&load.role).unwrap_or_default(),
+            age_ms: saturating_u32(load.age_ms),
             changing: load.changing,
             fence: load.fence_seen,
             order: load.order_seen,
@@ -349,10 +352,13 @@
 pub async fn probe(node: Rc<Node>, addr: SocketAddr) {
     let tried = timeout(PROBE_TIMEOUT, tokio::net::TcpStream::connect(addr)).await;
     let probe = match tried {
-        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Probe::Refused,
-        _ => Probe::Open,
+        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => ProbeResult::Refused,
+        _ => ProbeResult::Open,
     };
-    node.apply(Event::Fleet(FleetEvent::Probed { addr, probe }));
+    node.apply(Event::Fleet(FleetEvent::Probed {
+        addr,
+        result: probe,
+    }));
 }
 
 /// Sends an order, unless the authority to send it has expired.
@@ -360,12 +366,12 @@
     let fresh = backend::Fresh {
         life: ORDER_LIFETIME,
         gate: |until| timer::now() < Time::from_micros(until),
-        until: order.until.micros(),
+        until: order.valid_until.micros(),
     };
     let result = if let Ok(client) = backend::Client::fresh(ORDER_OPTIONS, fresh).await {
         let action = match &order.action {
             effect::Action::Role(role) => backend::Action::Role {
-                role: role.word().into(),
+                role: role.name().into(),
             },
             effect::Action::Model(name) => load_action("model", name),
             effect::Action::Adapter(name) => load_action("adapter", name),
@@ -375,25 +381,25 @@
             &client,
             order.addr,
             order.fence,
-            order.order,
+            order.number,
             &order.holder,
             &action,
         );
         match sent.await {
-            Ok(()) => Ordered::Done,
-            Err(OrderError::Fenced { fence }) => Ordered::Fenced(fence),
+            Ok(()) => OrderResult::Done,
+            Err(OrderError::Fenced { fence }) => OrderResult::Fenced(fence),
             Err(OrderError::Call { source }) => match source.ran() {
-                Ran::No => Ordered::Unsent,
-                Ran::Yes | Ran::Unknown => Ordered::Unknown,
+                Ran::No => OrderResult::Unsent,
+                Ran::Yes | Ran::Unknown => OrderResult::Unknown,
             },
         }
     } else {
-        Ordered::Unsent
+        OrderResult::Unsent
     };
-    node.apply(Event::Fleet(FleetEvent::Ordered {
+    node.apply(Event::Fleet(FleetEvent::OrderAnswered {
         name: order.engine,
         fence: order.fence,
-        order: order.order,
+        number: order.number,
         result,
     }));
 }
--- a/src/host/callers.rs
+++ b/src/host/callers.rs
@@ -16,7 +16,9 @@
 use super::queue;
 use crate::core::Event;
 use crate::core::effect::{Meter, Refusal};
-use crate::core::event::{Arrival, Print, RequestEvent, ServiceWant, Stored, Want};
+use crate::core::event::{
+    Arrival, Fingerprint, RequestEvent, RequestSpec, ServiceRequest, StoredResponse,
+};
 use crate::core::key::RequestKey;
 use crate::core::once;
 use crate::error::Kind;
@@ -53,7 +55,7 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.ended {
-            let event = RequestEvent::Left(self.request);
+            let event = RequestEvent::CallerLeft(self.request);
             self.node.apply(Event::Request(event));
         }
     }
@@ -99,7 +101,7 @@
 /// Serves one request.
 pub async fn handle(node: Rc<Node>, req: Request) -> Response {
     let mut response = route(&node, req).await;
-    if node.with_core(|core| core.stop.begun()) {
+    if node.with_core(|core| core.stop.is_stopping()) {
         // Closing the connection makes the caller send its next request to another host.
         close_connection(&mut response);
     }
@@ -164,11 +166,11 @@
     let Some(refusal) = refusal else {
         return Ok(());
     };
-    node.metrics.record(&Meter::Ended {
+    node.metrics.record(&Meter::RequestEnded {
         class: "".into(),
         customer: "".into(),
         outcome: refusal.kind.answer().code,
-        lasted: Duration::ZERO,
+        duration: Duration::ZERO,
     });
     web::discard(req, MAX_DISCARD_BYTES, DISCARD_TIMEOUT).await;
     let mut response = problem::answer(&refusal, "");
@@ -214,14 +216,14 @@
 }
 
 /// Returns the fingerprint of a request: the same for equal targets and bodies.
-pub(super) fn fingerprint(target: &str, body: &[u8]) -> Print {
+pub(super) fn fingerprint(target: &str, body: &[u8]) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     hasher.update(target.as_bytes());
     hasher.update(b"\n");
     hasher.update(body);
     let mut first = [0; 16];
     first.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-    Print(first)
+    Fingerprint(first)
 }
 
 async fn complete(node: &Rc<Node>, mut req: Request, endpoint: Endpoint) -> Response {
@@ -248,10 +250,10 @@
     };
     let arrival = Arrival {
         tag: 0,
-        caller: caller_key(&req),
-        want: Want::Model(want),
-        idem: idempotency_key,
-        print: fingerprint(endpoint.path(), &bytes),
+        key_hash: caller_key(&req),
+        spec: RequestSpec::Model(want),
+        idempotency_key: idem: idempotency_key,
+        fingerprint: fingerprint(endpoint.path(), &bytes),
     };
     let copy = completion.clone();
     let Some(accepted) =
@@ -410,14 +412,14 @@
     };
     let arrival = Arrival {
         tag: 0,
-        caller: caller_key(&req),
-        print: fingerprint(&format!("{service} {method} {full}"), &bytes),
-        want: Want::Service(ServiceWant {
+        key_hash: caller_key(&req),
+        fingerprint: fingerprint(&format!("{service} {method} {full}"), &bytes),
+        spec: RequestSpec::Service(ServiceRequest {
             service: service.into(),
             method,
             path: path.into(),
         }),
-        idem: idempotency_key,
+        idempotency_key: idem: idempotency_key,
     };
     let Some(accepted) = node.accept_request(arrival, Prepared::Call(call), req.io().cloned())
     else {
@@ -439,12 +441,12 @@
     }
 }
 
-fn service_answer(result: &Stored, first: Option<&str>, id: &str) -> Response {
+fn service_answer(result: &StoredResponse, first: Option<&str>, id: &str) -> Response {
     let status = StatusCode::from_u16(result.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     response.header(REQUEST_ID, id);
-    if !result.media.is_empty() {
-        response.content_type(&*result.media);
+    if !result.content_type.is_empty() {
+        response.content_type(&*result.content_type);
     }
     if let Some(first) = first {
         response.header("x-first-request-id", first);
--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -128,11 +128,11 @@
     /// Records one measurement.
     pub fn record(&self, meter: &Meter) {
         match meter {
-            Meter::Ended {
+            Meter::RequestEnded {
                 class,
                 customer,
                 outcome,
-                lasted,
+                duration: lasted,
             } => {
                 let labels = [
                     label("class", class),
@@ -141,7 +141,7 @@
                 ];
                 self.request_time.record(lasted.as_secs_f64(), &labels);
             }
-            Meter::First {
+            Meter::FirstToken {
                 class,
                 customer,
                 after,
@@ -149,7 +149,7 @@
                 let labels = [label("class", class), self.customer_label(customer)];
                 self.first_token.record(after.as_secs_f64(), &labels);
             }
-            Meter::Between { class, gap } => {
+            Meter::TokenGap { class, gap } => {
                 self.token_gap
                     .record(gap.as_secs_f64(), &[label("class", class)]);
             }
@@ -158,7 +158,7 @@
                     .record(after.as_secs_f64(), &[label("class", class)]);
             }
             Meter::Retried { class } => self.retries.add(1, &[label("class", class)]),
-            Meter::Ordered { pool } => self.orders.add(1, &[label("pool", pool)]),
+            Meter::OrderSent { pool } => self.orders.add(1, &[label("pool", pool)]),
         }
     }
 
--- a/src/host/node.rs
+++ b/src/host/node.rs
@@ -22,8 +22,8 @@
 use super::{HostError, logs};
 use crate::backend;
 use crate::core::effect::{OperatorAnswer, Refusal};
-use crate::core::event::{Arrival, OperatorEvent, RequestEvent, Stored};
-use crate::core::key::{AskKey, AttemptKey, HostKey, RequestKey};
+use crate::core::event::{Arrival, OperatorEvent, RequestEvent, StoredResponse};
+use crate::core::key::{AttemptKey, CommandKey, HostKey, RequestKey};
 use crate::core::{Core, Effect, Effects, Event, Time};
 use crate::settings::Settings;
 use crate::store::Store;
@@ -42,7 +42,7 @@
     /// The answer is complete.
     Completed,
     /// Answer of a service, and the id of the earlier request that ran the call, if one did.
-    Reply(Stored, Option<Box<str>>),
+    Reply(StoredResponse, Option<Box<str>>),
     /// The request ended without a complete answer.
     Refused(Refusal),
 }
@@ -114,7 +114,7 @@
     /// The chunk whose arrival the core is processing.
     current_chunk: RefCell<Option<Bytes>>,
     links: RefCell<SecondaryMap<HostKey, Link>>,
-    operator_queries: RefCell<BTreeMap<AskKey, oneshot::Sender<OperatorAnswer>>>,
+    operator_queries: RefCell<BTreeMap<CommandKey, oneshot::Sender<OperatorAnswer>>>,
     last_number: Cell<u64>,
     close: RefCell<Option<watch::Sender<bool>>>,
     exit: Notify,
@@ -226,7 +226,7 @@
         data: Bytes,
     ) {
         *self.current_chunk.borrow_mut() = Some(data);
-        self.apply(Event::Request(RequestEvent::Chunk {
+        self.apply(Event::Request(RequestEvent::StreamEvent {
             attempt,
             offset,
             tokens,
@@ -237,9 +237,9 @@
     /// Sends an operator's query to the core and waits for the answer.
     pub async fn operator_query(
         self: &Rc<Self>,
-        event: impl FnOnce(AskKey) -> OperatorEvent,
+        event: impl FnOnce(CommandKey) -> OperatorEvent,
     ) -> Option<OperatorAnswer> {
-        let ask = AskKey(self.next_number());
+        let ask = CommandKey(self.next_number());
         let (tx, rx) = oneshot::channel();
         self.operator_queries.borrow_mut().insert(ask, tx);
         self.apply(Event::Operator(event(ask)));
@@ -320,11 +320,11 @@
             Effect::Refuse { request, refusal } => {
                 self.finish(request, AnswerPart::Refused(refusal));
             }
-            Effect::Open(open) => {
+            Effect::OpenStream(open) => {
                 let ended = self.start_attempt(open.attempt);
                 ntex::rt::spawn(backends::run_stream(Rc::clone(self), open, ended));
             }
-            Effect::Call {
+            Effect::CallService {
                 request,
                 attempt,
                 addr,
@@ -338,17 +338,17 @@
             Effect::Cancel(attempt) => {
                 self.attempts.borrow_mut().remove(attempt);
             }
-            Effect::Wake { at, timer } => self.timers.schedule(at, timer),
+            Effect::SetTimer { at, timer } => self.timers.schedule(at, timer),
             Effect::Meter(meter) => self.metrics.record(&meter),
             Effect::Log(event) => logs::write(&event),
-            Effect::Answer { ask, answer } => {
-                if let Some(tx) = self.operator_queries.borrow_mut().remove(&ask) {
+            Effect::AnswerOperator { command, answer } => {
+                if let Some(tx) = self.operator_queries.borrow_mut().remove(&command) {
                     drop(tx.send(answer));
                 }
             }
-            Effect::Close => drop(self.close.borrow_mut().take()),
+            Effect::CloseListeners => drop(self.close.borrow_mut().take()),
             Effect::Exit => self.exit.notify_one(),
-            Effect::Note(note) => relay::event_log::write(&note),
+            Effect::LogFields(note) => relay::event_log::write(&note),
             Effect::Relay(effect) => relay::execute(self, effect),
             other => self.execute_external(other),
         }
@@ -362,8 +362,8 @@
                     link.send(message);
                 }
             }
-            Effect::Peer { host, name, addr } => self.open_link(host, name, addr),
-            Effect::Unpeer(host) => {
+            Effect::AddPeer { host, name, addr } => self.open_link(host, name, addr),
+            Effect::RemovePeer(host) => {
                 self.links.borrow_mut().remove(host);
             }
             Effect::Reconnect(host) => {
@@ -371,10 +371,10 @@
                     link.reconnect();
                 }
             }
-            Effect::List => {
+            Effect::ReadListing => {
                 ntex::rt::spawn(backends::read_platform_list(Rc::clone(self)));
             }
-            Effect::Load { name, addr } => {
+            Effect::ReadLoad { name, addr } => {
                 ntex::rt::spawn(backends::read_load(Rc::clone(self), name, addr));
             }
             Effect::Probe(addr) => {
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -10,7 +10,7 @@
 use super::problem;
 use super::report;
 use crate::core::effect::{OperatorAnswer, Refusal};
-use crate::core::event::{Edit, OperatorEvent, Which};
+use crate::core::event::{Edit, ListKind, OperatorEvent};
 use crate::error::Kind;
 use crate::lists::{Lists, Plans, Uses, diff};
 use crate::web;
@@ -60,10 +60,10 @@
     problem::answer(&refusal, "")
 }
 
-fn parse_list_name(list: &str) -> Option<Which> {
+fn parse_list_name(list: &str) -> Option<ListKind> {
     match list {
-        "plans" => Some(Which::Plans),
-        "use" => Some(Which::Uses),
+        "plans" => Some(ListKind::Plans),
+        "use" => Some(ListKind::Uses),
         _ => None,
     }
 }
@@ -95,12 +95,12 @@
     key.is_some_and(|key| blake3::hash(key.trim().as_bytes()) == blake3::Hash::from_bytes(expected))
 }
 
-fn get_list(node: &Rc<Node>, which: Which) -> Response {
+fn get_list(node: &Rc<Node>, which: ListKind) -> Response {
     let (revision, body) = node.with_core(|core| {
         let lists = &core.config.lists;
         let body = match which {
-            Which::Plans => lists.plans.to_string(),
-            Which::Uses => lists.uses.to_string(),
+            ListKind::Plans => lists.plans.to_string(),
+            ListKind::Uses => lists.uses.to_string(),
         };
         (lists.revision, body)
     });
@@ -110,7 +110,7 @@
         .body(body)
 }
 
-async fn put_list(node: &Rc<Node>, mut req: Request, list: Which) -> Response {
+async fn put_list(node: &Rc<Node>, mut req: Request, list: ListKind) -> Response {
     let base = req.headers().get("if-match");
     let base = base.and_then(|value| value.to_str().ok()?.trim_matches('"').parse().ok());
     let Some(base) = base else {
@@ -129,10 +129,10 @@
     let edit = Edit {
         list,
         text: body.into(),
-        base,
+        base_revision: base,
     };
     let answer = node
-        .operator_query(|ask| OperatorEvent::Apply { ask, edit })
+        .operator_query(|ask| OperatorEvent::Apply { command: ask, edit })
         .await;
     match answer {
         Some(OperatorAnswer::Accepted(revision)) => {
@@ -163,12 +163,12 @@
 }
 
 /// Returns the differences between an operator's edit and the list in force, one per line.
-fn conflict_diff(list: Which, mine: &str, theirs: &str) -> String {
+fn conflict_diff(list: ListKind, mine: &str, theirs: &str) -> String {
     let read = |text: &str| {
         let mut lists = Lists::default();
         match list {
-            Which::Plans => lists.plans = Plans::parse(text, "plans").unwrap_or_default(),
-            Which::Uses => lists.uses = Uses::parse(text, "use").unwrap_or_default(),
+            ListKind::Plans => lists.plans = Plans::parse(text, "plans").unwrap_or_default(),
+            ListKind::Uses => lists.uses = Uses::parse(text, "use").unwrap_or_default(),
         }
         lists
     };
@@ -191,13 +191,13 @@
 async fn explain(node: &Rc<Node>, id: &str) -> Response {
     let id = id.into();
     let answer = node
-        .operator_query(|ask| OperatorEvent::Explain { ask, id })
+        .operator_query(|ask| OperatorEvent::Explain { command: ask, id })
         .await;
     match answer {
         Some(OperatorAnswer::Record(record)) => {
             json_answer(StatusCode::OK, &report::record(&record))
         }
-        Some(OperatorAnswer::NoRecord { why }) => {
+        Some(OperatorAnswer::NoRecord { reason: why }) => {
             problem::answer(&Refusal::new(Kind::NotFound, why), "")
         }
         _ => problem::answer(
--- a/src/host/relay/backends.rs
+++ b/src/host/relay/backends.rs
@@ -10,7 +10,7 @@
 use super::events::Splitter;
 use super::{EventPayload, Head, Prepared, apply, apply_with};
 use crate::backend::channel::{self, Answer, Call, ChannelError};
-use crate::core::event::Break;
+use crate::core::event::AttemptFailure;
 use crate::core::key::AttemptKey;
 use crate::core::relay::event::{OrderResult, Outgoing, RelayEvent, StageOrder, Task};
 use crate::error::Ran;
@@ -36,12 +36,12 @@
 /// Reason for which an attempt ended without a complete answer.
 struct AttemptFailure {
     ran: Ran,
-    end: Break,
+    end: AttemptFailure,
     detail: Box<str>,
 }
 
 impl AttemptFailure {
-    fn new(ran: Ran, end: Break, detail: impl Into<Box<str>>) -> Self {
+    fn new(ran: Ran, end: AttemptFailure, detail: impl Into<Box<str>>) -> Self {
         Self {
             ran,
             end,
@@ -53,9 +53,9 @@
 impl From<ChannelError> for AttemptFailure {
     fn from(err: ChannelError) -> Self {
         let end = match err {
-            ChannelError::Connect { .. } => Break::Unreachable,
-            ChannelError::Late => Break::Silent,
-            ChannelError::Broken { .. } | ChannelError::Long => Break::Cut,
+            ChannelError::Connect { .. } => AttemptFailure::Unreachable,
+            ChannelError::Late => AttemptFailure::Silent,
+            ChannelError::Broken { .. } | ChannelError::Long => AttemptFailure::Cut,
         };
         Self::new(err.ran(), end, err.to_string())
     }
@@ -125,9 +125,9 @@
     if reply.refused {
         drain_and_release(node, answer, out, reply.idle).await;
         let end = if status == 421 {
-            Break::Rejected
+            AttemptFailure::Rejected
         } else {
-            Break::Refused
+            AttemptFailure::Refused
         };
         return Err(AttemptFailure::new(
             Ran::No,
@@ -138,14 +138,14 @@
     if !echoed {
         // The answer belongs to an earlier request on this connection.
         let detail = "the answer does not echo the id of this attempt";
-        return Err(AttemptFailure::new(Ran::Unknown, Break::Cut, detail));
+        return Err(AttemptFailure::new(Ran::Unknown, AttemptFailure::Cut, detail));
     }
     if matches!(out.task, Task::Prefill) {
         return read_prefill_answer(node, out, answer, status, reply.idle).await;
     }
     if (200..300).contains(&status) && (!reply.signed || header::is_encoded(&reply.passed)) {
         let detail = "the answer is unsigned, or was encoded by a proxy";
-        return Err(AttemptFailure::new(Ran::Unknown, Break::Cut, detail));
+        return Err(AttemptFailure::new(Ran::Unknown, AttemptFailure::Cut, detail));
     }
     let head = Head {
         status,
@@ -193,7 +193,7 @@
     let Some(handle) = handle else {
         let detail =
             format!("the engine answered the prefill with status {status} and no usable handle");
-        return Err(AttemptFailure::new(Ran::Unknown, Break::Cut, detail));
+        return Err(AttemptFailure::new(Ran::Unknown, AttemptFailure::Cut, detail));
     };
     apply(
         node,
@@ -240,7 +240,7 @@
         if splitter.push(&bytes).is_none() {
             return Err(AttemptFailure::new(
                 Ran::Yes,
-                Break::Cut,
+                AttemptFailure::Cut,
                 "an event exceeds the size limit",
             ));
         }
--- a/src/host/relay/store.rs
+++ b/src/host/relay/store.rs
@@ -9,7 +9,7 @@
 
 use super::{apply, event_log};
 use crate::backend::channel::{Call, ChannelError};
-use crate::core::effect::Note;
+use crate::core::effect::LogFields;
 use crate::core::event::{Job, StoreEvent, StoreReply, StoreResult};
 use crate::core::relay::event::{Changes, RelayEvent, StoreAnswer, StoreCall, StoreChange};
 use crate::core::{Effect, Event};
@@ -84,7 +84,7 @@
         // In an outage each host probes twice a second; the counter and `store.down` suffice.
         return result;
     }
-    event_log::write(&Note {
+    event_log::write(&LogFields {
         level: log::Level::Info,
         name: "store.call_failed",
         fields: vec![
@@ -149,10 +149,10 @@
 
 async fn run(node: &Rc<Node>, effect: Effect) -> Option<(Job, Result<StoreResult, CallError>)> {
     match effect {
-        Effect::Grant { job, life } => Some((job, grant(node, life).await)),
-        Effect::Renew { job, lease } => Some((job, renew(node, lease).await)),
+        Effect::GrantLease { job, ttl } => Some((job, grant(node, ttl).await)),
+        Effect::RenewLease { job, lease } => Some((job, renew(node, lease).await)),
         Effect::Txn { job, txn } => Some((job, write_txn(node, &prefix_keys(txn)).await)),
-        Effect::Revoke(lease) => {
+        Effect::RevokeLease(lease) => {
             if let Err(err) = call_store(node, store::end(lease), CALL_TIMEOUT).await {
                 log::debug!("cannot revoke lease {lease}, it will expire: {err}");
             }
--- a/src/host/store.rs
+++ b/src/host/store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::node::Node;
-use crate::core::event::{Health, Job, StoreEvent, StoreReply, StoreResult, Watched};
+use crate::core::event::{Health, Job, StoreEvent, StoreReply, StoreResult, WatchedKey};
 use crate::core::{Effect, Event};
 use crate::error::Ran;
 use crate::store::{Batch, Compare, Op, Range, Reply, Span, StoreError, Txn};
@@ -53,14 +53,14 @@
             });
             (job, done.unwrap_or_else(|err| failure_result(&err)))
         }
-        Effect::Grant { job, life } => {
-            let lease = node.store.grant(life).await;
+        Effect::GrantLease { job, ttl } => {
+            let lease = node.store.grant(ttl).await;
             (
                 job,
                 lease.map_or_else(|err| failure_result(&err), StoreResult::Lease),
             )
         }
-        Effect::Renew { job, lease } => {
+        Effect::RenewLease { job, lease } => {
             let left = node.store.keepalive(lease).await;
             let lease = left.map(|left| if left.is_some() { lease } else { 0 });
             (
@@ -68,7 +68,7 @@
                 lease.map_or_else(|err| failure_result(&err), StoreResult::Lease),
             )
         }
-        Effect::Revoke(lease) => {
+        Effect::RevokeLease(lease) => {
             if let Err(err) = node.store.revoke(lease).await {
                 log::debug!("cannot revoke lease {lease}, it will expire: {err}");
             }
@@ -177,14 +177,14 @@
         let key = bare_key(watched_prefix, &pair.key);
         deleted.remove(&key);
         known_keys.insert(key.clone());
-        pairs.push(Watched {
+        pairs.push(WatchedKey {
             key,
             value: Some(pair.value.to_vec().into()),
             modified: pair.modified,
         });
     }
     // Keys deleted while no watch was open are reported too, or the core would keep them forever.
-    pairs.extend(deleted.into_iter().map(|key| Watched {
+    pairs.extend(deleted.into_iter().map(|key| WatchedKey {
         key,
         value: None,
         modified: range.revision,
@@ -220,7 +220,7 @@
         } else {
             known_keys.remove(&key);
         }
-        Watched {
+        WatchedKey {
             key,
             value: change.value.map(|value| value.to_vec().into()),
             modified: change.modified,
