--- a/benches/policy/world/callers.rs
+++ b/benches/policy/world/callers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use chiveway::core::event::{Arrival, Event, ModelWant, RequestEvent, Want};
-use chiveway::error::whole_secs;
+use chiveway::error::ceil_secs;
 use rand::RngExt;
 
 use super::{Ev, Front, SECOND, World};
@@ -81,7 +81,7 @@
             caller.over = true;
             return;
         }
-        let secs = retry.map(whole_secs);
+        let secs = retry.map(ceil_secs);
         let after = match (self.calls[at].manner, secs) {
             (Manner::Eager, _) => SECOND / 2 + self.rng.random_range(0..SECOND),
             (Manner::Follows, Some(secs)) if secs <= LONGEST => {
--- a/src/backend/client.rs
+++ b/src/backend/client.rs
@@ -22,7 +22,7 @@
 
 use super::fresh::{self, Fresh};
 use crate::error::Ran;
-use crate::web::CLIENT_IDLE;
+use crate::web::CLIENT_IDLE_TIMEOUT;
 
 /// Header by which a back end says that it did not run a request.
 pub(super) const RAN_HEADER: &str = "x-ran";
@@ -170,7 +170,7 @@
         let age = u16::try_from(opts.age.as_secs().max(1)).unwrap_or(u16::MAX);
         let connector = Connector::new()
             .limit(CONNECTIONS)
-            .keep_alive(CLIENT_IDLE)
+            .keep_alive(CLIENT_IDLE_TIMEOUT)
             .lifetime(Seconds(age));
         Self::with(opts, connector).await
     }
--- a/src/cli/parse.rs
+++ b/src/cli/parse.rs
@@ -186,7 +186,7 @@
             target: self.read(&topics::BEHIND, form::address)?,
             model: self.need(&topics::MODEL, owned)?,
             domain: self.need(&topics::DOMAIN, owned)?,
-            fencing: self.need(&topics::FENCING, Fencing::from_word)?,
+            fencing: self.need(&topics::FENCING, Fencing::from_name)?,
             speed: self.need(&topics::SPEED, units::number)?,
             prefill: self.time(&topics::PREFILL)?,
             decode: self.time(&topics::DECODE)?,
--- a/src/core/effect.rs
+++ b/src/core/effect.rs
@@ -195,7 +195,7 @@
         Self {
             kind,
             ran: answer.ran,
-            retry: answer.retry,
+            retry: answer.retry_after,
             detail: detail.into(),
         }
     }
--- a/src/core/relay/answer.rs
+++ b/src/core/relay/answer.rs
@@ -170,7 +170,7 @@
             ),
             ("task", super::call::task_name(&attempt.task).into()),
             ("how", format!("{how:?}").into()),
-            ("ran", ran.word().into()),
+            ("ran", ran.name().into()),
             (
                 "after_ms",
                 format!("{:.0}", millis(core.now.since(attempt.sent_at))).into(),
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -402,7 +402,7 @@
             ("config", config_version(core)),
             ("heard_ms", store_age_ms(core)),
             ("code", code.into()),
-            ("ran", ran.word().into()),
+            ("ran", ran.name().into()),
             (
                 "retry_ms",
                 format!("{:.0}", refusal.retry.map_or(0.0, millis)).into(),
@@ -469,7 +469,7 @@
             ("id", call.id),
             ("route", call.route.name),
             ("outcome", outcome.into()),
-            ("ran", ran.word().into()),
+            ("ran", ran.name().into()),
             ("lasted_ms", format!("{:.0}", millis(lasted)).into()),
             ("runs", call.runs.to_string().into()),
         ],
--- a/src/error.rs
+++ b/src/error.rs
@@ -18,15 +18,15 @@
 impl Ran {
     /// Returns the value that [`Ran::word`] gives this word for.
     #[must_use]
-    pub fn from_word(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         [Self::No, Self::Yes, Self::Unknown]
             .into_iter()
-            .find(|ran| ran.word() == word)
+            .find(|ran| ran.name() == word)
     }
 
     /// Returns the word used in answers and explanations.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::No => "no",
             Self::Yes => "yes",
@@ -100,7 +100,7 @@
     /// Whether the request ran.
     pub ran: Ran,
     /// When to come back if the decision gave no better time; `None` where coming back is useless.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// A kind and its answer.
@@ -123,13 +123,13 @@
         code,
         title,
         ran,
-        retry,
+        retry_after: retry,
     };
     (kind, answer)
 }
 
 /// One row a kind, in the order of [`Kind`]; a retry of 0 s means that coming back is useless.
-const TABLE: [Row; Kind::ALL.len()] = [
+const ANSWERS: [Row; Kind::ALL.len()] = [
     row(
         Kind::Malformed,
         400,
@@ -356,7 +356,7 @@
     /// Returns the answer for this kind.
     #[must_use]
     pub const fn answer(self) -> Answer {
-        TABLE[self as usize].1
+        ANSWERS[self as usize].1
     }
 
     /// Returns the kind with this code.
@@ -379,18 +379,18 @@
         "title": answer.title,
         "status": answer.status,
         "detail": detail,
-        "ran": ran.word(),
+        "ran": ran.name(),
         "request_id": id,
     });
     if let Some(retry) = retry {
-        body["retry_after"] = json!(whole_secs(retry));
+        body["retry_after"] = json!(ceil_secs(retry));
     }
     body
 }
 
 /// Rounds up to whole seconds, at least one.
 #[must_use]
-pub fn whole_secs(time: Duration) -> u64 {
+pub fn ceil_secs(time: Duration) -> u64 {
     let secs = time.as_secs() + u64::from(time.subsec_nanos() > 0);
     secs.max(1)
 }
--- a/src/host/callers.rs
+++ b/src/host/callers.rs
@@ -162,7 +162,7 @@
         outcome: refusal.kind.answer().code,
         lasted: Duration::ZERO,
     });
-    web::discard(req, DISCARD_LIMIT, DISCARD_TIME).await;
+    web::discard_body(req, DISCARD_LIMIT, DISCARD_TIME).await;
     let mut response = problem::answer(&refusal, "");
     close(&mut response);
     Err(response)
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -158,7 +158,7 @@
     let handler = Rc::clone(&node);
     ntex::rt::spawn(web::serve(
         readiness,
-        web::GRACE,
+        web::CONNECTION_GRACE,
         running.clone(),
         move |req| {
             let response = relay::callers::ready(&handler, &req);
@@ -166,10 +166,15 @@
         },
     ));
     let handler = Rc::clone(&node);
-    ntex::rt::spawn(web::serve(metrics, web::GRACE, running, move |_req| {
-        let response = operators::metrics(&handler);
-        async move { response }
-    }));
+    ntex::rt::spawn(web::serve(
+        metrics,
+        web::CONNECTION_GRACE,
+        running,
+        move |_req| {
+            let response = operators::metrics(&handler);
+            async move { response }
+        },
+    ));
     ntex::rt::spawn(relay::datagrams::receive(Rc::clone(&node), socket));
     ntex::rt::spawn(timer::run(Rc::clone(&node)));
     let reloaded = Rc::clone(&node);
@@ -237,9 +242,12 @@
     node.on_close(close);
 
     let callers = Rc::clone(&node);
-    let serve = web::serve(listeners.callers, web::GRACE, closed, move |req| {
-        callers::handle(Rc::clone(&callers), req)
-    });
+    let serve = web::serve(
+        listeners.callers,
+        web::CONNECTION_GRACE,
+        closed,
+        move |req| callers::handle(Rc::clone(&callers), req),
+    );
     let served = Rc::clone(&node);
     ntex::rt::spawn(async move {
         serve.await;
@@ -249,7 +257,7 @@
     let operators = Rc::clone(&node);
     ntex::rt::spawn(web::serve(
         listeners.operators,
-        web::GRACE,
+        web::CONNECTION_GRACE,
         running.clone(),
         move |req| operators::handle(Rc::clone(&operators), req),
     ));
--- a/src/host/node.rs
+++ b/src/host/node.rs
@@ -27,7 +27,7 @@
 use crate::core::{Core, Effect, Effects, Event, Time};
 use crate::settings::Settings;
 use crate::store::Store;
-use crate::web::CLIENT_IDLE;
+use crate::web::CLIENT_IDLE_TIMEOUT;
 
 /// Time one call to the key-value service may take at one endpoint.
 const STORE_TIME: Duration = Duration::from_secs(2);
@@ -262,7 +262,7 @@
         let now = timer::now();
         let mut wary = self.wary.borrow_mut();
         if resume.is_some() {
-            let idle = Duration::from_secs(CLIENT_IDLE.0.into());
+            let idle = Duration::from_secs(CLIENT_IDLE_TIMEOUT.0.into());
             wary.insert(addr, now.after(idle));
         }
         wary.retain(|_, until| *until > now);
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -34,7 +34,7 @@
         }
     }
     if !admitted(&node, &req) {
-        web::discard(&mut req, LIST_LIMIT, REFUSE_TIME).await;
+        web::discard_body(&mut req, LIST_LIMIT, REFUSE_TIME).await;
         let detail = "the operators' key is missing or wrong";
         return problem::answer(&Refusal::new(Kind::BadKey, detail), "");
     }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -19,7 +19,7 @@
 use super::node::Node;
 use crate::core::Event;
 use crate::core::event::PeerEvent;
-use crate::wire::{self, FRAME_LIMIT, Frame, Hello, VERSION, WireError};
+use crate::wire::{self, Frame, Hello, MAX_FRAME_BYTES, PROTOCOL_VERSION, WireError};
 
 /// Most bytes of a frame before the sender has proved who it is.
 const FIRST_LIMIT: usize = 512;
@@ -136,7 +136,7 @@
 
 fn hello(name: &str) -> Hello {
     Hello {
-        version: VERSION,
+        version: PROTOCOL_VERSION,
         name: name.into(),
         nonce: rand::random(),
     }
@@ -174,7 +174,7 @@
     let Frame::Hello(other) = receive(wire).await? else {
         return Err(PeerError::Unproved);
     };
-    if other.version != VERSION {
+    if other.version != PROTOCOL_VERSION {
         return Err(PeerError::Version {
             version: other.version,
         });
@@ -200,7 +200,7 @@
         return Err(PeerError::Unproved);
     }
     let key = mac(secret, "session", opener, accepter);
-    wire.codec_mut().set_max_frame_length(FRAME_LIMIT);
+    wire.codec_mut().set_max_frame_length(MAX_FRAME_BYTES);
     Ok((other.name, Codes { key, count: 0 }))
 }
 
@@ -236,7 +236,7 @@
         if unproved.get() >= UNPROVED {
             continue;
         }
-        let hold = unproved.hold();
+        let hold = unproved.acquire();
         let (node, stop) = (Rc::clone(&node), stop.clone());
         ntex::rt::spawn(async move {
             if let Err(err) = serve(&node, stream, hold, stop).await {
@@ -258,7 +258,7 @@
 async fn serve(
     node: &Rc<Node>,
     stream: TcpStream,
-    hold: crate::web::Hold,
+    hold: crate::web::GaugeGuard,
     mut stop: watch::Receiver<bool>,
 ) -> Result<(), PeerError> {
     let (name, secret) = node.look(|core| {
--- a/src/host/problem.rs
+++ b/src/host/problem.rs
@@ -5,7 +5,7 @@
 use ntex::http::{Response, StatusCode};
 
 use crate::core::effect::Refusal;
-use crate::error::{problem, whole_secs};
+use crate::error::{ceil_secs, problem};
 
 /// Media type of problem documents (RFC 9457).
 pub const MEDIA: &str = "application/problem+json";
@@ -22,7 +22,7 @@
         response.header(REQUEST_ID, id);
     }
     if let Some(retry) = refusal.retry {
-        response.header("retry-after", whole_secs(retry).to_string());
+        response.header("retry-after", ceil_secs(retry).to_string());
     }
     response.body(document(refusal, id))
 }
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -21,7 +21,7 @@
                 "ended_ms": attempt.ended,
                 "end": &*attempt.end,
                 "tokens": attempt.tokens,
-                "ran": attempt.ran.map(Ran::word),
+                "ran": attempt.ran.map(Ran::name),
             })
         })
         .collect();
@@ -39,7 +39,7 @@
         "arrived_ms": record.arrived,
         "lasted_ms": record.lasted,
         "outcome": if record.outcome.is_empty() { "running" } else { &*record.outcome },
-        "ran": record.ran.map(Ran::word),
+        "ran": record.ran.map(Ran::name),
         "prompt_tokens": record.prompt,
         "output_tokens": record.output,
         "idempotency_key": &*record.key,
--- a/src/load.rs
+++ b/src/load.rs
@@ -104,7 +104,7 @@
 ///
 /// Returns how many answers were lost or wrong, if any; a refusal is neither.
 pub async fn run(options: LoadOptions) -> Result<(), LoadError> {
-    let client = web::client("load").await.context(NoClientSnafu)?;
+    let client = web::trial_client("load").await.context(NoClientSnafu)?;
     let tallies: Vec<_> = options
         .targets
         .iter()
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -106,7 +106,7 @@
 fn pool(section: &Section) -> PoolSettings {
     PoolSettings {
         model: section.get("model").into(),
-        fencing: section.read("fencing", Fencing::from_word),
+        fencing: section.read("fencing", Fencing::from_name),
         first_token: time(section, "first-token"),
         between: time(section, "between"),
         split: section.read("split", units::yes),
@@ -141,7 +141,7 @@
 impl Fencing {
     /// Reads `checks` or `ignores`.
     #[must_use]
-    pub fn from_word(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         match word {
             "checks" => Some(Self::Checks),
             "ignores" => Some(Self::Ignores),
--- a/src/standin/engine/mod.rs
+++ b/src/standin/engine/mod.rs
@@ -90,7 +90,7 @@
             move |req| routes::handle(Rc::clone(&shared), req)
         };
         tokio::select! {
-            () = web::serve(listener, web::GRACE, stopped, handler) => return,
+            () = web::serve(listener, web::CONNECTION_GRACE, stopped, handler) => return,
             () = steps(&shared) => {}
             () = timers(&shared) => {}
         }
--- a/src/standin/hop.rs
+++ b/src/standin/hop.rs
@@ -21,11 +21,11 @@
 
 /// Passes requests on to `target` until dropped; must run inside an ntex system.
 pub async fn run(listener: TcpListener, target: SocketAddr) {
-    let Some(client) = web::client("hop").await else {
+    let Some(client) = web::trial_client("hop").await else {
         return;
     };
     let (_stop, stopped) = watch::channel(false);
-    web::serve(listener, web::GRACE, stopped, move |req| {
+    web::serve(listener, web::CONNECTION_GRACE, stopped, move |req| {
         pass(client.clone(), target, req)
     })
     .await;
--- a/src/standin/kv/mod.rs
+++ b/src/standin/kv/mod.rs
@@ -133,7 +133,7 @@
     });
     let (_stop, stopped) = watch::channel(false);
     let at = Rc::clone(&shared);
-    let serve = web::serve(listener, web::GRACE, stopped, move |req| {
+    let serve = web::serve(listener, web::CONNECTION_GRACE, stopped, move |req| {
         answer(Rc::clone(&at), req)
     });
     tokio::select! {
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -101,7 +101,7 @@
         counts: BTreeMap::new(),
     }));
     let (_stop, stopped) = watch::channel(false);
-    web::serve(listener, web::GRACE, stopped, move |req| {
+    web::serve(listener, web::CONNECTION_GRACE, stopped, move |req| {
         handle(Rc::clone(&state), req)
     })
     .await;
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -22,7 +22,7 @@
 use snafu::Snafu;
 
 use crate::error::Ran;
-use crate::web::CLIENT_IDLE;
+use crate::web::CLIENT_IDLE_TIMEOUT;
 
 pub use link::Sort;
 pub use watch::{Batch, Change, Watch};
@@ -326,7 +326,7 @@
         let client = Client::builder()
             .connector::<()>(
                 Connector::default()
-                    .keep_alive(CLIENT_IDLE)
+                    .keep_alive(CLIENT_IDLE_TIMEOUT)
                     .limit(MAX_LINKS),
             )
             .response_timeout(millis)
--- a/src/web.rs
+++ b/src/web.rs
@@ -21,22 +21,22 @@
 /// Most headers a request may carry; more get 431.
 const MAX_HEADERS: usize = 64;
 /// Most bytes of request line and headers together.
-const MAX_HEAD: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Time a caller has to send all headers before the connection is closed.
-const HEAD_TIME: Seconds = Seconds(10);
+const HEAD_TIMEOUT: Seconds = Seconds(10);
 /// Idle time after which a kept-alive connection is closed by this side.
 ///
 /// Clients here drop idle connections after [`crate::web::CLIENT_IDLE`], which is shorter,
 /// so that a request is not written to a connection this side is closing.
-const SERVER_IDLE: Seconds = Seconds(75);
+const SERVER_IDLE_TIMEOUT: Seconds = Seconds(75);
 /// Time that connections are served on after their listener was closed, where callers know of no
 /// other host to go to at once.
-pub const GRACE: Duration = Duration::from_secs(1);
+pub const CONNECTION_GRACE: Duration = Duration::from_secs(1);
 /// Idle time after which clients in this program drop a pooled connection.
-pub const CLIENT_IDLE: Seconds = Seconds(4);
+pub const CLIENT_IDLE_TIMEOUT: Seconds = Seconds(4);
 
 /// Connections at most of a client for trials.
-const TRIAL_CONNECTIONS: usize = 10_000;
+const MAX_TRIAL_CONNECTIONS: usize = 10_000;
 
 /// A failure inside a handler; answered with 500 and never shown in detail.
 #[derive(Debug, Snafu)]
@@ -58,17 +58,17 @@
 
     /// Counts one more until the returned hold is dropped.
     #[must_use]
-    pub fn hold(&self) -> Hold {
+    pub fn acquire(&self) -> GaugeGuard {
         self.0.set(self.0.get() + 1);
-        Hold(Rc::clone(&self.0))
+        GaugeGuard(Rc::clone(&self.0))
     }
 }
 
 /// One counted connection or request.
 #[derive(Debug)]
-pub struct Hold(Rc<Cell<usize>>);
+pub struct GaugeGuard(Rc<Cell<usize>>);
 
-impl Drop for Hold {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -101,9 +101,9 @@
 {
     let config = HttpServiceConfig::new()
         .set_max_headers(MAX_HEADERS)
-        .set_max_buf_size(MAX_HEAD)
-        .set_client_timeout(HEAD_TIME)
-        .set_keepalive_timeout(SERVER_IDLE);
+        .set_max_buf_size(MAX_HEAD_BYTES)
+        .set_client_timeout(HEAD_TIMEOUT)
+        .set_keepalive_timeout(SERVER_IDLE_TIMEOUT);
     let cfg = SharedCfg::new("http").add(config).build();
     let service = HttpService::h1(fn_service(move |req: Request| {
         let answer = handler(req);
@@ -131,9 +131,9 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        connect(&service, &cfg, stream.into_std(), open.clone());
+        serve_connection(&service, &cfg, stream.into_std(), open.clone());
     }
-    drain(&service, &cfg, listener, &open);
+    serve_backlog(&service, &cfg, listener, &open);
     drop(open);
     tokio::time::sleep(grace).await;
     service.shutdown().await;
@@ -142,7 +142,7 @@
 }
 
 /// Serves one connection, and drops `open` at its end.
-fn connect<S>(
+fn serve_connection<S>(
     service: &Pipeline<S>,
     cfg: &SharedCfg,
     stream: io::Result<std::net::TcpStream>,
@@ -170,8 +170,12 @@
 ///
 /// The kernel answers a connection before the program takes it. Closed without this, the listener
 /// would reset those that wait, and their callers would not know what became of their requests.
-fn drain<S>(service: &Pipeline<S>, cfg: &SharedCfg, listener: TcpListener, open: &mpsc::Sender<()>)
-where
+fn serve_backlog<S>(
+    service: &Pipeline<S>,
+    cfg: &SharedCfg,
+    listener: TcpListener,
+    open: &mpsc::Sender<()>,
+) where
     S: Service<Io> + 'static,
     S::Error: std::fmt::Display,
 {
@@ -180,18 +184,18 @@
     };
     while let Ok((stream, _)) = listener.accept() {
         let stream = stream.set_nonblocking(true).map(|()| stream);
-        connect(service, cfg, stream, open.clone());
+        serve_connection(service, cfg, stream, open.clone());
     }
 }
 
 /// Makes a client for trials that follows no redirect, adds no header and sets no time limit;
 /// `None` when the library cannot make one.
-pub async fn client(name: &'static str) -> Option<Client> {
+pub async fn trial_client(name: &'static str) -> Option<Client> {
     // Not 0, which means no limit: the pool then leaves calls asleep that wait for another's
     // connection.
     let connector = Connector::new()
-        .limit(TRIAL_CONNECTIONS)
-        .keep_alive(CLIENT_IDLE);
+        .limit(MAX_TRIAL_CONNECTIONS)
+        .keep_alive(CLIENT_IDLE_TIMEOUT);
     Client::builder()
         .connector::<()>(connector)
         .disable_redirects()
@@ -207,7 +211,7 @@
 /// A connection closed with bytes still unread is reset, and a reset can overtake the answer: the
 /// caller then sees a broken connection in place of the refusal. Reading what it sends first
 /// prevents this for callers that keep to the bounds.
-pub async fn discard(req: &mut Request, limit: usize, time: Duration) {
+pub async fn discard_body(req: &mut Request, limit: usize, time: Duration) {
     let mut payload = req.take_payload();
     let drain = async {
         let mut read = 0;
--- a/src/wire/convert.rs
+++ b/src/wire/convert.rs
@@ -1,7 +1,7 @@
 //! Conversions between the core's messages and the generated types.
 
 use super::generated::{self as wire, frame::Kind};
-use super::{WireError, array};
+use super::{WireError, fixed_bytes};
 use crate::core::event::{Print, Stored};
 use crate::core::message::{
     Beat, Begin, BeginState, Borrow, Confirm, Demand, Done, DoneState, Lend, Listing, Loan,
@@ -29,7 +29,7 @@
         }),
         Message::Borrow(borrow) => Kind::Borrow(wire::Borrow {
             round: borrow.round,
-            wishes: borrow.wishes.iter().map(to_wish).collect(),
+            wishes: borrow.wishes.iter().map(to_loan_request).collect(),
         }),
         Message::Lend(lend) => Kind::Lend(wire::Lend {
             round: lend.round,
@@ -130,7 +130,7 @@
             round: begin.round,
             customer: begin.customer.into(),
             key: begin.key.into(),
-            print: Print(array(&begin.body, "body")?),
+            print: Print(fixed_bytes(&begin.body, "body")?),
             request: begin.request.into(),
         }),
         Kind::Begun(begun) => from_begun(begun)?,
@@ -161,9 +161,9 @@
         Kind::Confirm(confirm) => from_confirm(confirm),
         Kind::Demand(demand) => Message::Demand(Demand {
             pool: demand.pool.into(),
-            prompt: amount(demand.prompt, "prompt")?,
-            output: amount(demand.output, "output")?,
-            refused: amount(demand.refused, "refused")?,
+            prompt: non_negative(demand.prompt, "prompt")?,
+            output: non_negative(demand.output, "output")?,
+            refused: non_negative(demand.refused, "refused")?,
         }),
         Kind::Sent(sent) => Message::Sent(Sent {
             engine: sent.engine,
@@ -173,7 +173,7 @@
             Message::Running(streams.engines.into_iter().zip(streams.counts).collect())
         }
         Kind::Suspect(suspect) => Message::Suspect(Suspect {
-            print: Print(array(&suspect.print, "print")?),
+            print: Print(fixed_bytes(&suspect.print, "print")?),
             engine: suspect.engine.into(),
             at: suspect.at,
             request: suspect.request.into(),
@@ -182,7 +182,7 @@
     })
 }
 
-fn amount(value: f64, field: &'static str) -> Result<f64, WireError> {
+fn non_negative(value: f64, field: &'static str) -> Result<f64, WireError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
@@ -204,7 +204,7 @@
     }
 }
 
-fn to_wish(wish: &Wish) -> wire::Wish {
+fn to_loan_request(wish: &Wish) -> wire::Wish {
     wire::Wish {
         plan: wish.plan.to_string(),
         requests: wish.requests,
@@ -229,24 +229,24 @@
 }
 
 fn from_borrow(borrow: wire::Borrow) -> Result<Message, WireError> {
-    let wishes: Result<Vec<_>, _> = borrow.wishes.into_iter().map(from_wish).collect();
+    let wishes: Result<Vec<_>, _> = borrow.wishes.into_iter().map(from_loan_request).collect();
     Ok(Message::Borrow(Borrow {
         round: borrow.round,
         wishes: wishes?,
     }))
 }
 
-fn from_wish(wish: wire::Wish) -> Result<Wish, WireError> {
+fn from_loan_request(wish: wire::Wish) -> Result<Wish, WireError> {
     Ok(Wish {
         plan: wish.plan.into(),
-        requests: amount(wish.requests, "requests")?,
-        tokens: amount(wish.tokens, "tokens")?,
+        requests: non_negative(wish.requests, "requests")?,
+        tokens: non_negative(wish.tokens, "tokens")?,
         running: wish.running,
-        least: amount(wish.least, "least")?,
+        least: non_negative(wish.least, "least")?,
         waiting: wish.waiting,
         held: wish.held,
-        back_requests: amount(wish.back_requests, "back_requests")?,
-        back_tokens: amount(wish.back_tokens, "back_tokens")?,
+        back_requests: non_negative(wish.back_requests, "back_requests")?,
+        back_tokens: non_negative(wish.back_tokens, "back_tokens")?,
     })
 }
 
@@ -262,8 +262,8 @@
 fn from_loan(loan: wire::Loan) -> Result<Loan, WireError> {
     Ok(Loan {
         plan: loan.plan.into(),
-        requests: amount(loan.requests, "requests")?,
-        tokens: amount(loan.tokens, "tokens")?,
+        requests: non_negative(loan.requests, "requests")?,
+        tokens: non_negative(loan.tokens, "tokens")?,
         running: loan.running,
         wait: loan.wait,
     })
@@ -381,14 +381,14 @@
 }
 
 fn to_ran(ran: Option<Ran>) -> String {
-    ran.map(Ran::word).unwrap_or_default().to_owned()
+    ran.map(Ran::name).unwrap_or_default().to_owned()
 }
 
 fn from_ran(word: &str) -> Result<Option<Ran>, WireError> {
     if word.is_empty() {
         return Ok(None);
     }
-    Ran::from_word(word)
+    Ran::from_name(word)
         .map(Some)
         .ok_or(WireError::Field { field: "ran" })
 }
--- a/src/wire/gossip.rs
+++ b/src/wire/gossip.rs
@@ -19,8 +19,8 @@
         incarnation: message.incarnation,
         number: message.sequence,
         loads: (!message.loads.is_empty()).then(|| to_loads(&message.loads)),
-        parts: message.blocks.iter().map(to_part).collect(),
-        deaths: message.crashes.iter().map(to_death).collect(),
+        parts: message.blocks.iter().map(to_block).collect(),
+        deaths: message.crashes.iter().map(to_crash).collect(),
         domain: domain.to_owned(),
         passed: matches!(message.kind, GossipKind::Forwarded(_)),
         era: message.era,
@@ -28,7 +28,7 @@
         newest_age: message.probe.map_or(0, |newest| millis(newest.age)),
         kind: kind.into(),
         included: to_included(&message.kind),
-        passage: message.replicated.as_ref().map(to_passage),
+        passage: message.replicated.as_ref().map(to_replicated),
         uptime: message.uptime.map(to_uptime),
         limits: message.limits.iter().map(to_limit).collect(),
     };
@@ -55,10 +55,10 @@
         incarnation: message.incarnation,
         sequence: message.number,
         loads: from_loads(&message.loads.unwrap_or_default())?,
-        blocks: message.parts.iter().map(from_part).collect(),
-        crashes: message.deaths.iter().map(from_death).collect(),
+        blocks: message.parts.iter().map(from_block).collect(),
+        crashes: message.deaths.iter().map(from_crash).collect(),
         kind,
-        replicated: message.passage.map(from_passage),
+        replicated: message.passage.map(from_replicated),
         uptime: message.uptime.map(from_uptime),
         limits: message
             .limits
@@ -159,7 +159,7 @@
     }
 }
 
-fn to_passage(passage: &ReplicatedChanges) -> wire::Passage {
+fn to_replicated(passage: &ReplicatedChanges) -> wire::Passage {
     let events = passage.events.iter().map(|event| wire::StoreChange {
         revision: event.revision,
         key: event.key.to_string(),
@@ -174,7 +174,7 @@
 }
 
 /// Reads changes of the store; what they mean is left to the adapter of the platform.
-fn from_passage(passage: wire::Passage) -> ReplicatedChanges {
+fn from_replicated(passage: wire::Passage) -> ReplicatedChanges {
     let events = passage.events.into_iter().map(|event| StoreChange {
         revision: event.revision,
         key: event.key.into(),
@@ -216,7 +216,7 @@
     Ok(loads.collect())
 }
 
-fn to_part(part: &BlockReport) -> wire::PartWord {
+fn to_block(part: &BlockReport) -> wire::PartWord {
     wire::PartWord {
         part: part.block,
         tokens: part.tokens,
@@ -224,7 +224,7 @@
     }
 }
 
-fn from_part(part: &wire::PartWord) -> BlockReport {
+fn from_block(part: &wire::PartWord) -> BlockReport {
     BlockReport {
         block: part.part,
         tokens: part.tokens,
@@ -232,14 +232,14 @@
     }
 }
 
-fn to_death(death: &CrashReport) -> wire::DeathWord {
+fn to_crash(death: &CrashReport) -> wire::DeathWord {
     wire::DeathWord {
         print: death.fingerprint,
         instance: death.instance,
     }
 }
 
-fn from_death(death: &wire::DeathWord) -> CrashReport {
+fn from_crash(death: &wire::DeathWord) -> CrashReport {
     CrashReport {
         fingerprint: death.print,
         instance: death.instance,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -26,9 +26,9 @@
 use generated::frame::Kind;
 
 /// Version of the protocol between hosts.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// Most bytes of one frame; the largest holds both lists.
-pub const FRAME_LIMIT: usize = 16 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// One frame.
 #[derive(Debug, Clone, PartialEq)]
@@ -97,14 +97,14 @@
         Kind::Hello(hello) => Frame::Hello(Hello {
             version: hello.version,
             name: hello.name.into(),
-            nonce: array(&hello.nonce, "nonce")?,
+            nonce: fixed_bytes(&hello.nonce, "nonce")?,
         }),
-        Kind::Proof(proof) => Frame::Proof(array(&proof.mac, "mac")?),
+        Kind::Proof(proof) => Frame::Proof(fixed_bytes(&proof.mac, "mac")?),
         other => Frame::Message(convert::from_kind(other)?),
     })
 }
 
-fn array<const N: usize>(bytes: &[u8], field: &'static str) -> Result<[u8; N], WireError> {
+fn fixed_bytes<const N: usize>(bytes: &[u8], field: &'static str) -> Result<[u8; N], WireError> {
     bytes
         .try_into()
         .map_err(|_length| WireError::Field { field })
--- a/src/wire/shard.rs
+++ b/src/wire/shard.rs
@@ -3,21 +3,21 @@
 use prost::Message as _;
 
 use super::convert::{from_stored, from_trace, to_stored, to_trace};
-use super::{array, generated};
+use super::{fixed_bytes, generated};
 use crate::core::event::Print;
 use crate::core::once::{Call, CallName, CallState, Calls};
 use crate::core::trace::Record;
 
-const STARTED: u32 = 0;
-const DONE: u32 = 1;
+const STATE_STARTED: u32 = 0;
+const STATE_DONE: u32 = 1;
 
 /// Returns the bytes of a shard.
 #[must_use]
 pub fn encode_shard(calls: &Calls) -> Vec<u8> {
     let calls = calls.iter().map(|((customer, key), call)| {
         let (state, result) = match &call.state {
-            CallState::Started => (STARTED, None),
-            CallState::Done(result) => (DONE, Some(to_stored(result))),
+            CallState::Started => (STATE_STARTED, None),
+            CallState::Done(result) => (STATE_DONE, Some(to_stored(result))),
             CallState::MayHaveRun => (2, None),
         };
         generated::Call {
@@ -42,21 +42,21 @@
 #[must_use]
 pub fn decode_shard(bytes: &[u8]) -> Option<Calls> {
     let shard = generated::Shard::decode(bytes).ok()?;
-    shard.calls.into_iter().map(call).collect()
+    shard.calls.into_iter().map(decode_call).collect()
 }
 
-fn call(call: generated::Call) -> Option<(CallName, Call)> {
-    let state = match (call.state, call.result) {
-        (STARTED, _) => CallState::Started,
-        (DONE, Some(result)) => CallState::Done(from_stored(result).ok()?),
+fn decode_call(decode_call: generated::Call) -> Option<(CallName, Call)> {
+    let state = match (decode_call.state, decode_call.result) {
+        (STATE_STARTED, _) => CallState::Started,
+        (STATE_DONE, Some(result)) => CallState::Done(from_stored(result).ok()?),
         _ => CallState::MayHaveRun,
     };
-    let name = (call.customer.into(), call.key.into());
+    let name = (decode_call.customer.into(), decode_call.key.into());
     let call = Call {
-        fingerprint: Print(array(&call.print, "print").ok()?),
-        request: call.request.into(),
+        fingerprint: Print(fixed_bytes(&decode_call.print, "print").ok()?),
+        request: decode_call.request.into(),
         state,
-        recorded_ms: call.at,
+        recorded_ms: decode_call.at,
     };
     Some((name, call))
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use proptest::prelude::*;
 
-use super::{Frame, Hello, VERSION, decode, decode_shard, encode, encode_shard};
+use super::{Frame, Hello, PROTOCOL_VERSION, decode, decode_shard, encode, encode_shard};
 use crate::core::event::{Print, Stored};
 use crate::core::message::{Begin, BeginState, Done, DoneState, Lend, Loan, Message};
 use crate::core::once::{Call, CallState, Calls};
@@ -50,7 +50,7 @@
 }
 
 returns! {
-    hello_returns: Frame::Hello(Hello { version: VERSION, name: "dk-1".into(), nonce: [7; 32] }),
+    hello_returns: Frame::Hello(Hello { version: PROTOCOL_VERSION, name: "dk-1".into(), nonce: [7; 32] }),
     proof_returns: Frame::Proof([9; 32]),
     begin_returns: Frame::Message(Message::Begin(Begin {
         round: 4,
--- a/tests/common/console.rs
+++ b/tests/common/console.rs
@@ -73,7 +73,7 @@
                 let listener = web::listen(addr).await.expect("a port is free");
                 let addr = listener.local_addr().expect("the listener is bound");
                 tell.send(addr).expect("the test waits");
-                web::serve(listener, web::GRACE, stopped, move |req| {
+                web::serve(listener, web::CONNECTION_GRACE, stopped, move |req| {
                     answer(Rc::clone(&state), req)
                 })
                 .await;
@@ -108,7 +108,7 @@
         value.unwrap_or_default().to_owned()
     };
     if header(&req, "authorization") != format!("Bearer {KEY}") {
-        web::discard(&mut req, MAX_BODY, BODY_TIME).await;
+        web::discard_body(&mut req, MAX_BODY, BODY_TIME).await;
         return Response::new(StatusCode::UNAUTHORIZED);
     }
     let tag = header(&req, "if-match");
--- a/tests/fleet/notrun.rs
+++ b/tests/fleet/notrun.rs
@@ -35,7 +35,7 @@
     let kind = document["type"].as_str().unwrap_or_default();
     assert_eq!(kind, format!("urn:chiveway:{code}"), "{}", answer.text());
     assert_eq!(document["ran"], "no", "{code}: {}", answer.text());
-    let back = chiveway::error::Kind::from_code(code).and_then(|kind| kind.answer().retry);
+    let back = chiveway::error::Kind::from_code(code).and_then(|kind| kind.answer().retry_after);
     assert_eq!(
         answer.header("retry-after").is_some(),
         back.is_some(),
