--- a/benches/core/site.rs
+++ b/benches/core/site.rs
@@ -8,7 +8,7 @@
 };
 use chiveway::core::key::{AttemptKey, RequestKey};
 use chiveway::core::{Core, Effect, Effects, Time};
-use chiveway::lists::{Index, KeyHash, Lists, Plans, Uses};
+use chiveway::lists::{KeyHash, KeyIndex, Lists, Plans, Uses};
 use chiveway::settings::Settings;
 
 /// Model of every request.
@@ -72,7 +72,7 @@
             plans: Plans::parse(&text, "bench").expect("sound plans"),
             uses: Uses::parse(&uses, "bench").expect("sound uses"),
         };
-        self.core.config.index = Index::new(&lists);
+        self.core.config.index = KeyIndex::new(&lists);
         self.core.config.lists = lists;
     }
 
--- a/benches/policy/hosts.rs
+++ b/benches/policy/hosts.rs
@@ -7,7 +7,7 @@
 };
 use chiveway::core::fleet::ServingState;
 use chiveway::core::{Core, Effects, Time};
-use chiveway::lists::{Index, KeyHash, Lists, Plans, Uses};
+use chiveway::lists::{KeyHash, KeyIndex, Lists, Plans, Uses};
 use chiveway::settings::Settings;
 
 use crate::engine::{DECODE, Load, PIECE, PREFILL, SLOTS};
@@ -112,7 +112,7 @@
         .map(|at| {
             let settings = settings(case, at);
             let mut core = Core::new(settings, Time::default(), EPOCH, seed + at as u64);
-            core.config.index = Index::new(&lists);
+            core.config.index = KeyIndex::new(&lists);
             core.config.lists = lists.clone();
             core
         })
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -69,8 +69,8 @@
 fn file_help(words: &str) -> String {
     let kinds = match words {
         "check" => settings::keys::KINDS,
-        "plans check" => lists::keys::PLANS,
-        "use check" => lists::keys::USES,
+        "plans check" => lists::keys::PLANS_SECTIONS,
+        "use check" => lists::keys::USES_SECTIONS,
         _ => return String::new(),
     };
     let mut text = "\nSections and keys of the file:\n".to_owned();
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -17,7 +17,7 @@
 use super::key::{AskKey, HostKey};
 use super::message::Message;
 use super::{Core, Effects, member, share};
-use crate::lists::{self, Chunk, Index, Lists, Plans, Uses};
+use crate::lists::{self, Chunk, KeyIndex, Lists, Plans, Uses};
 use crate::sections::Fault;
 use crate::store::{Pair, Span};
 
@@ -61,7 +61,7 @@
     /// The lists in force.
     pub lists: Lists,
     /// Customers by the hashes of their keys.
-    pub index: Index,
+    pub index: KeyIndex,
     /// Chunks of the plans in force.
     plan_chunks: Vec<Chunk>,
     /// Newest head seen, and the store revision at which it was written.
@@ -234,7 +234,7 @@
         .lists
         .plans
         .clone()
-        .reread(&config.plan_chunks, parts, "plans")
+        .reparse(&config.plan_chunks, parts, "plans")
 }
 
 /// Puts lists in force; a revision that is not newer is ignored, so the lists never revert.
--- a/src/core/request/arrive.rs
+++ b/src/core/request/arrive.rs
@@ -127,7 +127,7 @@
         return Err(Refusal::new(Kind::NotAllowed, detail));
     }
     if let Want::Service(want) = &request.want {
-        request.retryable = uses.rule(&want.service, &want.method, &want.path);
+        request.retryable = uses.is_retryable(&want.service, &want.method, &want.path);
         if !request.retryable && request.idempotency_key.is_none() {
             let detail = "this call is not retryable and has no Idempotency-Key header";
             return Err(Refusal::new(Kind::KeyMissing, detail));
--- a/src/lists/check.rs
+++ b/src/lists/check.rs
@@ -6,7 +6,7 @@
 use crate::sections::Fault;
 
 /// Origin named in the faults of the customers' plans.
-const FILE: &str = "plans";
+const PLANS_ORIGIN: &str = "plans";
 
 /// Compares both lists: every customer's plan exists, and every key belongs to one customer.
 #[must_use]
@@ -16,7 +16,7 @@
     for (name, customer) in &plans.customers {
         let mut fault = |key: &str, given: &str, allowed: &str| {
             faults.push(Fault {
-                file: FILE.into(),
+                file: PLANS_ORIGIN.into(),
                 section: format!("customer {name}").into(),
                 key: key.into(),
                 given: given.into(),
--- a/src/lists/chunk.rs
+++ b/src/lists/chunk.rs
@@ -6,9 +6,9 @@
 use snafu::Snafu;
 
 /// Bytes taken for the size of a typical section, when the spacing of borders is chosen.
-const SECTION: usize = 128;
+const TYPICAL_SECTION_BYTES: usize = 128;
 /// Mean parts in the limit: room for runs of sections without a border.
-const SPARE: usize = 8;
+const MEAN_CHUNKS_PER_LIMIT: usize = 8;
 
 /// One part of a text, named by the BLAKE3 hash of its bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,14 +23,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum JoinError {
     /// Bytes that do not match their name.
-    #[snafu(display("part {part} does not match its hash; fetch it again"))]
-    Hash {
+    #[snafu(display("part {chunk} does not match its hash; fetch it again"))]
+    HashMismatch {
         /// Place of the part, from 0.
-        part: usize,
+        chunk: usize,
     },
     /// Bytes that are no text.
     #[snafu(display("the parts are not UTF-8 text; fetch the list again"))]
-    Text,
+    NotUtf8,
 }
 
 impl Chunk {
@@ -52,13 +52,13 @@
 #[must_use]
 pub fn chunks(text: &str, limit: usize) -> Vec<Chunk> {
     assert!(limit > 0, "a chunk holds at least a byte");
-    let spacing = (limit / SECTION / SPARE).max(1) as u64;
+    let spacing = (limit / TYPICAL_SECTION_BYTES / MEAN_CHUNKS_PER_LIMIT).max(1) as u64;
     let mut chunks = Vec::new();
     let mut start = 0;
     let mut end = 0;
     for section in sections(text) {
         let too_long = end - start + section.len() > limit;
-        if end > start && (too_long || is_border(section, spacing)) {
+        if end > start && (too_long || is_boundary(section, spacing)) {
             chunks.push(Chunk::new(&text.as_bytes()[start..end]));
             start = end;
         }
@@ -81,15 +81,15 @@
 /// Returns which part does not match its hash, or that the whole is no text.
 pub fn join(chunks: &[Chunk]) -> Result<Box<str>, JoinError> {
     let mut bytes = Vec::new();
-    for (part, chunk) in chunks.iter().enumerate() {
+    for (index, chunk) in chunks.iter().enumerate() {
         if *blake3::hash(&chunk.bytes).as_bytes() != chunk.hash {
-            return Err(JoinError::Hash { part });
+            return Err(JoinError::HashMismatch { chunk: index });
         }
         bytes.extend_from_slice(&chunk.bytes);
     }
     String::from_utf8(bytes)
         .map(Into::into)
-        .map_err(|_not_text| JoinError::Text)
+        .map_err(|_not_text| JoinError::NotUtf8)
 }
 
 /// Splits a text before each line that starts a section.
@@ -107,7 +107,7 @@
 }
 
 /// Decides by the header alone, so that an edit inside a section moves no border.
-fn is_border(section: &str, spacing: u64) -> bool {
+fn is_boundary(section: &str, spacing: u64) -> bool {
     let header = section.lines().next().unwrap_or_default();
     let hash = blake3::hash(header.as_bytes());
     let head = hash.as_bytes().first_chunk().copied().unwrap_or_default();
--- a/src/lists/diff.rs
+++ b/src/lists/diff.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-use super::{Allowance, Customer, KeyHash, Lists, Plans, Rule, Uses};
+use super::{Allowance, Customer, KeyHash, Lists, Plans, RetryRule, Uses};
 use crate::units;
 
 /// Digits of a key's hash that are shown: enough to tell a customer's keys apart.
-const SHOWN: usize = 12;
+const SHOWN_HASH_DIGITS: usize = 12;
 
 /// Returns one line for each difference; empty for equal lists.
 #[must_use]
@@ -20,16 +20,21 @@
 /// Returns one line for each difference of the customers' plans.
 #[must_use]
 pub fn diff_plans(old: &Plans, new: &Plans) -> Vec<Box<str>> {
-    maps("customer", &old.customers, &new.customers, |name, pair| {
-        changed_customer(name, pair)
+    diff_maps("customer", &old.customers, &new.customers, |name, pair| {
+        diff_customer(name, pair)
     })
 }
 
 /// Returns one line for each difference in what plans may use.
 #[must_use]
 pub fn diff_uses(old: &Uses, new: &Uses) -> Vec<Box<str>> {
-    let mut lines = maps("plan", &old.plans, &new.plans, changed_allowance);
-    lines.extend(maps("service", &old.services, &new.services, changed_rules));
+    let mut lines = diff_maps("plan", &old.plans, &new.plans, diff_allowance);
+    lines.extend(diff_maps(
+        "service",
+        &old.services,
+        &new.services,
+        diff_rules,
+    ));
     lines
 }
 
@@ -37,7 +42,7 @@
 type Pair<'a, T> = (&'a T, &'a T);
 
 /// Compares two maps: names that left, names that came, and the `changed` of the others.
-fn maps<T: PartialEq + Debug>(
+fn diff_maps<T: PartialEq + Debug>(
     word: &str,
     old: &BTreeMap<Box<str>, T>,
     new: &BTreeMap<Box<str>, T>,
@@ -56,7 +61,7 @@
     lines
 }
 
-fn changed_customer(name: &str, (old, new): Pair<'_, Customer>) -> Vec<Box<str>> {
+fn diff_customer(name: &str, (old, new): Pair<'_, Customer>) -> Vec<Box<str>> {
     let mut lines = Vec::new();
     let field = |field: &str, old: &str, new: &str| field_line("customer", name, field, old, new);
     lines.extend(field("plan", &old.plan, &new.plan));
@@ -64,13 +69,17 @@
     lines
 }
 
-fn changed_allowance(name: &str, (old, new): Pair<'_, Allowance>) -> Vec<Box<str>> {
+fn diff_allowance(name: &str, (old, new): Pair<'_, Allowance>) -> Vec<Box<str>> {
     let fields = [
-        ("models", words(&old.models), words(&new.models)),
-        ("services", words(&old.services), words(&new.services)),
-        ("requests", rate(old.requests), rate(new.requests)),
-        ("tokens", rate(old.tokens), rate(new.tokens)),
-        ("running", limit(old.running), limit(new.running)),
+        ("models", join_names(&old.models), join_names(&new.models)),
+        (
+            "services",
+            join_names(&old.services),
+            join_names(&new.services),
+        ),
+        ("requests", show_rate(old.requests), show_rate(new.requests)),
+        ("tokens", show_rate(old.tokens), show_rate(new.tokens)),
+        ("running", show_limit(old.running), show_limit(new.running)),
         (
             "priority",
             old.priority.to_string(),
@@ -83,7 +92,7 @@
         .collect()
 }
 
-fn changed_rules(name: &str, (old, new): Pair<'_, Vec<Rule>>) -> Vec<Box<str>> {
+fn diff_rules(name: &str, (old, new): Pair<'_, Vec<RetryRule>>) -> Vec<Box<str>> {
     let line = field_line("service", name, "rules", &rules(old), &rules(new));
     line.into_iter().collect()
 }
@@ -101,26 +110,26 @@
 }
 
 fn keys(keys: &[KeyHash]) -> String {
-    let short = |key: &KeyHash| key.to_string()[..SHOWN].to_owned();
+    let short = |key: &KeyHash| key.to_string()[..SHOWN_HASH_DIGITS].to_owned();
     keys.iter().map(short).collect::<Vec<_>>().join(", ")
 }
 
-fn words(words: &BTreeSet<Box<str>>) -> String {
-    let words: Vec<_> = words.iter().map(|word| &**word).collect();
-    words.join(", ")
+fn join_names(names: &BTreeSet<Box<str>>) -> String {
+    let names: Vec<_> = names.iter().map(|name| &**name).collect();
+    names.join(", ")
 }
 
-fn rate(rate: Option<f64>) -> String {
+fn show_rate(rate: Option<f64>) -> String {
     rate.map_or("none".to_owned(), |rate| units::show_rate(rate).into())
 }
 
-fn limit(limit: Option<u32>) -> String {
+fn show_limit(limit: Option<u32>) -> String {
     limit.map_or("none".to_owned(), |limit| limit.to_string())
 }
 
-fn rules(rules: &[Rule]) -> String {
-    let show = |rule: &Rule| {
-        let key = if rule.repeat { "repeat" } else { "once" };
+fn rules(rules: &[RetryRule]) -> String {
+    let show = |rule: &RetryRule| {
+        let key = if rule.retryable { "repeat" } else { "once" };
         format!("{key} {} {}", rule.method, rule.path)
     };
     rules.iter().map(show).collect::<Vec<_>>().join(", ")
--- a/src/lists/index.rs
+++ b/src/lists/index.rs
@@ -6,7 +6,7 @@
 
 /// Customer and plan behind one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Holder {
+pub struct KeyOwner {
     /// Name of the customer.
     pub customer: Box<str>,
     /// Name of the customer's plan.
@@ -15,31 +15,31 @@
 
 /// Customers by the hashes of their keys.
 #[derive(Debug, Clone, Default)]
-pub struct Index {
-    holders: BTreeMap<KeyHash, Holder>,
+pub struct KeyIndex {
+    owners: BTreeMap<KeyHash, KeyOwner>,
 }
 
-impl Index {
+impl KeyIndex {
     /// Builds the index of both lists.
     #[must_use]
     pub fn new(lists: &Lists) -> Self {
-        let mut holders = BTreeMap::new();
+        let mut owners = BTreeMap::new();
         for (name, customer) in &lists.plans.customers {
             for key in &customer.keys {
-                let holder = Holder {
+                let owner = KeyOwner {
                     customer: name.clone(),
                     plan: customer.plan.clone(),
                 };
-                holders.insert(*key, holder);
+                owners.insert(*key, owner);
             }
         }
-        Self { holders }
+        Self { owners }
     }
 
     /// Returns whose key has this hash.
     #[must_use]
-    pub fn get(&self, key: KeyHash) -> Option<&Holder> {
-        self.holders.get(&key)
+    pub fn get(&self, key: KeyHash) -> Option<&KeyOwner> {
+        self.owners.get(&key)
     }
 
     /// Brings the index from one list of customers to the next.
@@ -50,36 +50,36 @@
         // All go before any come: a key may have moved from one customer to another.
         for (_, customer) in changed(old, new) {
             for key in &customer.keys {
-                self.holders.remove(key);
+                self.owners.remove(key);
             }
         }
         for (name, customer) in changed(new, old) {
             for key in &customer.keys {
-                let holder = Holder {
+                let owner = KeyOwner {
                     customer: name.clone(),
                     plan: customer.plan.clone(),
                 };
-                self.holders.insert(*key, holder);
+                self.owners.insert(*key, owner);
             }
         }
     }
 
     /// Returns whose key this is.
     #[must_use]
-    pub fn find(&self, key: &str) -> Option<&Holder> {
+    pub fn find(&self, key: &str) -> Option<&KeyOwner> {
         self.get(KeyHash::of(key))
     }
 
     /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.holders.len()
+        self.owners.len()
     }
 
     /// Tells whether there are no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.holders.is_empty()
+        self.owners.is_empty()
     }
 }
 
@@ -97,14 +97,14 @@
     ///
     /// Without a matching rule GET and HEAD may be repeated and everything else may not.
     #[must_use]
-    pub fn rule(&self, service: &str, method: &str, path: &str) -> bool {
+    pub fn is_retryable(&self, service: &str, method: &str, path: &str) -> bool {
         let rules = self.services.get(service);
         let rule = rules.and_then(|rules| {
             rules
                 .iter()
                 .find(|rule| matches(&rule.method, method) && matches(&rule.path, path))
         });
-        rule.map_or(matches!(method, "GET" | "HEAD"), |rule| rule.repeat)
+        rule.map_or(matches!(method, "GET" | "HEAD"), |rule| rule.retryable)
     }
 }
 
--- a/src/lists/keys.rs
+++ b/src/lists/keys.rs
@@ -11,7 +11,7 @@
 pub const MAX_PRIORITY: usize = 9;
 
 /// Sections of the customers' plans.
-pub const PLANS: &[Kind] = &[Kind {
+pub const PLANS_SECTIONS: &[Kind] = &[Kind {
     word: "customer",
     label: Label::Title,
     keys: &[
@@ -31,7 +31,7 @@
 }];
 
 /// Sections of what each plan may use.
-pub const USES: &[Kind] = &[
+pub const USES_SECTIONS: &[Kind] = &[
     Kind {
         word: "plan",
         label: Label::Title,
--- a/src/lists/mod.rs
+++ b/src/lists/mod.rs
@@ -6,7 +6,7 @@
 mod index;
 pub mod keys;
 mod parse;
-mod reread;
+mod reparse;
 #[cfg(test)]
 mod tests;
 mod write;
@@ -14,7 +14,7 @@
 pub use check::check;
 pub use chunk::{Chunk, JoinError, chunks, join};
 pub use diff::{diff, diff_plans, diff_uses};
-pub use index::{Holder, Index};
+pub use index::{KeyIndex, KeyOwner};
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -70,7 +70,7 @@
     /// Allowances by plan name.
     pub plans: BTreeMap<Box<str>, Allowance>,
     /// Rules by service name.
-    pub services: BTreeMap<Box<str>, Vec<Rule>>,
+    pub services: BTreeMap<Box<str>, Vec<RetryRule>>,
 }
 
 /// What one plan may use, over all hosts and all its customers together.
@@ -116,11 +116,11 @@
 
 /// Whether calls that match may be repeated; the first rule that matches decides.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Rule {
+pub struct RetryRule {
     /// HTTP method, upper case; `*` for any.
     pub method: Box<str>,
     /// Path below the service; a final `*` matches any rest.
     pub path: Box<str>,
     /// Whether a call may be run more than once.
-    pub repeat: bool,
+    pub retryable: bool,
 }
--- a/src/lists/parse.rs
+++ b/src/lists/parse.rs
@@ -1,7 +1,7 @@
 //! The two lists from INI text, with every fault reported.
 
-use super::keys::{PLANS, USES};
-use super::{Allowance, Customer, Plans, Rule, Uses};
+use super::keys::{PLANS_SECTIONS, USES_SECTIONS};
+use super::{Allowance, Customer, Plans, RetryRule, Uses};
 use crate::form;
 use crate::sections::{Document, Fault, Kind, Section};
 use crate::units;
@@ -13,11 +13,11 @@
     ///
     /// Returns every fault found.
     pub fn parse(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
-        let sections = read(text, file, PLANS)?;
+        let sections = read(text, file, PLANS_SECTIONS)?;
         let customers = sections
             .into_iter()
             .map(|section| {
-                let customer = customer(&section);
+                let customer = parse_customer(&section);
                 (section.name, customer)
             })
             .collect();
@@ -33,12 +33,12 @@
     /// Returns every fault found.
     pub fn parse(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
         let mut uses = Self::default();
-        for section in read(text, file, USES)? {
+        for section in read(text, file, USES_SECTIONS)? {
             if section.word() == "plan" {
-                let allowance = allowance(&section);
+                let allowance = parse_allowance(&section);
                 uses.plans.insert(section.name, allowance);
             } else {
-                let rules = section.pairs.iter().flat_map(rules).collect();
+                let rules = section.pairs.iter().flat_map(parse_rules).collect();
                 uses.services.insert(section.name, rules);
             }
         }
@@ -55,14 +55,14 @@
     }
 }
 
-fn customer(section: &Section) -> Customer {
+fn parse_customer(section: &Section) -> Customer {
     Customer {
         plan: section.get("plan").into(),
         keys: section.read("keys", |text| form::items(text).map(form::hash).collect()),
     }
 }
 
-fn allowance(section: &Section) -> Allowance {
+fn parse_allowance(section: &Section) -> Allowance {
     let words = |key| form::items(section.get(key)).map(Into::into).collect();
     let running = |text: &str| units::count(text).and_then(|count| u32::try_from(count).ok());
     let priority = |text: &str| units::count(text).and_then(|count| u8::try_from(count).ok());
@@ -77,13 +77,13 @@
 }
 
 /// Reads the rules of one key of a service, in their order.
-fn rules((key, value): &(Box<str>, Box<str>)) -> Vec<Rule> {
+fn parse_rules((key, value): &(Box<str>, Box<str>)) -> Vec<RetryRule> {
     form::items(value)
         .filter_map(form::call)
-        .map(|(method, path)| Rule {
+        .map(|(method, path)| RetryRule {
             method: method.into(),
             path: path.into(),
-            repeat: &**key == "repeat",
+            retryable: &**key == "repeat",
         })
         .collect()
 }
--- a/src/lists/reread.rs
+++ b/src/lists/reparse.rs
@@ -14,12 +14,12 @@
     /// # Errors
     ///
     /// Returns every fault found, as if the whole list were read.
-    pub fn reread(mut self, old: &[Chunk], new: &[Chunk], file: &str) -> Result<Self, Vec<Fault>> {
-        let (start, end) = changed(old, new);
-        let gone = read(&old[start..old.len() - end], file);
-        let fresh = read(&new[start..new.len() - end], file);
+    pub fn reparse(mut self, old: &[Chunk], new: &[Chunk], file: &str) -> Result<Self, Vec<Fault>> {
+        let (start, end) = unchanged_ends(old, new);
+        let gone = parse_chunks(&old[start..old.len() - end], file);
+        let fresh = parse_chunks(&new[start..new.len() - end], file);
         let (Ok(gone), Ok(fresh)) = (gone, fresh) else {
-            return read(new, file);
+            return parse_chunks(new, file);
         };
         for name in gone.customers.keys() {
             self.customers.remove(name);
@@ -27,7 +27,7 @@
         for (name, customer) in fresh.customers {
             if self.customers.insert(name, customer).is_some() {
                 // The same customer stands in two chunks: only the whole list shows that fault.
-                return read(new, file);
+                return parse_chunks(new, file);
             }
         }
         Ok(self)
@@ -35,22 +35,22 @@
 }
 
 /// Returns how many chunks at the start and at the end stayed, each up to a section's border.
-fn changed(old: &[Chunk], new: &[Chunk]) -> (usize, usize) {
+fn unchanged_ends(old: &[Chunk], new: &[Chunk]) -> (usize, usize) {
     let same = |(a, b): &(&Chunk, &Chunk)| a.hash == b.hash;
     let mut start = old.iter().zip(new).take_while(same).count();
-    while !(is_border(old, start) && is_border(new, start)) {
+    while !(is_boundary(old, start) && is_boundary(new, start)) {
         start -= 1;
     }
     let ends = old[start..].iter().rev().zip(new[start..].iter().rev());
     let mut end = ends.take_while(same).count();
-    while !(is_border(old, old.len() - end) && is_border(new, new.len() - end)) {
+    while !(is_boundary(old, old.len() - end) && is_boundary(new, new.len() - end)) {
         end -= 1;
     }
     (start, end)
 }
 
 /// Tells whether a section starts at chunk `at`; a section larger than a chunk spans several.
-fn is_border(chunks: &[Chunk], at: usize) -> bool {
+fn is_boundary(chunks: &[Chunk], at: usize) -> bool {
     let (Some(before), Some(after)) = (at.checked_sub(1).map(|at| &chunks[at]), chunks.get(at))
     else {
         return true;
@@ -58,7 +58,7 @@
     before.bytes.ends_with(b"\n") && after.bytes.starts_with(b"[")
 }
 
-fn read(chunks: &[Chunk], file: &str) -> Result<Plans, Vec<Fault>> {
+fn parse_chunks(chunks: &[Chunk], file: &str) -> Result<Plans, Vec<Fault>> {
     match join(chunks) {
         Ok(text) => Plans::parse(&text, file),
         Err(err) => Err(vec![Fault {
--- a/src/lists/tests.rs
+++ b/src/lists/tests.rs
@@ -7,8 +7,8 @@
 use proptest::prelude::*;
 
 use super::{
-    Allowance, Chunk, Customer, Index, JoinError, KeyHash, Lists, Plans, Rule, Uses, check, chunks,
-    diff, join,
+    Allowance, Chunk, Customer, JoinError, KeyHash, KeyIndex, Lists, Plans, RetryRule, Uses, check,
+    chunks, diff, join,
 };
 use crate::form;
 
@@ -90,7 +90,7 @@
         $(#[test]
         fn $name() {
             let uses = Uses::parse(USES, "use.ini").unwrap();
-            assert_eq!(uses.rule($service, $method, $path), $repeat);
+            assert_eq!(uses.is_retryable($service, $method, $path), $repeat);
         })+
     };
 }
@@ -109,8 +109,8 @@
 fn first_matching_rule_decides() {
     let text = "[service a]\nonce = GET /pay*\nrepeat = * *\n";
     let uses = Uses::parse(text, "use.ini").unwrap();
-    assert!(!uses.rule("a", "GET", "/pay/1"));
-    assert!(uses.rule("a", "DELETE", "/x"));
+    assert!(!uses.is_retryable("a", "GET", "/pay/1"));
+    assert!(uses.is_retryable("a", "DELETE", "/x"));
 }
 
 /// Two customers with one key, or a customer on a plan that is not there, pass each list alone.
@@ -171,7 +171,7 @@
         "[customer Ærø]\nplan = guld\nkeys = {}\n",
         KeyHash::of("nøgle")
     );
-    let index = Index::new(&lists(&text, USES));
+    let index = KeyIndex::new(&lists(&text, USES));
     let holder = index.find("nøgle").unwrap();
     assert_eq!((&*holder.customer, &*holder.plan), ("Ærø", "guld"));
     assert_eq!(index.find("other"), None);
@@ -226,7 +226,7 @@
 fn damaged_chunk_is_refused() {
     let mut parts = chunks(USES, 32);
     parts[1].bytes[0] ^= 1;
-    assert_matches!(join(&parts), Err(JoinError::Hash { part: 1 }));
+    assert_matches!(join(&parts), Err(JoinError::HashMismatch { chunk: 1 }));
 }
 
 /// A damaged store holds one customer in two chunks, one of them unchanged. Read by itself the
@@ -238,7 +238,7 @@
     let old = [kept.clone(), part("[customer b]\nplan = guld\n")];
     let new = [kept, part("[customer a]\nplan = sølv\n")];
     let plans = Plans::parse(&join(&old).unwrap(), "plans").unwrap();
-    let faults = plans.reread(&old, &new, "plans").unwrap_err();
+    let faults = plans.reparse(&old, &new, "plans").unwrap_err();
     assert_eq!(
         faults[0].to_string(),
         "plans: [customer a] given the section twice, allowed each section once"
@@ -287,10 +287,10 @@
         "(\\*|/[a-zæøåışğ0-9/=#;?&]{0,8}\\*?)",
         any::<bool>(),
     )
-        .prop_map(|(method, path, repeat)| Rule {
+        .prop_map(|(method, path, repeat)| RetryRule {
             method: method.into(),
             path: path.into(),
-            repeat,
+            retryable: repeat,
         });
     (
         btree_map(title(), allowance, 0..5),
@@ -332,7 +332,7 @@
         for (old, new) in [(&old, &mixed), (&mixed, &new), (&new, &old)] {
             let before = chunks(&old.to_string(), limit);
             let after = chunks(&new.to_string(), limit);
-            let read = old.clone().reread(&before, &after, "plans");
+            let read = old.clone().reparse(&before, &after, "plans");
             prop_assert_eq!(read.as_ref().ok(), Some(new));
         }
     }
--- a/src/lists/write.rs
+++ b/src/lists/write.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-use super::{Allowance, Customer, Plans, Rule, Uses};
+use super::{Allowance, Customer, Plans, RetryRule, Uses};
 use crate::units;
 
 impl fmt::Display for Plans {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, customer) in &self.customers {
-            section(f, "customer", name)?;
+            write_section(f, "customer", name)?;
             write_customer(f, customer)?;
         }
         Ok(())
@@ -21,18 +21,18 @@
 impl fmt::Display for Uses {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, allowance) in &self.plans {
-            section(f, "plan", name)?;
+            write_section(f, "plan", name)?;
             write_allowance(f, allowance)?;
         }
         for (name, rules) in &self.services {
-            section(f, "service", name)?;
+            write_section(f, "service", name)?;
             write_rules(f, rules)?;
         }
         Ok(())
     }
 }
 
-fn section(f: &mut fmt::Formatter<'_>, word: &str, name: &str) -> fmt::Result {
+fn write_section(f: &mut fmt::Formatter<'_>, word: &str, name: &str) -> fmt::Result {
     writeln!(f, "[{word} {name}]")
 }
 
@@ -68,9 +68,9 @@
 }
 
 /// Writes rules in their order, neighbours of one kind on one line.
-fn write_rules(f: &mut fmt::Formatter<'_>, rules: &[Rule]) -> fmt::Result {
-    for run in rules.chunk_by(|a, b| a.repeat == b.repeat) {
-        let key = if run[0].repeat { "repeat" } else { "once" };
+fn write_rules(f: &mut fmt::Formatter<'_>, rules: &[RetryRule]) -> fmt::Result {
+    for run in rules.chunk_by(|a, b| a.retryable == b.retryable) {
+        let key = if run[0].retryable { "repeat" } else { "once" };
         let calls: Vec<_> = run
             .iter()
             .map(|rule| format!("{} {}", rule.method, rule.path))
