--- a/benches/policy/bounds.rs
+++ b/benches/policy/bounds.rs
@@ -1,24 +1,24 @@
 //! Bounds that the figures are checked against.
 
 use chiveway::form::Form;
-use chiveway::sections::{Document, Key, Kind, Label};
+use chiveway::sections::{Document, KeySpec, Label, SectionKind};
 
 use crate::table::{Row, find, of_oracle};
 use crate::{POLICIES, Policy};
 
-const fn key(key: &'static str, about: &'static str) -> Key {
-    Key {
-        key,
+const fn key(key: &'static str, about: &'static str) -> KeySpec {
+    KeySpec {
+        name: key,
         form: Form::Number(0.0, 1e6),
         default: Some(""),
-        about,
+        description: about,
     }
 }
 
 /// One section a case.
-const KINDS: &[Kind] = &[Kind {
-    word: "case",
-    label: Label::Word,
+const KINDS: &[SectionKind] = &[SectionKind {
+    keyword: "case",
+    label: Label::Name,
     keys: &[
         key("oracle", "least part of the oracle's goodput"),
         key("static", "least part of the best static split's goodput"),
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -76,13 +76,13 @@
     let mut text = "\nSections and keys of the file:\n".to_owned();
     for kind in kinds {
         let rows = kind.keys.iter().map(|key| {
-            let about = described(key.about, key.default);
+            let about = described(key.description, key.default);
             let need = if key.default.is_none() {
                 " [required]"
             } else {
                 ""
             };
-            [key.key.into(), format!("{about}{need}").into()]
+            [key.name.into(), format!("{about}{need}").into()]
         });
         let _ = write!(text, "\n{}\n{}", kind.header(), columns(rows));
     }
--- a/src/cli/parse.rs
+++ b/src/cli/parse.rs
@@ -179,11 +179,11 @@
         let instant = self.switch(&topics::INSTANT);
         let options = StandinOptions {
             kind,
-            listen: self.need(&topics::LISTEN, form::address)?,
-            register: self.read(&topics::REGISTER, form::address)?,
+            listen: self.need(&topics::LISTEN, form::parse_address)?,
+            register: self.read(&topics::REGISTER, form::parse_address)?,
             name: self.need(&topics::NAME, owned)?,
             pool: self.read(&topics::POOL, owned)?,
-            target: self.read(&topics::BEHIND, form::address)?,
+            target: self.read(&topics::BEHIND, form::parse_address)?,
             model: self.need(&topics::MODEL, owned)?,
             domain: self.need(&topics::DOMAIN, owned)?,
             fencing: self.need(&topics::FENCING, Fencing::from_name)?,
@@ -210,7 +210,7 @@
             "diff" => Ok(Action::Diff(self.access()?, self.file()?)),
             "check" => {
                 let key_file = self.path(&topics::KEY_FILE)?;
-                let addr = self.read(&topics::OPERATORS, form::address)?;
+                let addr = self.read(&topics::OPERATORS, form::parse_address)?;
                 let access = addr.map(|addr| Access { addr, key_file });
                 Ok(Action::Check(access, self.file()?))
             }
@@ -227,7 +227,7 @@
 
     fn access(&mut self) -> Parsed<Access> {
         Ok(Access {
-            addr: self.need::<SocketAddr>(&topics::OPERATORS, form::address)?,
+            addr: self.need::<SocketAddr>(&topics::OPERATORS, form::parse_address)?,
             key_file: self.path(&topics::KEY_FILE)?,
         })
     }
@@ -329,7 +329,7 @@
     }
 
     fn fault<T>(&self, opt: &Opt, text: &str) -> Parsed<T> {
-        let allowed = opt.form.allowed();
+        let allowed = opt.form.description();
         self.fail(&format!("{} given {text:?}, allowed {allowed}.", opt.name))
     }
 
@@ -352,8 +352,8 @@
         let (name, addr) = item.split_once('=').unwrap_or((item, item));
         Some(Target {
             name: name.trim().into(),
-            addr: form::address(addr.trim())?,
+            addr: form::parse_address(addr.trim())?,
         })
     };
-    form::items(text).map(read).collect()
+    form::split_items(text).map(read).collect()
 }
--- a/src/cli/topics.rs
+++ b/src/cli/topics.rs
@@ -81,17 +81,17 @@
 pub const NAME: Opt = opt(
     "--name",
     "NAME",
-    Form::Word,
+    Form::Name,
     Some("standin"),
     "name in the list and logs",
 );
 /// `--model`
-pub const MODEL: Opt = opt("--model", "NAME", Form::Word, Some("small"), "model served");
+pub const MODEL: Opt = opt("--model", "NAME", Form::Name, Some("small"), "model served");
 /// `--domain`
 pub const DOMAIN: Opt = opt(
     "--domain",
     "NAME",
-    Form::Word,
+    Form::Name,
     Some("local"),
     "failure domain",
 );
@@ -227,7 +227,7 @@
 pub const POOL: Opt = opt(
     "--pool",
     "NAME",
-    Form::Word,
+    Form::Name,
     None,
     "pool or service it is listed under; without it the model or the name",
 );
--- a/src/form.rs
+++ b/src/form.rs
@@ -7,19 +7,19 @@
 use crate::units;
 
 /// Most bytes of a name: names travel in log lines, metrics and store keys.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Least bytes of the hosts' shared secret: shorter ones can be guessed offline.
-pub const MIN_SECRET: usize = 16;
+pub const MIN_SECRET_BYTES: usize = 16;
 
 /// What a value may be.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Form {
     /// A name without spaces, commas or brackets.
-    Word,
+    Name,
     /// A name that may hold spaces and commas.
-    Title,
+    SpacedName,
     /// Words with commas between them; may be empty.
-    Words,
+    Names,
     /// Any text that is not empty.
     Text,
     /// A secret; its value is never shown.
@@ -31,13 +31,13 @@
     /// An IP address with port.
     Address,
     /// An address, or `same` for the listener's own.
-    Advertised,
+    AddressOrSame,
     /// At least one address, with commas between them.
     Addresses,
     /// A time within the two bounds.
     Time(Duration, Duration),
     /// A time within the two bounds, with a decimal point where a program worked it out.
-    Span(Duration, Duration),
+    DecimalTime(Duration, Duration),
     /// A size in bytes within the two bounds.
     Size(usize, usize),
     /// A whole number within the two bounds.
@@ -47,7 +47,7 @@
     /// A rate above zero and up to the bound, or `none`.
     Rate(f64),
     /// A whole number within the two bounds, or `none`.
-    Limit(usize, usize),
+    OptionalCount(usize, usize),
     /// One of these words.
     Choice(&'static [&'static str]),
     /// Method and path pairs with commas between them; the key may be given several times.
@@ -59,20 +59,22 @@
     #[must_use]
     pub fn allows(self, text: &str) -> bool {
         match self {
-            Self::Word => is_word(text),
-            Self::Title => is_title(text),
-            Self::Words => items(text).all(is_word),
+            Self::Name => is_name(text),
+            Self::SpacedName => is_spaced_name(text),
+            Self::Names => split_items(text).all(is_name),
             Self::Text => !text.is_empty(),
-            Self::Secret => text.len() >= MIN_SECRET && !text.chars().any(char::is_control),
-            Self::Hash => hash(text).is_some(),
-            Self::Hashes => items(text).all(|item| hash(item).is_some()),
-            Self::Address => address(text).is_some(),
-            Self::Advertised => text == SAME || address(text).is_some(),
-            Self::Addresses => !text.is_empty() && items(text).all(|item| address(item).is_some()),
+            Self::Secret => text.len() >= MIN_SECRET_BYTES && !text.chars().any(char::is_control),
+            Self::Hash => parse_hash(text).is_some(),
+            Self::Hashes => split_items(text).all(|item| parse_hash(item).is_some()),
+            Self::Address => parse_address(text).is_some(),
+            Self::AddressOrSame => text == SAME_ADDRESS || parse_address(text).is_some(),
+            Self::Addresses => {
+                !text.is_empty() && split_items(text).all(|item| parse_address(item).is_some())
+            }
             Self::Time(min, max) => {
                 units::time(text).is_some_and(|time| time >= min && time <= max)
             }
-            Self::Span(min, max) => {
+            Self::DecimalTime(min, max) => {
                 units::span(text).is_some_and(|time| time >= min && time <= max)
             }
             Self::Size(min, max) => {
@@ -80,38 +82,44 @@
             }
             Self::Count(min, max) => within(units::count(text), min, max),
             Self::Number(min, max) => within(units::number(text), min, max),
-            Self::Rate(max) => text == NONE || within(units::rate(text), f64::MIN_POSITIVE, max),
-            Self::Limit(min, max) => text == NONE || within(units::count(text), min, max),
+            Self::Rate(max) => {
+                text == NO_LIMIT || within(units::rate(text), f64::MIN_POSITIVE, max)
+            }
+            Self::OptionalCount(min, max) => {
+                text == NO_LIMIT || within(units::count(text), min, max)
+            }
             Self::Choice(words) => words.contains(&text),
-            Self::Calls => !text.is_empty() && items(text).all(|item| call(item).is_some()),
+            Self::Calls => {
+                !text.is_empty() && split_items(text).all(|item| parse_call(item).is_some())
+            }
         }
     }
 
     /// Returns what is allowed, to follow the word "allowed".
     #[must_use]
-    pub fn allowed(self) -> Box<str> {
+    pub fn description(self) -> Box<str> {
         match self {
-            Self::Word => {
-                format!("a name of 1 to {MAX_NAME} bytes without spaces, commas, brackets or \\")
+            Self::Name => {
+                format!("a name of 1 to {MAX_NAME_BYTES} bytes without spaces, commas, brackets or \\")
             }
-            Self::Title => {
-                format!("a name of 1 to {MAX_NAME} bytes without brackets, \\ or control characters")
+            Self::SpacedName => {
+                format!("a name of 1 to {MAX_NAME_BYTES} bytes without brackets, \\ or control characters")
             }
-            Self::Words => "names with commas between them, such as one, two".to_owned(),
+            Self::Names => "names with commas between them, such as one, two".to_owned(),
             Self::Text => "a text that is not empty".to_owned(),
-            Self::Secret => format!("at least {MIN_SECRET} bytes on one line"),
+            Self::Secret => format!("at least {MIN_SECRET_BYTES} bytes on one line"),
             Self::Hash => "64 hexadecimal digits; make them with: chiveway hash".to_owned(),
             Self::Hashes => {
                 "hashes of 64 hexadecimal digits with commas between them; make them with: chiveway hash"
                     .to_owned()
             }
             Self::Address => "an IP address and port, such as 10.0.0.1:8080".to_owned(),
-            Self::Advertised => "same, or an IP address and port, such as 10.0.0.1:8080".to_owned(),
+            Self::AddressOrSame => "same, or an IP address and port, such as 10.0.0.1:8080".to_owned(),
             Self::Addresses => {
                 "IP addresses and ports with commas between them, such as 10.0.0.1:2379, 10.0.0.2:2379"
                     .to_owned()
             }
-            Self::Time(min, max) | Self::Span(min, max) => {
+            Self::Time(min, max) | Self::DecimalTime(min, max) => {
                 let (min, max) = (units::show_time(min), units::show_time(max));
                 format!("a time with its unit from {min} to {max}, such as {max}")
             }
@@ -124,7 +132,7 @@
             Self::Rate(max) => {
                 format!("a rate above 0/s and up to {max}/s, such as 50/s, or none")
             }
-            Self::Limit(min, max) => format!("a whole number from {min} to {max}, or none"),
+            Self::OptionalCount(min, max) => format!("a whole number from {min} to {max}, or none"),
             Self::Choice(words) => format!("one of {}", words.join(", ")),
             Self::Calls => {
                 "calls with commas between them, such as GET /deadlines, POST /extensions*; \
@@ -137,55 +145,58 @@
 
     /// Tells whether a key of this form may be given several times in one section.
     #[must_use]
-    pub fn repeats(self) -> bool {
+    pub fn may_repeat(self) -> bool {
         matches!(self, Self::Calls)
     }
 }
 
 /// Word for "no limit".
-const NONE: &str = "none";
+const NO_LIMIT: &str = "none";
 /// Word for the listener's own address.
-const SAME: &str = "same";
+const SAME_ADDRESS: &str = "same";
 
 fn within<T: PartialOrd + Copy>(value: Option<T>, min: T, max: T) -> bool {
     value.is_some_and(|value| value >= min && value <= max)
 }
 
 /// Splits a value at its commas; an empty value has no items.
-pub fn items(text: &str) -> impl Iterator<Item = &str> {
+pub fn split_items(text: &str) -> impl Iterator<Item = &str> {
     let empty = text.is_empty();
     text.split(',').map(str::trim).filter(move |_| !empty)
 }
 
 /// Tells whether `text` can stand as a name that may hold spaces.
 #[must_use]
-pub fn is_title(text: &str) -> bool {
+pub fn is_spaced_name(text: &str) -> bool {
     let barred = |c: char| c.is_control() || matches!(c, '[' | ']' | '\\');
-    !text.is_empty() && text.len() <= MAX_NAME && text.trim() == text && !text.chars().any(barred)
+    !text.is_empty()
+        && text.len() <= MAX_NAME_BYTES
+        && text.trim() == text
+        && !text.chars().any(barred)
 }
 
 /// Tells whether `text` can stand as a name without spaces.
 #[must_use]
-pub fn is_word(text: &str) -> bool {
-    is_title(text) && !text.contains(|c: char| c.is_whitespace() || c == ',')
+pub fn is_name(text: &str) -> bool {
+    is_spaced_name(text) && !text.contains(|c: char| c.is_whitespace() || c == ',')
 }
 
 /// Reads a BLAKE3 hash of 64 hexadecimal digits.
 #[must_use]
-pub fn hash(text: &str) -> Option<KeyHash> {
+pub fn parse_hash(text: &str) -> Option<KeyHash> {
     let hash = blake3::Hash::from_hex(text).ok()?;
     Some(KeyHash(*hash.as_bytes()))
 }
 
 /// Reads an IP address with port.
 #[must_use]
-pub fn address(text: &str) -> Option<SocketAddr> {
+pub fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
 /// Reads an item of [`Form::Calls`] into method and path.
 #[must_use]
-pub fn call(text: &str) -> Option<(&str, &str)> {
+pub fn parse_call(text: &str) -> Option<(&str, &str)> {
     let (method, path) = text.split_once(char::is_whitespace)?;
     let path = path.trim_start();
     let named = !method.is_empty() && method.chars().all(|c| c.is_ascii_uppercase());
--- a/src/lists/diff.rs
+++ b/src/lists/diff.rs
@@ -65,7 +65,7 @@
     let mut lines = Vec::new();
     let field = |field: &str, old: &str, new: &str| field_line("customer", name, field, old, new);
     lines.extend(field("plan", &old.plan, &new.plan));
-    lines.extend(field("keys", &keys(&old.keys), &keys(&new.keys)));
+    lines.extend(field("keys", &show_keys(&old.keys), &show_keys(&new.keys)));
     lines
 }
 
@@ -93,7 +93,7 @@
 }
 
 fn diff_rules(name: &str, (old, new): Pair<'_, Vec<RetryRule>>) -> Vec<Box<str>> {
-    let line = field_line("service", name, "rules", &rules(old), &rules(new));
+    let line = field_line("service", name, "rules", &show_rules(old), &show_rules(new));
     line.into_iter().collect()
 }
 
@@ -109,7 +109,7 @@
         .then(|| format!("~ {word} {name}: {field} {} -> {}", shown(old), shown(new)).into())
 }
 
-fn keys(keys: &[KeyHash]) -> String {
+fn show_keys(keys: &[KeyHash]) -> String {
     let short = |key: &KeyHash| key.to_string()[..SHOWN_HASH_DIGITS].to_owned();
     keys.iter().map(short).collect::<Vec<_>>().join(", ")
 }
@@ -127,7 +127,7 @@
     limit.map_or("none".to_owned(), |limit| limit.to_string())
 }
 
-fn rules(rules: &[RetryRule]) -> String {
+fn show_rules(rules: &[RetryRule]) -> String {
     let show = |rule: &RetryRule| {
         let key = if rule.retryable { "repeat" } else { "once" };
         format!("{key} {} {}", rule.method, rule.path)
--- a/src/lists/index.rs
+++ b/src/lists/index.rs
@@ -48,12 +48,12 @@
     /// between two tokens.
     pub fn update(&mut self, old: &Plans, new: &Plans) {
         // All go before any come: a key may have moved from one customer to another.
-        for (_, customer) in changed(old, new) {
+        for (_, customer) in differing(old, new) {
             for key in &customer.keys {
                 self.owners.remove(key);
             }
         }
-        for (name, customer) in changed(new, old) {
+        for (name, customer) in differing(new, old) {
             for key in &customer.keys {
                 let owner = KeyOwner {
                     customer: name.clone(),
@@ -84,7 +84,7 @@
 }
 
 /// Returns the customers that `to` does not have as they are.
-fn changed<'a>(
+fn differing<'a>(
     from: &'a Plans,
     to: &'a Plans,
 ) -> impl Iterator<Item = (&'a Box<str>, &'a Customer)> {
--- a/src/lists/keys.rs
+++ b/src/lists/keys.rs
@@ -1,7 +1,7 @@
 //! Every section and key of the operators' two lists.
 
 use crate::form::Form;
-use crate::sections::{Key, Kind, Label};
+use crate::sections::{KeySpec, Label, SectionKind};
 
 /// Rates above this are slips of the keyboard.
 const MAX_RATE: f64 = 1e9;
@@ -11,84 +11,84 @@
 pub const MAX_PRIORITY: usize = 9;
 
 /// Sections of the customers' plans.
-pub const PLANS_SECTIONS: &[Kind] = &[Kind {
-    word: "customer",
-    label: Label::Title,
+pub const PLANS_SECTIONS: &[SectionKind] = &[SectionKind {
+    keyword: "customer",
+    label: Label::SpacedName,
     keys: &[
-        Key {
-            key: "plan",
-            form: Form::Title,
+        KeySpec {
+            name: "plan",
+            form: Form::SpacedName,
             default: None,
-            about: "plan the customer is on",
+            description: "plan the customer is on",
         },
-        Key {
-            key: "keys",
+        KeySpec {
+            name: "keys",
             form: Form::Hashes,
             default: Some(""),
-            about: "BLAKE3 hashes of the keys the customer may send",
+            description: "BLAKE3 hashes of the keys the customer may send",
         },
     ],
 }];
 
 /// Sections of what each plan may use.
-pub const USES_SECTIONS: &[Kind] = &[
-    Kind {
-        word: "plan",
-        label: Label::Title,
+pub const USES_SECTIONS: &[SectionKind] = &[
+    SectionKind {
+        keyword: "plan",
+        label: Label::SpacedName,
         keys: &[
-            Key {
-                key: "models",
-                form: Form::Words,
+            KeySpec {
+                name: "models",
+                form: Form::Names,
                 default: Some(""),
-                about: "models the plan may use",
+                description: "models the plan may use",
             },
-            Key {
-                key: "services",
-                form: Form::Words,
+            KeySpec {
+                name: "services",
+                form: Form::Names,
                 default: Some(""),
-                about: "services the plan may use",
+                description: "services the plan may use",
             },
-            Key {
-                key: "requests",
+            KeySpec {
+                name: "requests",
                 form: Form::Rate(MAX_RATE),
                 default: Some("none"),
-                about: "requests a second, over all hosts and customers of the plan",
+                description: "requests a second, over all hosts and customers of the plan",
             },
-            Key {
-                key: "tokens",
+            KeySpec {
+                name: "tokens",
                 form: Form::Rate(MAX_RATE),
                 default: Some("none"),
-                about: "prompt and output tokens a second, over all hosts and customers of the plan",
+                description: "prompt and output tokens a second, over all hosts and customers of the plan",
             },
-            Key {
-                key: "running",
-                form: Form::Limit(1, MAX_RUNNING),
+            KeySpec {
+                name: "running",
+                form: Form::OptionalCount(1, MAX_RUNNING),
                 default: Some("none"),
-                about: "requests running at once, over all hosts and customers of the plan",
+                description: "requests running at once, over all hosts and customers of the plan",
             },
-            Key {
-                key: "priority",
+            KeySpec {
+                name: "priority",
                 form: Form::Count(0, MAX_PRIORITY),
                 default: Some("0"),
-                about: "order in which engines serve waiting requests; higher goes first",
+                description: "order in which engines serve waiting requests; higher goes first",
             },
         ],
     },
-    Kind {
-        word: "service",
-        label: Label::Word,
+    SectionKind {
+        keyword: "service",
+        label: Label::Name,
         keys: &[
-            Key {
-                key: "repeat",
+            KeySpec {
+                name: "repeat",
                 form: Form::Calls,
                 default: Some(""),
-                about: "calls that may be repeated; the first match of both keys decides",
+                description: "calls that may be repeated; the first match of both keys decides",
             },
-            Key {
-                key: "once",
+            KeySpec {
+                name: "once",
                 form: Form::Calls,
                 default: Some(""),
-                about: "calls that may run at most once; the first match of both keys decides",
+                description: "calls that may run at most once; the first match of both keys decides",
             },
         ],
     },
--- a/src/lists/parse.rs
+++ b/src/lists/parse.rs
@@ -3,7 +3,7 @@
 use super::keys::{PLANS_SECTIONS, USES_SECTIONS};
 use super::{Allowance, Customer, Plans, RetryRule, Uses};
 use crate::form;
-use crate::sections::{Document, Fault, Kind, Section};
+use crate::sections::{Document, Fault, Section, SectionKind};
 use crate::units;
 
 impl Plans {
@@ -13,7 +13,7 @@
     ///
     /// Returns every fault found.
     pub fn parse(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
-        let sections = read(text, file, PLANS_SECTIONS)?;
+        let sections = parse_sections(text, file, PLANS_SECTIONS)?;
         let customers = sections
             .into_iter()
             .map(|section| {
@@ -33,8 +33,8 @@
     /// Returns every fault found.
     pub fn parse(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
         let mut uses = Self::default();
-        for section in read(text, file, USES_SECTIONS)? {
-            if section.word() == "plan" {
+        for section in parse_sections(text, file, USES_SECTIONS)? {
+            if section.keyword() == "plan" {
                 let allowance = parse_allowance(&section);
                 uses.plans.insert(section.name, allowance);
             } else {
@@ -46,7 +46,11 @@
     }
 }
 
-fn read(text: &str, file: &str, kinds: &'static [Kind]) -> Result<Vec<Section>, Vec<Fault>> {
+fn parse_sections(
+    text: &str,
+    file: &str,
+    kinds: &'static [SectionKind],
+) -> Result<Vec<Section>, Vec<Fault>> {
     let doc = Document::read(text, file, kinds);
     if doc.faults.is_empty() {
         Ok(doc.sections)
@@ -58,12 +62,18 @@
 fn parse_customer(section: &Section) -> Customer {
     Customer {
         plan: section.get("plan").into(),
-        keys: section.read("keys", |text| form::items(text).map(form::hash).collect()),
+        keys: section.read("keys", |text| {
+            form::split_items(text).map(form::parse_hash).collect()
+        }),
     }
 }
 
 fn parse_allowance(section: &Section) -> Allowance {
-    let words = |key| form::items(section.get(key)).map(Into::into).collect();
+    let words = |key| {
+        form::split_items(section.get(key))
+            .map(Into::into)
+            .collect()
+    };
     let running = |text: &str| units::count(text).and_then(|count| u32::try_from(count).ok());
     let priority = |text: &str| units::count(text).and_then(|count| u8::try_from(count).ok());
     Allowance {
@@ -78,8 +88,8 @@
 
 /// Reads the rules of one key of a service, in their order.
 fn parse_rules((key, value): &(Box<str>, Box<str>)) -> Vec<RetryRule> {
-    form::items(value)
-        .filter_map(form::call)
+    form::split_items(value)
+        .filter_map(form::parse_call)
         .map(|(method, path)| RetryRule {
             method: method.into(),
             path: path.into(),
--- a/src/lists/tests.rs
+++ b/src/lists/tests.rs
@@ -248,7 +248,7 @@
 fn title() -> impl Strategy<Value = Box<str>> {
     prop_oneof!["[A-Za-zæøåışğÇ #;=:,]{1,12}", "\\PC{1,20}"]
         .prop_map(|name| name.trim().to_owned())
-        .prop_filter("a title", |name| form::is_title(name))
+        .prop_filter("a title", |name| form::is_spaced_name(name))
         .prop_map(Into::into)
 }
 
--- a/src/sections.rs
+++ b/src/sections.rs
@@ -41,39 +41,39 @@
     /// Nothing; the section stands once, and its defaults hold where it is absent.
     None,
     /// A name without spaces.
-    Word,
+    Name,
     /// A name that may hold spaces.
-    Title,
+    SpacedName,
 }
 
 /// One kind of section.
 #[derive(Debug)]
-pub struct Kind {
+pub struct SectionKind {
     /// First word of the header.
-    pub word: &'static str,
+    pub keyword: &'static str,
     /// What follows it.
     pub label: Label,
     /// Keys the section may hold.
-    pub keys: &'static [Key],
+    pub keys: &'static [KeySpec],
 }
 
 /// One key of a section.
 #[derive(Debug)]
-pub struct Key {
+pub struct KeySpec {
     /// Name of the key.
-    pub key: &'static str,
+    pub name: &'static str,
     /// What its value may be.
     pub form: Form,
     /// Value where the key is absent; `None` where it must be given.
     pub default: Option<&'static str>,
     /// What the key is for.
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 /// A section as read, its values already of the form their keys ask for.
 #[derive(Debug)]
 pub struct Section {
-    kind: &'static Kind,
+    kind: &'static SectionKind,
     /// Name after the first word; empty for [`Label::None`].
     pub name: Box<str>,
     /// Keys and values in the order given.
@@ -83,8 +83,8 @@
 impl Section {
     /// Returns the first word of the header.
     #[must_use]
-    pub fn word(&self) -> &'static str {
-        self.kind.word
+    pub fn keyword(&self) -> &'static str {
+        self.kind.keyword
     }
 
     /// Returns the value of `key`, or its default; empty where neither is there.
@@ -95,7 +95,7 @@
             self.kind
                 .keys
                 .iter()
-                .find(|known| known.key == key)?
+                .find(|known| known.name == key)?
                 .default
         };
         given
@@ -128,7 +128,7 @@
 impl Document {
     /// Reads `text`, which came from `file`, against `kinds`.
     #[must_use]
-    pub fn read(text: &str, file: &str, kinds: &'static [Kind]) -> Self {
+    pub fn read(text: &str, file: &str, kinds: &'static [SectionKind]) -> Self {
         let mut doc = Self {
             file: file.into(),
             sections: Vec::new(),
@@ -141,17 +141,17 @@
         };
         let text = text.strip_prefix('\u{feff}').unwrap_or(text);
         match Ini::load_from_str_opt(text, option) {
-            Ok(ini) => doc.take(&ini, kinds),
+            Ok(ini) => doc.add_sections(&ini, kinds),
             Err(err) => {
                 let given = format!("text that ends or breaks at line {}", err.line);
-                doc.fault("", "", &given, "[section] headers and key = value lines");
+                doc.add_fault("", "", &given, "[section] headers and key = value lines");
             }
         }
         doc
     }
 
     /// Adds a fault.
-    pub fn fault(&mut self, section: &str, key: &str, given: &str, allowed: &str) {
+    pub fn add_fault(&mut self, section: &str, key: &str, given: &str, allowed: &str) {
         self.faults.push(Fault {
             file: self.file.clone(),
             section: section.into(),
@@ -161,23 +161,23 @@
         });
     }
 
-    fn take(&mut self, ini: &Ini, kinds: &'static [Kind]) {
+    fn add_sections(&mut self, ini: &Ini, kinds: &'static [SectionKind]) {
         let mut seen = BTreeSet::new();
         for (header, props) in ini {
             let pairs: Vec<_> = props.iter().collect();
             let Some(header) = header else {
                 for (key, value) in pairs {
-                    self.loose(key, value);
+                    self.report_outside_section(key, value);
                 }
                 continue;
             };
-            let Some((kind, name)) = self.kind(header, kinds) else {
+            let Some((kind, name)) = self.find_kind(header, kinds) else {
                 continue;
             };
-            if !seen.insert((kind.word, name)) {
-                self.fault(header, "", "the section twice", "each section once");
+            if !seen.insert((kind.keyword, name)) {
+                self.add_fault(header, "", "the section twice", "each section once");
             }
-            let pairs = self.pairs(header, kind, pairs);
+            let pairs = self.check_pairs(header, kind, pairs);
             self.sections.push(Section {
                 kind,
                 name: name.into(),
@@ -185,8 +185,8 @@
             });
         }
         for kind in kinds.iter().filter(|kind| kind.label == Label::None) {
-            if !seen.contains(&(kind.word, "")) {
-                let pairs = self.pairs(kind.word, kind, Vec::new());
+            if !seen.contains(&(kind.keyword, "")) {
+                let pairs = self.check_pairs(kind.keyword, kind, Vec::new());
                 self.sections.push(Section {
                     kind,
                     name: "".into(),
@@ -197,39 +197,39 @@
     }
 
     /// Reports a pair before the first section.
-    fn loose(&mut self, key: &str, value: &str) {
+    fn report_outside_section(&mut self, key: &str, value: &str) {
         if let Some(key) = self.key("", key) {
             let key = key.to_owned();
-            self.fault("", &key, &quoted(value), "keys inside a section only");
+            self.add_fault("", &key, &quoted(value), "keys inside a section only");
         }
     }
 
     /// Finds the kind of a header and the name in it.
-    fn kind<'t>(
+    fn find_kind<'t>(
         &mut self,
         header: &'t str,
-        kinds: &'static [Kind],
-    ) -> Option<(&'static Kind, &'t str)> {
+        kinds: &'static [SectionKind],
+    ) -> Option<(&'static SectionKind, &'t str)> {
         let (word, name) = header
             .split_once(char::is_whitespace)
             .map_or((header, ""), |(word, name)| (word, name.trim()));
-        let Some(kind) = kinds.iter().find(|kind| kind.word == word) else {
-            let known: Vec<_> = kinds.iter().map(Kind::header).collect();
-            self.fault(header, "", "an unknown section", &known.join(", "));
+        let Some(kind) = kinds.iter().find(|kind| kind.keyword == word) else {
+            let known: Vec<_> = kinds.iter().map(SectionKind::header).collect();
+            self.add_fault(header, "", "an unknown section", &known.join(", "));
             return None;
         };
         let form = match kind.label {
             Label::None if name.is_empty() => return Some((kind, name)),
             Label::None => {
-                self.fault(header, "", &quoted(name), &kind.header());
+                self.add_fault(header, "", &quoted(name), &kind.header());
                 return None;
             }
-            Label::Word => Form::Word,
-            Label::Title => Form::Title,
+            Label::Name => Form::Name,
+            Label::SpacedName => Form::SpacedName,
         };
         if !form.allows(name) {
-            let allowed = format!("{} with {}", kind.header(), form.allowed());
-            self.fault(header, "", &quoted(name), &allowed);
+            let allowed = format!("{} with {}", kind.header(), form.description());
+            self.add_fault(header, "", &quoted(name), &allowed);
             return None;
         }
         Some((kind, name))
@@ -243,16 +243,16 @@
         let mut lines = raw.lines().map(str::trim).filter(|line| !line.is_empty());
         let key = lines.next_back()?;
         for line in lines.filter(|line| !line.starts_with(['#', ';'])) {
-            self.fault(header, "", &quoted(line), "key = value on one line");
+            self.add_fault(header, "", &quoted(line), "key = value on one line");
         }
         (!key.starts_with(['#', ';'])).then_some(key)
     }
 
     /// Checks the pairs of one section.
-    fn pairs(
+    fn check_pairs(
         &mut self,
         header: &str,
-        kind: &Kind,
+        kind: &SectionKind,
         given: Vec<(&str, &str)>,
     ) -> Vec<(Box<str>, Box<str>)> {
         let mut pairs: Vec<(Box<str>, Box<str>)> = Vec::with_capacity(given.len());
@@ -260,36 +260,41 @@
             let Some(name) = self.key(header, raw) else {
                 continue;
             };
-            let Some(key) = kind.keys.iter().find(|known| known.key == name) else {
-                let known: Vec<_> = kind.keys.iter().map(|known| known.key).collect();
+            let Some(key) = kind.keys.iter().find(|known| known.name == name) else {
+                let known: Vec<_> = kind.keys.iter().map(|known| known.name).collect();
                 let allowed = format!("only the keys {}", known.join(", "));
-                self.fault(header, name, "an unknown key", &allowed);
+                self.add_fault(header, name, "an unknown key", &allowed);
                 continue;
             };
-            if !key.form.repeats() && pairs.iter().any(|(earlier, _)| &**earlier == name) {
-                self.fault(header, name, "the key twice", "each key once in a section");
+            if !key.form.may_repeat() && pairs.iter().any(|(earlier, _)| &**earlier == name) {
+                self.add_fault(header, name, "the key twice", "each key once in a section");
             }
             if !key.form.allows(value) {
-                self.fault(header, name, &key.form.shown(value), &key.form.allowed());
+                self.add_fault(
+                    header,
+                    name,
+                    &key.form.display_value(value),
+                    &key.form.description(),
+                );
             }
             pairs.push((name.into(), value.into()));
         }
         for key in kind.keys.iter().filter(|key| key.default.is_none()) {
-            if !pairs.iter().any(|(name, _)| &**name == key.key) {
-                self.fault(header, key.key, "nothing", &key.form.allowed());
+            if !pairs.iter().any(|(name, _)| &**name == key.name) {
+                self.add_fault(header, key.name, "nothing", &key.form.description());
             }
         }
         pairs
     }
 }
 
-impl Kind {
+impl SectionKind {
     /// Returns the header as it is to be written.
     #[must_use]
     pub fn header(&self) -> Box<str> {
         match self.label {
-            Label::None => format!("[{}]", self.word),
-            Label::Word | Label::Title => format!("[{} NAME]", self.word),
+            Label::None => format!("[{}]", self.keyword),
+            Label::Name | Label::SpacedName => format!("[{} NAME]", self.keyword),
         }
         .into()
     }
@@ -297,7 +302,7 @@
 
 impl Form {
     /// Returns a faulty value for display; a secret only by its length.
-    fn shown(self, value: &str) -> Box<str> {
+    fn display_value(self, value: &str) -> Box<str> {
         match self {
             Self::Secret => format!("{} bytes", value.len()).into(),
             _ => quoted(value),
@@ -306,10 +311,10 @@
 }
 
 /// Most characters of a faulty value that are shown.
-const MAX_SHOWN: usize = 80;
+const MAX_SHOWN_CHARS: usize = 80;
 
 fn quoted(value: &str) -> Box<str> {
-    let short: String = value.chars().take(MAX_SHOWN).collect();
+    let short: String = value.chars().take(MAX_SHOWN_CHARS).collect();
     let rest = if short.len() < value.len() { "..." } else { "" };
     format!("\"{}{rest}\"", short.escape_debug()).into()
 }
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::form::Form;
-use crate::sections::{Key, Kind, Label};
+use crate::sections::{KeySpec, Label, SectionKind};
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
@@ -13,12 +13,12 @@
 const MANY: f64 = 1e6;
 
 /// Key that has no default.
-pub(super) const fn need(key: &'static str, form: Form, about: &'static str) -> Key {
-    Key {
-        key,
+pub(super) const fn need(key: &'static str, form: Form, about: &'static str) -> KeySpec {
+    KeySpec {
+        name: key,
         form,
         default: None,
-        about,
+        description: about,
     }
 }
 
@@ -28,63 +28,63 @@
     form: Form,
     default: &'static str,
     about: &'static str,
-) -> Key {
-    Key {
-        key,
+) -> KeySpec {
+    KeySpec {
+        name: key,
         form,
         default: Some(default),
-        about,
+        description: about,
     }
 }
 
 /// Sections of a host's settings.
-pub const KINDS: &[Kind] = &[
-    Kind {
-        word: "host",
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
+        keyword: "host",
         label: Label::None,
         keys: HOST,
     },
-    Kind {
-        word: "platform",
+    SectionKind {
+        keyword: "platform",
         label: Label::None,
         keys: PLATFORM,
     },
-    Kind {
-        word: "limits",
+    SectionKind {
+        keyword: "limits",
         label: Label::None,
         keys: LIMITS,
     },
-    Kind {
-        word: "pool",
-        label: Label::Word,
+    SectionKind {
+        keyword: "pool",
+        label: Label::Name,
         keys: POOL,
     },
-    Kind {
-        word: "service",
-        label: Label::Word,
+    SectionKind {
+        keyword: "service",
+        label: Label::Name,
         keys: SERVICE,
     },
-    Kind {
-        word: "log",
+    SectionKind {
+        keyword: "log",
         label: Label::None,
         keys: LOG,
     },
 ];
 
-const HOST: &[Key] = &[
+const HOST: &[KeySpec] = &[
     need(
         "name",
-        Form::Word,
+        Form::Name,
         "name of this host, unique in the deployment",
     ),
-    need("region", Form::Word, "region the host stands in"),
-    need("domain", Form::Word, "failure domain the host stands in"),
+    need("region", Form::Name, "region the host stands in"),
+    need("domain", Form::Name, "failure domain the host stands in"),
     need("callers", Form::Address, "listener for callers"),
     need("operators", Form::Address, "listener for operators"),
     need("peers", Form::Address, "listener for peers"),
     key(
         "advertise",
-        Form::Advertised,
+        Form::AddressOrSame,
         "same",
         "address that peers are told, where it is not the listener's own",
     ),
@@ -96,7 +96,7 @@
     ),
 ];
 
-const PLATFORM: &[Key] = &[
+const PLATFORM: &[KeySpec] = &[
     need("kv", Form::Addresses, "endpoints of the key-value service"),
     need(
         "list",
@@ -105,7 +105,7 @@
     ),
     key(
         "prefix",
-        Form::Word,
+        Form::Name,
         "chiveway/",
         "prefix of every key this deployment writes",
     ),
@@ -123,7 +123,7 @@
     ),
 ];
 
-pub(super) const LIMITS: &[Key] = &[
+pub(super) const LIMITS: &[KeySpec] = &[
     key(
         "body",
         Form::Size(1 << 10, 256 << 20),
@@ -174,8 +174,8 @@
     ),
 ];
 
-const POOL: &[Key] = &[
-    need("model", Form::Word, "model name that callers use"),
+const POOL: &[KeySpec] = &[
+    need("model", Form::Name, "model name that callers use"),
     need(
         "fencing",
         Form::Choice(&["checks", "ignores"]),
@@ -237,14 +237,14 @@
     ),
 ];
 
-const SERVICE: &[Key] = &[key(
+const SERVICE: &[KeySpec] = &[key(
     "timeout",
     Form::Time(MILLISECOND, HOUR),
     "30s",
     "time a call may take",
 )];
 
-pub(super) const LOG: &[Key] = &[
+pub(super) const LOG: &[KeySpec] = &[
     key(
         "level",
         Form::Choice(&["off", "error", "warn", "info", "debug", "trace"]),
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -51,7 +51,7 @@
 
 /// Returns the section that stands once; the document adds it where it is absent.
 pub(super) fn one<'a>(sections: &'a [Section], word: &str) -> &'a Section {
-    let section = sections.iter().find(|section| section.word() == word);
+    let section = sections.iter().find(|section| section.keyword() == word);
     section.expect("the document holds every unnamed section")
 }
 
@@ -60,7 +60,7 @@
     word: &str,
     read: impl Fn(&Section) -> T,
 ) -> BTreeMap<Box<str>, T> {
-    let of_kind = sections.iter().filter(|section| section.word() == word);
+    let of_kind = sections.iter().filter(|section| section.keyword() == word);
     of_kind
         .map(|section| (section.name.clone(), read(section)))
         .collect()
@@ -71,19 +71,19 @@
         name: section.get("name").into(),
         region: section.get("region").into(),
         domain: section.get("domain").into(),
-        callers: section.read("callers", form::address),
-        operators: section.read("operators", form::address),
-        peers: section.read("peers", form::address),
-        advertise: form::address(section.get("advertise")),
+        callers: section.read("callers", form::parse_address),
+        operators: section.read("operators", form::parse_address),
+        peers: section.read("peers", form::parse_address),
+        advertise: form::parse_address(section.get("advertise")),
         secret: Secret::new(section.get("secret")),
-        operator_hash: section.read("operator-key-hash", form::hash).0,
+        operator_hash: section.read("operator-key-hash", form::parse_hash).0,
     }
 }
 
 fn platform(section: &Section) -> PlatformSettings {
     PlatformSettings {
         kv: section.read("kv", addresses),
-        list: section.read("list", form::address),
+        list: section.read("list", form::parse_address),
         prefix: section.get("prefix").into(),
         refresh: time(section, "refresh"),
         lease: time(section, "lease"),
@@ -135,7 +135,7 @@
 }
 
 fn addresses(text: &str) -> Option<Vec<SocketAddr>> {
-    form::items(text).map(form::address).collect()
+    form::split_items(text).map(form::parse_address).collect()
 }
 
 impl Fencing {
@@ -157,7 +157,7 @@
     models(settings, doc);
     if settings.pools.is_empty() && settings.services.is_empty() {
         let allowed = "at least one [pool NAME] or [service NAME]";
-        doc.fault("", "", "nothing to serve", allowed);
+        doc.add_fault("", "", "nothing to serve", allowed);
     }
 }
 
@@ -176,7 +176,7 @@
         }
         if let Some(other) = seen.insert(addr, key) {
             let allowed = format!("an address other than that of {other}");
-            doc.fault("host", key, &addr.to_string(), &allowed);
+            doc.add_fault("host", key, &addr.to_string(), &allowed);
         }
     }
 }
@@ -187,7 +187,7 @@
         if value <= platform.refresh {
             let refresh = units::show_time(platform.refresh);
             let allowed = format!("a time longer than [platform] refresh, which is {refresh}");
-            doc.fault(section, key, &units::show_time(value), &allowed);
+            doc.add_fault(section, key, &units::show_time(value), &allowed);
         }
     };
     longer("platform", "lease", platform.lease);
@@ -199,7 +199,7 @@
     for (name, pool) in &settings.pools {
         if let Some(other) = seen.insert(&pool.model, name) {
             let allowed = format!("a model that [pool {other}] does not serve");
-            doc.fault(&format!("pool {name}"), "model", &pool.model, &allowed);
+            doc.add_fault(&format!("pool {name}"), "model", &pool.model, &allowed);
         }
     }
 }
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -8,7 +8,7 @@
 use super::{HostSettings, Limits, PlatformSettings, Secret, Settings};
 use crate::core::relay::budget::BudgetRules;
 use crate::form::{self, Form};
-use crate::sections::{Document, Fault, Key, Kind, Label, Section};
+use crate::sections::{Document, Fault, KeySpec, Label, Section, SectionKind};
 use crate::units;
 
 /// Everything such a host is told beside its name and listeners.
@@ -47,34 +47,34 @@
 }
 
 /// Sections of such a host's settings.
-pub const KINDS: &[Kind] = &[
-    Kind {
-        word: "relay",
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
+        keyword: "relay",
         label: Label::None,
         keys: RELAY,
     },
-    Kind {
-        word: "store",
+    SectionKind {
+        keyword: "store",
         label: Label::None,
         keys: STORE,
     },
-    Kind {
-        word: "bounds",
+    SectionKind {
+        keyword: "bounds",
         label: Label::None,
         keys: BOUNDS,
     },
-    Kind {
-        word: "limits",
+    SectionKind {
+        keyword: "limits",
         label: Label::None,
         keys: super::keys::LIMITS,
     },
-    Kind {
-        word: "policy",
+    SectionKind {
+        keyword: "policy",
         label: Label::None,
         keys: POLICY,
     },
-    Kind {
-        word: "log",
+    SectionKind {
+        keyword: "log",
         label: Label::None,
         keys: super::keys::LOG,
     },
@@ -87,14 +87,14 @@
 /// Rates and weights above this are slips of the keyboard.
 const MANY: f64 = 1e6;
 
-const RELAY: &[Key] = &[
+const RELAY: &[KeySpec] = &[
     need(
         "name",
-        Form::Word,
+        Form::Name,
         "name of this host, unique in the deployment",
     ),
-    need("region", Form::Word, "region the host stands in"),
-    need("domain", Form::Word, "failure domain the host stands in"),
+    need("region", Form::Name, "region the host stands in"),
+    need("domain", Form::Name, "failure domain the host stands in"),
     need("callers", Form::Address, "listener for callers"),
     need(
         "readiness",
@@ -105,26 +105,26 @@
     need("metrics", Form::Address, "listener for metrics"),
 ];
 
-const STORE: &[Key] = &[
+const STORE: &[KeySpec] = &[
     need("addr", Form::Address, "where the store listens"),
     key(
         "lease-least",
-        Form::Span(LEAST, MOST),
+        Form::DecimalTime(LEAST, MOST),
         "1s",
         "shortest life of a lease",
     ),
 ];
 
-const BOUNDS: &[Key] = &[
+const BOUNDS: &[KeySpec] = &[
     key(
         "grace",
-        Form::Span(LEAST, MOST),
+        Form::DecimalTime(LEAST, MOST),
         "8s",
         "time a planned stop may take",
     ),
     key(
         "lease",
-        Form::Span(LEAST, MOST),
+        Form::DecimalTime(LEAST, MOST),
         "3s",
         "life of the authority to give orders",
     ),
@@ -136,7 +136,7 @@
     ),
     key(
         "repeat-window",
-        Form::Span(LEAST, MOST),
+        Form::DecimalTime(LEAST, MOST),
         "10s",
         "span over which repeats are counted",
     ),
@@ -148,7 +148,7 @@
     ),
 ];
 
-const POLICY: &[Key] = &[
+const POLICY: &[KeySpec] = &[
     key(
         "prefill",
         Form::Number(0.0, 1.0),
@@ -209,7 +209,7 @@
     let policy = one(sections, "policy");
     let time = |section: &Section, key: &str| section.read(key, units::span);
     let number = |section: &Section, key: &str| section.read(key, units::number);
-    let addr = |section: &Section, key: &str| section.read(key, form::address);
+    let addr = |section: &Section, key: &str| section.read(key, form::parse_address);
     Settings {
         host: HostSettings {
             name: relay.get("name").into(),
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -120,7 +120,7 @@
         for key in kind.keys {
             let default = key.default.unwrap_or_default();
             let fine = key.default.is_none() || key.form.allows(default);
-            assert!(fine, "[{}] {} = {default}", kind.word, key.key);
+            assert!(fine, "[{}] {} = {default}", kind.keyword, key.name);
         }
     }
 }
