--- a/benches/policy/bounds.rs
+++ b/benches/policy/bounds.rs
@@ -37,7 +37,7 @@
 
 /// Returns a line for each figure beyond its bound.
 pub fn check(text: &str, rows: &[Row]) -> Vec<String> {
-    let doc = Document::read(text, "bounds.ini", KINDS);
+    let doc = Document::parse(text, "bounds.ini", KINDS);
     let mut broken: Vec<String> = doc.faults.iter().map(ToString::to_string).collect();
     for section in &doc.sections {
         let Some(ours) = find(rows, &section.name, Policy::Ours) else {
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -68,7 +68,7 @@
 /// Returns the sections and keys of the file that a command checks.
 fn file_help(words: &str) -> String {
     let kinds = match words {
-        "check" => settings::keys::KINDS,
+        "check" => settings::keys::SECTIONS,
         "plans check" => lists::keys::PLANS_SECTIONS,
         "use check" => lists::keys::USES_SECTIONS,
         _ => return String::new(),
--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -52,7 +52,7 @@
             "the first token would come after {:.2} s, more than the {bound:.2} s that are taken",
             offer.first_token
         )
-    } else if offer.free < margin || offer.token_gap > settings.between.as_secs_f64() {
+    } else if offer.free < margin || offer.token_gap > settings.token_gap.as_secs_f64() {
         "every engine generates as many answers as it can in time".into()
     } else {
         return Ok(());
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -256,7 +256,7 @@
     let every = if timer == Timer::Listing {
         out.push(Effect::List);
         send_listing(core, out);
-        core.settings.platform.refresh
+        core.settings.platform.refresh_interval
     } else {
         let engines = core.fleet.arena.values();
         let engines = engines.filter(|backend| backend.kind == EntryKind::Engine);
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -221,7 +221,7 @@
 #[must_use]
 pub fn gap(engine: &Backend, settings: &PoolSettings) -> f64 {
     let streams = streams(engine) + 1.0;
-    let slots = settings.slots as f64;
+    let slots = settings.max_streams as f64;
     if streams > slots {
         return f64::INFINITY;
     }
@@ -231,10 +231,10 @@
 /// Returns the streams that an engine can take before its time between tokens is too long.
 #[must_use]
 pub fn free_streams(engine: &Backend, settings: &PoolSettings) -> f64 {
-    let slots = settings.slots as f64;
+    let slots = settings.max_streams as f64;
     let slowdown = slowdown(engine);
-    let full = slots / settings.decode;
-    let wanted = settings.between.as_secs_f64() * MAX_GAP_FRACTION / slowdown;
+    let full = slots / settings.decode_rate;
+    let wanted = settings.token_gap.as_secs_f64() * MAX_GAP_FRACTION / slowdown;
     let most =
         slots * (wanted / full - EMPTY_BATCH_GAP_FRACTION) / (1.0 - EMPTY_BATCH_GAP_FRACTION);
     most.min(slots) - streams(engine)
@@ -250,8 +250,8 @@
 
 /// Returns the seconds between tokens at an engine of nominal speed.
 fn nominal_gap(streams: f64, settings: &PoolSettings) -> f64 {
-    let slots = settings.slots as f64;
-    slots / settings.decode
+    let slots = settings.max_streams as f64;
+    slots / settings.decode_rate
         * (EMPTY_BATCH_GAP_FRACTION + (1.0 - EMPTY_BATCH_GAP_FRACTION) * streams / slots)
 }
 
@@ -326,7 +326,7 @@
     }
     let seen = span.as_secs_f64() / (tokens - 1) as f64;
     let Some(nominal) = settings(core, key).map(|settings| {
-        let streams = streams(&core.fleet.arena[key]).min(settings.slots as f64);
+        let streams = streams(&core.fleet.arena[key]).min(settings.max_streams as f64);
         nominal_gap(streams, settings)
     }) else {
         return;
--- a/src/core/order/change.rs
+++ b/src/core/order/change.rs
@@ -296,7 +296,7 @@
         };
     }
     if change.commitment == Commitment::Revocable
-        && now.since(change.since) >= core.settings.limits.drain
+        && now.since(change.since) >= core.settings.limits.drain_timeout
     {
         return call_off(core, pool, change, drain_state, out);
     }
@@ -329,17 +329,17 @@
     let (bound, why) = match drain_state {
         DrainState::Unconfirmed => (CONFIRM_TIMEOUT, "a host did not confirm the withdrawal"),
         DrainState::Busy => (
-            core.settings.limits.drain,
+            core.settings.limits.drain_timeout,
             "streams still ran at the end of the drain time",
         ),
         DrainState::Free => (
-            core.settings.limits.drain,
+            core.settings.limits.drain_timeout,
             "the engine's report does not show it idle",
         ),
     };
     let leaving = core.fleet.find(&change.engine);
     let leaving = leaving.is_some_and(|key| core.fleet.arena[key].listed != ServingState::Serving);
-    if waited < bound.min(core.settings.limits.drain) && !leaving {
+    if waited < bound.min(core.settings.limits.drain_timeout) && !leaving {
         return change;
     }
     let why = if leaving {
--- a/src/core/relay/call.rs
+++ b/src/core/relay/call.rs
@@ -163,7 +163,7 @@
     };
     let service = call.service.clone();
     let budget = core.relay.budgets.entry(service).or_default();
-    budget.try_spend(core.now, &settings.budget, hosts)
+    budget.try_spend(core.now, &settings.retry_budget, hosts)
 }
 
 fn send(core: &mut Core, key: CallKey, choice: &Choice, out: &mut Effects) {
--- a/src/core/relay/choose/mod.rs
+++ b/src/core/relay/choose/mod.rs
@@ -128,11 +128,11 @@
     let relay = core.settings.relay.as_ref();
     relay.map_or(
         Policy {
-            prefill: 0.5,
-            crossing: 0.0,
-            work: 1.0,
-            beside: 1.0,
-            patience: 1.0,
+            prefill_fraction: 0.5,
+            cross_domain_ms_per_kb: 0.0,
+            engine_time_weight: 1.0,
+            decode_engine_weight: 1.0,
+            target_factor: 1.0,
         },
         |relay| relay.policy,
     )
@@ -202,7 +202,7 @@
     let transfer = transfer_ms(core, call, &prompt);
     let left = millis(call.deadline.since(core.now));
     let spent = millis(core.now.since(call.arrived));
-    let target = millis(call.route.target) * policy.patience - spent;
+    let target = millis(call.route.target) * policy.target_factor - spent;
     let holders = prefix_cache::holders(core, call, &prompt);
     let mut placements = Vec::new();
     for (stage, engines) in [Stage::Prefill, Stage::Decode].into_iter().zip(engines) {
@@ -305,7 +305,7 @@
         Stage::Decode => (
             base + slot_wait_ms(instance) + batching_delay_ms(instance),
             0.0,
-            policy.beside,
+            policy.decode_engine_weight,
         ),
     };
     let queue = load::prefill_ms(model, instance, work.tokens);
@@ -326,7 +326,7 @@
         first_token_ms: stage_ms + after,
         cost: stage_ms
             + after
-            + load::normalized_ms(instance, own) * policy.work * weight
+            + load::normalized_ms(instance, own) * policy.engine_time_weight * weight
             + eviction_cost_ms(model, fetch.map_or(0, |fetch| fetch.tokens))
             + crossing
             + instance.failure_cost()
@@ -365,7 +365,7 @@
     if instance.domain == core.settings.host.domain {
         0.0
     } else {
-        call.bytes as f64 / 1000.0 * policy.crossing
+        call.bytes as f64 / 1000.0 * policy.cross_domain_ms_per_kb
     }
 }
 
--- a/src/core/relay/planner.rs
+++ b/src/core/relay/planner.rs
@@ -68,7 +68,7 @@
 fn lease_ttl(core: &Core) -> Duration {
     let relay = core.settings.relay.as_ref();
     relay.map_or(Duration::from_secs(3), |relay| {
-        relay.lease.max(relay.lease_least)
+        relay.authority_ttl.max(relay.min_lease)
     })
 }
 
@@ -347,7 +347,7 @@
         .settings
         .relay
         .as_ref()
-        .map_or(0.5, |relay| relay.policy.prefill);
+        .map_or(0.5, |relay| relay.policy.prefill_fraction);
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/src/core/request/arrive.rs
+++ b/src/core/request/arrive.rs
@@ -86,7 +86,7 @@
             "this host is cut off from its peers or the key-value store, or not registered yet";
         return Err(Refusal::new(Kind::CutOff, detail));
     }
-    let max_requests = core.settings.limits.requests;
+    let max_requests = core.settings.limits.max_requests;
     if core.requests.arena.len() > max_requests {
         let detail = format!("this host holds its maximum of {max_requests} requests");
         return Err(Refusal::new(Kind::Overloaded, detail));
--- a/src/core/request/attempt.rs
+++ b/src/core/request/attempt.rs
@@ -119,7 +119,7 @@
                 prefill: choice.prefill.map(|key| core.fleet.arena[key].addr),
             }));
             out.push(Effect::Wake {
-                at: core.now.after(core.settings.limits.first_silence),
+                at: core.now.after(core.settings.limits.first_token_timeout),
                 timer: Timer::Silence(attempt),
             });
         }
--- a/src/core/request/failure.rs
+++ b/src/core/request/failure.rs
@@ -174,9 +174,9 @@
     };
     let limits = &core.settings.limits;
     let bound = if attempt.has_tokens {
-        limits.token_silence
+        limits.token_gap_timeout
     } else {
-        limits.first_silence
+        limits.first_token_timeout
     };
     let last = match attempt.flow {
         Flow::Open => attempt.last_progress,
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -167,16 +167,16 @@
 /// A deployment that weighs goodput takes a change back soon where it was wrong; one that weighs
 /// changes rather waits whether the mix swings back.
 fn reversal_cooldown(settings: &PoolSettings) -> f64 {
-    let change = settings.change;
+    let change = settings.change_cost;
     REVERSAL_COOLDOWN_SECS * change
-        / (change + COOLDOWN_CHANGE_COST_SECS * settings.goodput).max(f64::EPSILON)
+        / (change + COOLDOWN_CHANGE_COST_SECS * settings.goodput_weight).max(f64::EPSILON)
 }
 
 /// Takes in the demand of the last second, and returns the forecast.
 fn update_forecast(view: &View<'_>, memory: &mut DecisionState) -> Work {
     let now = Work {
         prefill: view.prompt / view.settings.prefill,
-        decode: view.output / view.settings.decode,
+        decode: view.output / view.settings.decode_rate,
     };
     let Some(seen) = memory.last_seen.replace(view.now) else {
         memory.short = now;
@@ -254,7 +254,7 @@
     let now = work.lost(speeds);
     let saved = (now - work.lost(with)) * SAVINGS_HORIZON_SECS;
     let spent = (work.lost(without) - now) * CHANGE_DOWNTIME_SECS;
-    let worth = (saved - spent) * view.settings.goodput - view.settings.change;
+    let worth = (saved - spent) * view.settings.goodput_weight - view.settings.change_cost;
     let change = Change {
         engine: engine.key,
         role,
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -177,7 +177,9 @@
         let noise = MAX_JITTER_SECS * rng.random::<f64>() + near;
         let fill = || {
             let saved = match home {
-                Some((_, home)) if home == key => PREFIX_HIT_FRACTION * self.settings.piece as f64,
+                Some((_, home)) if home == key => {
+                    PREFIX_HIT_FRACTION * self.settings.block_tokens as f64
+                }
                 _ => 0.0,
             };
             let prompt = (f64::from(self.need.prompt) - saved).max(0.0);
--- a/src/core/stop.rs
+++ b/src/core/stop.rs
@@ -92,7 +92,7 @@
     } else {
         NOTICE
     };
-    let notice = notice.min(core.settings.limits.stop / 3);
+    let notice = notice.min(core.settings.limits.stop_timeout / 3);
     out.push(Effect::Wake {
         at: core.now.after(notice),
         timer: Timer::Stop,
@@ -151,7 +151,7 @@
 
 /// Returns the time after which this host gives up what still runs.
 fn bound(core: &Core) -> Duration {
-    let stop = core.settings.limits.stop;
+    let stop = core.settings.limits.stop_timeout;
     if core.settings.relay.is_some() {
         stop.saturating_sub(stop / LEFT)
     } else {
--- a/src/core/tests/order.rs
+++ b/src/core/tests/order.rs
@@ -122,7 +122,7 @@
             let pool = &mut host.core.fleet.pools[0];
             pool.settings.split = true;
             pool.settings.fencing = self.fencing;
-            host.core.settings.limits.drain = Duration::from_secs(20);
+            host.core.settings.limits.drain_timeout = Duration::from_secs(20);
             host.core.settings.limits.cut_off = LEASE;
         }
     }
--- a/src/core/tests/role.rs
+++ b/src/core/tests/role.rs
@@ -25,8 +25,8 @@
     fn new(goodput: f64, change: f64) -> Self {
         let mut settings = super::settings("host").pools["raadgiver"].clone();
         settings.split = true;
-        settings.goodput = goodput;
-        settings.change = change;
+        settings.goodput_weight = goodput;
+        settings.change_cost = change;
         let mut keys: SlotMap<BackendKey, ()> = SlotMap::with_key();
         let engine = |at: usize| Engine {
             key: keys.insert(()),
--- a/src/host/callers.rs
+++ b/src/host/callers.rs
@@ -171,7 +171,7 @@
 async fn body(node: &Rc<Node>, req: &mut Request) -> Result<Bytes, Response> {
     let (limit, time) = node.look(|core| {
         let limits = &core.settings.limits;
-        (limits.body, limits.body_time)
+        (limits.max_body_bytes, limits.body_timeout)
     });
     web::read_body(req, limit, time)
         .await
@@ -222,7 +222,7 @@
     let piece = |model: &str| {
         node.look(|core| {
             let pool = core.fleet.serving(model).next();
-            pool.map_or(PIECE, |pool| pool.settings.piece)
+            pool.map_or(PIECE, |pool| pool.settings.block_tokens)
         })
     };
     let (completion, want) = match completion::parse(form, &bytes, piece) {
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -89,7 +89,7 @@
 fn admitted(node: &Rc<Node>, req: &Request) -> bool {
     let key = req.headers().get("authorization");
     let key = key.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
-    let wanted = node.look(|core| core.settings.host.operator_hash);
+    let wanted = node.look(|core| core.settings.host.operator_key_hash);
     key.is_some_and(|key| blake3::hash(key.trim().as_bytes()) == blake3::Hash::from_bytes(wanted))
 }
 
--- a/src/lists/parse.rs
+++ b/src/lists/parse.rs
@@ -51,7 +51,7 @@
     file: &str,
     kinds: &'static [SectionKind],
 ) -> Result<Vec<Section>, Vec<Fault>> {
-    let doc = Document::read(text, file, kinds);
+    let doc = Document::parse(text, file, kinds);
     if doc.faults.is_empty() {
         Ok(doc.sections)
     } else {
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -25,7 +25,7 @@
 use log4rs::encode::pattern::PatternEncoder;
 use snafu::{ResultExt, Snafu};
 
-use crate::settings::{LogForm, LogSettings};
+use crate::settings::{LogFormat, LogSettings};
 
 /// Start of the targets of this program's own events.
 const OWN: &str = "chiveway";
@@ -61,9 +61,9 @@
 pub fn start(settings: &LogSettings) -> Result<(), LogError> {
     let logger = log4rs::Logger::new(config(settings)?);
     let most = logger.max_log_level();
-    let done = match settings.form {
-        LogForm::Json => log::set_boxed_logger(Box::new(logger)),
-        LogForm::Text => log::set_boxed_logger(Box::new(Text(logger))),
+    let done = match settings.format {
+        LogFormat::Json => log::set_boxed_logger(Box::new(logger)),
+        LogFormat::Text => log::set_boxed_logger(Box::new(Text(logger))),
     };
     done.context(TwiceSnafu)?;
     log::set_max_level(most);
@@ -71,9 +71,9 @@
 }
 
 fn config(settings: &LogSettings) -> Result<Config, LogError> {
-    let encoder: Box<dyn Encode> = match settings.form {
-        LogForm::Json => Box::new(JsonEncoder::new()),
-        LogForm::Text => Box::new(PatternEncoder::new(PATTERN)),
+    let encoder: Box<dyn Encode> = match settings.format {
+        LogFormat::Json => Box::new(JsonEncoder::new()),
+        LogFormat::Text => Box::new(PatternEncoder::new(PATTERN)),
     };
     let console = ConsoleAppender::builder()
         .target(Target::Stderr)
--- a/src/sections.rs
+++ b/src/sections.rs
@@ -128,7 +128,7 @@
 impl Document {
     /// Reads `text`, which came from `file`, against `kinds`.
     #[must_use]
-    pub fn read(text: &str, file: &str, kinds: &'static [SectionKind]) -> Self {
+    pub fn parse(text: &str, file: &str, kinds: &'static [SectionKind]) -> Self {
         let mut doc = Self {
             file: file.into(),
             sections: Vec::new(),
@@ -198,7 +198,7 @@
 
     /// Reports a pair before the first section.
     fn report_outside_section(&mut self, key: &str, value: &str) {
-        if let Some(key) = self.key("", key) {
+        if let Some(key) = self.extract_key("", key) {
             let key = key.to_owned();
             self.add_fault("", &key, &quoted(value), "keys inside a section only");
         }
@@ -239,7 +239,7 @@
     ///
     /// The parser takes a line without `=` as the start of the next line's key. Without this the
     /// next key would be reported as unknown under a name of two lines.
-    fn key<'t>(&mut self, header: &str, raw: &'t str) -> Option<&'t str> {
+    fn extract_key<'t>(&mut self, header: &str, raw: &'t str) -> Option<&'t str> {
         let mut lines = raw.lines().map(str::trim).filter(|line| !line.is_empty());
         let key = lines.next_back()?;
         for line in lines.filter(|line| !line.starts_with(['#', ';'])) {
@@ -257,7 +257,7 @@
     ) -> Vec<(Box<str>, Box<str>)> {
         let mut pairs: Vec<(Box<str>, Box<str>)> = Vec::with_capacity(given.len());
         for (raw, value) in given {
-            let Some(name) = self.key(header, raw) else {
+            let Some(name) = self.extract_key(header, raw) else {
                 continue;
             };
             let Some(key) = kind.keys.iter().find(|known| known.name == name) else {
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -10,10 +10,10 @@
 const MINUTE: Duration = Duration::from_mins(1);
 const HOUR: Duration = Duration::from_hours(1);
 /// Weights and token rates above this are slips of the keyboard.
-const MANY: f64 = 1e6;
+const MAX_NUMBER: f64 = 1e6;
 
 /// Key that has no default.
-pub(super) const fn need(key: &'static str, form: Form, about: &'static str) -> KeySpec {
+pub(super) const fn required(key: &'static str, form: Form, about: &'static str) -> KeySpec {
     KeySpec {
         name: key,
         form,
@@ -38,7 +38,7 @@
 }
 
 /// Sections of a host's settings.
-pub const KINDS: &[SectionKind] = &[
+pub const SECTIONS: &[SectionKind] = &[
     SectionKind {
         keyword: "host",
         label: Label::None,
@@ -72,24 +72,24 @@
 ];
 
 const HOST: &[KeySpec] = &[
-    need(
+    required(
         "name",
         Form::Name,
         "name of this host, unique in the deployment",
     ),
-    need("region", Form::Name, "region the host stands in"),
-    need("domain", Form::Name, "failure domain the host stands in"),
-    need("callers", Form::Address, "listener for callers"),
-    need("operators", Form::Address, "listener for operators"),
-    need("peers", Form::Address, "listener for peers"),
+    required("region", Form::Name, "region the host stands in"),
+    required("domain", Form::Name, "failure domain the host stands in"),
+    required("callers", Form::Address, "listener for callers"),
+    required("operators", Form::Address, "listener for operators"),
+    required("peers", Form::Address, "listener for peers"),
     key(
         "advertise",
         Form::AddressOrSame,
         "same",
         "address that peers are told, where it is not the listener's own",
     ),
-    need("secret", Form::Secret, "secret shared by all hosts"),
-    need(
+    required("secret", Form::Secret, "secret shared by all hosts"),
+    required(
         "operator-key-hash",
         Form::Hash,
         "BLAKE3 hash of the operators' key",
@@ -97,8 +97,8 @@
 ];
 
 const PLATFORM: &[KeySpec] = &[
-    need("kv", Form::Addresses, "endpoints of the key-value service"),
-    need(
+    required("kv", Form::Addresses, "endpoints of the key-value service"),
+    required(
         "list",
         Form::Address,
         "endpoint of the list of hosts and backend servers",
@@ -175,8 +175,8 @@
 ];
 
 const POOL: &[KeySpec] = &[
-    need("model", Form::Name, "model name that callers use"),
-    need(
+    required("model", Form::Name, "model name that callers use"),
+    required(
         "fencing",
         Form::Choice(&["checks", "ignores"]),
         "whether the engines refuse an order with an old fencing number",
@@ -201,25 +201,25 @@
     ),
     key(
         "goodput",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "1",
         "weight of goodput in role decisions",
     ),
     key(
         "change",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "5",
         "weight of one role change in role decisions, in engine seconds",
     ),
     key(
         "prefill",
-        Form::Number(1.0, MANY),
+        Form::Number(1.0, MAX_NUMBER),
         "8000",
         "prompt tokens a second of an engine of nominal speed",
     ),
     key(
         "decode",
-        Form::Number(1.0, MANY),
+        Form::Number(1.0, MAX_NUMBER),
         "1000",
         "generated tokens a second of an engine of nominal speed, over all its streams",
     ),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -50,7 +50,7 @@
     /// Secret shared by all hosts; at least 16 bytes.
     pub secret: Secret,
     /// BLAKE3 hash of the operators' key.
-    pub operator_hash: [u8; 32],
+    pub operator_key_hash: [u8; 32],
 }
 
 /// Text that must not appear in logs or messages.
@@ -87,7 +87,7 @@
     /// Prefix of every key this deployment writes.
     pub prefix: Box<str>,
     /// Time between two reads of the list.
-    pub refresh: Duration,
+    pub refresh_interval: Duration,
     /// Life of a lease in the key-value service.
     pub lease: Duration,
 }
@@ -96,21 +96,21 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
     /// Most bytes of a caller's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time a caller has to send its body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Time until the first token before a stream counts as silent.
-    pub first_silence: Duration,
+    pub first_token_timeout: Duration,
     /// Time between tokens before a stream counts as silent.
-    pub token_silence: Duration,
+    pub token_gap_timeout: Duration,
     /// Time a planned stop may take.
-    pub stop: Duration,
+    pub stop_timeout: Duration,
     /// Time without store and peers after which a host takes no new work.
     pub cut_off: Duration,
     /// Time a withdrawn engine may finish its streams.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Most requests a host holds open at once.
-    pub requests: usize,
+    pub max_requests: usize,
 }
 
 /// Whether engines of a pool check the fencing number of an order.
@@ -132,21 +132,21 @@
     /// Wanted time to the first token, for 95 in 100.
     pub first_token: Duration,
     /// Wanted time between tokens, for 95 in 100.
-    pub between: Duration,
+    pub token_gap: Duration,
     /// Whether engines are split between prefill and decode.
     pub split: bool,
     /// Weight of goodput in role decisions.
-    pub goodput: f64,
+    pub goodput_weight: f64,
     /// Weight of one role change in role decisions, in engine seconds.
-    pub change: f64,
+    pub change_cost: f64,
     /// Prompt tokens an engine of nominal speed prefills a second.
     pub prefill: f64,
     /// Tokens an engine of nominal speed generates a second over all its streams.
-    pub decode: f64,
+    pub decode_rate: f64,
     /// Streams an engine decodes at once.
-    pub slots: usize,
+    pub max_streams: usize,
     /// Tokens in one piece of an engine's prefix cache.
-    pub piece: usize,
+    pub block_tokens: usize,
 }
 
 /// Section `[service NAME]`: a plain service beside the engines.
@@ -158,7 +158,7 @@
 
 /// Form of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
     /// One aligned line an event, for people.
     Text,
     /// One JSON object an event.
@@ -171,5 +171,5 @@
     /// Least level written.
     pub level: log::LevelFilter,
     /// Form of the lines.
-    pub form: LogForm,
+    pub format: LogFormat,
 }
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::keys::KINDS;
+use super::keys::SECTIONS;
 use super::{
-    Fencing, HostSettings, Limits, LogForm, LogSettings, PlatformSettings, PoolSettings, Secret,
+    Fencing, HostSettings, Limits, LogFormat, LogSettings, PlatformSettings, PoolSettings, Secret,
     ServiceSettings, Settings,
 };
 use crate::form;
@@ -21,12 +21,12 @@
     /// Returns every fault of form; the sections are compared with each other once all are
     /// well-formed.
     pub fn parse(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
-        let mut doc = Document::read(text, file, KINDS);
+        let mut doc = Document::parse(text, file, SECTIONS);
         if !doc.faults.is_empty() {
             return Err(doc.faults);
         }
         let settings = build(&doc.sections);
-        cross(&settings, &mut doc);
+        check_sections(&settings, &mut doc);
         if doc.faults.is_empty() {
             Ok(settings)
         } else {
@@ -37,25 +37,25 @@
 
 fn build(sections: &[Section]) -> Settings {
     Settings {
-        host: host(one(sections, "host")),
-        platform: platform(one(sections, "platform")),
-        limits: limits(one(sections, "limits")),
-        pools: named(sections, "pool", pool),
-        services: named(sections, "service", |section| ServiceSettings {
-            timeout: time(section, "timeout"),
+        host: host(single_section(sections, "host")),
+        platform: platform(single_section(sections, "platform")),
+        limits: limits(single_section(sections, "limits")),
+        pools: named_sections(sections, "pool", pool),
+        services: named_sections(sections, "service", |section| ServiceSettings {
+            timeout: parse_time(section, "timeout"),
         }),
-        log: log(one(sections, "log")),
+        log: log(single_section(sections, "log")),
         relay: None,
     }
 }
 
 /// Returns the section that stands once; the document adds it where it is absent.
-pub(super) fn one<'a>(sections: &'a [Section], word: &str) -> &'a Section {
+pub(super) fn single_section<'a>(sections: &'a [Section], word: &str) -> &'a Section {
     let section = sections.iter().find(|section| section.keyword() == word);
     section.expect("the document holds every unnamed section")
 }
 
-fn named<T>(
+fn named_sections<T>(
     sections: &[Section],
     word: &str,
     read: impl Fn(&Section) -> T,
@@ -76,30 +76,30 @@
         peers: section.read("peers", form::parse_address),
         advertise: form::parse_address(section.get("advertise")),
         secret: Secret::new(section.get("secret")),
-        operator_hash: section.read("operator-key-hash", form::parse_hash).0,
+        operator_key_hash: section.read("operator-key-hash", form::parse_hash).0,
     }
 }
 
 fn platform(section: &Section) -> PlatformSettings {
     PlatformSettings {
-        kv: section.read("kv", addresses),
+        kv: section.read("kv", parse_addresses),
         list: section.read("list", form::parse_address),
         prefix: section.get("prefix").into(),
-        refresh: time(section, "refresh"),
-        lease: time(section, "lease"),
+        refresh_interval: parse_time(section, "refresh"),
+        lease: parse_time(section, "lease"),
     }
 }
 
 pub(super) fn limits(section: &Section) -> Limits {
     Limits {
-        body: section.read("body", units::size),
-        body_time: time(section, "body-time"),
-        first_silence: time(section, "first-silence"),
-        token_silence: time(section, "token-silence"),
-        stop: time(section, "stop"),
-        cut_off: time(section, "cut-off"),
-        drain: time(section, "drain"),
-        requests: section.read("requests", units::count),
+        max_body_bytes: section.read("body", units::size),
+        body_timeout: parse_time(section, "body-time"),
+        first_token_timeout: parse_time(section, "first-silence"),
+        token_gap_timeout: parse_time(section, "token-silence"),
+        stop_timeout: parse_time(section, "stop"),
+        cut_off: parse_time(section, "cut-off"),
+        drain_timeout: parse_time(section, "drain"),
+        max_requests: section.read("requests", units::count),
     }
 }
 
@@ -107,34 +107,34 @@
     PoolSettings {
         model: section.get("model").into(),
         fencing: section.read("fencing", Fencing::from_name),
-        first_token: time(section, "first-token"),
-        between: time(section, "between"),
+        first_token: parse_time(section, "first-token"),
+        token_gap: parse_time(section, "between"),
         split: section.read("split", units::yes),
-        goodput: section.read("goodput", units::number),
-        change: section.read("change", units::number),
+        goodput_weight: section.read("goodput", units::number),
+        change_cost: section.read("change", units::number),
         prefill: section.read("prefill", units::number),
-        decode: section.read("decode", units::number),
-        slots: section.read("slots", units::count),
-        piece: section.read("piece", units::count),
+        decode_rate: section.read("decode", units::number),
+        max_streams: section.read("slots", units::count),
+        block_tokens: section.read("piece", units::count),
     }
 }
 
 pub(super) fn log(section: &Section) -> LogSettings {
     LogSettings {
         level: section.read("level", |text| text.parse().ok()),
-        form: section.read("form", |text| match text {
-            "text" => Some(LogForm::Text),
-            "json" => Some(LogForm::Json),
+        format: section.read("form", |text| match text {
+            "text" => Some(LogFormat::Text),
+            "json" => Some(LogFormat::Json),
             _ => None,
         }),
     }
 }
 
-fn time(section: &Section, key: &str) -> Duration {
+fn parse_time(section: &Section, key: &str) -> Duration {
     section.read(key, units::time)
 }
 
-fn addresses(text: &str) -> Option<Vec<SocketAddr>> {
+fn parse_addresses(text: &str) -> Option<Vec<SocketAddr>> {
     form::split_items(text).map(form::parse_address).collect()
 }
 
@@ -151,17 +151,17 @@
 }
 
 /// Compares sections with each other.
-fn cross(settings: &Settings, doc: &mut Document) {
-    listeners(settings, doc);
-    times(settings, doc);
-    models(settings, doc);
+fn check_sections(settings: &Settings, doc: &mut Document) {
+    check_listeners(settings, doc);
+    check_times(settings, doc);
+    check_models(settings, doc);
     if settings.pools.is_empty() && settings.services.is_empty() {
         let allowed = "at least one [pool NAME] or [service NAME]";
         doc.add_fault("", "", "nothing to serve", allowed);
     }
 }
 
-fn listeners(settings: &Settings, doc: &mut Document) {
+fn check_listeners(settings: &Settings, doc: &mut Document) {
     let host = &settings.host;
     let mut seen: BTreeMap<SocketAddr, &str> = BTreeMap::new();
     let listeners = [
@@ -181,11 +181,11 @@
     }
 }
 
-fn times(settings: &Settings, doc: &mut Document) {
+fn check_times(settings: &Settings, doc: &mut Document) {
     let platform = &settings.platform;
     let mut longer = |section: &str, key: &str, value: Duration| {
-        if value <= platform.refresh {
-            let refresh = units::show_time(platform.refresh);
+        if value <= platform.refresh_interval {
+            let refresh = units::show_time(platform.refresh_interval);
             let allowed = format!("a time longer than [platform] refresh, which is {refresh}");
             doc.add_fault(section, key, &units::show_time(value), &allowed);
         }
@@ -194,7 +194,7 @@
     longer("limits", "cut-off", settings.limits.cut_off);
 }
 
-fn models(settings: &Settings, doc: &mut Document) {
+fn check_models(settings: &Settings, doc: &mut Document) {
     let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
     for (name, pool) in &settings.pools {
         if let Some(other) = seen.insert(&pool.model, name) {
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::keys::{key, need};
-use super::parse::one;
+use super::keys::{key, required};
+use super::parse::single_section;
 use super::{HostSettings, Limits, PlatformSettings, Secret, Settings};
 use crate::core::relay::budget::BudgetRules;
 use crate::form::{self, Form};
@@ -21,11 +21,11 @@
     /// Where the store listens.
     pub store: SocketAddr,
     /// Time the store's leases live at least.
-    pub lease_least: Duration,
+    pub min_lease: Duration,
     /// Time for which a lapsed authority is still counted as held.
-    pub lease: Duration,
+    pub authority_ttl: Duration,
     /// The budget of repeats.
-    pub budget: BudgetRules,
+    pub retry_budget: BudgetRules,
     /// What weighs how much in decisions.
     pub policy: Policy,
 }
@@ -34,20 +34,20 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
     /// Part of the engines that prefill for others, before anything is measured.
-    pub prefill: f64,
+    pub prefill_fraction: f64,
     /// Milliseconds of delay that a kilobyte between failure domains is worth.
-    pub crossing: f64,
+    pub cross_domain_ms_per_kb: f64,
     /// Weight of engine time against the delay of the request itself.
-    pub work: f64,
+    pub engine_time_weight: f64,
     /// Weight of engine time at an engine that decodes, against that at one that prefills: all
     /// that it generates waits meanwhile.
-    pub beside: f64,
+    pub decode_engine_weight: f64,
     /// Times the wanted time up to which a request counts as in time.
-    pub patience: f64,
+    pub target_factor: f64,
 }
 
 /// Sections of such a host's settings.
-pub const KINDS: &[SectionKind] = &[
+pub const SECTIONS: &[SectionKind] = &[
     SectionKind {
         keyword: "relay",
         label: Label::None,
@@ -81,35 +81,35 @@
 ];
 
 /// Longest time that makes sense in these settings.
-const MOST: Duration = Duration::from_hours(1);
+const MAX_TIME: Duration = Duration::from_hours(1);
 /// Shortest time that makes sense in these settings.
-const LEAST: Duration = Duration::from_millis(1);
+const MIN_TIME: Duration = Duration::from_millis(1);
 /// Rates and weights above this are slips of the keyboard.
-const MANY: f64 = 1e6;
+const MAX_NUMBER: f64 = 1e6;
 
 const RELAY: &[KeySpec] = &[
-    need(
+    required(
         "name",
         Form::Name,
         "name of this host, unique in the deployment",
     ),
-    need("region", Form::Name, "region the host stands in"),
-    need("domain", Form::Name, "failure domain the host stands in"),
-    need("callers", Form::Address, "listener for callers"),
-    need(
+    required("region", Form::Name, "region the host stands in"),
+    required("domain", Form::Name, "failure domain the host stands in"),
+    required("callers", Form::Address, "listener for callers"),
+    required(
         "readiness",
         Form::Address,
         "listener for the readiness check",
     ),
-    need("peers", Form::Address, "address for other hosts (UDP)"),
-    need("metrics", Form::Address, "listener for metrics"),
+    required("peers", Form::Address, "address for other hosts (UDP)"),
+    required("metrics", Form::Address, "listener for metrics"),
 ];
 
 const STORE: &[KeySpec] = &[
-    need("addr", Form::Address, "where the store listens"),
+    required("addr", Form::Address, "where the store listens"),
     key(
         "lease-least",
-        Form::DecimalTime(LEAST, MOST),
+        Form::DecimalTime(MIN_TIME, MAX_TIME),
         "1s",
         "shortest life of a lease",
     ),
@@ -118,13 +118,13 @@
 const BOUNDS: &[KeySpec] = &[
     key(
         "grace",
-        Form::DecimalTime(LEAST, MOST),
+        Form::DecimalTime(MIN_TIME, MAX_TIME),
         "8s",
         "time a planned stop may take",
     ),
     key(
         "lease",
-        Form::DecimalTime(LEAST, MOST),
+        Form::DecimalTime(MIN_TIME, MAX_TIME),
         "3s",
         "life of the authority to give orders",
     ),
@@ -136,13 +136,13 @@
     ),
     key(
         "repeat-window",
-        Form::DecimalTime(LEAST, MOST),
+        Form::DecimalTime(MIN_TIME, MAX_TIME),
         "10s",
         "span over which repeats are counted",
     ),
     key(
         "repeat-slack",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "50",
         "repeats beyond the ratio",
     ),
@@ -157,25 +157,25 @@
     ),
     key(
         "crossing",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "0.5",
         "delay in ms worth a kilobyte between domains",
     ),
     key(
         "work",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "1.5",
         "weight of engine time against delay",
     ),
     key(
         "beside",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "2.5",
         "weight of engine time where others are generated for, against where nothing is",
     ),
     key(
         "patience",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "1",
         "times the wanted time that count as in time",
     ),
@@ -194,7 +194,7 @@
     ///
     /// Returns every fault.
     pub fn parse_relay(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
-        let doc = Document::read(text, file, KINDS);
+        let doc = Document::parse(text, file, SECTIONS);
         if !doc.faults.is_empty() {
             return Err(doc.faults);
         }
@@ -203,10 +203,10 @@
 }
 
 fn build(sections: &[Section]) -> Settings {
-    let relay = one(sections, "relay");
-    let store = one(sections, "store");
-    let bounds = one(sections, "bounds");
-    let policy = one(sections, "policy");
+    let relay = single_section(sections, "relay");
+    let store = single_section(sections, "store");
+    let bounds = single_section(sections, "bounds");
+    let policy = single_section(sections, "policy");
     let time = |section: &Section, key: &str| section.read(key, units::span);
     let number = |section: &Section, key: &str| section.read(key, units::number);
     let addr = |section: &Section, key: &str| section.read(key, form::parse_address);
@@ -221,39 +221,39 @@
             advertise: None,
             // The store hands the hosts a secret of their own.
             secret: Secret::new(""),
-            operator_hash: [0; 32],
+            operator_key_hash: [0; 32],
         },
         platform: PlatformSettings {
             kv: Vec::new(),
             list: addr(store, "addr"),
             prefix: "".into(),
-            refresh: Duration::from_secs(1),
+            refresh_interval: Duration::from_secs(1),
             lease: Duration::from_secs(10),
         },
         limits: Limits {
-            stop: time(bounds, "grace"),
-            ..super::parse::limits(one(sections, "limits"))
+            stop_timeout: time(bounds, "grace"),
+            ..super::parse::limits(single_section(sections, "limits"))
         },
         pools: std::collections::BTreeMap::new(),
         services: std::collections::BTreeMap::new(),
-        log: super::parse::log(one(sections, "log")),
+        log: super::parse::log(single_section(sections, "log")),
         relay: Some(RelaySettings {
             readiness: addr(relay, "readiness"),
             metrics: addr(relay, "metrics"),
             store: addr(store, "addr"),
-            lease_least: time(store, "lease-least"),
-            lease: time(bounds, "lease"),
-            budget: BudgetRules {
+            min_lease: time(store, "lease-least"),
+            authority_ttl: time(bounds, "lease"),
+            retry_budget: BudgetRules {
                 ratio: number(bounds, "repeat-ratio"),
                 window: time(bounds, "repeat-window"),
                 slack: number(bounds, "repeat-slack"),
             },
             policy: Policy {
-                prefill: number(policy, "prefill"),
-                crossing: number(policy, "crossing"),
-                work: number(policy, "work"),
-                beside: number(policy, "beside"),
-                patience: number(policy, "patience"),
+                prefill_fraction: number(policy, "prefill"),
+                cross_domain_ms_per_kb: number(policy, "crossing"),
+                engine_time_weight: number(policy, "work"),
+                decode_engine_weight: number(policy, "beside"),
+                target_factor: number(policy, "patience"),
             },
         }),
     }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use super::{Fencing, LogForm, Settings};
+use super::{Fencing, LogFormat, Settings};
 
 /// The shortest settings without a fault.
 const LEAST: &str = "\
@@ -96,14 +96,14 @@
     let settings = Settings::parse(LEAST, "host.ini").unwrap();
     assert_eq!(&*settings.host.domain, "dk-øst-å");
     assert_eq!(settings.platform.kv.len(), 2);
-    assert_eq!(settings.platform.refresh, Duration::from_secs(1));
-    assert_eq!(settings.limits.body, 8 << 20);
+    assert_eq!(settings.platform.refresh_interval, Duration::from_secs(1));
+    assert_eq!(settings.limits.max_body_bytes, 8 << 20);
     assert_eq!(settings.log.level, log::LevelFilter::Info);
-    assert_eq!(settings.log.form, LogForm::Text);
+    assert_eq!(settings.log.format, LogFormat::Text);
     let pool = &settings.pools["kışlık"];
     assert_eq!(&*pool.model, "buz-ğ");
     assert_eq!(pool.fencing, Fencing::Checks);
-    assert_eq!(pool.between, Duration::from_millis(49));
+    assert_eq!(pool.token_gap, Duration::from_millis(49));
     assert!(!pool.split);
 }
 
@@ -116,7 +116,7 @@
 
 #[test]
 fn every_default_has_the_form_of_its_key() {
-    for kind in super::keys::KINDS {
+    for kind in super::keys::SECTIONS {
         for key in kind.keys {
             let default = key.default.unwrap_or_default();
             let fine = key.default.is_none() || key.form.allows(default);
