--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -45,7 +45,7 @@
         (MAX_WAIT_FRACTION, FREE_STREAM_MARGIN)
     };
     // A prompt that takes longer than wanted even at an idle engine is not refused for it.
-    let alone = f64::from(need.prompt) / settings.prefill;
+    let alone = f64::from(need.prompt) / settings.prefill_rate;
     let bound = settings.first_token.as_secs_f64().max(alone * 2.0) * patience;
     let detail = if offer.first_token > bound {
         format!(
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -129,7 +129,7 @@
 /// Counts a prompt that this host sends to an engine, and tells the others.
 pub fn record_sent(core: &mut Core, key: BackendKey, prompt: u64, out: &mut Effects) {
     enqueue(core, key, prompt);
-    let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
+    let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill_rate) else {
         return;
     };
     let now = core.now;
@@ -278,7 +278,7 @@
     if engine.pace > 0.0 {
         engine.pace
     } else {
-        1.0 / settings.prefill
+        1.0 / settings.prefill_rate
     }
 }
 
@@ -286,7 +286,7 @@
 /// to be worked through from `sent` on.
 pub fn learn_prefill(core: &mut Core, key: BackendKey, sent: Time, ahead: u64) {
     let now = core.now;
-    let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
+    let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill_rate) else {
         return;
     };
     if (ahead as f64) * nominal < MIN_MEASURED_SECS {
--- a/src/core/member/mod.rs
+++ b/src/core/member/mod.rs
@@ -242,7 +242,7 @@
 #[must_use]
 pub fn cut_off_bound(core: &Core) -> Duration {
     let settings = &core.settings;
-    settings.limits.cut_off.max(settings.platform.lease)
+    settings.limits.cut_off.max(settings.platform.lease_ttl)
 }
 
 /// Handles a pause of this process that was as long as its lease or longer.
@@ -252,7 +252,7 @@
 /// accepts no new work until the watch shows a registration made after the pause, and with it every
 /// earlier change. The lease renewal that is due by now makes that registration.
 pub fn detect_pause(core: &mut Core, gap: Duration, out: &mut Effects) {
-    if gap < core.settings.platform.lease || !core.members.confirmed {
+    if gap < core.settings.platform.lease_ttl || !core.members.confirmed {
         return;
     }
     core.members.confirmed = false;
@@ -298,7 +298,7 @@
 /// Requests or renews the lease, and schedules the next renewal.
 fn register(core: &mut Core, out: &mut Effects) {
     request_lease(core, out);
-    let life = core.settings.platform.lease;
+    let life = core.settings.platform.lease_ttl;
     wake(core, Timer::Register, life / 3, out);
 }
 
@@ -309,7 +309,7 @@
     }
     core.members.last_round += 1;
     let job = Job::Register(core.members.last_round);
-    let life = core.settings.platform.lease;
+    let life = core.settings.platform.lease_ttl;
     if core.members.lease == 0 {
         out.push(Effect::Grant { job, life });
     } else {
--- a/src/core/order/authority.rs
+++ b/src/core/order/authority.rs
@@ -238,7 +238,7 @@
 /// Handles the keys read before a takeover, and asks for a lease if there is no holder.
 fn keys_read(core: &mut Core, pool: PoolKey, txn: &TxnReply, out: &mut Effects) {
     let name = name(core, pool);
-    let life = core.settings.platform.lease;
+    let life = core.settings.platform.lease_ttl;
     let authority = &mut core.orders.pool_mut(pool).authority;
     if read_pairs(txn).any(|pair| pair.key == holder_key(&name)) {
         authority.stage = Stage::NotHeld;
@@ -259,7 +259,7 @@
     let name = name(core, pool);
     let token: u64 = core.rng.random();
     let own = Process::own(core);
-    let life = core.settings.platform.lease;
+    let life = core.settings.platform.lease_ttl;
     let authority = &mut core.orders.pool_mut(pool).authority;
     authority.lease = lease;
     authority.valid_until = authority.call_sent.after(life.mul_f64(USABLE_FRACTION));
@@ -326,7 +326,7 @@
 fn taken_over(core: &mut Core, pool: PoolKey, revision: i64, out: &mut Effects) {
     let now = core.now;
     let own = Process::own(core);
-    let life = core.settings.platform.lease;
+    let life = core.settings.platform.lease_ttl;
     let host = core.members.name.clone();
     let state = core.orders.pool_mut(pool);
     state.holder = super::HolderState::default();
@@ -353,7 +353,7 @@
 
 fn renewed(core: &mut Core, pool: PoolKey) {
     let now = core.now;
-    let life = core.settings.platform.lease;
+    let life = core.settings.platform.lease_ttl;
     let authority = &mut core.orders.pool_mut(pool).authority;
     authority.valid_until = authority.call_sent.after(life.mul_f64(USABLE_FRACTION));
     authority.next_call = authority
--- a/src/core/order/change.rs
+++ b/src/core/order/change.rs
@@ -191,7 +191,7 @@
 
 fn engine_view(core: &Core, key: crate::core::key::BackendKey, engine: &Backend) -> Engine {
     let nominal = core.fleet.pool(&engine.pool).map_or(1.0, |pool| {
-        core.fleet.pools[usize::from(pool.0)].settings.prefill
+        core.fleet.pools[usize::from(pool.0)].settings.prefill_rate
     });
     let speed = if engine.pace > 0.0 {
         1.0 / (engine.pace * nominal)
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -175,7 +175,7 @@
 /// Takes in the demand of the last second, and returns the forecast.
 fn update_forecast(view: &View<'_>, memory: &mut DecisionState) -> Work {
     let now = Work {
-        prefill: view.prompt / view.settings.prefill,
+        prefill: view.prompt / view.settings.prefill_rate,
         decode: view.output / view.settings.decode_rate,
     };
     let Some(seen) = memory.last_seen.replace(view.now) else {
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -23,7 +23,7 @@
 }
 
 /// Key with a default.
-pub(super) const fn key(
+pub(super) const fn optional(
     key: &'static str,
     form: Form,
     default: &'static str,
@@ -82,7 +82,7 @@
     required("callers", Form::Address, "listener for callers"),
     required("operators", Form::Address, "listener for operators"),
     required("peers", Form::Address, "listener for peers"),
-    key(
+    optional(
         "advertise",
         Form::AddressOrSame,
         "same",
@@ -103,19 +103,19 @@
         Form::Address,
         "endpoint of the list of hosts and backend servers",
     ),
-    key(
+    optional(
         "prefix",
         Form::Name,
         "chiveway/",
         "prefix of every key this deployment writes",
     ),
-    key(
+    optional(
         "refresh",
         Form::Time(Duration::from_millis(100), MINUTE),
         "1s",
         "time between two reads of the list",
     ),
-    key(
+    optional(
         "lease",
         Form::Time(SECOND, HOUR),
         "10s",
@@ -124,49 +124,49 @@
 ];
 
 pub(super) const LIMITS: &[KeySpec] = &[
-    key(
+    optional(
         "body",
         Form::Size(1 << 10, 256 << 20),
         "8MiB",
         "most bytes of a caller's body",
     ),
-    key(
+    optional(
         "body-time",
         Form::Time(SECOND, HOUR),
         "30s",
         "time a caller has to send its body",
     ),
-    key(
+    optional(
         "first-silence",
         Form::Time(SECOND, HOUR),
         "30s",
         "time until the first token before a stream counts as silent",
     ),
-    key(
+    optional(
         "token-silence",
         Form::Time(Duration::from_millis(100), HOUR),
         "10s",
         "time between tokens before a stream counts as silent",
     ),
-    key(
+    optional(
         "stop",
         Form::Time(SECOND, HOUR),
         "2m",
         "time a planned stop may take",
     ),
-    key(
+    optional(
         "cut-off",
         Form::Time(SECOND, HOUR),
         "10s",
         "time without store and peers after which the host takes no new work",
     ),
-    key(
+    optional(
         "drain",
         Form::Time(SECOND, HOUR),
         "2m",
         "time a withdrawn engine may finish its streams",
     ),
-    key(
+    optional(
         "requests",
         Form::Count(1, 1_000_000),
         "4096",
@@ -181,55 +181,55 @@
         Form::Choice(&["checks", "ignores"]),
         "whether the engines refuse an order with an old fencing number",
     ),
-    key(
+    optional(
         "first-token",
         Form::Time(MILLISECOND, HOUR),
         "780ms",
         "wanted time to the first token, for 95 in 100",
     ),
-    key(
+    optional(
         "between",
         Form::Time(MILLISECOND, MINUTE),
         "49ms",
         "wanted time between tokens, for 95 in 100",
     ),
-    key(
+    optional(
         "split",
         Form::Choice(&["yes", "no"]),
         "no",
         "whether engines are split between prefill and decode",
     ),
-    key(
+    optional(
         "goodput",
         Form::Number(0.0, MAX_NUMBER),
         "1",
         "weight of goodput in role decisions",
     ),
-    key(
+    optional(
         "change",
         Form::Number(0.0, MAX_NUMBER),
         "5",
         "weight of one role change in role decisions, in engine seconds",
     ),
-    key(
+    optional(
         "prefill",
         Form::Number(1.0, MAX_NUMBER),
         "8000",
         "prompt tokens a second of an engine of nominal speed",
     ),
-    key(
+    optional(
         "decode",
         Form::Number(1.0, MAX_NUMBER),
         "1000",
         "generated tokens a second of an engine of nominal speed, over all its streams",
     ),
-    key(
+    optional(
         "slots",
         Form::Count(1, 10_000),
         "16",
         "streams an engine decodes at once",
     ),
-    key(
+    optional(
         "piece",
         Form::Count(1, 1_000_000),
         "2000",
@@ -237,7 +237,7 @@
     ),
 ];
 
-const SERVICE: &[KeySpec] = &[key(
+const SERVICE: &[KeySpec] = &[optional(
     "timeout",
     Form::Time(MILLISECOND, HOUR),
     "30s",
@@ -245,13 +245,13 @@
 )];
 
 pub(super) const LOG: &[KeySpec] = &[
-    key(
+    optional(
         "level",
         Form::Choice(&["off", "error", "warn", "info", "debug", "trace"]),
         "info",
         "least level written",
     ),
-    key(
+    optional(
         "form",
         Form::Choice(&["text", "json"]),
         "text",
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -89,7 +89,7 @@
     /// Time between two reads of the list.
     pub refresh_interval: Duration,
     /// Life of a lease in the key-value service.
-    pub lease: Duration,
+    pub lease_ttl: Duration,
 }
 
 /// Section `[limits]`.
@@ -140,7 +140,7 @@
     /// Weight of one role change in role decisions, in engine seconds.
     pub change_cost: f64,
     /// Prompt tokens an engine of nominal speed prefills a second.
-    pub prefill: f64,
+    pub prefill_rate: f64,
     /// Tokens an engine of nominal speed generates a second over all its streams.
     pub decode_rate: f64,
     /// Streams an engine decodes at once.
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -37,14 +37,14 @@
 
 fn build(sections: &[Section]) -> Settings {
     Settings {
-        host: host(single_section(sections, "host")),
-        platform: platform(single_section(sections, "platform")),
-        limits: limits(single_section(sections, "limits")),
-        pools: named_sections(sections, "pool", pool),
+        host: parse_host(single_section(sections, "host")),
+        platform: parse_platform(single_section(sections, "platform")),
+        limits: parse_limits(single_section(sections, "limits")),
+        pools: named_sections(sections, "pool", parse_pool),
         services: named_sections(sections, "service", |section| ServiceSettings {
             timeout: parse_time(section, "timeout"),
         }),
-        log: log(single_section(sections, "log")),
+        log: parse_log(single_section(sections, "log")),
         relay: None,
     }
 }
@@ -66,7 +66,7 @@
         .collect()
 }
 
-fn host(section: &Section) -> HostSettings {
+fn parse_host(section: &Section) -> HostSettings {
     HostSettings {
         name: section.get("name").into(),
         region: section.get("region").into(),
@@ -80,17 +80,17 @@
     }
 }
 
-fn platform(section: &Section) -> PlatformSettings {
+fn parse_platform(section: &Section) -> PlatformSettings {
     PlatformSettings {
         kv: section.read("kv", parse_addresses),
         list: section.read("list", form::parse_address),
         prefix: section.get("prefix").into(),
         refresh_interval: parse_time(section, "refresh"),
-        lease: parse_time(section, "lease"),
+        lease_ttl: parse_time(section, "lease"),
     }
 }
 
-pub(super) fn limits(section: &Section) -> Limits {
+pub(super) fn parse_limits(section: &Section) -> Limits {
     Limits {
         max_body_bytes: section.read("body", units::size),
         body_timeout: parse_time(section, "body-time"),
@@ -103,7 +103,7 @@
     }
 }
 
-fn pool(section: &Section) -> PoolSettings {
+fn parse_pool(section: &Section) -> PoolSettings {
     PoolSettings {
         model: section.get("model").into(),
         fencing: section.read("fencing", Fencing::from_name),
@@ -112,14 +112,14 @@
         split: section.read("split", units::yes),
         goodput_weight: section.read("goodput", units::number),
         change_cost: section.read("change", units::number),
-        prefill: section.read("prefill", units::number),
+        prefill_rate: section.read("prefill", units::number),
         decode_rate: section.read("decode", units::number),
         max_streams: section.read("slots", units::count),
         block_tokens: section.read("piece", units::count),
     }
 }
 
-pub(super) fn log(section: &Section) -> LogSettings {
+pub(super) fn parse_log(section: &Section) -> LogSettings {
     LogSettings {
         level: section.read("level", |text| text.parse().ok()),
         format: section.read("form", |text| match text {
@@ -190,7 +190,7 @@
             doc.add_fault(section, key, &units::show_time(value), &allowed);
         }
     };
-    longer("platform", "lease", platform.lease);
+    longer("platform", "lease", platform.lease_ttl);
     longer("limits", "cut-off", settings.limits.cut_off);
 }
 
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::keys::{key, required};
+use super::keys::{optional, required};
 use super::parse::single_section;
 use super::{HostSettings, Limits, PlatformSettings, Secret, Settings};
 use crate::core::relay::budget::BudgetRules;
@@ -107,7 +107,7 @@
 
 const STORE: &[KeySpec] = &[
     required("addr", Form::Address, "where the store listens"),
-    key(
+    optional(
         "lease-least",
         Form::DecimalTime(MIN_TIME, MAX_TIME),
         "1s",
@@ -116,31 +116,31 @@
 ];
 
 const BOUNDS: &[KeySpec] = &[
-    key(
+    optional(
         "grace",
         Form::DecimalTime(MIN_TIME, MAX_TIME),
         "8s",
         "time a planned stop may take",
     ),
-    key(
+    optional(
         "lease",
         Form::DecimalTime(MIN_TIME, MAX_TIME),
         "3s",
         "life of the authority to give orders",
     ),
-    key(
+    optional(
         "repeat-ratio",
         Form::Number(0.0, 1.0),
         "0.2",
         "repeats for each request",
     ),
-    key(
+    optional(
         "repeat-window",
         Form::DecimalTime(MIN_TIME, MAX_TIME),
         "10s",
         "span over which repeats are counted",
     ),
-    key(
+    optional(
         "repeat-slack",
         Form::Number(0.0, MAX_NUMBER),
         "50",
@@ -149,31 +149,31 @@
 ];
 
 const POLICY: &[KeySpec] = &[
-    key(
+    optional(
         "prefill",
         Form::Number(0.0, 1.0),
         "0.5",
         "part of the engines that prefill at first",
     ),
-    key(
+    optional(
         "crossing",
         Form::Number(0.0, MAX_NUMBER),
         "0.5",
         "delay in ms worth a kilobyte between domains",
     ),
-    key(
+    optional(
         "work",
         Form::Number(0.0, MAX_NUMBER),
         "1.5",
         "weight of engine time against delay",
     ),
-    key(
+    optional(
         "beside",
         Form::Number(0.0, MAX_NUMBER),
         "2.5",
         "weight of engine time where others are generated for, against where nothing is",
     ),
-    key(
+    optional(
         "patience",
         Form::Number(0.0, MAX_NUMBER),
         "1",
@@ -228,15 +228,15 @@
             list: addr(store, "addr"),
             prefix: "".into(),
             refresh_interval: Duration::from_secs(1),
-            lease: Duration::from_secs(10),
+            lease_ttl: Duration::from_secs(10),
         },
         limits: Limits {
             stop_timeout: time(bounds, "grace"),
-            ..super::parse::limits(single_section(sections, "limits"))
+            ..super::parse::parse_limits(single_section(sections, "limits"))
         },
         pools: std::collections::BTreeMap::new(),
         services: std::collections::BTreeMap::new(),
-        log: super::parse::log(single_section(sections, "log")),
+        log: super::parse::parse_log(single_section(sections, "log")),
         relay: Some(RelaySettings {
             readiness: addr(relay, "readiness"),
             metrics: addr(relay, "metrics"),
