--- a/src/wire/convert.rs
+++ b/src/wire/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the core's messages and the generated types.
+//! Conversions between the core's messages and the generated protobuf types.
 
 use super::generated::{self as wire, frame::Kind};
 use super::{WireError, fixed_bytes};
@@ -376,7 +376,9 @@
     Message::Confirm(Confirm {
         pool: confirm.pool.into(),
         revision: confirm.revision,
-        streams: streams.map(|s| (s.engine.into(), s.count)).collect(),
+        streams: streams
+            .map(|stream| (stream.engine.into(), stream.count))
+            .collect(),
     })
 }
 
@@ -384,11 +386,11 @@
     ran.map(Ran::name).unwrap_or_default().to_owned()
 }
 
-fn from_ran(word: &str) -> Result<Option<Ran>, WireError> {
-    if word.is_empty() {
+fn from_ran(name: &str) -> Result<Option<Ran>, WireError> {
+    if name.is_empty() {
         return Ok(None);
     }
-    Ran::from_name(word)
+    Ran::from_name(name)
         .map(Some)
         .ok_or(WireError::Field { field: "ran" })
 }
--- a/src/wire/gossip.rs
+++ b/src/wire/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between hosts that relay requests.
+//! Encoding of the gossip datagrams between relaying hosts.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     ProbeReport, ReplicatedChanges, StoreChange, UptimeReport,
 };
 
-/// Appends the bytes of a message.
+/// Appends the encoding of a message to `out`.
 pub fn encode_gossip(message: &Gossip, out: &mut BytesMut) {
     let (kind, domain) = to_kind(&message.kind);
     let message = wire::Word {
@@ -24,8 +24,8 @@
         domain: domain.to_owned(),
         passed: matches!(message.kind, GossipKind::Forwarded(_)),
         era: message.era,
-        newest: message.probe.map_or(0, |newest| newest.revision),
-        newest_age: message.probe.map_or(0, |newest| millis(newest.age)),
+        newest: message.probe.map_or(0, |probe| probe.revision),
+        newest_age: message.probe.map_or(0, |probe| millis(probe.age)),
         kind: kind.into(),
         included: to_included(&message.kind),
         passage: message.replicated.as_ref().map(to_replicated),
@@ -33,17 +33,17 @@
         limits: message.limits.iter().map(to_limit).collect(),
     };
     out.reserve(message.encoded_len());
-    // Only a full buffer is an error, and `BytesMut` grows.
+    // Encoding fails only when the buffer is full, and `BytesMut` grows.
     if message.encode(out).is_err() {
         unreachable!("a growing buffer is never full");
     }
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the bytes.
+/// Returns an error if the bytes are not a message, or if a field is missing or out of bounds.
 pub fn decode_gossip(bytes: &[u8]) -> Result<Gossip, WireError> {
     let message = wire::Word::decode(bytes).map_err(|_malformed| WireError::Undecodable)?;
     if message.host.is_empty() {
@@ -73,7 +73,7 @@
     })
 }
 
-/// Returns the kind of a message, and the failure domain that it sums up.
+/// Returns the kind of a message and, for a sum over a failure domain, the domain's name.
 fn to_kind(kind: &GossipKind) -> (wire::WordKind, &str) {
     match kind {
         GossipKind::Own => (wire::WordKind::Own, ""),
@@ -121,8 +121,8 @@
     }
 }
 
-fn millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
 fn to_limit(report: &LimitReport) -> wire::Limit {
@@ -134,8 +134,8 @@
 }
 
 fn from_limit(limit: &wire::Limit) -> Result<LimitReport, WireError> {
-    let readable = |rate: f64| rate.is_finite() && rate >= 0.0;
-    if limit.rate.is_some_and(|rate| !readable(rate)) {
+    let is_valid = |rate: f64| rate.is_finite() && rate >= 0.0;
+    if limit.rate.is_some_and(|rate| !is_valid(rate)) {
         return Err(WireError::Field { field: "rate" });
     }
     Ok(LimitReport {
@@ -159,31 +159,31 @@
     }
 }
 
-fn to_replicated(passage: &ReplicatedChanges) -> wire::Passage {
-    let events = passage.events.iter().map(|event| wire::StoreChange {
+fn to_replicated(changes: &ReplicatedChanges) -> wire::Passage {
+    let events = changes.events.iter().map(|event| wire::StoreChange {
         revision: event.revision,
         key: event.key.to_string(),
         value: event.value.as_deref().unwrap_or_default().to_vec(),
         removed: event.value.is_none(),
     });
     wire::Passage {
-        after: passage.after,
-        at: passage.revision,
+        after: changes.after,
+        at: changes.revision,
         events: events.collect(),
     }
 }
 
-/// Reads changes of the store; what they mean is left to the adapter of the platform.
-fn from_replicated(passage: wire::Passage) -> ReplicatedChanges {
-    let events = passage.events.into_iter().map(|event| StoreChange {
+/// Converts replicated changes of the store; the platform's adapter decodes their values later.
+fn from_replicated(changes: wire::Passage) -> ReplicatedChanges {
+    let events = changes.events.into_iter().map(|event| StoreChange {
         revision: event.revision,
         key: event.key.into(),
         value: (!event.removed).then(|| event.value.into()),
         changes: Changes::default(),
     });
     ReplicatedChanges {
-        after: passage.after,
-        revision: passage.at,
+        after: changes.after,
+        revision: changes.at,
         events: events.collect(),
     }
 }
@@ -201,7 +201,7 @@
     let columns = [&loads.calls, &loads.fill, &loads.tokens];
     if columns
         .iter()
-        .any(|rows| rows.len() != loads.instances.len())
+        .any(|column| column.len() != loads.instances.len())
     {
         return Err(WireError::Field { field: "loads" });
     }
@@ -216,32 +216,32 @@
     Ok(loads.collect())
 }
 
-fn to_block(part: &BlockReport) -> wire::PartWord {
+fn to_block(block: &BlockReport) -> wire::PartWord {
     wire::PartWord {
-        part: part.block,
-        tokens: part.tokens,
-        instance: part.instance,
+        part: block.block,
+        tokens: block.tokens,
+        instance: block.instance,
     }
 }
 
-fn from_block(part: &wire::PartWord) -> BlockReport {
+fn from_block(block: &wire::PartWord) -> BlockReport {
     BlockReport {
-        block: part.part,
-        tokens: part.tokens,
-        instance: part.instance,
+        block: block.part,
+        tokens: block.tokens,
+        instance: block.instance,
     }
 }
 
-fn to_crash(death: &CrashReport) -> wire::DeathWord {
+fn to_crash(crash: &CrashReport) -> wire::DeathWord {
     wire::DeathWord {
-        print: death.fingerprint,
-        instance: death.instance,
+        print: crash.fingerprint,
+        instance: crash.instance,
     }
 }
 
-fn from_crash(death: &wire::DeathWord) -> CrashReport {
+fn from_crash(crash: &wire::DeathWord) -> CrashReport {
     CrashReport {
-        fingerprint: death.print,
-        instance: death.instance,
+        fingerprint: crash.print,
+        instance: crash.instance,
     }
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,13 +1,13 @@
-//! Messages between hosts and values in the key-value service, as bytes.
+//! Encoding of messages between hosts and of values in the key-value service.
 //!
-//! The types of `generated` are made from `proto/peer.proto` and stay in this folder: what comes
-//! in is converted at once to the core's own types, and anything out of bounds is an error.
+//! The types of `generated` come from `proto/peer.proto` and stay in this module: decoding
+//! converts them to the core's own types and returns an error for any value out of bounds.
 
 mod convert;
 #[expect(
     clippy::doc_markdown,
     clippy::trivially_copy_pass_by_ref,
-    reason = "made by a tool"
+    reason = "generated code"
 )]
 mod generated;
 mod gossip;
@@ -27,46 +27,46 @@
 
 /// Version of the protocol between hosts.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Most bytes of one frame; the largest holds both lists.
+/// Maximum size of one frame; the largest holds both lists.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// One frame.
+/// One frame of a connection between two hosts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
-    /// First frame of each side.
+    /// First frame sent by each side.
     Hello(Hello),
-    /// Second frame of each side.
+    /// Second frame sent by each side: a MAC that proves knowledge of the shared secret.
     Proof([u8; 32]),
-    /// Any frame after them.
+    /// Any later frame.
     Message(Message),
 }
 
-/// First frame of each side of a connection.
+/// First frame sent by each side of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Hello {
-    /// Version of the protocol.
+    /// Protocol version of the sender.
     pub version: u32,
     /// Name of the sender.
     pub name: Box<str>,
-    /// Random bytes for this connection.
+    /// Random bytes, fresh for each connection.
     pub nonce: [u8; 32],
 }
 
-/// Why bytes are not a frame.
+/// Why bytes could not be decoded.
 #[derive(Debug, Snafu, PartialEq, Eq, Clone)]
 pub enum WireError {
-    /// Not the encoding of a frame.
-    #[snafu(display("the frame cannot be decoded"))]
+    /// The bytes are not a valid encoding.
+    #[snafu(display("invalid protobuf encoding"))]
     Undecodable,
     /// A field is missing or out of bounds.
-    #[snafu(display("the field {field} is missing or out of bounds"))]
+    #[snafu(display("field {field} is missing or out of bounds"))]
     Field {
         /// Name of the field.
         field: &'static str,
     },
 }
 
-/// Appends the bytes of a frame.
+/// Appends the encoding of a frame to `out`.
 pub fn encode(frame: &Frame, out: &mut BytesMut) {
     let kind = match frame {
         Frame::Hello(hello) => Kind::Hello(generated::Hello {
@@ -79,17 +79,17 @@
     };
     let frame = generated::Frame { kind: Some(kind) };
     out.reserve(frame.encoded_len());
-    // Only a full buffer is an error, and `BytesMut` grows.
+    // Encoding fails only when the buffer is full, and `BytesMut` grows.
     if frame.encode(out).is_err() {
         unreachable!("a growing buffer is never full");
     }
 }
 
-/// Reads a frame.
+/// Decodes a frame.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the bytes.
+/// Returns an error if the bytes are not a frame, or if a field is missing or out of bounds.
 pub fn decode(bytes: impl Buf) -> Result<Frame, WireError> {
     let frame = generated::Frame::decode(bytes).map_err(|_malformed| WireError::Undecodable)?;
     let kind = frame.kind.ok_or(WireError::Field { field: "kind" })?;
--- a/src/wire/shard.rs
+++ b/src/wire/shard.rs
@@ -1,4 +1,5 @@
-//! Values in the key-value service: shards of recorded calls, and batches of explanations.
+//! Encoding of values in the key-value service: shards of recorded calls and batches of trace
+//! records.
 
 use prost::Message as _;
 
@@ -11,7 +12,7 @@
 const STATE_STARTED: u32 = 0;
 const STATE_DONE: u32 = 1;
 
-/// Returns the bytes of a shard.
+/// Returns the encoding of a shard.
 #[must_use]
 pub fn encode_shard(calls: &Calls) -> Vec<u8> {
     let calls = calls.iter().map(|((customer, key), call)| {
@@ -36,9 +37,9 @@
     shard.encode_to_vec()
 }
 
-/// Reads a shard; `None` when the bytes are not one.
+/// Decodes a shard; `None` if the bytes are not a shard.
 ///
-/// Taking an unreadable shard for an empty one would let recorded calls run again.
+/// Treating an unreadable shard as empty would let recorded calls run again.
 #[must_use]
 pub fn decode_shard(bytes: &[u8]) -> Option<Calls> {
     let shard = generated::Shard::decode(bytes).ok()?;
@@ -61,14 +62,14 @@
     Some((name, call))
 }
 
-/// Returns the bytes of explanations.
+/// Returns the encoding of trace records.
 #[must_use]
 pub fn encode_records(records: &[Record]) -> Vec<u8> {
     let traces = records.iter().map(to_trace).collect();
     generated::Traces { traces }.encode_to_vec()
 }
 
-/// Reads explanations; `None` when the bytes are not some.
+/// Decodes trace records; `None` if the bytes are not a valid batch.
 #[must_use]
 pub fn decode_records(bytes: &[u8]) -> Option<Vec<Record>> {
     let traces = generated::Traces::decode(bytes).ok()?.traces;
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Decoders meet anything; what is sent comes back.
+//! Round trips of encoded values, and decoders on arbitrary bytes.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
@@ -10,8 +10,8 @@
 use crate::core::trace::{Attempt, Note, Record};
 use crate::error::Ran;
 
-/// Makes one test of each frame: its bytes read back as the same frame.
-macro_rules! returns {
+/// Defines one test for each frame: decoding its encoding gives the same frame.
+macro_rules! round_trips {
     ($($name:ident: $frame:expr,)*) => {$(
         #[test]
         fn $name() {
@@ -49,38 +49,38 @@
     }
 }
 
-returns! {
-    hello_returns: Frame::Hello(Hello { version: PROTOCOL_VERSION, name: "dk-1".into(), nonce: [7; 32] }),
-    proof_returns: Frame::Proof([9; 32]),
-    begin_returns: Frame::Message(Message::Begin(Begin {
+round_trips! {
+    hello_round_trips: Frame::Hello(Hello { version: PROTOCOL_VERSION, name: "dk-1".into(), nonce: [7; 32] }),
+    proof_round_trips: Frame::Proof([9; 32]),
+    begin_round_trips: Frame::Message(Message::Begin(Begin {
         round: 4,
         customer: "Sønderborg".into(),
         key: "k-1".into(),
         print: Print([3; 16]),
         request: "r".into(),
     })),
-    begun_returns: Frame::Message(Message::Begun {
+    begun_round_trips: Frame::Message(Message::Begun {
         round: 4,
         state: BeginState::Done(stored()),
         request: "r".into(),
     }),
-    done_returns: Frame::Message(Message::Done(Done {
+    done_round_trips: Frame::Message(Message::Done(Done {
         round: 5,
         customer: "c".into(),
         key: "k".into(),
         request: "r".into(),
         outcome: DoneState::Result(stored()),
     })),
-    told_returns: Frame::Message(Message::Told {
+    trace_reply_round_trips: Frame::Message(Message::Told {
         round: 1,
         record: Some(Box::new(record())),
         since: 12,
     }),
-    traces_return: Frame::Message(Message::Traces(vec![record(), Record::default()])),
+    trace_copies_round_trip: Frame::Message(Message::Traces(vec![record(), Record::default()])),
 }
 
 #[test]
-fn shard_returns() {
+fn shard_round_trips() {
     let call = |state| Call {
         fingerprint: Print([1; 16]),
         request: "r".into(),
@@ -96,9 +96,9 @@
     assert_eq!(decode_shard(&encode_shard(&calls)), Some(calls));
 }
 
-/// A loan of infinite or negative size would let a plan exceed its share at once.
+/// Guards against a loan of infinite or negative size, which would let a plan exceed its share.
 #[test]
-fn loan_of_no_size_is_refused() {
+fn loan_of_invalid_size_is_rejected() {
     for requests in [f64::NAN, f64::INFINITY, -1.0] {
         let loan = Loan {
             plan: "p".into(),
@@ -112,14 +112,17 @@
         };
         let mut bytes = BytesMut::new();
         encode(&Frame::Message(Message::Lend(lend)), &mut bytes);
-        assert!(decode(bytes).is_err(), "{requests} was taken");
+        assert!(
+            decode(bytes).is_err(),
+            "a loan of {requests} requests was accepted"
+        );
     }
 }
 
 proptest! {
     #[test]
-    fn any_bytes_decode_or_fail(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
-        // Both must return; neither may panic.
+    fn arbitrary_bytes_decode_or_fail(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
+        // Neither decoder may panic.
         drop(decode(&*bytes));
         drop(decode_shard(&bytes));
     }
