--- a/src/lists/check.rs
+++ b/src/lists/check.rs
@@ -1,18 +1,18 @@
-//! Faults that show only when both lists are seen together.
+//! Consistency checks across both lists.
 
 use std::collections::BTreeMap;
 
 use super::{KeyHash, Plans, Uses};
 use crate::sections::Fault;
 
-/// Origin named in the faults of the customers' plans.
+/// Origin reported for faults in the list of customers' plans.
 const PLANS_ORIGIN: &str = "plans";
 
-/// Compares both lists: every customer's plan exists, and every key belongs to one customer.
+/// Checks that every customer's plan exists and that every key belongs to one customer only.
 #[must_use]
 pub fn check(plans: &Plans, uses: &Uses) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut seen: BTreeMap<KeyHash, &str> = BTreeMap::new();
+    let mut owners: BTreeMap<KeyHash, &str> = BTreeMap::new();
     for (name, customer) in &plans.customers {
         let mut fault = |key: &str, given: &str, allowed: &str| {
             faults.push(Fault {
@@ -32,7 +32,7 @@
             );
         }
         for key in &customer.keys {
-            if let Some(other) = seen.insert(*key, name) {
+            if let Some(other) = owners.insert(*key, name) {
                 let given = format!("{key}, which [customer {other}] holds");
                 fault("keys", &given, "each key once in the list");
             }
--- a/src/lists/chunk.rs
+++ b/src/lists/chunk.rs
@@ -1,40 +1,40 @@
-//! Content-named parts of a list's text, each small enough for one value of the store.
+//! Content-defined chunks of a list's text, each small enough for one value of the store.
 //!
-//! Borders lie before sections whose header hashes to a border, so that an edit changes the part
-//! it falls in and leaves the names of all others as they were.
+//! Chunk boundaries lie before sections whose header hash marks a boundary, so an edit changes
+//! the hash of the chunk that contains it and leaves all other chunks unchanged.
 
 use snafu::Snafu;
 
-/// Bytes taken for the size of a typical section, when the spacing of borders is chosen.
+/// Assumed size of a section, from which the spacing of boundaries is computed.
 const TYPICAL_SECTION_BYTES: usize = 128;
-/// Mean parts in the limit: room for runs of sections without a border.
+/// Ratio of maximum to mean chunk size: leaves room for long runs of sections without a boundary.
 const MEAN_CHUNKS_PER_LIMIT: usize = 8;
 
-/// One part of a text, named by the BLAKE3 hash of its bytes.
+/// One chunk of a text, identified by the BLAKE3 hash of its bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chunk {
-    /// Hash of the bytes.
+    /// BLAKE3 hash of the bytes.
     pub hash: [u8; 32],
-    /// UTF-8 text, or a part of it.
+    /// Bytes of UTF-8 text; may start or end inside a character.
     pub bytes: Box<[u8]>,
 }
 
-/// A text could not be put together.
+/// Why chunks could not be joined to a text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum JoinError {
-    /// Bytes that do not match their name.
-    #[snafu(display("part {chunk} does not match its hash; fetch it again"))]
+    /// The bytes of a chunk do not match its hash.
+    #[snafu(display("chunk {chunk} does not match its hash; fetch it again"))]
     HashMismatch {
-        /// Place of the part, from 0.
+        /// Index of the chunk, from 0.
         chunk: usize,
     },
-    /// Bytes that are no text.
-    #[snafu(display("the parts are not UTF-8 text; fetch the list again"))]
+    /// The joined bytes are not UTF-8.
+    #[snafu(display("the joined chunks are not UTF-8 text; fetch the list again"))]
     NotUtf8,
 }
 
 impl Chunk {
-    /// Names bytes by their hash.
+    /// Creates a chunk and computes its hash.
     #[must_use]
     pub fn new(bytes: &[u8]) -> Self {
         Self {
@@ -48,10 +48,10 @@
 ///
 /// # Panics
 ///
-/// Panics where `limit` is 0.
+/// Panics if `limit` is 0.
 #[must_use]
 pub fn chunks(text: &str, limit: usize) -> Vec<Chunk> {
-    assert!(limit > 0, "a chunk holds at least a byte");
+    assert!(limit > 0, "the limit must be at least one byte");
     let spacing = (limit / TYPICAL_SECTION_BYTES / MEAN_CHUNKS_PER_LIMIT).max(1) as u64;
     let mut chunks = Vec::new();
     let mut start = 0;
@@ -74,11 +74,11 @@
     chunks
 }
 
-/// Puts a text together again.
+/// Joins chunks to the text they were split from.
 ///
 /// # Errors
 ///
-/// Returns which part does not match its hash, or that the whole is no text.
+/// Returns an error if a chunk does not match its hash or if the result is not UTF-8.
 pub fn join(chunks: &[Chunk]) -> Result<Box<str>, JoinError> {
     let mut bytes = Vec::new();
     for (index, chunk) in chunks.iter().enumerate() {
@@ -92,7 +92,7 @@
         .map_err(|_not_text| JoinError::NotUtf8)
 }
 
-/// Splits a text before each line that starts a section.
+/// Splits a text before each line that starts with `[`.
 fn sections(text: &str) -> impl Iterator<Item = &str> {
     let mut rest = text;
     std::iter::from_fn(move || {
@@ -106,7 +106,9 @@
     })
 }
 
-/// Decides by the header alone, so that an edit inside a section moves no border.
+/// Returns whether a chunk boundary lies before a section.
+///
+/// Only the header is hashed, so an edit inside a section does not move the boundary.
 fn is_boundary(section: &str, spacing: u64) -> bool {
     let header = section.lines().next().unwrap_or_default();
     let hash = blake3::hash(header.as_bytes());
--- a/src/lists/diff.rs
+++ b/src/lists/diff.rs
@@ -1,4 +1,4 @@
-//! What changed between two versions of the lists, as lines for people.
+//! Human-readable differences between two versions of the lists.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
@@ -6,10 +6,10 @@
 use super::{Allowance, Customer, KeyHash, Lists, Plans, RetryRule, Uses};
 use crate::units;
 
-/// Digits of a key's hash that are shown: enough to tell a customer's keys apart.
+/// Number of digits of a key's hash that are shown: enough to distinguish a customer's keys.
 const SHOWN_HASH_DIGITS: usize = 12;
 
-/// Returns one line for each difference; empty for equal lists.
+/// Returns one line for each difference; empty if the lists are equal.
 #[must_use]
 pub fn diff(old: &Lists, new: &Lists) -> Vec<Box<str>> {
     let mut lines = diff_plans(&old.plans, &new.plans);
@@ -38,12 +38,12 @@
     lines
 }
 
-/// An old and a new value under one name.
+/// The old and the new value under one name.
 type Pair<'a, T> = (&'a T, &'a T);
 
-/// Compares two maps: names that left, names that came, and the `changed` of the others.
+/// Compares two maps: lists removed and added names, and the lines of `changed` for the others.
 fn diff_maps<T: PartialEq + Debug>(
-    word: &str,
+    kind: &str,
     old: &BTreeMap<Box<str>, T>,
     new: &BTreeMap<Box<str>, T>,
     changed: impl Fn(&str, Pair<'_, T>) -> Vec<Box<str>>,
@@ -52,8 +52,8 @@
     let mut lines = Vec::new();
     for name in names {
         match (old.get(name), new.get(name)) {
-            (Some(_), None) => lines.push(format!("- {word} {name}").into()),
-            (None, Some(_)) => lines.push(format!("+ {word} {name}").into()),
+            (Some(_), None) => lines.push(format!("- {kind} {name}").into()),
+            (None, Some(_)) => lines.push(format!("+ {kind} {name}").into()),
             (Some(old), Some(new)) if old != new => lines.extend(changed(name, (old, new))),
             _ => {}
         }
@@ -97,7 +97,7 @@
     line.into_iter().collect()
 }
 
-fn field_line(word: &str, name: &str, field: &str, old: &str, new: &str) -> Option<Box<str>> {
+fn field_line(kind: &str, name: &str, field: &str, old: &str, new: &str) -> Option<Box<str>> {
     let shown = |value: &str| {
         if value.is_empty() {
             "nothing".to_owned()
@@ -106,7 +106,7 @@
         }
     };
     (old != new)
-        .then(|| format!("~ {word} {name}: {field} {} -> {}", shown(old), shown(new)).into())
+        .then(|| format!("~ {kind} {name}: {field} {} -> {}", shown(old), shown(new)).into())
 }
 
 fn show_keys(keys: &[KeyHash]) -> String {
--- a/src/lists/index.rs
+++ b/src/lists/index.rs
@@ -1,10 +1,10 @@
-//! Lookups that every request needs.
+//! Lookups for each request: the owner of a key, and whether a call may be retried.
 
 use std::collections::BTreeMap;
 
 use super::{Customer, KeyHash, Lists, Plans, Uses};
 
-/// Customer and plan behind one key.
+/// Customer that owns a key, and its plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyOwner {
     /// Name of the customer.
@@ -13,7 +13,7 @@
     pub plan: Box<str>,
 }
 
-/// Customers by the hashes of their keys.
+/// Index of customers by the hashes of their keys.
 #[derive(Debug, Clone, Default)]
 pub struct KeyIndex {
     owners: BTreeMap<KeyHash, KeyOwner>,
@@ -36,18 +36,18 @@
         Self { owners }
     }
 
-    /// Returns whose key has this hash.
+    /// Returns the owner of the key with this hash.
     #[must_use]
     pub fn get(&self, key: KeyHash) -> Option<&KeyOwner> {
         self.owners.get(&key)
     }
 
-    /// Brings the index from one list of customers to the next.
+    /// Updates the index from the customers of `old` to those of `new`.
     ///
-    /// Building it anew for 31,000 customers holds the thread for longer than the time wanted
+    /// Rebuilding it for 31,000 customers blocks the thread for longer than the target time
     /// between two tokens.
     pub fn update(&mut self, old: &Plans, new: &Plans) {
-        // All go before any come: a key may have moved from one customer to another.
+        // Removals come first: a key may have moved from one customer to another.
         for (_, customer) in differing(old, new) {
             for key in &customer.keys {
                 self.owners.remove(key);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns whose key this is.
+    /// Returns the owner of a key.
     #[must_use]
     pub fn find(&self, key: &str) -> Option<&KeyOwner> {
         self.get(KeyHash::of(key))
@@ -76,14 +76,14 @@
         self.owners.len()
     }
 
-    /// Tells whether there are no keys.
+    /// Returns whether the index holds no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
     }
 }
 
-/// Returns the customers that `to` does not have as they are.
+/// Returns the customers of `from` that are absent from `to` or differ there.
 fn differing<'a>(
     from: &'a Plans,
     to: &'a Plans,
@@ -93,9 +93,9 @@
 }
 
 impl Uses {
-    /// Tells whether a call to `service` may be repeated; `path` is below the service.
+    /// Returns whether a call to `service` may be retried; `path` is relative to the service.
     ///
-    /// Without a matching rule GET and HEAD may be repeated and everything else may not.
+    /// Without a matching rule, only GET and HEAD may be retried.
     #[must_use]
     pub fn is_retryable(&self, service: &str, method: &str, path: &str) -> bool {
         let rules = self.services.get(service);
@@ -108,10 +108,10 @@
     }
 }
 
-/// Compares with a pattern whose final `*` matches any rest.
+/// Returns whether `text` matches a pattern, whose final `*` matches any suffix.
 fn matches(pattern: &str, text: &str) -> bool {
     match pattern.strip_suffix('*') {
-        Some(start) => text.starts_with(start),
+        Some(prefix) => text.starts_with(prefix),
         None => pattern == text,
     }
 }
--- a/src/lists/keys.rs
+++ b/src/lists/keys.rs
@@ -1,16 +1,16 @@
-//! Every section and key of the operators' two lists.
+//! Sections and keys of the operators' two lists.
 
 use crate::form::Form;
 use crate::sections::{KeySpec, Label, SectionKind};
 
-/// Rates above this are slips of the keyboard.
+/// Maximum rate: larger values are typing errors.
 const MAX_RATE: f64 = 1e9;
-/// Most requests of one plan running at once.
+/// Maximum number of concurrent requests of one plan.
 const MAX_RUNNING: usize = 1_000_000;
 /// Highest priority of a plan.
 pub const MAX_PRIORITY: usize = 9;
 
-/// Sections of the customers' plans.
+/// Sections of the list of customers' plans.
 pub const PLANS_SECTIONS: &[SectionKind] = &[SectionKind {
     keyword: "customer",
     label: Label::SpacedName,
@@ -30,7 +30,7 @@
     ],
 }];
 
-/// Sections of what each plan may use.
+/// Sections of the list of what each plan may use.
 pub const USES_SECTIONS: &[SectionKind] = &[
     SectionKind {
         keyword: "plan",
@@ -52,25 +52,25 @@
                 name: "requests",
                 form: Form::Rate(MAX_RATE),
                 default: Some("none"),
-                description: "requests a second, over all hosts and customers of the plan",
+                description: "requests per second, over all hosts and customers of the plan",
             },
             KeySpec {
                 name: "tokens",
                 form: Form::Rate(MAX_RATE),
                 default: Some("none"),
-                description: "prompt and output tokens a second, over all hosts and customers of the plan",
+                description: "prompt and output tokens per second, over all hosts and customers of the plan",
             },
             KeySpec {
                 name: "running",
                 form: Form::OptionalCount(1, MAX_RUNNING),
                 default: Some("none"),
-                description: "requests running at once, over all hosts and customers of the plan",
+                description: "concurrent requests, over all hosts and customers of the plan",
             },
             KeySpec {
                 name: "priority",
                 form: Form::Count(0, MAX_PRIORITY),
                 default: Some("0"),
-                description: "order in which engines serve waiting requests; higher goes first",
+                description: "priority of queued requests at the engines; higher is served first",
             },
         ],
     },
@@ -82,13 +82,13 @@
                 name: "repeat",
                 form: Form::Calls,
                 default: Some(""),
-                description: "calls that may be repeated; the first match of both keys decides",
+                description: "calls that may be retried; the first match of both keys applies",
             },
             KeySpec {
                 name: "once",
                 form: Form::Calls,
                 default: Some(""),
-                description: "calls that may run at most once; the first match of both keys decides",
+                description: "calls that may run at most once; the first match of both keys applies",
             },
         ],
     },
--- a/src/lists/mod.rs
+++ b/src/lists/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' two lists: the customers' plans, and what each plan may use.
+//! The operators' two lists: the plan of each customer, and what each plan may use.
 
 mod check;
 mod chunk;
@@ -40,15 +40,15 @@
 /// Both lists at one revision.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Lists {
-    /// Grows by one with each accepted edit; 0 before the first.
+    /// Incremented with each accepted edit; 0 before the first.
     pub revision: u64,
-    /// The customers' plans.
+    /// Plan of each customer.
     pub plans: Plans,
     /// What each plan may use.
     pub uses: Uses,
 }
 
-/// First list: which plan each customer is on.
+/// First list: the plan of each customer.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Plans {
     /// Customers by name.
@@ -64,45 +64,45 @@
     pub keys: Vec<KeyHash>,
 }
 
-/// Second list: what each plan may use, and which service calls may be repeated.
+/// Second list: what each plan may use, and which service calls may be retried.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Uses {
     /// Allowances by plan name.
     pub plans: BTreeMap<Box<str>, Allowance>,
-    /// Rules by service name.
+    /// Retry rules by service name.
     pub services: BTreeMap<Box<str>, Vec<RetryRule>>,
 }
 
-/// What one plan may use, over all hosts and all its customers together.
+/// What one plan may use, summed over all hosts and all its customers.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Allowance {
     /// Models by name.
     pub models: BTreeSet<Box<str>>,
     /// Services by name.
     pub services: BTreeSet<Box<str>>,
-    /// Requests a second; `None` for no limit.
+    /// Requests per second; `None` for no limit.
     pub requests: Option<f64>,
-    /// Prompt and output tokens a second together; `None` for no limit.
+    /// Prompt and output tokens per second, summed; `None` for no limit.
     pub tokens: Option<f64>,
-    /// Requests running at once; `None` for no limit.
+    /// Concurrent requests; `None` for no limit.
     pub running: Option<u32>,
-    /// Order in which the engines serve waiting requests; higher goes first, 0 to 9.
+    /// Priority of queued requests at the engines, 0 to 9; higher is served first.
     pub priority: u8,
 }
 
-/// The limits of an allowance, without its names: looked up for every request.
+/// The limits of an allowance without its names; looked up for each request.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Quota {
-    /// Requests a second; `None` for no limit.
+    /// Requests per second; `None` for no limit.
     pub requests: Option<f64>,
-    /// Prompt and output tokens a second together; `None` for no limit.
+    /// Prompt and output tokens per second, summed; `None` for no limit.
     pub tokens: Option<f64>,
-    /// Requests running at once; `None` for no limit.
+    /// Concurrent requests; `None` for no limit.
     pub running: Option<u32>,
 }
 
 impl Allowance {
-    /// Returns the limits; `None` where there is none.
+    /// Returns the limits; `None` if the plan has none.
     #[must_use]
     pub fn quota(&self) -> Option<Quota> {
         let quota = Quota {
@@ -114,13 +114,13 @@
     }
 }
 
-/// Whether calls that match may be repeated; the first rule that matches decides.
+/// Whether matching calls may be retried; the first matching rule applies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetryRule {
     /// HTTP method, upper case; `*` for any.
     pub method: Box<str>,
-    /// Path below the service; a final `*` matches any rest.
+    /// Path relative to the service; a final `*` matches any suffix.
     pub path: Box<str>,
-    /// Whether a call may be run more than once.
+    /// Whether a call may run more than once.
     pub retryable: bool,
 }
--- a/src/lists/parse.rs
+++ b/src/lists/parse.rs
@@ -1,4 +1,4 @@
-//! The two lists from INI text, with every fault reported.
+//! Parsing of the two lists from INI text; every fault is reported.
 
 use super::keys::{PLANS_SECTIONS, USES_SECTIONS};
 use super::{Allowance, Customer, Plans, RetryRule, Uses};
@@ -7,7 +7,7 @@
 use crate::units;
 
 impl Plans {
-    /// Reads the customers' plans; `file` names the origin in faults.
+    /// Parses the list of customers' plans; `file` is the origin reported in faults.
     ///
     /// # Errors
     ///
@@ -26,7 +26,7 @@
 }
 
 impl Uses {
-    /// Reads what each plan may use; `file` names the origin in faults.
+    /// Parses the list of what each plan may use; `file` is the origin reported in faults.
     ///
     /// # Errors
     ///
@@ -69,7 +69,7 @@
 }
 
 fn parse_allowance(section: &Section) -> Allowance {
-    let words = |key| {
+    let names = |key| {
         form::split_items(section.get(key))
             .map(Into::into)
             .collect()
@@ -77,8 +77,8 @@
     let running = |text: &str| units::count(text).and_then(|count| u32::try_from(count).ok());
     let priority = |text: &str| units::count(text).and_then(|count| u8::try_from(count).ok());
     Allowance {
-        models: words("models"),
-        services: words("services"),
+        models: names("models"),
+        services: names("services"),
         requests: units::rate(section.get("requests")),
         tokens: units::rate(section.get("tokens")),
         running: running(section.get("running")),
@@ -86,7 +86,7 @@
     }
 }
 
-/// Reads the rules of one key of a service, in their order.
+/// Parses the rules of one key of a service, in order.
 fn parse_rules((key, value): &(Box<str>, Box<str>)) -> Vec<RetryRule> {
     form::split_items(value)
         .filter_map(form::parse_call)
--- a/src/lists/reparse.rs
+++ b/src/lists/reparse.rs
@@ -1,32 +1,32 @@
-//! The customers' plans after an edit, read from the chunks that changed.
+//! Incremental parsing of the customers' plans after an edit.
 
 use super::{Chunk, Plans, join};
 use crate::sections::Fault;
 
 impl Plans {
-    /// Reads the plans of `new` where `self` was read from `old`; `file` names the origin in
-    /// faults.
+    /// Parses the plans of `new`, given that `self` was parsed from `old`; `file` is the origin
+    /// reported in faults.
     ///
-    /// Reading a list of 31,000 customers whole holds its thread for longer than the time wanted
-    /// between two tokens, and every stream of the host would show the gap at each edit. An edit
-    /// changes one chunk of many, and only that chunk is read here.
+    /// Parsing a list of 31,000 customers blocks the thread for longer than the target time
+    /// between two tokens, so every stream of the host would stall at each edit. An edit changes
+    /// one chunk of many, and only changed chunks are parsed here.
     ///
     /// # Errors
     ///
-    /// Returns every fault found, as if the whole list were read.
+    /// Returns every fault found, as parsing the whole list would.
     pub fn reparse(mut self, old: &[Chunk], new: &[Chunk], file: &str) -> Result<Self, Vec<Fault>> {
         let (start, end) = unchanged_ends(old, new);
-        let gone = parse_chunks(&old[start..old.len() - end], file);
-        let fresh = parse_chunks(&new[start..new.len() - end], file);
-        let (Ok(gone), Ok(fresh)) = (gone, fresh) else {
+        let removed = parse_chunks(&old[start..old.len() - end], file);
+        let added = parse_chunks(&new[start..new.len() - end], file);
+        let (Ok(removed), Ok(added)) = (removed, added) else {
             return parse_chunks(new, file);
         };
-        for name in gone.customers.keys() {
+        for name in removed.customers.keys() {
             self.customers.remove(name);
         }
-        for (name, customer) in fresh.customers {
+        for (name, customer) in added.customers {
             if self.customers.insert(name, customer).is_some() {
-                // The same customer stands in two chunks: only the whole list shows that fault.
+                // A customer in two chunks is a fault that only parsing the whole list reports.
                 return parse_chunks(new, file);
             }
         }
@@ -34,7 +34,8 @@
     }
 }
 
-/// Returns how many chunks at the start and at the end stayed, each up to a section's border.
+/// Returns the number of unchanged chunks at the start and at the end, cut back so that changed
+/// chunks start and end at section boundaries.
 fn unchanged_ends(old: &[Chunk], new: &[Chunk]) -> (usize, usize) {
     let same = |(a, b): &(&Chunk, &Chunk)| a.hash == b.hash;
     let mut start = old.iter().zip(new).take_while(same).count();
@@ -49,7 +50,7 @@
     (start, end)
 }
 
-/// Tells whether a section starts at chunk `at`; a section larger than a chunk spans several.
+/// Returns whether a section starts at chunk `at`; a section larger than a chunk spans several.
 fn is_boundary(chunks: &[Chunk], at: usize) -> bool {
     let (Some(before), Some(after)) = (at.checked_sub(1).map(|at| &chunks[at]), chunks.get(at))
     else {
@@ -66,7 +67,7 @@
             section: "".into(),
             key: "".into(),
             given: err.to_string().into(),
-            allowed: "the parts of one list".into(),
+            allowed: "the chunks of one list".into(),
         }]),
     }
 }
--- a/src/lists/tests.rs
+++ b/src/lists/tests.rs
@@ -38,13 +38,13 @@
     faults.iter().map(ToString::to_string).collect()
 }
 
-/// Names each case: a text and the faults that reading it reports.
+/// Defines one test for each case: a text and the faults reported when parsing it.
 macro_rules! faulty {
-    ($($name:ident: $read:ident($text:expr), [$($fault:literal),* $(,)?];)+) => {
+    ($($name:ident: $parse:ident($text:expr), [$($fault:literal),* $(,)?];)+) => {
         $(#[test]
         fn $name() {
             let expected: [&str; _] = [$($fault),*];
-            assert_eq!($read($text), expected);
+            assert_eq!($parse($text), expected);
         })+
     };
 }
@@ -52,7 +52,7 @@
 faulty! {
     customer_without_plan: plan_faults("[customer Sønderborg Kunstforening]\n"), [
         r"plans.ini: [customer Sønderborg Kunstforening] plan given nothing, allowed a name of 1 to 128 bytes without brackets, \ or control characters"];
-    plain_key_for_hash: plan_faults("[customer a]\nplan = b\nkeys = s3cret\n"), [
+    key_in_place_of_hash: plan_faults("[customer a]\nplan = b\nkeys = s3cret\n"), [
         r#"plans.ini: [customer a] keys given "s3cret", allowed hashes of 64 hexadecimal digits with commas between them; make them with: chiveway hash"#];
     customer_twice: plan_faults("[customer a]\nplan = b\n[customer  a ]\nplan = c\n"), [
         "plans.ini: [customer  a] given the section twice, allowed each section once"];
@@ -69,11 +69,11 @@
     customers_in_the_wrong_list: use_faults("[customer a]\nplan = b\n"), [
         "use.ini: [customer a] given an unknown section, allowed [plan NAME], [service NAME]"];
     no_limit: use_faults("[plan a]\nrequests = none\nrunning = none\n"), [];
-    rules_in_several_lines: use_faults("[service a]\nonce = POST /a\nrepeat = * *\nonce = GET /b\n"), [];
+    rules_on_several_lines: use_faults("[service a]\nonce = POST /a\nrepeat = * *\nonce = GET /b\n"), [];
 }
 
 #[test]
-fn use_list_is_read_whole() {
+fn use_list_is_parsed() {
     let uses = Uses::parse(USES, "use.ini").unwrap();
     let plan = &uses.plans["guld"];
     assert_eq!(plan.requests, Some(50.0));
@@ -84,13 +84,13 @@
     assert_eq!(uses.services["fristportal"].len(), 3);
 }
 
-/// Names each case: a call and whether it may be repeated.
+/// Defines one test for each case: a call and whether it may be retried.
 macro_rules! calls {
-    ($($name:ident: $service:literal $method:literal $path:literal => $repeat:literal;)+) => {
+    ($($name:ident: $service:literal $method:literal $path:literal => $retryable:literal;)+) => {
         $(#[test]
         fn $name() {
             let uses = Uses::parse(USES, "use.ini").unwrap();
-            assert_eq!(uses.is_retryable($service, $method, $path), $repeat);
+            assert_eq!(uses.is_retryable($service, $method, $path), $retryable);
         })+
     };
 }
@@ -99,10 +99,10 @@
     get_matches_first_rule: "fristportal" "GET" "/extensions/1" => true;
     exact_path_matches: "fristportal" "POST" "/deadlines/search" => true;
     longer_path_does_not_match: "fristportal" "POST" "/deadlines/search/x" => false;
-    filing_runs_once: "fristportal" "POST" "/extensions/2026" => false;
-    unmatched_put_runs_once: "fristportal" "PUT" "/deadlines" => false;
-    unknown_service_head_repeats: "other" "HEAD" "/" => true;
-    unknown_service_delete_runs_once: "other" "DELETE" "/" => false;
+    extension_request_is_not_retryable: "fristportal" "POST" "/extensions/2026" => false;
+    unmatched_put_is_not_retryable: "fristportal" "PUT" "/deadlines" => false;
+    head_of_unknown_service_is_retryable: "other" "HEAD" "/" => true;
+    delete_of_unknown_service_is_not_retryable: "other" "DELETE" "/" => false;
 }
 
 #[test]
@@ -113,8 +113,8 @@
     assert!(uses.is_retryable("a", "DELETE", "/x"));
 }
 
-/// Two customers with one key, or a customer on a plan that is not there, pass each list alone.
-/// The first would bill one for the other; the second would refuse every request.
+/// Two customers with the same key, or a customer on a missing plan, pass the checks of each list
+/// alone. The first would bill one customer for the other; the second would refuse every request.
 #[test]
 fn lists_are_checked_against_each_other() {
     let text = format!(
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn differences_are_told_by_name() {
+fn differences_are_listed_by_name() {
     let old = lists(
         "[customer a]\nplan = guld\n[customer b]\nplan = guld\n",
         USES,
@@ -166,14 +166,14 @@
 }
 
 #[test]
-fn index_finds_holder_by_key() {
+fn index_finds_owner_by_key() {
     let text = format!(
         "[customer Ærø]\nplan = guld\nkeys = {}\n",
         KeyHash::of("nøgle")
     );
     let index = KeyIndex::new(&lists(&text, USES));
-    let holder = index.find("nøgle").unwrap();
-    assert_eq!((&*holder.customer, &*holder.plan), ("Ærø", "guld"));
+    let owner = index.find("nøgle").unwrap();
+    assert_eq!((&*owner.customer, &*owner.plan), ("Ærø", "guld"));
     assert_eq!(index.find("other"), None);
     assert_eq!(index.len(), 1);
 }
@@ -186,7 +186,7 @@
     }
 }
 
-/// The customers' plans at the size to design for.
+/// A list of 31,000 customers, the size the lists are designed for.
 fn many_plans() -> Plans {
     let customer = |number: usize| {
         let customer = Customer {
@@ -200,8 +200,8 @@
     }
 }
 
-/// A list of 31,000 customers is larger than one value of the store may be. If an edit renamed
-/// many of its parts, each of 630 edits a day would write and fetch megabytes on every host.
+/// Guards against an edit that changes many chunks of a list too large for one value of the store:
+/// each of 630 edits per day would then write and fetch megabytes on every host.
 #[test]
 fn edit_of_a_large_list_changes_one_chunk() {
     const LIMIT: usize = 256 * 1024;
@@ -216,27 +216,27 @@
     plans.customers.get_mut("Forening 17000").unwrap().plan = "sølv-med-tillæg".into();
     let new = chunks(&plans.to_string(), LIMIT);
     let known: BTreeSet<_> = old.iter().map(|chunk| chunk.hash).collect();
-    let fresh = new.iter().filter(|chunk| !known.contains(&chunk.hash));
-    assert_eq!(fresh.count(), 1);
+    let added = new.iter().filter(|chunk| !known.contains(&chunk.hash));
+    assert_eq!(added.count(), 1);
 }
 
-/// A stored part can be damaged or belong to another list. Without the check the host would put
-/// half a list in force.
+/// A stored chunk can be damaged or belong to another list. Without the check the host would
+/// apply a partial list.
 #[test]
-fn damaged_chunk_is_refused() {
-    let mut parts = chunks(USES, 32);
-    parts[1].bytes[0] ^= 1;
-    assert_matches!(join(&parts), Err(JoinError::HashMismatch { chunk: 1 }));
+fn damaged_chunk_is_rejected() {
+    let mut chunks = chunks(USES, 32);
+    chunks[1].bytes[0] ^= 1;
+    assert_matches!(join(&chunks), Err(JoinError::HashMismatch { chunk: 1 }));
 }
 
-/// A damaged store holds one customer in two chunks, one of them unchanged. Read by itself the
-/// changed chunk is good; taking it would leave open which of the two plans is in force.
+/// A damaged store holds one customer in two chunks, one of them unchanged. The changed chunk is
+/// valid by itself; accepting it would leave undefined which of the two plans applies.
 #[test]
 fn customer_in_two_chunks_is_a_fault() {
-    let part = |text: &str| Chunk::new(text.as_bytes());
-    let kept = part("[customer a]\nplan = guld\n");
-    let old = [kept.clone(), part("[customer b]\nplan = guld\n")];
-    let new = [kept, part("[customer a]\nplan = sølv\n")];
+    let chunk = |text: &str| Chunk::new(text.as_bytes());
+    let kept = chunk("[customer a]\nplan = guld\n");
+    let old = [kept.clone(), chunk("[customer b]\nplan = guld\n")];
+    let new = [kept, chunk("[customer a]\nplan = sølv\n")];
     let plans = Plans::parse(&join(&old).unwrap(), "plans").unwrap();
     let faults = plans.reparse(&old, &new, "plans").unwrap_err();
     assert_eq!(
@@ -245,14 +245,14 @@
     );
 }
 
-fn title() -> impl Strategy<Value = Box<str>> {
+fn spaced_name() -> impl Strategy<Value = Box<str>> {
     prop_oneof!["[A-Za-zæøåışğÇ #;=:,]{1,12}", "\\PC{1,20}"]
         .prop_map(|name| name.trim().to_owned())
-        .prop_filter("a title", |name| form::is_spaced_name(name))
+        .prop_filter("a spaced name", |name| form::is_spaced_name(name))
         .prop_map(Into::into)
 }
 
-fn word() -> impl Strategy<Value = Box<str>> {
+fn name() -> impl Strategy<Value = Box<str>> {
     "[a-zæøåışğ0-9/.#;=:-]{1,10}".prop_map(Into::into)
 }
 
@@ -265,14 +265,14 @@
 
 fn any_plans() -> impl Strategy<Value = Plans> {
     let keys = vec(any::<[u8; 32]>().prop_map(KeyHash), 0..3);
-    let customer = (title(), keys).prop_map(|(plan, keys)| Customer { plan, keys });
-    btree_map(title(), customer, 0..6).prop_map(|customers| Plans { customers })
+    let customer = (spaced_name(), keys).prop_map(|(plan, keys)| Customer { plan, keys });
+    btree_map(spaced_name(), customer, 0..6).prop_map(|customers| Plans { customers })
 }
 
 fn any_uses() -> impl Strategy<Value = Uses> {
-    let words = || btree_set(word(), 0..3);
+    let names = || btree_set(name(), 0..3);
     let running = prop::option::of(1..=1_000_000_u32);
-    let allowance = (words(), words(), rate(), rate(), running, 0..=9_u8).prop_map(
+    let allowance = (names(), names(), rate(), rate(), running, 0..=9_u8).prop_map(
         |(models, services, requests, tokens, running, priority)| Allowance {
             models,
             services,
@@ -287,35 +287,35 @@
         "(\\*|/[a-zæøåışğ0-9/=#;?&]{0,8}\\*?)",
         any::<bool>(),
     )
-        .prop_map(|(method, path, repeat)| RetryRule {
+        .prop_map(|(method, path, retryable)| RetryRule {
             method: method.into(),
             path: path.into(),
-            retryable: repeat,
+            retryable,
         });
     (
-        btree_map(title(), allowance, 0..5),
-        btree_map(word(), vec(rule, 0..6), 0..4),
+        btree_map(spaced_name(), allowance, 0..5),
+        btree_map(name(), vec(rule, 0..6), 0..4),
     )
         .prop_map(|(plans, services)| Uses { plans, services })
 }
 
 proptest! {
     #[test]
-    fn plans_survive_writing_and_reading(plans in any_plans()) {
+    fn plans_round_trip(plans in any_plans()) {
         let text = plans.to_string();
-        let read = Plans::parse(&text, "plans");
-        prop_assert_eq!(read, Ok(plans), "{}", text);
+        let parsed = Plans::parse(&text, "plans");
+        prop_assert_eq!(parsed, Ok(plans), "{}", text);
     }
 
     #[test]
-    fn uses_survive_writing_and_reading(uses in any_uses()) {
+    fn uses_round_trip(uses in any_uses()) {
         let text = uses.to_string();
-        let read = Uses::parse(&text, "use");
-        prop_assert_eq!(read, Ok(uses), "{}", text);
+        let parsed = Uses::parse(&text, "use");
+        prop_assert_eq!(parsed, Ok(uses), "{}", text);
     }
 
     #[test]
-    fn any_text_is_read_or_refused(
+    fn arbitrary_text_is_parsed_or_rejected(
         text in prop_oneof![".*", "(\\[(plan|service|customer) .{0,4}\\]\n(plan|keys|once|repeat|running|requests|priority) = [0-9/s*A-Z ,.]{0,20}\n){0,4}"],
     ) {
         for faults in [Plans::parse(&text, "x").err(), Uses::parse(&text, "x").err()] {
@@ -324,7 +324,7 @@
     }
 
     #[test]
-    fn rereading_gives_what_reading_gives(
+    fn reparsing_equals_parsing(
         old in any_plans(), new in any_plans(), limit in 1..200_usize,
     ) {
         let mut mixed = old.clone();
@@ -332,16 +332,16 @@
         for (old, new) in [(&old, &mixed), (&mixed, &new), (&new, &old)] {
             let before = chunks(&old.to_string(), limit);
             let after = chunks(&new.to_string(), limit);
-            let read = old.clone().reparse(&before, &after, "plans");
-            prop_assert_eq!(read.as_ref().ok(), Some(new));
+            let parsed = old.clone().reparse(&before, &after, "plans");
+            prop_assert_eq!(parsed.as_ref().ok(), Some(new));
         }
     }
 
     #[test]
-    fn any_text_is_joined_from_its_chunks(text in "(\\[?[a-zø]{0,9}\n?){0,60}", limit in 1..64_usize) {
-        let parts = chunks(&text, limit);
-        prop_assert!(parts.iter().all(|part| part.bytes.len() <= limit));
-        let whole = join(&parts).map(String::from);
-        prop_assert_eq!(whole.as_deref(), Ok(text.as_str()));
+    fn arbitrary_text_is_joined_from_its_chunks(text in "(\\[?[a-zø]{0,9}\n?){0,60}", limit in 1..64_usize) {
+        let chunks = chunks(&text, limit);
+        prop_assert!(chunks.iter().all(|chunk| chunk.bytes.len() <= limit));
+        let joined = join(&chunks).map(String::from);
+        prop_assert_eq!(joined.as_deref(), Ok(text.as_str()));
     }
 }
--- a/src/lists/write.rs
+++ b/src/lists/write.rs
@@ -1,6 +1,6 @@
-//! The canonical text of both lists, as shown, stored and sent between hosts.
+//! Canonical text of both lists, as displayed, stored and sent between hosts.
 //!
-//! Reading it gives the same list back, and equal lists have equal texts.
+//! Parsing the text gives the same list, and equal lists have equal texts.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -32,21 +32,21 @@
     }
 }
 
-fn write_section(f: &mut fmt::Formatter<'_>, word: &str, name: &str) -> fmt::Result {
-    writeln!(f, "[{word} {name}]")
+fn write_section(f: &mut fmt::Formatter<'_>, keyword: &str, name: &str) -> fmt::Result {
+    writeln!(f, "[{keyword} {name}]")
 }
 
 fn write_customer(f: &mut fmt::Formatter<'_>, customer: &Customer) -> fmt::Result {
     writeln!(f, "plan = {}", customer.plan)?;
     if !customer.keys.is_empty() {
-        writeln!(f, "keys = {}", joined(&customer.keys))?;
+        writeln!(f, "keys = {}", join(&customer.keys))?;
     }
     writeln!(f)
 }
 
 fn write_allowance(f: &mut fmt::Formatter<'_>, allowance: &Allowance) -> fmt::Result {
-    write_words(f, "models", &allowance.models)?;
-    write_words(f, "services", &allowance.services)?;
+    write_names(f, "models", &allowance.models)?;
+    write_names(f, "services", &allowance.services)?;
     if let Some(rate) = allowance.requests {
         writeln!(f, "requests = {}", units::show_rate(rate))?;
     }
@@ -60,14 +60,14 @@
     writeln!(f)
 }
 
-fn write_words(f: &mut fmt::Formatter<'_>, key: &str, words: &BTreeSet<Box<str>>) -> fmt::Result {
-    if words.is_empty() {
+fn write_names(f: &mut fmt::Formatter<'_>, key: &str, names: &BTreeSet<Box<str>>) -> fmt::Result {
+    if names.is_empty() {
         return Ok(());
     }
-    writeln!(f, "{key} = {}", joined(words))
+    writeln!(f, "{key} = {}", join(names))
 }
 
-/// Writes rules in their order, neighbours of one kind on one line.
+/// Writes rules in order, consecutive rules of the same kind on one line.
 fn write_rules(f: &mut fmt::Formatter<'_>, rules: &[RetryRule]) -> fmt::Result {
     for run in rules.chunk_by(|a, b| a.retryable == b.retryable) {
         let key = if run[0].retryable { "repeat" } else { "once" };
@@ -80,7 +80,7 @@
     writeln!(f)
 }
 
-fn joined<T: ToString>(items: impl IntoIterator<Item = T>) -> String {
+fn join<T: ToString>(items: impl IntoIterator<Item = T>) -> String {
     let items: Vec<_> = items.into_iter().map(|item| item.to_string()).collect();
     items.join(", ")
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -35,7 +35,7 @@
     help_of_host: "host --help" => "  --config FILE  Settings of the host; also -c\n";
     help_shows_defaults: "try --help" => "  --hosts N  Hosts to run [default: 3]\n";
     help_lists_settings: "check --help" => "  refresh  Time between two reads of the list [default: 1s]\n";
-    help_lists_keys_of_a_list: "use check --help" => "\n[service NAME]\n  repeat  Calls that may be repeated;";
+    help_lists_keys_of_a_list: "use check --help" => "\n[service NAME]\n  repeat  Calls that may be retried;";
     help_after_arguments: "plans apply --file x --help" => "Usage: chiveway plans apply [OPTIONS]";
     version: "--version" => concat!("chiveway ", env!("CARGO_PKG_VERSION"), "\n");
     version_of_a_command: "status --version" => concat!("chiveway ", env!("CARGO_PKG_VERSION"));
