--- a/src/form.rs
+++ b/src/form.rs
@@ -1,4 +1,4 @@
-//! Forms of INI values: what each key may hold, and the sentence that says so.
+//! Formats of INI values: validation, and a description for error messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,37 +6,37 @@
 use crate::lists::KeyHash;
 use crate::units;
 
-/// Most bytes of a name: names travel in log lines, metrics and store keys.
+/// Maximum size of a name: names appear in log lines, metrics and store keys.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Least bytes of the hosts' shared secret: shorter ones can be guessed offline.
+/// Minimum size of the hosts' shared secret: shorter secrets can be guessed offline.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// What a value may be.
+/// Format of a value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Form {
     /// A name without spaces, commas or brackets.
     Name,
     /// A name that may hold spaces and commas.
     SpacedName,
-    /// Words with commas between them; may be empty.
+    /// Comma-separated names; may be empty.
     Names,
-    /// Any text that is not empty.
+    /// Any non-empty text.
     Text,
-    /// A secret; its value is never shown.
+    /// A secret; never displayed.
     Secret,
     /// A BLAKE3 hash in hexadecimal.
     Hash,
-    /// Hashes with commas between them; may be empty.
+    /// Comma-separated hashes; may be empty.
     Hashes,
     /// An IP address with port.
     Address,
-    /// An address, or `same` for the listener's own.
+    /// An address, or `same` for the address of the listener.
     AddressOrSame,
-    /// At least one address, with commas between them.
+    /// Comma-separated addresses, at least one.
     Addresses,
-    /// A time within the two bounds.
+    /// A whole number of time units, within the two bounds.
     Time(Duration, Duration),
-    /// A time within the two bounds, with a decimal point where a program worked it out.
+    /// A time within the two bounds that may be a decimal number, as a program computes it.
     DecimalTime(Duration, Duration),
     /// A size in bytes within the two bounds.
     Size(usize, usize),
@@ -48,14 +48,14 @@
     Rate(f64),
     /// A whole number within the two bounds, or `none`.
     OptionalCount(usize, usize),
-    /// One of these words.
+    /// One of the given words.
     Choice(&'static [&'static str]),
-    /// Method and path pairs with commas between them; the key may be given several times.
+    /// Comma-separated pairs of method and path; the key may be given several times.
     Calls,
 }
 
 impl Form {
-    /// Tells whether `text` has this form.
+    /// Returns whether `text` has this format.
     #[must_use]
     pub fn allows(self, text: &str) -> bool {
         match self {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns what is allowed, to follow the word "allowed".
+    /// Returns a description that follows the word "allowed" in an error message.
     #[must_use]
     pub fn description(self) -> Box<str> {
         match self {
@@ -143,65 +143,67 @@
         .into()
     }
 
-    /// Tells whether a key of this form may be given several times in one section.
+    /// Returns whether a key of this format may be given several times in one section.
     #[must_use]
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Calls)
     }
 }
 
-/// Word for "no limit".
+/// Value for "no limit".
 const NO_LIMIT: &str = "none";
-/// Word for the listener's own address.
+/// Value for the address of the listener.
 const SAME_ADDRESS: &str = "same";
 
 fn within<T: PartialOrd + Copy>(value: Option<T>, min: T, max: T) -> bool {
     value.is_some_and(|value| value >= min && value <= max)
 }
 
-/// Splits a value at its commas; an empty value has no items.
+/// Splits a value at commas; an empty value has no items.
 pub fn split_items(text: &str) -> impl Iterator<Item = &str> {
     let empty = text.is_empty();
     text.split(',').map(str::trim).filter(move |_| !empty)
 }
 
-/// Tells whether `text` can stand as a name that may hold spaces.
+/// Returns whether `text` is a valid name that may hold spaces.
 #[must_use]
 pub fn is_spaced_name(text: &str) -> bool {
-    let barred = |c: char| c.is_control() || matches!(c, '[' | ']' | '\\');
+    let is_forbidden = |c: char| c.is_control() || matches!(c, '[' | ']' | '\\');
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
         && text.trim() == text
-        && !text.chars().any(barred)
+        && !text.chars().any(is_forbidden)
 }
 
-/// Tells whether `text` can stand as a name without spaces.
+/// Returns whether `text` is a valid name without spaces.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
     is_spaced_name(text) && !text.contains(|c: char| c.is_whitespace() || c == ',')
 }
 
-/// Reads a BLAKE3 hash of 64 hexadecimal digits.
+/// Parses a BLAKE3 hash of 64 hexadecimal digits.
 #[must_use]
 pub fn parse_hash(text: &str) -> Option<KeyHash> {
     let hash = blake3::Hash::from_hex(text).ok()?;
     Some(KeyHash(*hash.as_bytes()))
 }
 
-/// Reads an IP address with port.
+/// Parses an IP address with port.
 #[must_use]
 pub fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
-/// Reads an item of [`Form::Calls`] into method and path.
+/// Parses an item of [`Form::Calls`] into method and path.
 #[must_use]
 pub fn parse_call(text: &str) -> Option<(&str, &str)> {
     let (method, path) = text.split_once(char::is_whitespace)?;
     let path = path.trim_start();
-    let named = !method.is_empty() && method.chars().all(|c| c.is_ascii_uppercase());
-    let fixed = path.strip_suffix('*').unwrap_or(path);
-    let rooted = path == "*" || path.starts_with('/');
-    let barred = |c: char| c.is_whitespace() || c.is_control() || matches!(c, '*' | ',' | '\\');
-    ((named || method == "*") && rooted && !fixed.contains(barred)).then_some((method, path))
+    let is_method = !method.is_empty() && method.chars().all(|c| c.is_ascii_uppercase());
+    let prefix = path.strip_suffix('*').unwrap_or(path);
+    let is_rooted = path == "*" || path.starts_with('/');
+    let is_forbidden =
+        |c: char| c.is_whitespace() || c.is_control() || matches!(c, '*' | ',' | '\\');
+    ((is_method || method == "*") && is_rooted && !prefix.contains(is_forbidden))
+        .then_some((method, path))
 }
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -1,4 +1,4 @@
-//! Every section and key of the settings, with its bounds and its default.
+//! Sections and keys of the settings, with bounds and defaults.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 const SECOND: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_mins(1);
 const HOUR: Duration = Duration::from_hours(1);
-/// Weights and token rates above this are slips of the keyboard.
+/// Maximum weight or token rate: larger values are typing errors.
 const MAX_NUMBER: f64 = 1e6;
 
-/// Key that has no default.
-pub(super) const fn required(key: &'static str, form: Form, about: &'static str) -> KeySpec {
+/// Key without a default.
+pub(super) const fn required(name: &'static str, form: Form, description: &'static str) -> KeySpec {
     KeySpec {
-        name: key,
+        name,
         form,
         default: None,
-        description: about,
+        description,
     }
 }
 
 /// Key with a default.
 pub(super) const fn optional(
-    key: &'static str,
+    name: &'static str,
     form: Form,
     default: &'static str,
-    about: &'static str,
+    description: &'static str,
 ) -> KeySpec {
     KeySpec {
-        name: key,
+        name,
         form,
         default: Some(default),
-        description: about,
+        description,
     }
 }
 
@@ -77,8 +77,8 @@
         Form::Name,
         "name of this host, unique in the deployment",
     ),
-    required("region", Form::Name, "region the host stands in"),
-    required("domain", Form::Name, "failure domain the host stands in"),
+    required("region", Form::Name, "region of this host"),
+    required("domain", Form::Name, "failure domain of this host"),
     required("callers", Form::Address, "listener for callers"),
     required("operators", Form::Address, "listener for operators"),
     required("peers", Form::Address, "listener for peers"),
@@ -86,7 +86,7 @@
         "advertise",
         Form::AddressOrSame,
         "same",
-        "address that peers are told, where it is not the listener's own",
+        "address registered for peers, if it differs from the listener's",
     ),
     required("secret", Form::Secret, "secret shared by all hosts"),
     required(
@@ -101,7 +101,7 @@
     required(
         "list",
         Form::Address,
-        "endpoint of the list of hosts and backend servers",
+        "endpoint of the listing of hosts and backend servers",
     ),
     optional(
         "prefix",
@@ -119,7 +119,7 @@
         "lease",
         Form::Time(SECOND, HOUR),
         "10s",
-        "life of a lease in the key-value service",
+        "time to live of a lease in the key-value service",
     ),
 ];
 
@@ -128,49 +128,49 @@
         "body",
         Form::Size(1 << 10, 256 << 20),
         "8MiB",
-        "most bytes of a caller's body",
+        "maximum size of a request body",
     ),
     optional(
         "body-time",
         Form::Time(SECOND, HOUR),
         "30s",
-        "time a caller has to send its body",
+        "time within which a caller must send its request body",
     ),
     optional(
         "first-silence",
         Form::Time(SECOND, HOUR),
         "30s",
-        "time until the first token before a stream counts as silent",
+        "time without a first token after which a stream counts as silent",
     ),
     optional(
         "token-silence",
         Form::Time(Duration::from_millis(100), HOUR),
         "10s",
-        "time between tokens before a stream counts as silent",
+        "time without a further token after which a stream counts as silent",
     ),
     optional(
         "stop",
         Form::Time(SECOND, HOUR),
         "2m",
-        "time a planned stop may take",
+        "maximum time of a planned stop",
     ),
     optional(
         "cut-off",
         Form::Time(SECOND, HOUR),
         "10s",
-        "time without store and peers after which the host takes no new work",
+        "time without contact to store and peers after which the host refuses new requests",
     ),
     optional(
         "drain",
         Form::Time(SECOND, HOUR),
         "2m",
-        "time a withdrawn engine may finish its streams",
+        "time a withdrawn engine has to finish its streams",
     ),
     optional(
         "requests",
         Form::Count(1, 1_000_000),
         "4096",
-        "most requests a host holds open at once",
+        "maximum number of concurrent requests of a host",
     ),
 ];
 
@@ -179,19 +179,19 @@
     required(
         "fencing",
         Form::Choice(&["checks", "ignores"]),
-        "whether the engines refuse an order with an old fencing number",
+        "whether the engines reject an order with an old fencing number",
     ),
     optional(
         "first-token",
         Form::Time(MILLISECOND, HOUR),
         "780ms",
-        "wanted time to the first token, for 95 in 100",
+        "target time to first token, 95th percentile",
     ),
     optional(
         "between",
         Form::Time(MILLISECOND, MINUTE),
         "49ms",
-        "wanted time between tokens, for 95 in 100",
+        "target time between tokens, 95th percentile",
     ),
     optional(
         "split",
@@ -215,25 +215,25 @@
         "prefill",
         Form::Number(1.0, MAX_NUMBER),
         "8000",
-        "prompt tokens a second of an engine of nominal speed",
+        "prompt tokens per second of an engine of nominal speed",
     ),
     optional(
         "decode",
         Form::Number(1.0, MAX_NUMBER),
         "1000",
-        "generated tokens a second of an engine of nominal speed, over all its streams",
+        "generated tokens per second of an engine of nominal speed, over all its streams",
     ),
     optional(
         "slots",
         Form::Count(1, 10_000),
         "16",
-        "streams an engine decodes at once",
+        "maximum number of streams an engine decodes concurrently",
     ),
     optional(
         "piece",
         Form::Count(1, 1_000_000),
         "2000",
-        "tokens in one piece of an engine's prefix cache",
+        "tokens per block of an engine's prefix cache",
     ),
 ];
 
@@ -241,7 +241,7 @@
     "timeout",
     Form::Time(MILLISECOND, HOUR),
     "30s",
-    "time a call may take",
+    "maximum time of a call",
 )];
 
 pub(super) const LOG: &[KeySpec] = &[
@@ -249,12 +249,12 @@
         "level",
         Form::Choice(&["off", "error", "warn", "info", "debug", "trace"]),
         "info",
-        "least level written",
+        "lowest level written",
     ),
     optional(
         "form",
         Form::Choice(&["text", "json"]),
         "text",
-        "form of the lines",
+        "format of the log lines",
     ),
 ];
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one host, read from INI and checked as a whole.
+//! Settings of one host, parsed from INI text.
 
 pub mod keys;
 mod parse;
@@ -11,33 +11,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Everything a host is told at its start.
+/// All settings of a host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Who this host is and where it listens.
+    /// Identity and listeners of this host.
     pub host: HostSettings,
-    /// Where the platform is.
+    /// Endpoints of the platform.
     pub platform: PlatformSettings,
-    /// Bounds of input and time.
+    /// Limits on request size, time and concurrency.
     pub limits: Limits,
     /// Model pools by name.
     pub pools: BTreeMap<Box<str>, PoolSettings>,
     /// Plain services by name.
     pub services: BTreeMap<Box<str>, ServiceSettings>,
-    /// Where and how logs are written.
+    /// Level and format of the log.
     pub log: LogSettings,
-    /// What a host that relays requests along an operator's routes is told besides.
+    /// Further settings of a relaying host; `None` on any other host.
     pub relay: Option<relay::RelaySettings>,
 }
 
 /// Section `[host]`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostSettings {
-    /// Name, one of its kind in the deployment.
+    /// Name, unique in the deployment.
     pub name: Box<str>,
-    /// Region the host stands in.
+    /// Region of this host.
     pub region: Box<str>,
-    /// Failure domain the host stands in.
+    /// Failure domain of this host.
     pub domain: Box<str>,
     /// Listener for callers.
     pub callers: SocketAddr,
@@ -45,7 +45,7 @@
     pub operators: SocketAddr,
     /// Listener for peers.
     pub peers: SocketAddr,
-    /// Address that peers are told; `None` for the listener's own.
+    /// Address registered for peers; `None` for the address of the listener.
     pub advertise: Option<SocketAddr>,
     /// Secret shared by all hosts; at least 16 bytes.
     pub secret: Secret,
@@ -64,7 +64,7 @@
         Self(secret.into())
     }
 
-    /// Returns the secret itself; keep it out of messages.
+    /// Returns the secret in plain text, which must not be logged.
     #[must_use]
     pub fn expose(&self) -> &str {
         &self.0
@@ -82,43 +82,43 @@
 pub struct PlatformSettings {
     /// Endpoints of the key-value service.
     pub kv: Vec<SocketAddr>,
-    /// Endpoint of the list of live and leaving hosts and backend servers.
+    /// Endpoint of the listing of live and leaving hosts and backend servers.
     pub list: SocketAddr,
     /// Prefix of every key this deployment writes.
     pub prefix: Box<str>,
-    /// Time between two reads of the list.
+    /// Time between two reads of the listing.
     pub refresh_interval: Duration,
-    /// Life of a lease in the key-value service.
+    /// Time to live of a lease in the key-value service.
     pub lease_ttl: Duration,
 }
 
 /// Section `[limits]`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Most bytes of a caller's body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Time a caller has to send its body.
+    /// Time within which a caller must send its request body.
     pub body_timeout: Duration,
-    /// Time until the first token before a stream counts as silent.
+    /// Time without a first token after which a stream counts as silent.
     pub first_token_timeout: Duration,
-    /// Time between tokens before a stream counts as silent.
+    /// Time without a further token after which a stream counts as silent.
     pub token_gap_timeout: Duration,
-    /// Time a planned stop may take.
+    /// Maximum time of a planned stop.
     pub stop_timeout: Duration,
-    /// Time without store and peers after which a host takes no new work.
+    /// Time without contact to store and peers after which a host refuses new requests.
     pub cut_off: Duration,
-    /// Time a withdrawn engine may finish its streams.
+    /// Time a withdrawn engine has to finish its streams.
     pub drain_timeout: Duration,
-    /// Most requests a host holds open at once.
+    /// Maximum number of concurrent requests of a host.
     pub max_requests: usize,
 }
 
 /// Whether engines of a pool check the fencing number of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fencing {
-    /// Engines refuse an order that carries an old number.
+    /// Engines reject an order that carries an old fencing number.
     Checks,
-    /// Engines take any order.
+    /// Engines accept any order.
     Ignores,
 }
 
@@ -127,11 +127,11 @@
 pub struct PoolSettings {
     /// Model name that callers use.
     pub model: Box<str>,
-    /// What the engines do with fencing numbers.
+    /// Whether the engines check fencing numbers.
     pub fencing: Fencing,
-    /// Wanted time to the first token, for 95 in 100.
+    /// Target time to first token, 95th percentile.
     pub first_token: Duration,
-    /// Wanted time between tokens, for 95 in 100.
+    /// Target time between tokens, 95th percentile.
     pub token_gap: Duration,
     /// Whether engines are split between prefill and decode.
     pub split: bool,
@@ -139,37 +139,37 @@
     pub goodput_weight: f64,
     /// Weight of one role change in role decisions, in engine seconds.
     pub change_cost: f64,
-    /// Prompt tokens an engine of nominal speed prefills a second.
+    /// Prompt tokens per second of an engine of nominal speed.
     pub prefill_rate: f64,
-    /// Tokens an engine of nominal speed generates a second over all its streams.
+    /// Generated tokens per second of an engine of nominal speed, over all its streams.
     pub decode_rate: f64,
-    /// Streams an engine decodes at once.
+    /// Maximum number of streams an engine decodes concurrently.
     pub max_streams: usize,
-    /// Tokens in one piece of an engine's prefix cache.
+    /// Tokens per block of an engine's prefix cache.
     pub block_tokens: usize,
 }
 
-/// Section `[service NAME]`: a plain service beside the engines.
+/// Section `[service NAME]`: an HTTP service other than the engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSettings {
-    /// Time a call may take.
+    /// Maximum time of a call.
     pub timeout: Duration,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One aligned line an event, for people.
+    /// One aligned, human-readable line per event.
     Text,
-    /// One JSON object an event.
+    /// One JSON object per event.
     Json,
 }
 
 /// Section `[log]`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogSettings {
-    /// Least level written.
+    /// Lowest level written.
     pub level: log::LevelFilter,
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
 }
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -1,4 +1,4 @@
-//! Settings of a host that relays requests along an operator's routes.
+//! Settings of a relaying host: one that forwards requests along the operator's routes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,42 +11,42 @@
 use crate::sections::{Document, Fault, KeySpec, Label, Section, SectionKind};
 use crate::units;
 
-/// Everything such a host is told beside its name and listeners.
+/// Settings that only a relaying host has.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RelaySettings {
     /// Listener for the readiness check.
     pub readiness: SocketAddr,
     /// Listener for metrics.
     pub metrics: SocketAddr,
-    /// Where the store listens.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Time the store's leases live at least.
+    /// Minimum time to live of a lease that the store grants.
     pub min_lease: Duration,
-    /// Time for which a lapsed authority is still counted as held.
+    /// Time to live of the lease that allows orders to engines.
     pub authority_ttl: Duration,
-    /// The budget of repeats.
+    /// Limits on retries.
     pub retry_budget: BudgetRules,
-    /// What weighs how much in decisions.
+    /// Weights of placement decisions.
     pub policy: Policy,
 }
 
-/// Weights of decisions.
+/// Weights of placement decisions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Part of the engines that prefill for others, before anything is measured.
+    /// Fraction of the engines that prefill for others before any load is measured.
     pub prefill_fraction: f64,
-    /// Milliseconds of delay that a kilobyte between failure domains is worth.
+    /// Milliseconds of delay that one kilobyte sent between failure domains is worth.
     pub cross_domain_ms_per_kb: f64,
-    /// Weight of engine time against the delay of the request itself.
+    /// Weight of engine time relative to the delay of the request itself.
     pub engine_time_weight: f64,
-    /// Weight of engine time at an engine that decodes, against that at one that prefills: all
-    /// that it generates waits meanwhile.
+    /// Weight of engine time at a decode engine relative to a prefill engine: a prefill delays all
+    /// streams that the engine decodes.
     pub decode_engine_weight: f64,
-    /// Times the wanted time up to which a request counts as in time.
+    /// Multiple of the target time up to which a request counts as in time.
     pub target_factor: f64,
 }
 
-/// Sections of such a host's settings.
+/// Sections of a relaying host's settings.
 pub const SECTIONS: &[SectionKind] = &[
     SectionKind {
         keyword: "relay",
@@ -80,11 +80,11 @@
     },
 ];
 
-/// Longest time that makes sense in these settings.
+/// Maximum duration in these settings.
 const MAX_TIME: Duration = Duration::from_hours(1);
-/// Shortest time that makes sense in these settings.
+/// Minimum duration in these settings.
 const MIN_TIME: Duration = Duration::from_millis(1);
-/// Rates and weights above this are slips of the keyboard.
+/// Maximum rate or weight: larger values are typing errors.
 const MAX_NUMBER: f64 = 1e6;
 
 const RELAY: &[KeySpec] = &[
@@ -93,25 +93,29 @@
         Form::Name,
         "name of this host, unique in the deployment",
     ),
-    required("region", Form::Name, "region the host stands in"),
-    required("domain", Form::Name, "failure domain the host stands in"),
+    required("region", Form::Name, "region of this host"),
+    required("domain", Form::Name, "failure domain of this host"),
     required("callers", Form::Address, "listener for callers"),
     required(
         "readiness",
         Form::Address,
         "listener for the readiness check",
     ),
-    required("peers", Form::Address, "address for other hosts (UDP)"),
+    required(
+        "peers",
+        Form::Address,
+        "UDP address for gossip between hosts",
+    ),
     required("metrics", Form::Address, "listener for metrics"),
 ];
 
 const STORE: &[KeySpec] = &[
-    required("addr", Form::Address, "where the store listens"),
+    required("addr", Form::Address, "address of the store"),
     optional(
         "lease-least",
         Form::DecimalTime(MIN_TIME, MAX_TIME),
         "1s",
-        "shortest life of a lease",
+        "minimum time to live of a lease",
     ),
 ];
 
@@ -120,31 +124,31 @@
         "grace",
         Form::DecimalTime(MIN_TIME, MAX_TIME),
         "8s",
-        "time a planned stop may take",
+        "maximum time of a planned stop",
     ),
     optional(
         "lease",
         Form::DecimalTime(MIN_TIME, MAX_TIME),
         "3s",
-        "life of the authority to give orders",
+        "time to live of the authority to send orders",
     ),
     optional(
         "repeat-ratio",
         Form::Number(0.0, 1.0),
         "0.2",
-        "repeats for each request",
+        "retries per request",
     ),
     optional(
         "repeat-window",
         Form::DecimalTime(MIN_TIME, MAX_TIME),
         "10s",
-        "span over which repeats are counted",
+        "window over which retries are counted",
     ),
     optional(
         "repeat-slack",
         Form::Number(0.0, MAX_NUMBER),
         "50",
-        "repeats beyond the ratio",
+        "retries allowed in addition to the ratio",
     ),
 ];
 
@@ -153,46 +157,46 @@
         "prefill",
         Form::Number(0.0, 1.0),
         "0.5",
-        "part of the engines that prefill at first",
+        "initial fraction of engines that prefill",
     ),
     optional(
         "crossing",
         Form::Number(0.0, MAX_NUMBER),
         "0.5",
-        "delay in ms worth a kilobyte between domains",
+        "delay in ms that one kilobyte between failure domains is worth",
     ),
     optional(
         "work",
         Form::Number(0.0, MAX_NUMBER),
         "1.5",
-        "weight of engine time against delay",
+        "weight of engine time relative to delay",
     ),
     optional(
         "beside",
         Form::Number(0.0, MAX_NUMBER),
         "2.5",
-        "weight of engine time where others are generated for, against where nothing is",
+        "weight of engine time at decode engines relative to prefill engines",
     ),
     optional(
         "patience",
         Form::Number(0.0, MAX_NUMBER),
         "1",
-        "times the wanted time that count as in time",
+        "multiple of the target time that counts as in time",
     ),
 ];
 
-/// Tells whether the text is that of a relaying host.
+/// Returns whether the text is the settings of a relaying host.
 #[must_use]
 pub fn is_relay(text: &str) -> bool {
     text.lines().any(|line| line.trim() == "[relay]")
 }
 
 impl Settings {
-    /// Reads and checks the settings of a relaying host; `file` names the origin in faults.
+    /// Parses and checks the settings of a relaying host; `file` is the origin reported in faults.
     ///
     /// # Errors
     ///
-    /// Returns every fault.
+    /// Returns every fault found.
     pub fn parse_relay(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
         let doc = Document::parse(text, file, SECTIONS);
         if !doc.faults.is_empty() {
@@ -219,7 +223,7 @@
             operators: addr(relay, "readiness"),
             peers: addr(relay, "peers"),
             advertise: None,
-            // The store hands the hosts a secret of their own.
+            // Relaying hosts share a secret that is kept in the store.
             secret: Secret::new(""),
             operator_key_hash: [0; 32],
         },
