--- a/src/error.rs
+++ b/src/error.rs
@@ -1,30 +1,31 @@
-//! The closed list of reasons a request is not answered in full, and the answer for each.
+//! The complete list of errors that end a request early, and the response for each.
 
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-/// Whether a back end ran the request, as far as this program can vouch for it.
+/// Whether a backend server ran the request, as far as this program can prove.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ran {
-    /// No byte of the request was handed to a socket towards a back end, or the back end said so.
+    /// No byte of the request was written to a socket of a backend server, or the server reported
+    /// that it did not run the request.
     No,
-    /// A back end ran it, at least in part.
+    /// A backend server ran it, at least in part.
     Yes,
-    /// A back end may have run it.
+    /// A backend server may have run it.
     Unknown,
 }
 
 impl Ran {
-    /// Returns the value that [`Ran::word`] gives this word for.
+    /// Returns the value with this name, as given by [`Ran::name`].
     #[must_use]
-    pub fn from_name(word: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         [Self::No, Self::Yes, Self::Unknown]
             .into_iter()
-            .find(|ran| ran.name() == word)
+            .find(|ran| ran.name() == name)
     }
 
-    /// Returns the word used in answers and explanations.
+    /// Returns the name used in responses and trace records.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -35,12 +36,12 @@
     }
 }
 
-/// Every reason a request ends without its whole answer.
+/// Kind of error that ends a request without a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// The body or a field of it cannot be understood.
+    /// The body or one of its fields cannot be parsed.
     Malformed,
-    /// The body is larger than the host takes.
+    /// The body exceeds the size limit of the host.
     TooLarge,
     /// The caller sent its request too slowly.
     TooSlow,
@@ -50,19 +51,19 @@
     NotFound,
     /// The plan may not use this model or service.
     NotAllowed,
-    /// The plan has used its share for now.
+    /// The plan has used up its share for now.
     ShareSpent,
-    /// The backlog is too long to answer in time.
+    /// The queue is too long to serve the request in time.
     Overloaded,
-    /// No engine of the model takes work.
+    /// No engine of the model accepts requests.
     NoEngine,
-    /// The host cannot vouch for its view of the fleet.
+    /// The host cannot confirm that its view of the fleet is current.
     CutOff,
     /// The host is shutting down.
     Stopping,
-    /// The key-value service is needed for this call and does not answer.
+    /// The call needs the key-value service, which does not respond.
     StoreDown,
-    /// The call may not repeat and carries no idempotency key.
+    /// The call is not retryable and carries no idempotency key.
     KeyMissing,
     /// The idempotency key was used with another body.
     KeyReused,
@@ -70,40 +71,40 @@
     StillRunning,
     /// A call with this idempotency key may have run and will not be run again.
     MayHaveRun,
-    /// The record shard for this key holds as many records as it may.
+    /// The record shard for this key is full.
     RecordsFull,
-    /// This request was running on two engines when they died.
+    /// This request was running on two engines when they crashed.
     EngineKiller,
-    /// The engine failed and no other could continue.
+    /// The engine failed and no other could continue the stream.
     EngineFailed,
-    /// The engine or service fell silent.
+    /// The engine or service stopped sending and timed out.
     Silent,
     /// The service could not be reached.
     ServiceDown,
-    /// The service broke off its answer.
+    /// The service aborted its response.
     ServiceFailed,
     /// The caller closed its connection.
     CallerLeft,
-    /// A fault of this program.
+    /// A defect of this program.
     Internal,
 }
 
-/// What a caller is told for one [`Kind`].
+/// Response to a caller for one [`Kind`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Stable machine-readable name.
+    /// Stable machine-readable code.
     pub code: &'static str,
-    /// One sentence that tells the caller what to do.
+    /// One sentence on what the caller can do.
     pub title: &'static str,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back if the decision gave no better time; `None` where coming back is useless.
+    /// Default time after which to retry; `None` if a retry is useless.
     pub retry_after: Option<Duration>,
 }
 
-/// A kind and its answer.
+/// A kind and its response.
 type Row = (Kind, Answer);
 
 const fn row(
@@ -114,7 +115,7 @@
     secs: u64,
     title: &'static str,
 ) -> Row {
-    let retry = match secs {
+    let retry_after = match secs {
         0 => None,
         secs => Some(Duration::from_secs(secs)),
     };
@@ -123,12 +124,12 @@
         code,
         title,
         ran,
-        retry_after: retry,
+        retry_after,
     };
     (kind, answer)
 }
 
-/// One row a kind, in the order of [`Kind`]; a retry of 0 s means that coming back is useless.
+/// One row per kind, in the order of [`Kind`]; 0 s stands for a useless retry.
 const ANSWERS: [Row; Kind::ALL.len()] = [
     row(
         Kind::Malformed,
@@ -353,7 +354,7 @@
         Self::Internal,
     ];
 
-    /// Returns the answer for this kind.
+    /// Returns the response for this kind.
     #[must_use]
     pub const fn answer(self) -> Answer {
         ANSWERS[self as usize].1
@@ -368,11 +369,17 @@
     }
 }
 
-/// Builds the problem document (RFC 9457) for a request that was not answered in full.
+/// Builds the problem document (RFC 9457) for a failed request.
 ///
-/// `retry` is rounded up to whole seconds, as in the `Retry-After` header.
+/// `retry_after` is rounded up to whole seconds, as in the `Retry-After` header.
 #[must_use]
-pub fn problem(kind: Kind, ran: Ran, detail: &str, id: &str, retry: Option<Duration>) -> Value {
+pub fn problem(
+    kind: Kind,
+    ran: Ran,
+    detail: &str,
+    id: &str,
+    retry_after: Option<Duration>,
+) -> Value {
     let answer = kind.answer();
     let mut body = json!({
         "type": format!("urn:chiveway:{}", answer.code),
@@ -382,8 +389,8 @@
         "ran": ran.name(),
         "request_id": id,
     });
-    if let Some(retry) = retry {
-        body["retry_after"] = json!(ceil_secs(retry));
+    if let Some(retry_after) = retry_after {
+        body["retry_after"] = json!(ceil_secs(retry_after));
     }
     body
 }
--- a/src/web.rs
+++ b/src/web.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 server shared by every listener: accept loop, limits, graceful stop.
+//! HTTP/1.1 server shared by all listeners: accept loop, limits and graceful stop.
 
 use std::cell::Cell;
 use std::io;
@@ -18,45 +18,45 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Most headers a request may carry; more get 431.
+/// Maximum number of request headers; more are answered with 431.
 const MAX_HEADERS: usize = 64;
-/// Most bytes of request line and headers together.
+/// Maximum size of request line and headers together.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Time a caller has to send all headers before the connection is closed.
+/// Time within which a caller must send all headers before the connection is closed.
 const HEAD_TIMEOUT: Seconds = Seconds(10);
-/// Idle time after which a kept-alive connection is closed by this side.
+/// Idle time after which the server closes a keep-alive connection.
 ///
-/// Clients here drop idle connections after [`crate::web::CLIENT_IDLE`], which is shorter,
-/// so that a request is not written to a connection this side is closing.
+/// Clients in this program drop idle connections after [`CLIENT_IDLE_TIMEOUT`], which is shorter,
+/// so that they do not write a request to a connection that the server is closing.
 const SERVER_IDLE_TIMEOUT: Seconds = Seconds(75);
-/// Time that connections are served on after their listener was closed, where callers know of no
-/// other host to go to at once.
+/// Time for which connections are still served after their listener was closed, for callers that
+/// cannot switch to another host immediately.
 pub const CONNECTION_GRACE: Duration = Duration::from_secs(1);
 /// Idle time after which clients in this program drop a pooled connection.
 pub const CLIENT_IDLE_TIMEOUT: Seconds = Seconds(4);
 
-/// Connections at most of a client for trials.
+/// Maximum number of connections of a trial client.
 const MAX_TRIAL_CONNECTIONS: usize = 10_000;
 
-/// A failure inside a handler; answered with 500 and never shown in detail.
+/// A failure inside a handler; answered with 500 without details.
 #[derive(Debug, Snafu)]
-#[snafu(display("the handler failed"))]
+#[snafu(display("request handler failed"))]
 pub struct HandlerError;
 
 impl ResponseError for HandlerError {}
 
-/// Counts open connections and open requests of one listener.
+/// Counter of open connections or requests.
 #[derive(Debug, Clone, Default)]
 pub struct Gauge(Rc<Cell<usize>>);
 
 impl Gauge {
-    /// Returns the number of holds not yet dropped.
+    /// Returns the number of guards that are not yet dropped.
     #[must_use]
     pub fn get(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more until the returned hold is dropped.
+    /// Increments the count until the returned guard is dropped.
     #[must_use]
     pub fn acquire(&self) -> GaugeGuard {
         self.0.set(self.0.get() + 1);
@@ -64,7 +64,7 @@
     }
 }
 
-/// One counted connection or request.
+/// One counted connection or request; decrements the count when dropped.
 #[derive(Debug)]
 pub struct GaugeGuard(Rc<Cell<usize>>);
 
@@ -74,22 +74,22 @@
     }
 }
 
-/// Opens a listener on `addr`; port 0 lets the kernel choose.
+/// Opens a listener on `addr`; with port 0 the kernel chooses the port.
 ///
 /// # Errors
 ///
-/// Returns the error of the bind.
+/// Returns an error if the address cannot be bound.
 pub async fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(addr).await
 }
 
-/// Serves connections of `listener` with `handler` until `stop` turns true or its sender is gone,
-/// and then until every connection is closed.
+/// Serves connections of `listener` with `handler` until `stop` becomes true or its sender is
+/// dropped, and then until every connection is closed.
 ///
-/// Each connection runs as its own task on this thread. Once it stops, new connections are
-/// refused. Those already open, and those the kernel had accepted by then, are served on for
-/// `grace`, so that a request sent in the same moment is not lost; then each is closed as soon
-/// as it has no request in hand. Dropping this future closes nothing.
+/// Each connection runs as its own task on this thread. After the stop, new connections are
+/// refused. Open connections, and those that the kernel has already accepted, are served for
+/// another `grace`, so that a request sent at the moment of the stop is not lost; then each is
+/// closed as soon as it has no open request. Dropping this future closes no connection.
 pub async fn serve<H, F>(
     listener: TcpListener,
     grace: Duration,
@@ -106,15 +106,15 @@
         .set_keepalive_timeout(SERVER_IDLE_TIMEOUT);
     let cfg = SharedCfg::new("http").add(config).build();
     let service = HttpService::h1(fn_service(move |req: Request| {
-        let answer = handler(req);
-        async move { Ok::<_, HandlerError>(answer.await) }
+        let response = handler(req);
+        async move { Ok::<_, HandlerError>(response.await) }
     }));
     let Ok(service) = service.create(cfg.clone()).await else {
         return;
     };
     let service = Pipeline::new(service);
-    // Each connection holds a clone of `open`. The library's own count cannot be waited for: it
-    // reports that none is left as soon as that was so once, long before the stop.
+    // Each connection holds a clone of `open`. The library's own counter is no substitute: it
+    // reports zero connections if there were none at any earlier time, long before the stop.
     let (open, mut closed) = mpsc::channel::<()>(1);
     loop {
         let accepted = tokio::select! {
@@ -127,7 +127,8 @@
             }
         };
         let Ok((stream, _)) = accepted else {
-            // Out of file descriptors, most often: accepting again at once would spin.
+            // Usually the process is out of file descriptors; accepting again without a pause would
+            // busy-loop.
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
@@ -137,11 +138,11 @@
     drop(open);
     tokio::time::sleep(grace).await;
     service.shutdown().await;
-    // Nothing is sent; the channel ends with the last connection.
+    // Nothing is sent; the channel closes with the last connection.
     let _ended = closed.recv().await;
 }
 
-/// Serves one connection, and drops `open` at its end.
+/// Serves one connection in a task, and drops `open` when it ends.
 fn serve_connection<S>(
     service: &Pipeline<S>,
     cfg: &SharedCfg,
@@ -166,10 +167,11 @@
     }
 }
 
-/// Closes a listener after it has taken what the kernel accepted.
+/// Closes a listener after serving the connections in its backlog.
 ///
-/// The kernel answers a connection before the program takes it. Closed without this, the listener
-/// would reset those that wait, and their callers would not know what became of their requests.
+/// The kernel accepts a connection before the program does. Closing the listener without this step
+/// would reset the connections in the backlog, and their callers could not tell whether their
+/// requests ran.
 fn serve_backlog<S>(
     service: &Pipeline<S>,
     cfg: &SharedCfg,
@@ -188,11 +190,11 @@
     }
 }
 
-/// Makes a client for trials that follows no redirect, adds no header and sets no time limit;
-/// `None` when the library cannot make one.
+/// Creates a client for trials that follows no redirects, adds no headers and sets no timeout;
+/// `None` if the library fails to create it.
 pub async fn trial_client(name: &'static str) -> Option<Client> {
-    // Not 0, which means no limit: the pool then leaves calls asleep that wait for another's
-    // connection.
+    // Not 0, which means no limit: the pool then never wakes calls that wait for a connection in
+    // use by another call.
     let connector = Connector::new()
         .limit(MAX_TRIAL_CONNECTIONS)
         .keep_alive(CLIENT_IDLE_TIMEOUT);
@@ -206,50 +208,50 @@
         .ok()
 }
 
-/// Reads and drops a request's body, as far as `limit` bytes and `time` go.
+/// Reads and drops a request's body, up to `limit` bytes and for at most `max_time`.
 ///
-/// A connection closed with bytes still unread is reset, and a reset can overtake the answer: the
-/// caller then sees a broken connection in place of the refusal. Reading what it sends first
-/// prevents this for callers that keep to the bounds.
-pub async fn discard_body(req: &mut Request, limit: usize, time: Duration) {
+/// A connection closed with unread bytes is reset, and the reset can overtake the response: the
+/// caller then sees a broken connection instead of the refusal. Reading the body first prevents
+/// this for callers that keep to the limits.
+pub async fn discard_body(req: &mut Request, limit: usize, max_time: Duration) {
     let mut payload = req.take_payload();
     let drain = async {
-        let mut read = 0;
-        while let Some(Ok(part)) = ntex::util::stream_recv(&mut payload).await {
-            read += part.len();
-            if read > limit {
+        let mut received = 0;
+        while let Some(Ok(chunk)) = ntex::util::stream_recv(&mut payload).await {
+            received += chunk.len();
+            if received > limit {
                 break;
             }
         }
     };
-    // Past its bounds the caller gets whatever its system makes of the reset.
-    timeout(time, drain).await.unwrap_or_default();
+    // A caller beyond the limits may see the reset instead of the response.
+    timeout(max_time, drain).await.unwrap_or_default();
 }
 
-/// Reads a request body of at most `limit` bytes within `time`.
+/// Reads a request body of at most `limit` bytes within `max_time`.
 ///
 /// # Errors
 ///
-/// Returns the status to answer with: 413 for too many bytes, 408 for a slow sender, 400 for a
-/// body cut short.
+/// Returns the status of the response: 413 for a body that is too large, 408 for a slow sender,
+/// 400 for a truncated body.
 pub async fn read_body(
     req: &mut Request,
     limit: usize,
-    time: Duration,
+    max_time: Duration,
 ) -> Result<Bytes, StatusCode> {
     let mut payload = req.take_payload();
     let read = async {
         let mut body = BytesMut::new();
-        while let Some(part) = ntex::util::stream_recv(&mut payload).await {
-            let part = part.map_err(|_cut| StatusCode::BAD_REQUEST)?;
-            if body.len() + part.len() > limit {
+        while let Some(chunk) = ntex::util::stream_recv(&mut payload).await {
+            let chunk = chunk.map_err(|_truncated| StatusCode::BAD_REQUEST)?;
+            if body.len() + chunk.len() > limit {
                 return Err(StatusCode::PAYLOAD_TOO_LARGE);
             }
-            body.extend_from_slice(&part);
+            body.extend_from_slice(&chunk);
         }
         Ok(body.freeze())
     };
-    timeout(time, read)
+    timeout(max_time, read)
         .await
         .unwrap_or(Err(StatusCode::REQUEST_TIMEOUT))
 }
