--- a/src/lists/index.rs
+++ b/src/lists/index.rs
@@ -20,7 +20,7 @@
 }
 
 impl KeyIndex {
-    /// Builds the index of both lists.
+    /// Builds the index from the list of customers.
     #[must_use]
     pub fn new(lists: &Lists) -> Self {
         let mut owners = BTreeMap::new();
--- a/src/sections.rs
+++ b/src/sections.rs
@@ -211,10 +211,10 @@
         header: &'t str,
         kinds: &'static [SectionKind],
     ) -> Option<(&'static SectionKind, &'t str)> {
-        let (word, name) = header
+        let (keyword, name) = header
             .split_once(char::is_whitespace)
-            .map_or((header, ""), |(word, name)| (word, name.trim()));
-        let Some(kind) = kinds.iter().find(|kind| kind.keyword == word) else {
+            .map_or((header, ""), |(keyword, name)| (keyword, name.trim()));
+        let Some(kind) = kinds.iter().find(|kind| kind.keyword == keyword) else {
             let known: Vec<_> = kinds.iter().map(SectionKind::header).collect();
             self.add_fault(header, "", "an unknown section", &known.join(", "));
             return None;
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -50,7 +50,11 @@
 }
 
 round_trips! {
-    hello_round_trips: Frame::Hello(Hello { version: PROTOCOL_VERSION, name: "dk-1".into(), nonce: [7; 32] }),
+    hello_round_trips: Frame::Hello(Hello {
+        version: PROTOCOL_VERSION,
+        name: "dk-1".into(),
+        nonce: [7; 32],
+    }),
     proof_round_trips: Frame::Proof([9; 32]),
     begin_round_trips: Frame::Message(Message::Begin(Begin {
         round: 4,
