--- a/benches/policy/bounds.rs
+++ b/benches/policy/bounds.rs
@@ -1,24 +1,24 @@
 //! Bounds that the figures are checked against.
 
 use chiveway::form::Form;
-use chiveway::sections::{Document, Key, Kind, Label};
+use chiveway::sections::{Document, KeySpec, Label, SectionKind};
 
 use crate::table::{Row, find, of_oracle};
 use crate::{POLICIES, Policy};
 
-const fn key(key: &'static str, about: &'static str) -> Key {
-    Key {
-        key,
+const fn key(key: &'static str, about: &'static str) -> KeySpec {
+    KeySpec {
+        name: key,
         form: Form::Number(0.0, 1e6),
         default: Some(""),
-        about,
+        description: about,
     }
 }
 
 /// One section a case.
-const KINDS: &[Kind] = &[Kind {
-    word: "case",
-    label: Label::Word,
+const KINDS: &[SectionKind] = &[SectionKind {
+    keyword: "case",
+    label: Label::Name,
     keys: &[
         key("oracle", "least part of the oracle's goodput"),
         key("static", "least part of the best static split's goodput"),
@@ -37,7 +37,7 @@
 
 /// Returns a line for each figure beyond its bound.
 pub fn check(text: &str, rows: &[Row]) -> Vec<String> {
-    let doc = Document::read(text, "bounds.ini", KINDS);
+    let doc = Document::parse(text, "bounds.ini", KINDS);
     let mut broken: Vec<String> = doc.faults.iter().map(ToString::to_string).collect();
     for section in &doc.sections {
         let Some(ours) = find(rows, &section.name, Policy::Ours) else {
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -68,21 +68,21 @@
 /// Returns the sections and keys of the file that a command checks.
 fn file_help(words: &str) -> String {
     let kinds = match words {
-        "check" => settings::keys::KINDS,
-        "plans check" => lists::keys::PLANS,
-        "use check" => lists::keys::USES,
+        "check" => settings::keys::SECTIONS,
+        "plans check" => lists::keys::PLANS_SECTIONS,
+        "use check" => lists::keys::USES_SECTIONS,
         _ => return String::new(),
     };
     let mut text = "\nSections and keys of the file:\n".to_owned();
     for kind in kinds {
         let rows = kind.keys.iter().map(|key| {
-            let about = described(key.about, key.default);
+            let about = described(key.description, key.default);
             let need = if key.default.is_none() {
                 " [required]"
             } else {
                 ""
             };
-            [key.key.into(), format!("{about}{need}").into()]
+            [key.name.into(), format!("{about}{need}").into()]
         });
         let _ = write!(text, "\n{}\n{}", kind.header(), columns(rows));
     }
--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -45,14 +45,14 @@
         (MAX_WAIT_FRACTION, FREE_STREAM_MARGIN)
     };
     // A prompt that takes longer than the target even at an idle engine is not refused for that.
-    let alone = f64::from(need.prompt) / settings.prefill;
+    let alone = f64::from(need.prompt) / settings.prefill_rate;
     let bound = settings.first_token.as_secs_f64().max(alone * 2.0) * fraction;
     let detail = if offer.first_token > bound {
         format!(
             "the first token would come after {:.2} s; the limit is {bound:.2} s",
             offer.first_token
         )
-    } else if offer.free_streams < margin || offer.token_gap > settings.between.as_secs_f64() {
+    } else if offer.free_streams < margin || offer.token_gap > settings.token_gap.as_secs_f64() {
         "every engine already runs as many streams as it can generate in time".into()
     } else {
         return Ok(());
--- a/src/core/effect.rs
+++ b/src/core/effect.rs
@@ -195,7 +195,7 @@
         Self {
             kind,
             ran: answer.ran,
-            retry_after: answer.retry,
+            retry_after: answer.retry_after,
             detail: detail.into(),
         }
     }
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -128,7 +128,7 @@
 /// Counts a prompt that this host sends to an engine, and reports it to the others.
 pub fn record_sent(core: &mut Core, key: BackendKey, prompt: u64, out: &mut Effects) {
     enqueue(core, key, prompt);
-    let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
+    let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill_rate) else {
         return;
     };
     let now = core.now;
@@ -219,7 +219,7 @@
 #[must_use]
 pub fn gap(engine: &Backend, settings: &PoolSettings) -> f64 {
     let streams = streams(engine) + 1.0;
-    let slots = settings.slots as f64;
+    let slots = settings.max_streams as f64;
     if streams > slots {
         return f64::INFINITY;
     }
@@ -229,10 +229,10 @@
 /// Returns the number of streams that an engine can accept before its time between tokens is too long.
 #[must_use]
 pub fn free_streams(engine: &Backend, settings: &PoolSettings) -> f64 {
-    let slots = settings.slots as f64;
+    let slots = settings.max_streams as f64;
     let slowdown = slowdown(engine);
-    let full = slots / settings.decode;
-    let wanted = settings.between.as_secs_f64() * MAX_GAP_FRACTION / slowdown;
+    let full = slots / settings.decode_rate;
+    let wanted = settings.token_gap.as_secs_f64() * MAX_GAP_FRACTION / slowdown;
     let max = slots * (wanted / full - EMPTY_BATCH_GAP_FRACTION) / (1.0 - EMPTY_BATCH_GAP_FRACTION);
     max.min(slots) - streams(engine)
 }
@@ -247,8 +247,8 @@
 
 /// Returns the seconds between tokens at an engine of nominal speed.
 fn nominal_gap(streams: f64, settings: &PoolSettings) -> f64 {
-    let slots = settings.slots as f64;
-    slots / settings.decode
+    let slots = settings.max_streams as f64;
+    slots / settings.decode_rate
         * (EMPTY_BATCH_GAP_FRACTION + (1.0 - EMPTY_BATCH_GAP_FRACTION) * streams / slots)
 }
 
@@ -275,7 +275,7 @@
     if engine.pace > 0.0 {
         engine.pace
     } else {
-        1.0 / settings.prefill
+        1.0 / settings.prefill_rate
     }
 }
 
@@ -283,7 +283,7 @@
 /// included.
 pub fn learn_prefill(core: &mut Core, key: BackendKey, sent: Time, ahead: u64) {
     let now = core.now;
-    let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill) else {
+    let Some(nominal) = settings(core, key).map(|settings| 1.0 / settings.prefill_rate) else {
         return;
     };
     if (ahead as f64) * nominal < MIN_MEASURED_SECS {
@@ -323,7 +323,7 @@
     }
     let seen = span.as_secs_f64() / (tokens - 1) as f64;
     let Some(nominal) = settings(core, key).map(|settings| {
-        let streams = streams(&core.fleet.arena[key]).min(settings.slots as f64);
+        let streams = streams(&core.fleet.arena[key]).min(settings.max_streams as f64);
         nominal_gap(streams, settings)
     }) else {
         return;
--- a/src/core/request/arrive.rs
+++ b/src/core/request/arrive.rs
@@ -88,7 +88,7 @@
             "this host is cut off from its peers or the key-value store, or not registered yet";
         return Err(Refusal::new(Kind::CutOff, detail));
     }
-    let max_requests = core.settings.limits.requests;
+    let max_requests = core.settings.limits.max_requests;
     if core.requests.arena.len() > max_requests {
         let detail = format!("this host holds its maximum of {max_requests} requests");
         return Err(Refusal::new(Kind::Overloaded, detail));
@@ -129,7 +129,7 @@
         return Err(Refusal::new(Kind::NotAllowed, detail));
     }
     if let RequestSpec::Service(want) = &request.want {
-        request.retryable = uses.rule(&want.service, &want.method, &want.path);
+        request.retryable = uses.is_retryable(&want.service, &want.method, &want.path);
         if !request.retryable && request.idempotency_key.is_none() {
             let detail = "this call is not retryable and has no Idempotency-Key header";
             return Err(Refusal::new(Kind::KeyMissing, detail));
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -166,16 +166,16 @@
 /// A deployment that weighs goodput reverses a wrong change soon; one that weighs changes waits longer for the mix of
 /// requests to swing back.
 fn reversal_cooldown(settings: &PoolSettings) -> f64 {
-    let change = settings.change;
+    let change = settings.change_cost;
     REVERSAL_COOLDOWN_SECS * change
-        / (change + COOLDOWN_CHANGE_COST_SECS * settings.goodput).max(f64::EPSILON)
+        / (change + COOLDOWN_CHANGE_COST_SECS * settings.goodput_weight).max(f64::EPSILON)
 }
 
 /// Adds the demand of the last second to the averages, and returns the forecast.
 fn update_forecast(view: &View<'_>, state: &mut DecisionState) -> Work {
     let now = Work {
-        prefill: view.prompt / view.settings.prefill,
-        decode: view.output / view.settings.decode,
+        prefill: view.prompt / view.settings.prefill_rate,
+        decode: view.output / view.settings.decode_rate,
     };
     let Some(seen) = state.last_seen.replace(view.now) else {
         state.short_average = now;
@@ -256,7 +256,7 @@
     let now = work.lost(speeds);
     let saved = (now - work.lost(with)) * SAVINGS_HORIZON_SECS;
     let spent = (work.lost(without) - now) * CHANGE_DOWNTIME_SECS;
-    let net = (saved - spent) * view.settings.goodput - view.settings.change;
+    let net = (saved - spent) * view.settings.goodput_weight - view.settings.change_cost;
     let change = Change {
         engine: engine.key,
         role,
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -182,7 +182,7 @@
         let fill = || {
             let saved = match prefix_engine {
                 Some((_, prefix_engine)) if prefix_engine == key => {
-                    PREFIX_HIT_FRACTION * self.settings.piece as f64
+                    PREFIX_HIT_FRACTION * self.settings.block_tokens as f64
                 }
                 _ => 0.0,
             };
--- a/src/core/stop.rs
+++ b/src/core/stop.rs
@@ -95,7 +95,7 @@
     } else {
         DRAIN_NOTICE
     };
-    let notice = notice.min(core.settings.limits.stop / 3);
+    let notice = notice.min(core.settings.limits.stop_timeout / 3);
     out.push(Effect::SetTimer {
         at: core.now.after(notice),
         timer: Timer::Stop,
@@ -154,7 +154,7 @@
 
 /// Returns the time after which this host abandons the requests that still run.
 fn abandon_after(core: &Core) -> Duration {
-    let stop = core.settings.limits.stop;
+    let stop = core.settings.limits.stop_timeout;
     if core.settings.relay.is_some() {
         stop.saturating_sub(stop / RELAY_RESERVE_DIVISOR)
     } else {
--- a/src/host/callers.rs
+++ b/src/host/callers.rs
@@ -172,7 +172,7 @@
         outcome: refusal.kind.answer().code,
         duration: Duration::ZERO,
     });
-    web::discard(req, MAX_DISCARD_BYTES, DISCARD_TIMEOUT).await;
+    web::discard_body(req, MAX_DISCARD_BYTES, DISCARD_TIMEOUT).await;
     let mut response = problem::answer(&refusal, "");
     close_connection(&mut response);
     Err(response)
@@ -181,7 +181,7 @@
 async fn read_body(node: &Rc<Node>, req: &mut Request) -> Result<Bytes, Response> {
     let (limit, time) = node.with_core(|core| {
         let limits = &core.settings.limits;
-        (limits.body, limits.body_time)
+        (limits.max_body_bytes, limits.body_timeout)
     });
     web::read_body(req, limit, time)
         .await
@@ -241,7 +241,7 @@
     let block_tokens = |model: &str| {
         node.with_core(|core| {
             let pool = core.fleet.serving(model).next();
-            pool.map_or(DEFAULT_BLOCK_TOKENS, |pool| pool.settings.piece)
+            pool.map_or(DEFAULT_BLOCK_TOKENS, |pool| pool.settings.block_tokens)
         })
     };
     let (completion, want) = match completion::parse(endpoint, &bytes, block_tokens) {
--- a/src/host/node.rs
+++ b/src/host/node.rs
@@ -27,7 +27,7 @@
 use crate::core::{Core, Effect, Effects, Event, Time};
 use crate::settings::Settings;
 use crate::store::Store;
-use crate::web::CLIENT_IDLE;
+use crate::web::CLIENT_IDLE_TIMEOUT;
 
 /// Time limit of one call to one endpoint of the key-value service.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -268,7 +268,7 @@
         let now = timer::now();
         let mut no_reuse_until = self.no_reuse_until.borrow_mut();
         if resume.is_some() {
-            let idle = Duration::from_secs(CLIENT_IDLE.0.into());
+            let idle = Duration::from_secs(CLIENT_IDLE_TIMEOUT.0.into());
             no_reuse_until.insert(addr, now.after(idle));
         }
         no_reuse_until.retain(|_, until| *until > now);
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -34,7 +34,7 @@
         }
     }
     if !is_authorized(&node, &req) {
-        web::discard(&mut req, MAX_LIST_BYTES, DISCARD_TIMEOUT).await;
+        web::discard_body(&mut req, MAX_LIST_BYTES, DISCARD_TIMEOUT).await;
         let detail = "the operators' key is missing or wrong";
         return problem::answer(&Refusal::new(Kind::BadKey, detail), "");
     }
@@ -91,7 +91,7 @@
 fn is_authorized(node: &Rc<Node>, req: &Request) -> bool {
     let key = req.headers().get("authorization");
     let key = key.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
-    let expected = node.with_core(|core| core.settings.host.operator_hash);
+    let expected = node.with_core(|core| core.settings.host.operator_key_hash);
     key.is_some_and(|key| blake3::hash(key.trim().as_bytes()) == blake3::Hash::from_bytes(expected))
 }
 
--- a/src/lists/index.rs
+++ b/src/lists/index.rs
@@ -1,90 +1,90 @@
-//! Lookups that every request needs.
+//! Lookups for each request: the owner of a key, and whether a call may be retried.
 
 use std::collections::BTreeMap;
 
 use super::{Customer, KeyHash, Lists, Plans, Uses};
 
-/// Customer and plan behind one key.
+/// Customer that owns a key, and its plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Holder {
+pub struct KeyOwner {
     /// Name of the customer.
     pub customer: Box<str>,
     /// Name of the customer's plan.
     pub plan: Box<str>,
 }
 
-/// Customers by the hashes of their keys.
+/// Index of customers by the hashes of their keys.
 #[derive(Debug, Clone, Default)]
-pub struct Index {
-    holders: BTreeMap<KeyHash, Holder>,
+pub struct KeyIndex {
+    owners: BTreeMap<KeyHash, KeyOwner>,
 }
 
-impl Index {
-    /// Builds the index of both lists.
+impl KeyIndex {
+    /// Builds the index from the list of customers.
     #[must_use]
     pub fn new(lists: &Lists) -> Self {
-        let mut holders = BTreeMap::new();
+        let mut owners = BTreeMap::new();
         for (name, customer) in &lists.plans.customers {
             for key in &customer.keys {
-                let holder = Holder {
+                let owner = KeyOwner {
                     customer: name.clone(),
                     plan: customer.plan.clone(),
                 };
-                holders.insert(*key, holder);
+                owners.insert(*key, owner);
             }
         }
-        Self { holders }
+        Self { owners }
     }
 
-    /// Returns whose key has this hash.
+    /// Returns the owner of the key with this hash.
     #[must_use]
-    pub fn get(&self, key: KeyHash) -> Option<&Holder> {
-        self.holders.get(&key)
+    pub fn get(&self, key: KeyHash) -> Option<&KeyOwner> {
+        self.owners.get(&key)
     }
 
-    /// Brings the index from one list of customers to the next.
+    /// Updates the index from the customers of `old` to those of `new`.
     ///
-    /// Building it anew for 31,000 customers holds the thread for longer than the time wanted
+    /// Rebuilding it for 31,000 customers blocks the thread for longer than the target time
     /// between two tokens.
     pub fn update(&mut self, old: &Plans, new: &Plans) {
-        // All go before any come: a key may have moved from one customer to another.
-        for (_, customer) in changed(old, new) {
+        // Removals come first: a key may have moved from one customer to another.
+        for (_, customer) in differing(old, new) {
             for key in &customer.keys {
-                self.holders.remove(key);
+                self.owners.remove(key);
             }
         }
-        for (name, customer) in changed(new, old) {
+        for (name, customer) in differing(new, old) {
             for key in &customer.keys {
-                let holder = Holder {
+                let owner = KeyOwner {
                     customer: name.clone(),
                     plan: customer.plan.clone(),
                 };
-                self.holders.insert(*key, holder);
+                self.owners.insert(*key, owner);
             }
         }
     }
 
-    /// Returns whose key this is.
+    /// Returns the owner of a key.
     #[must_use]
-    pub fn find(&self, key: &str) -> Option<&Holder> {
+    pub fn find(&self, key: &str) -> Option<&KeyOwner> {
         self.get(KeyHash::of(key))
     }
 
     /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.holders.len()
+        self.owners.len()
     }
 
-    /// Tells whether there are no keys.
+    /// Returns whether the index holds no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.holders.is_empty()
+        self.owners.is_empty()
     }
 }
 
-/// Returns the customers that `to` does not have as they are.
-fn changed<'a>(
+/// Returns the customers of `from` that are absent from `to` or differ there.
+fn differing<'a>(
     from: &'a Plans,
     to: &'a Plans,
 ) -> impl Iterator<Item = (&'a Box<str>, &'a Customer)> {
@@ -93,25 +93,25 @@
 }
 
 impl Uses {
-    /// Tells whether a call to `service` may be repeated; `path` is below the service.
+    /// Returns whether a call to `service` may be retried; `path` is relative to the service.
     ///
-    /// Without a matching rule GET and HEAD may be repeated and everything else may not.
+    /// Without a matching rule, only GET and HEAD may be retried.
     #[must_use]
-    pub fn rule(&self, service: &str, method: &str, path: &str) -> bool {
+    pub fn is_retryable(&self, service: &str, method: &str, path: &str) -> bool {
         let rules = self.services.get(service);
         let rule = rules.and_then(|rules| {
             rules
                 .iter()
                 .find(|rule| matches(&rule.method, method) && matches(&rule.path, path))
         });
-        rule.map_or(matches!(method, "GET" | "HEAD"), |rule| rule.repeat)
+        rule.map_or(matches!(method, "GET" | "HEAD"), |rule| rule.retryable)
     }
 }
 
-/// Compares with a pattern whose final `*` matches any rest.
+/// Returns whether `text` matches a pattern, whose final `*` matches any suffix.
 fn matches(pattern: &str, text: &str) -> bool {
     match pattern.strip_suffix('*') {
-        Some(start) => text.starts_with(start),
+        Some(prefix) => text.starts_with(prefix),
         None => pattern == text,
     }
 }
--- a/src/lists/parse.rs
+++ b/src/lists/parse.rs
@@ -1,23 +1,23 @@
-//! The two lists from INI text, with every fault reported.
+//! Parsing of the two lists from INI text; every fault is reported.
 
-use super::keys::{PLANS, USES};
-use super::{Allowance, Customer, Plans, Rule, Uses};
+use super::keys::{PLANS_SECTIONS, USES_SECTIONS};
+use super::{Allowance, Customer, Plans, RetryRule, Uses};
 use crate::form;
-use crate::sections::{Document, Fault, Kind, Section};
+use crate::sections::{Document, Fault, Section, SectionKind};
 use crate::units;
 
 impl Plans {
-    /// Reads the customers' plans; `file` names the origin in faults.
+    /// Parses the list of customers' plans; `file` is the origin reported in faults.
     ///
     /// # Errors
     ///
     /// Returns every fault found.
     pub fn parse(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
-        let sections = read(text, file, PLANS)?;
+        let sections = parse_sections(text, file, PLANS_SECTIONS)?;
         let customers = sections
             .into_iter()
             .map(|section| {
-                let customer = customer(&section);
+                let customer = parse_customer(&section);
                 (section.name, customer)
             })
             .collect();
@@ -26,19 +26,19 @@
 }
 
 impl Uses {
-    /// Reads what each plan may use; `file` names the origin in faults.
+    /// Parses the list of what each plan may use; `file` is the origin reported in faults.
     ///
     /// # Errors
     ///
     /// Returns every fault found.
     pub fn parse(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
         let mut uses = Self::default();
-        for section in read(text, file, USES)? {
-            if section.word() == "plan" {
-                let allowance = allowance(&section);
+        for section in parse_sections(text, file, USES_SECTIONS)? {
+            if section.keyword() == "plan" {
+                let allowance = parse_allowance(&section);
                 uses.plans.insert(section.name, allowance);
             } else {
-                let rules = section.pairs.iter().flat_map(rules).collect();
+                let rules = section.pairs.iter().flat_map(parse_rules).collect();
                 uses.services.insert(section.name, rules);
             }
         }
@@ -46,8 +46,12 @@
     }
 }
 
-fn read(text: &str, file: &str, kinds: &'static [Kind]) -> Result<Vec<Section>, Vec<Fault>> {
-    let doc = Document::read(text, file, kinds);
+fn parse_sections(
+    text: &str,
+    file: &str,
+    kinds: &'static [SectionKind],
+) -> Result<Vec<Section>, Vec<Fault>> {
+    let doc = Document::parse(text, file, kinds);
     if doc.faults.is_empty() {
         Ok(doc.sections)
     } else {
@@ -55,20 +59,26 @@
     }
 }
 
-fn customer(section: &Section) -> Customer {
+fn parse_customer(section: &Section) -> Customer {
     Customer {
         plan: section.get("plan").into(),
-        keys: section.read("keys", |text| form::items(text).map(form::hash).collect()),
+        keys: section.read("keys", |text| {
+            form::split_items(text).map(form::parse_hash).collect()
+        }),
     }
 }
 
-fn allowance(section: &Section) -> Allowance {
-    let words = |key| form::items(section.get(key)).map(Into::into).collect();
+fn parse_allowance(section: &Section) -> Allowance {
+    let names = |key| {
+        form::split_items(section.get(key))
+            .map(Into::into)
+            .collect()
+    };
     let running = |text: &str| units::count(text).and_then(|count| u32::try_from(count).ok());
     let priority = |text: &str| units::count(text).and_then(|count| u8::try_from(count).ok());
     Allowance {
-        models: words("models"),
-        services: words("services"),
+        models: names("models"),
+        services: names("services"),
         requests: units::rate(section.get("requests")),
         tokens: units::rate(section.get("tokens")),
         running: running(section.get("running")),
@@ -76,14 +86,14 @@
     }
 }
 
-/// Reads the rules of one key of a service, in their order.
-fn rules((key, value): &(Box<str>, Box<str>)) -> Vec<Rule> {
-    form::items(value)
-        .filter_map(form::call)
-        .map(|(method, path)| Rule {
+/// Parses the rules of one key of a service, in order.
+fn parse_rules((key, value): &(Box<str>, Box<str>)) -> Vec<RetryRule> {
+    form::split_items(value)
+        .filter_map(form::parse_call)
+        .map(|(method, path)| RetryRule {
             method: method.into(),
             path: path.into(),
-            repeat: &**key == "repeat",
+            retryable: &**key == "repeat",
         })
         .collect()
 }
--- a/src/lists/write.rs
+++ b/src/lists/write.rs
@@ -1,17 +1,17 @@
-//! The canonical text of both lists, as shown, stored and sent between hosts.
+//! Canonical text of both lists, as displayed, stored and sent between hosts.
 //!
-//! Reading it gives the same list back, and equal lists have equal texts.
+//! Parsing the text gives the same list, and equal lists have equal texts.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
-use super::{Allowance, Customer, Plans, Rule, Uses};
+use super::{Allowance, Customer, Plans, RetryRule, Uses};
 use crate::units;
 
 impl fmt::Display for Plans {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, customer) in &self.customers {
-            section(f, "customer", name)?;
+            write_section(f, "customer", name)?;
             write_customer(f, customer)?;
         }
         Ok(())
@@ -21,32 +21,32 @@
 impl fmt::Display for Uses {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, allowance) in &self.plans {
-            section(f, "plan", name)?;
+            write_section(f, "plan", name)?;
             write_allowance(f, allowance)?;
         }
         for (name, rules) in &self.services {
-            section(f, "service", name)?;
+            write_section(f, "service", name)?;
             write_rules(f, rules)?;
         }
         Ok(())
     }
 }
 
-fn section(f: &mut fmt::Formatter<'_>, word: &str, name: &str) -> fmt::Result {
-    writeln!(f, "[{word} {name}]")
+fn write_section(f: &mut fmt::Formatter<'_>, keyword: &str, name: &str) -> fmt::Result {
+    writeln!(f, "[{keyword} {name}]")
 }
 
 fn write_customer(f: &mut fmt::Formatter<'_>, customer: &Customer) -> fmt::Result {
     writeln!(f, "plan = {}", customer.plan)?;
     if !customer.keys.is_empty() {
-        writeln!(f, "keys = {}", joined(&customer.keys))?;
+        writeln!(f, "keys = {}", join(&customer.keys))?;
     }
     writeln!(f)
 }
 
 fn write_allowance(f: &mut fmt::Formatter<'_>, allowance: &Allowance) -> fmt::Result {
-    write_words(f, "models", &allowance.models)?;
-    write_words(f, "services", &allowance.services)?;
+    write_names(f, "models", &allowance.models)?;
+    write_names(f, "services", &allowance.services)?;
     if let Some(rate) = allowance.requests {
         writeln!(f, "requests = {}", units::show_rate(rate))?;
     }
@@ -60,17 +60,17 @@
     writeln!(f)
 }
 
-fn write_words(f: &mut fmt::Formatter<'_>, key: &str, words: &BTreeSet<Box<str>>) -> fmt::Result {
-    if words.is_empty() {
+fn write_names(f: &mut fmt::Formatter<'_>, key: &str, names: &BTreeSet<Box<str>>) -> fmt::Result {
+    if names.is_empty() {
         return Ok(());
     }
-    writeln!(f, "{key} = {}", joined(words))
+    writeln!(f, "{key} = {}", join(names))
 }
 
-/// Writes rules in their order, neighbours of one kind on one line.
-fn write_rules(f: &mut fmt::Formatter<'_>, rules: &[Rule]) -> fmt::Result {
-    for run in rules.chunk_by(|a, b| a.repeat == b.repeat) {
-        let key = if run[0].repeat { "repeat" } else { "once" };
+/// Writes rules in order, consecutive rules of the same kind on one line.
+fn write_rules(f: &mut fmt::Formatter<'_>, rules: &[RetryRule]) -> fmt::Result {
+    for run in rules.chunk_by(|a, b| a.retryable == b.retryable) {
+        let key = if run[0].retryable { "repeat" } else { "once" };
         let calls: Vec<_> = run
             .iter()
             .map(|rule| format!("{} {}", rule.method, rule.path))
@@ -80,7 +80,7 @@
     writeln!(f)
 }
 
-fn joined<T: ToString>(items: impl IntoIterator<Item = T>) -> String {
+fn join<T: ToString>(items: impl IntoIterator<Item = T>) -> String {
     let items: Vec<_> = items.into_iter().map(|item| item.to_string()).collect();
     items.join(", ")
 }
--- a/src/sections.rs
+++ b/src/sections.rs
@@ -1,4 +1,4 @@
-//! INI text checked against a table of sections and keys; every fault is reported.
+//! Parsing of INI text against a table of sections and keys; every fault is reported.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,18 +7,18 @@
 
 use crate::form::Form;
 
-/// One fault of a settings or list file, shown on one line.
+/// One fault of a settings or list file, displayed on one line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// File or other origin of the text.
+    /// File, or other origin of the text.
     pub file: Box<str>,
     /// Section header; empty outside any section.
     pub section: Box<str>,
-    /// Key; empty where the section itself is at fault.
+    /// Key; empty if the section itself is at fault.
     pub key: Box<str>,
-    /// What was given; never a secret.
+    /// Given value; never a secret.
     pub given: Box<str>,
-    /// What is allowed in its place.
+    /// Description of allowed values.
     pub allowed: Box<str>,
 }
 
@@ -35,59 +35,59 @@
     }
 }
 
-/// What follows the first word of a section header.
+/// Name that follows the first word of a section header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Label {
-    /// Nothing; the section stands once, and its defaults hold where it is absent.
+    /// No name: the section exists once, and its defaults apply if it is absent.
     None,
     /// A name without spaces.
-    Word,
+    Name,
     /// A name that may hold spaces.
-    Title,
+    SpacedName,
 }
 
 /// One kind of section.
 #[derive(Debug)]
-pub struct Kind {
+pub struct SectionKind {
     /// First word of the header.
-    pub word: &'static str,
-    /// What follows it.
+    pub keyword: &'static str,
+    /// Name that follows it.
     pub label: Label,
-    /// Keys the section may hold.
-    pub keys: &'static [Key],
+    /// Keys of the section.
+    pub keys: &'static [KeySpec],
 }
 
 /// One key of a section.
 #[derive(Debug)]
-pub struct Key {
+pub struct KeySpec {
     /// Name of the key.
-    pub key: &'static str,
-    /// What its value may be.
+    pub name: &'static str,
+    /// Format of its value.
     pub form: Form,
-    /// Value where the key is absent; `None` where it must be given.
+    /// Value if the key is absent; `None` if the key is required.
     pub default: Option<&'static str>,
-    /// What the key is for.
-    pub about: &'static str,
+    /// Description for help texts.
+    pub description: &'static str,
 }
 
-/// A section as read, its values already of the form their keys ask for.
+/// A parsed section, whose values have the format of their keys.
 #[derive(Debug)]
 pub struct Section {
-    kind: &'static Kind,
-    /// Name after the first word; empty for [`Label::None`].
+    kind: &'static SectionKind,
+    /// Name that follows the first word; empty for [`Label::None`].
     pub name: Box<str>,
-    /// Keys and values in the order given.
+    /// Keys and values in the order of the text.
     pub pairs: Vec<(Box<str>, Box<str>)>,
 }
 
 impl Section {
     /// Returns the first word of the header.
     #[must_use]
-    pub fn word(&self) -> &'static str {
-        self.kind.word
+    pub fn keyword(&self) -> &'static str {
+        self.kind.keyword
     }
 
-    /// Returns the value of `key`, or its default; empty where neither is there.
+    /// Returns the value of `key`, or its default; empty if it has neither.
     #[must_use]
     pub fn get(&self, key: &str) -> &str {
         let given = self.pairs.iter().find(|(name, _)| &**name == key);
@@ -95,7 +95,7 @@
             self.kind
                 .keys
                 .iter()
-                .find(|known| known.key == key)?
+                .find(|known| known.name == key)?
                 .default
         };
         given
@@ -104,31 +104,32 @@
             .unwrap_or_default()
     }
 
-    /// Reads the value of `key`.
+    /// Returns the value of `key` parsed by `read`.
     ///
     /// # Panics
     ///
-    /// Panics where the key's form allows what `read` refuses, or where the document has faults.
+    /// Panics if `read` rejects a value that the format of the key allows, or if the document has
+    /// faults.
     pub fn read<T>(&self, key: &str, read: impl Fn(&str) -> Option<T>) -> T {
         let value = read(self.get(key));
-        value.expect("the value was checked against its form")
+        value.expect("the value was checked against its format")
     }
 }
 
-/// Text read against a table, with the faults found.
+/// Parsed text, with the faults found.
 #[derive(Debug)]
 pub struct Document {
     file: Box<str>,
-    /// Sections in the order given, then those absent that have defaults.
+    /// Sections in the order of the text, then absent sections that have defaults.
     pub sections: Vec<Section>,
     /// Every fault found so far.
     pub faults: Vec<Fault>,
 }
 
 impl Document {
-    /// Reads `text`, which came from `file`, against `kinds`.
+    /// Parses `text`, which came from `file`, and checks it against `kinds`.
     #[must_use]
-    pub fn read(text: &str, file: &str, kinds: &'static [Kind]) -> Self {
+    pub fn parse(text: &str, file: &str, kinds: &'static [SectionKind]) -> Self {
         let mut doc = Self {
             file: file.into(),
             sections: Vec::new(),
@@ -141,17 +142,17 @@
         };
         let text = text.strip_prefix('\u{feff}').unwrap_or(text);
         match Ini::load_from_str_opt(text, option) {
-            Ok(ini) => doc.take(&ini, kinds),
+            Ok(ini) => doc.add_sections(&ini, kinds),
             Err(err) => {
-                let given = format!("text that ends or breaks at line {}", err.line);
-                doc.fault("", "", &given, "[section] headers and key = value lines");
+                let given = format!("a syntax error at line {}", err.line);
+                doc.add_fault("", "", &given, "[section] headers and key = value lines");
             }
         }
         doc
     }
 
-    /// Adds a fault.
-    pub fn fault(&mut self, section: &str, key: &str, given: &str, allowed: &str) {
+    /// Records a fault.
+    pub fn add_fault(&mut self, section: &str, key: &str, given: &str, allowed: &str) {
         self.faults.push(Fault {
             file: self.file.clone(),
             section: section.into(),
@@ -161,23 +162,23 @@
         });
     }
 
-    fn take(&mut self, ini: &Ini, kinds: &'static [Kind]) {
+    fn add_sections(&mut self, ini: &Ini, kinds: &'static [SectionKind]) {
         let mut seen = BTreeSet::new();
         for (header, props) in ini {
             let pairs: Vec<_> = props.iter().collect();
             let Some(header) = header else {
                 for (key, value) in pairs {
-                    self.loose(key, value);
+                    self.report_outside_section(key, value);
                 }
                 continue;
             };
-            let Some((kind, name)) = self.kind(header, kinds) else {
+            let Some((kind, name)) = self.find_kind(header, kinds) else {
                 continue;
             };
-            if !seen.insert((kind.word, name)) {
-                self.fault(header, "", "the section twice", "each section once");
+            if !seen.insert((kind.keyword, name)) {
+                self.add_fault(header, "", "the section twice", "each section once");
             }
-            let pairs = self.pairs(header, kind, pairs);
+            let pairs = self.check_pairs(header, kind, pairs);
             self.sections.push(Section {
                 kind,
                 name: name.into(),
@@ -185,8 +186,8 @@
             });
         }
         for kind in kinds.iter().filter(|kind| kind.label == Label::None) {
-            if !seen.contains(&(kind.word, "")) {
-                let pairs = self.pairs(kind.word, kind, Vec::new());
+            if !seen.contains(&(kind.keyword, "")) {
+                let pairs = self.check_pairs(kind.keyword, kind, Vec::new());
                 self.sections.push(Section {
                     kind,
                     name: "".into(),
@@ -197,107 +198,116 @@
     }
 
     /// Reports a pair before the first section.
-    fn loose(&mut self, key: &str, value: &str) {
-        if let Some(key) = self.key("", key) {
+    fn report_outside_section(&mut self, key: &str, value: &str) {
+        if let Some(key) = self.extract_key("", key) {
             let key = key.to_owned();
-            self.fault("", &key, &quoted(value), "keys inside a section only");
+            self.add_fault("", &key, &quoted(value), "keys inside a section only");
         }
     }
 
-    /// Finds the kind of a header and the name in it.
-    fn kind<'t>(
+    /// Returns the kind of a header and the name in it; reports a fault if there is none.
+    fn find_kind<'t>(
         &mut self,
         header: &'t str,
-        kinds: &'static [Kind],
-    ) -> Option<(&'static Kind, &'t str)> {
-        let (word, name) = header
+        kinds: &'static [SectionKind],
+    ) -> Option<(&'static SectionKind, &'t str)> {
+        let (keyword, name) = header
             .split_once(char::is_whitespace)
-            .map_or((header, ""), |(word, name)| (word, name.trim()));
-        let Some(kind) = kinds.iter().find(|kind| kind.word == word) else {
-            let known: Vec<_> = kinds.iter().map(Kind::header).collect();
-            self.fault(header, "", "an unknown section", &known.join(", "));
+            .map_or((header, ""), |(keyword, name)| (keyword, name.trim()));
+        let Some(kind) = kinds.iter().find(|kind| kind.keyword == keyword) else {
+            let known: Vec<_> = kinds.iter().map(SectionKind::header).collect();
+            self.add_fault(header, "", "an unknown section", &known.join(", "));
             return None;
         };
         let form = match kind.label {
             Label::None if name.is_empty() => return Some((kind, name)),
             Label::None => {
-                self.fault(header, "", &quoted(name), &kind.header());
+                self.add_fault(header, "", &quoted(name), &kind.header());
                 return None;
             }
-            Label::Word => Form::Word,
-            Label::Title => Form::Title,
+            Label::Name => Form::Name,
+            Label::SpacedName => Form::SpacedName,
         };
         if !form.allows(name) {
-            let allowed = format!("{} with {}", kind.header(), form.allowed());
-            self.fault(header, "", &quoted(name), &allowed);
+            let allowed = format!("{} with {}", kind.header(), form.description());
+            self.add_fault(header, "", &quoted(name), &allowed);
             return None;
         }
         Some((kind, name))
     }
 
-    /// Returns the key of a pair after reporting what the parser swallowed before it.
+    /// Returns the key of a pair, and reports lines without `=` that precede it.
     ///
-    /// The parser takes a line without `=` as the start of the next line's key. Without this the
-    /// next key would be reported as unknown under a name of two lines.
-    fn key<'t>(&mut self, header: &str, raw: &'t str) -> Option<&'t str> {
-        let mut lines = raw.lines().map(str::trim).filter(|line| !line.is_empty());
+    /// The INI parser joins a line without `=` to the key of the next line. Without this step the
+    /// next key would be reported as unknown, with a name of two lines.
+    fn extract_key<'t>(&mut self, header: &str, raw_key: &'t str) -> Option<&'t str> {
+        let mut lines = raw_key
+            .lines()
+            .map(str::trim)
+            .filter(|line| !line.is_empty());
         let key = lines.next_back()?;
         for line in lines.filter(|line| !line.starts_with(['#', ';'])) {
-            self.fault(header, "", &quoted(line), "key = value on one line");
+            self.add_fault(header, "", &quoted(line), "key = value on one line");
         }
         (!key.starts_with(['#', ';'])).then_some(key)
     }
 
-    /// Checks the pairs of one section.
-    fn pairs(
+    /// Returns the known pairs of one section, and reports unknown, repeated, invalid and missing
+    /// keys.
+    fn check_pairs(
         &mut self,
         header: &str,
-        kind: &Kind,
+        kind: &SectionKind,
         given: Vec<(&str, &str)>,
     ) -> Vec<(Box<str>, Box<str>)> {
         let mut pairs: Vec<(Box<str>, Box<str>)> = Vec::with_capacity(given.len());
-        for (raw, value) in given {
-            let Some(name) = self.key(header, raw) else {
+        for (raw_key, value) in given {
+            let Some(name) = self.extract_key(header, raw_key) else {
                 continue;
             };
-            let Some(key) = kind.keys.iter().find(|known| known.key == name) else {
-                let known: Vec<_> = kind.keys.iter().map(|known| known.key).collect();
+            let Some(key) = kind.keys.iter().find(|known| known.name == name) else {
+                let known: Vec<_> = kind.keys.iter().map(|known| known.name).collect();
                 let allowed = format!("only the keys {}", known.join(", "));
-                self.fault(header, name, "an unknown key", &allowed);
+                self.add_fault(header, name, "an unknown key", &allowed);
                 continue;
             };
-            if !key.form.repeats() && pairs.iter().any(|(earlier, _)| &**earlier == name) {
-                self.fault(header, name, "the key twice", "each key once in a section");
+            if !key.form.may_repeat() && pairs.iter().any(|(earlier, _)| &**earlier == name) {
+                self.add_fault(header, name, "the key twice", "each key once in a section");
             }
             if !key.form.allows(value) {
-                self.fault(header, name, &key.form.shown(value), &key.form.allowed());
+                self.add_fault(
+                    header,
+                    name,
+                    &key.form.display_value(value),
+                    &key.form.description(),
+                );
             }
             pairs.push((name.into(), value.into()));
         }
         for key in kind.keys.iter().filter(|key| key.default.is_none()) {
-            if !pairs.iter().any(|(name, _)| &**name == key.key) {
-                self.fault(header, key.key, "nothing", &key.form.allowed());
+            if !pairs.iter().any(|(name, _)| &**name == key.name) {
+                self.add_fault(header, key.name, "nothing", &key.form.description());
             }
         }
         pairs
     }
 }
 
-impl Kind {
-    /// Returns the header as it is to be written.
+impl SectionKind {
+    /// Returns the expected form of the header.
     #[must_use]
     pub fn header(&self) -> Box<str> {
         match self.label {
-            Label::None => format!("[{}]", self.word),
-            Label::Word | Label::Title => format!("[{} NAME]", self.word),
+            Label::None => format!("[{}]", self.keyword),
+            Label::Name | Label::SpacedName => format!("[{} NAME]", self.keyword),
         }
         .into()
     }
 }
 
 impl Form {
-    /// Returns a faulty value for display; a secret only by its length.
-    fn shown(self, value: &str) -> Box<str> {
+    /// Returns an invalid value for display; of a secret only its length.
+    fn display_value(self, value: &str) -> Box<str> {
         match self {
             Self::Secret => format!("{} bytes", value.len()).into(),
             _ => quoted(value),
@@ -305,11 +315,11 @@
     }
 }
 
-/// Most characters of a faulty value that are shown.
-const MAX_SHOWN: usize = 80;
+/// Maximum number of characters of an invalid value that are displayed.
+const MAX_SHOWN_CHARS: usize = 80;
 
 fn quoted(value: &str) -> Box<str> {
-    let short: String = value.chars().take(MAX_SHOWN).collect();
+    let short: String = value.chars().take(MAX_SHOWN_CHARS).collect();
     let rest = if short.len() < value.len() { "..." } else { "" };
     format!("\"{}{rest}\"", short.escape_debug()).into()
 }
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -1,260 +1,260 @@
-//! Every section and key of the settings, with its bounds and its default.
+//! Sections and keys of the settings, with bounds and defaults.
 
 use std::time::Duration;
 
 use crate::form::Form;
-use crate::sections::{Key, Kind, Label};
+use crate::sections::{KeySpec, Label, SectionKind};
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_mins(1);
 const HOUR: Duration = Duration::from_hours(1);
-/// Weights and token rates above this are slips of the keyboard.
-const MANY: f64 = 1e6;
+/// Maximum weight or token rate: larger values are typing errors.
+const MAX_NUMBER: f64 = 1e6;
 
-/// Key that has no default.
-pub(super) const fn need(key: &'static str, form: Form, about: &'static str) -> Key {
-    Key {
-        key,
+/// Key without a default.
+pub(super) const fn required(name: &'static str, form: Form, description: &'static str) -> KeySpec {
+    KeySpec {
+        name,
         form,
         default: None,
-        about,
+        description,
     }
 }
 
 /// Key with a default.
-pub(super) const fn key(
-    key: &'static str,
+pub(super) const fn optional(
+    name: &'static str,
     form: Form,
     default: &'static str,
-    about: &'static str,
-) -> Key {
-    Key {
-        key,
+    description: &'static str,
+) -> KeySpec {
+    KeySpec {
+        name,
         form,
         default: Some(default),
-        about,
+        description,
     }
 }
 
 /// Sections of a host's settings.
-pub const KINDS: &[Kind] = &[
-    Kind {
-        word: "host",
+pub const SECTIONS: &[SectionKind] = &[
+    SectionKind {
+        keyword: "host",
         label: Label::None,
         keys: HOST,
     },
-    Kind {
-        word: "platform",
+    SectionKind {
+        keyword: "platform",
         label: Label::None,
         keys: PLATFORM,
     },
-    Kind {
-        word: "limits",
+    SectionKind {
+        keyword: "limits",
         label: Label::None,
         keys: LIMITS,
     },
-    Kind {
-        word: "pool",
-        label: Label::Word,
+    SectionKind {
+        keyword: "pool",
+        label: Label::Name,
         keys: POOL,
     },
-    Kind {
-        word: "service",
-        label: Label::Word,
+    SectionKind {
+        keyword: "service",
+        label: Label::Name,
         keys: SERVICE,
     },
-    Kind {
-        word: "log",
+    SectionKind {
+        keyword: "log",
         label: Label::None,
         keys: LOG,
     },
 ];
 
-const HOST: &[Key] = &[
-    need(
+const HOST: &[KeySpec] = &[
+    required(
         "name",
-        Form::Word,
+        Form::Name,
         "name of this host, unique in the deployment",
     ),
-    need("region", Form::Word, "region the host stands in"),
-    need("domain", Form::Word, "failure domain the host stands in"),
-    need("callers", Form::Address, "listener for callers"),
-    need("operators", Form::Address, "listener for operators"),
-    need("peers", Form::Address, "listener for peers"),
-    key(
+    required("region", Form::Name, "region of this host"),
+    required("domain", Form::Name, "failure domain of this host"),
+    required("callers", Form::Address, "listener for callers"),
+    required("operators", Form::Address, "listener for operators"),
+    required("peers", Form::Address, "listener for peers"),
+    optional(
         "advertise",
-        Form::Advertised,
+        Form::AddressOrSame,
         "same",
-        "address that peers are told, where it is not the listener's own",
+        "address registered for peers, if it differs from the listener's",
     ),
-    need("secret", Form::Secret, "secret shared by all hosts"),
-    need(
+    required("secret", Form::Secret, "secret shared by all hosts"),
+    required(
         "operator-key-hash",
         Form::Hash,
         "BLAKE3 hash of the operators' key",
     ),
 ];
 
-const PLATFORM: &[Key] = &[
-    need("kv", Form::Addresses, "endpoints of the key-value service"),
-    need(
+const PLATFORM: &[KeySpec] = &[
+    required("kv", Form::Addresses, "endpoints of the key-value service"),
+    required(
         "list",
         Form::Address,
-        "endpoint of the list of hosts and backend servers",
+        "endpoint of the listing of hosts and backend servers",
     ),
-    key(
+    optional(
         "prefix",
-        Form::Word,
+        Form::Name,
         "chiveway/",
         "prefix of every key this deployment writes",
     ),
-    key(
+    optional(
         "refresh",
         Form::Time(Duration::from_millis(100), MINUTE),
         "1s",
         "time between two reads of the list",
     ),
-    key(
+    optional(
         "lease",
         Form::Time(SECOND, HOUR),
         "10s",
-        "life of a lease in the key-value service",
+        "time to live of a lease in the key-value service",
     ),
 ];
 
-pub(super) const LIMITS: &[Key] = &[
-    key(
+pub(super) const LIMITS: &[KeySpec] = &[
+    optional(
         "body",
         Form::Size(1 << 10, 256 << 20),
         "8MiB",
-        "most bytes of a caller's body",
+        "maximum size of a request body",
     ),
-    key(
+    optional(
         "body-time",
         Form::Time(SECOND, HOUR),
         "30s",
-        "time a caller has to send its body",
+        "time within which a caller must send its request body",
     ),
-    key(
+    optional(
         "first-silence",
         Form::Time(SECOND, HOUR),
         "30s",
-        "time until the first token before a stream counts as silent",
+        "time without a first token after which a stream counts as silent",
     ),
-    key(
+    optional(
         "token-silence",
         Form::Time(Duration::from_millis(100), HOUR),
         "10s",
-        "time between tokens before a stream counts as silent",
+        "time without a further token after which a stream counts as silent",
     ),
-    key(
+    optional(
         "stop",
         Form::Time(SECOND, HOUR),
         "2m",
-        "time a planned stop may take",
+        "maximum time of a planned stop",
     ),
-    key(
+    optional(
         "cut-off",
         Form::Time(SECOND, HOUR),
         "10s",
-        "time without store and peers after which the host takes no new work",
+        "time without contact to store and peers after which the host refuses new requests",
     ),
-    key(
+    optional(
         "drain",
         Form::Time(SECOND, HOUR),
         "2m",
-        "time a withdrawn engine may finish its streams",
+        "time a withdrawn engine has to finish its streams",
     ),
-    key(
+    optional(
         "requests",
         Form::Count(1, 1_000_000),
         "4096",
-        "most requests a host holds open at once",
+        "maximum number of concurrent requests of a host",
     ),
 ];
 
-const POOL: &[Key] = &[
-    need("model", Form::Word, "model name that callers use"),
-    need(
+const POOL: &[KeySpec] = &[
+    required("model", Form::Name, "model name that callers use"),
+    required(
         "fencing",
         Form::Choice(&["checks", "ignores"]),
-        "whether the engines refuse an order with an old fencing number",
+        "whether the engines reject an order with an old fencing number",
     ),
-    key(
+    optional(
         "first-token",
         Form::Time(MILLISECOND, HOUR),
         "780ms",
-        "wanted time to the first token, for 95 in 100",
+        "target time to first token, 95th percentile",
     ),
-    key(
+    optional(
         "between",
         Form::Time(MILLISECOND, MINUTE),
         "49ms",
-        "wanted time between tokens, for 95 in 100",
+        "target time between tokens, 95th percentile",
     ),
-    key(
+    optional(
         "split",
         Form::Choice(&["yes", "no"]),
         "no",
         "whether engines are split between prefill and decode",
     ),
-    key(
+    optional(
         "goodput",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "1",
         "weight of goodput in role decisions",
     ),
-    key(
+    optional(
         "change",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "5",
         "weight of one role change in role decisions, in engine seconds",
     ),
-    key(
+    optional(
         "prefill",
-        Form::Number(1.0, MANY),
+        Form::Number(1.0, MAX_NUMBER),
         "8000",
-        "prompt tokens a second of an engine of nominal speed",
+        "prompt tokens per second of an engine of nominal speed",
     ),
-    key(
+    optional(
         "decode",
-        Form::Number(1.0, MANY),
+        Form::Number(1.0, MAX_NUMBER),
         "1000",
-        "generated tokens a second of an engine of nominal speed, over all its streams",
+        "generated tokens per second of an engine of nominal speed, over all its streams",
     ),
-    key(
+    optional(
         "slots",
         Form::Count(1, 10_000),
         "16",
-        "streams an engine decodes at once",
+        "maximum number of streams an engine decodes concurrently",
     ),
-    key(
+    optional(
         "piece",
         Form::Count(1, 1_000_000),
         "2000",
-        "tokens in one piece of an engine's prefix cache",
+        "tokens per block of an engine's prefix cache",
     ),
 ];
 
-const SERVICE: &[Key] = &[key(
+const SERVICE: &[KeySpec] = &[optional(
     "timeout",
     Form::Time(MILLISECOND, HOUR),
     "30s",
-    "time a call may take",
+    "maximum time of a call",
 )];
 
-pub(super) const LOG: &[Key] = &[
-    key(
+pub(super) const LOG: &[KeySpec] = &[
+    optional(
         "level",
         Form::Choice(&["off", "error", "warn", "info", "debug", "trace"]),
         "info",
-        "least level written",
+        "lowest level written",
     ),
-    key(
+    optional(
         "form",
         Form::Choice(&["text", "json"]),
         "text",
-        "form of the lines",
+        "format of the log lines",
     ),
 ];
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -1,200 +1,204 @@
-//! Settings of a host that relays requests along an operator's routes.
+//! Settings of a relaying host: one that forwards requests along the operator's routes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::keys::{key, need};
-use super::parse::one;
+use super::keys::{optional, required};
+use super::parse::single_section;
 use super::{HostSettings, Limits, PlatformSettings, Secret, Settings};
 use crate::core::relay::budget::BudgetRules;
 use crate::form::{self, Form};
-use crate::sections::{Document, Fault, Key, Kind, Label, Section};
+use crate::sections::{Document, Fault, KeySpec, Label, Section, SectionKind};
 use crate::units;
 
-/// Everything such a host is told beside its name and listeners.
+/// Settings that only a relaying host has.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RelaySettings {
     /// Listener for the readiness check.
     pub readiness: SocketAddr,
     /// Listener for metrics.
     pub metrics: SocketAddr,
-    /// Where the store listens.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Time the store's leases live at least.
-    pub lease_least: Duration,
-    /// Time for which a lapsed authority is still counted as held.
-    pub lease: Duration,
-    /// The budget of repeats.
-    pub budget: BudgetRules,
-    /// What weighs how much in decisions.
+    /// Minimum time to live of a lease that the store grants.
+    pub min_lease: Duration,
+    /// Time to live of the lease that allows orders to engines.
+    pub authority_ttl: Duration,
+    /// Limits on retries.
+    pub retry_budget: BudgetRules,
+    /// Weights of placement decisions.
     pub policy: Policy,
 }
 
-/// Weights of decisions.
+/// Weights of placement decisions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Part of the engines that prefill for others, before anything is measured.
-    pub prefill: f64,
-    /// Milliseconds of delay that a kilobyte between failure domains is worth.
-    pub crossing: f64,
-    /// Weight of engine time against the delay of the request itself.
-    pub work: f64,
-    /// Weight of engine time at an engine that decodes, against that at one that prefills: all
-    /// that it generates waits meanwhile.
-    pub beside: f64,
-    /// Times the wanted time up to which a request counts as in time.
-    pub patience: f64,
+    /// Fraction of the engines that prefill for others before any load is measured.
+    pub prefill_fraction: f64,
+    /// Milliseconds of delay that one kilobyte sent between failure domains is worth.
+    pub cross_domain_ms_per_kb: f64,
+    /// Weight of engine time relative to the delay of the request itself.
+    pub engine_time_weight: f64,
+    /// Weight of engine time at a decode engine relative to a prefill engine: a prefill delays all
+    /// streams that the engine decodes.
+    pub decode_engine_weight: f64,
+    /// Multiple of the target time up to which a request counts as in time.
+    pub target_factor: f64,
 }
 
-/// Sections of such a host's settings.
-pub const KINDS: &[Kind] = &[
-    Kind {
-        word: "relay",
+/// Sections of a relaying host's settings.
+pub const SECTIONS: &[SectionKind] = &[
+    SectionKind {
+        keyword: "relay",
         label: Label::None,
         keys: RELAY,
     },
-    Kind {
-        word: "store",
+    SectionKind {
+        keyword: "store",
         label: Label::None,
         keys: STORE,
     },
-    Kind {
-        word: "bounds",
+    SectionKind {
+        keyword: "bounds",
         label: Label::None,
         keys: BOUNDS,
     },
-    Kind {
-        word: "limits",
+    SectionKind {
+        keyword: "limits",
         label: Label::None,
         keys: super::keys::LIMITS,
     },
-    Kind {
-        word: "policy",
+    SectionKind {
+        keyword: "policy",
         label: Label::None,
         keys: POLICY,
     },
-    Kind {
-        word: "log",
+    SectionKind {
+        keyword: "log",
         label: Label::None,
         keys: super::keys::LOG,
     },
 ];
 
-/// Longest time that makes sense in these settings.
-const MOST: Duration = Duration::from_hours(1);
-/// Shortest time that makes sense in these settings.
-const LEAST: Duration = Duration::from_millis(1);
-/// Rates and weights above this are slips of the keyboard.
-const MANY: f64 = 1e6;
+/// Maximum duration in these settings.
+const MAX_TIME: Duration = Duration::from_hours(1);
+/// Minimum duration in these settings.
+const MIN_TIME: Duration = Duration::from_millis(1);
+/// Maximum rate or weight: larger values are typing errors.
+const MAX_NUMBER: f64 = 1e6;
 
-const RELAY: &[Key] = &[
-    need(
+const RELAY: &[KeySpec] = &[
+    required(
         "name",
-        Form::Word,
+        Form::Name,
         "name of this host, unique in the deployment",
     ),
-    need("region", Form::Word, "region the host stands in"),
-    need("domain", Form::Word, "failure domain the host stands in"),
-    need("callers", Form::Address, "listener for callers"),
-    need(
+    required("region", Form::Name, "region of this host"),
+    required("domain", Form::Name, "failure domain of this host"),
+    required("callers", Form::Address, "listener for callers"),
+    required(
         "readiness",
         Form::Address,
         "listener for the readiness check",
     ),
-    need("peers", Form::Address, "address for other hosts (UDP)"),
-    need("metrics", Form::Address, "listener for metrics"),
+    required(
+        "peers",
+        Form::Address,
+        "UDP address for gossip between hosts",
+    ),
+    required("metrics", Form::Address, "listener for metrics"),
 ];
 
-const STORE: &[Key] = &[
-    need("addr", Form::Address, "where the store listens"),
-    key(
+const STORE: &[KeySpec] = &[
+    required("addr", Form::Address, "address of the store"),
+    optional(
         "lease-least",
-        Form::Span(LEAST, MOST),
+        Form::DecimalTime(MIN_TIME, MAX_TIME),
         "1s",
-        "shortest life of a lease",
+        "minimum time to live of a lease",
     ),
 ];
 
-const BOUNDS: &[Key] = &[
-    key(
+const BOUNDS: &[KeySpec] = &[
+    optional(
         "grace",
-        Form::Span(LEAST, MOST),
+        Form::DecimalTime(MIN_TIME, MAX_TIME),
         "8s",
-        "time a planned stop may take",
+        "maximum time of a planned stop",
     ),
-    key(
+    optional(
         "lease",
-        Form::Span(LEAST, MOST),
+        Form::DecimalTime(MIN_TIME, MAX_TIME),
         "3s",
-        "life of the authority to give orders",
+        "time to live of the authority to send orders",
     ),
-    key(
+    optional(
         "repeat-ratio",
         Form::Number(0.0, 1.0),
         "0.2",
-        "repeats for each request",
+        "retries per request",
     ),
-    key(
+    optional(
         "repeat-window",
-        Form::Span(LEAST, MOST),
+        Form::DecimalTime(MIN_TIME, MAX_TIME),
         "10s",
-        "span over which repeats are counted",
+        "window over which retries are counted",
     ),
-    key(
+    optional(
         "repeat-slack",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "50",
-        "repeats beyond the ratio",
+        "retries allowed in addition to the ratio",
     ),
 ];
 
-const POLICY: &[Key] = &[
-    key(
+const POLICY: &[KeySpec] = &[
+    optional(
         "prefill",
         Form::Number(0.0, 1.0),
         "0.5",
-        "part of the engines that prefill at first",
+        "initial fraction of engines that prefill",
     ),
-    key(
+    optional(
         "crossing",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "0.5",
-        "delay in ms worth a kilobyte between domains",
+        "delay in ms that one kilobyte between failure domains is worth",
     ),
-    key(
+    optional(
         "work",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "1.5",
-        "weight of engine time against delay",
+        "weight of engine time relative to delay",
     ),
-    key(
+    optional(
         "beside",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "2.5",
-        "weight of engine time where others are generated for, against where nothing is",
+        "weight of engine time at decode engines relative to prefill engines",
     ),
-    key(
+    optional(
         "patience",
-        Form::Number(0.0, MANY),
+        Form::Number(0.0, MAX_NUMBER),
         "1",
-        "times the wanted time that count as in time",
+        "multiple of the target time that counts as in time",
     ),
 ];
 
-/// Tells whether the text is that of a relaying host.
+/// Returns whether the text is the settings of a relaying host.
 #[must_use]
 pub fn is_relay(text: &str) -> bool {
     text.lines().any(|line| line.trim() == "[relay]")
 }
 
 impl Settings {
-    /// Reads and checks the settings of a relaying host; `file` names the origin in faults.
+    /// Parses and checks the settings of a relaying host; `file` is the origin reported in faults.
     ///
     /// # Errors
     ///
-    /// Returns every fault.
+    /// Returns every fault found.
     pub fn parse_relay(text: &str, file: &str) -> Result<Self, Vec<Fault>> {
-        let doc = Document::read(text, file, KINDS);
+        let doc = Document::parse(text, file, SECTIONS);
         if !doc.faults.is_empty() {
             return Err(doc.faults);
         }
@@ -203,13 +207,13 @@
 }
 
 fn build(sections: &[Section]) -> Settings {
-    let relay = one(sections, "relay");
-    let store = one(sections, "store");
-    let bounds = one(sections, "bounds");
-    let policy = one(sections, "policy");
+    let relay = single_section(sections, "relay");
+    let store = single_section(sections, "store");
+    let bounds = single_section(sections, "bounds");
+    let policy = single_section(sections, "policy");
     let time = |section: &Section, key: &str| section.read(key, units::span);
     let number = |section: &Section, key: &str| section.read(key, units::number);
-    let addr = |section: &Section, key: &str| section.read(key, form::address);
+    let addr = |section: &Section, key: &str| section.read(key, form::parse_address);
     Settings {
         host: HostSettings {
             name: relay.get("name").into(),
@@ -219,41 +223,41 @@
             operators: addr(relay, "readiness"),
             peers: addr(relay, "peers"),
             advertise: None,
-            // The store hands the hosts a secret of their own.
+            // Relaying hosts share a secret that is kept in the store.
             secret: Secret::new(""),
-            operator_hash: [0; 32],
+            operator_key_hash: [0; 32],
         },
         platform: PlatformSettings {
             kv: Vec::new(),
             list: addr(store, "addr"),
             prefix: "".into(),
-            refresh: Duration::from_secs(1),
-            lease: Duration::from_secs(10),
+            refresh_interval: Duration::from_secs(1),
+            lease_ttl: Duration::from_secs(10),
         },
         limits: Limits {
-            stop: time(bounds, "grace"),
-            ..super::parse::limits(one(sections, "limits"))
+            stop_timeout: time(bounds, "grace"),
+            ..super::parse::parse_limits(single_section(sections, "limits"))
         },
         pools: std::collections::BTreeMap::new(),
         services: std::collections::BTreeMap::new(),
-        log: super::parse::log(one(sections, "log")),
+        log: super::parse::parse_log(single_section(sections, "log")),
         relay: Some(RelaySettings {
             readiness: addr(relay, "readiness"),
             metrics: addr(relay, "metrics"),
             store: addr(store, "addr"),
-            lease_least: time(store, "lease-least"),
-            lease: time(bounds, "lease"),
-            budget: BudgetRules {
+            min_lease: time(store, "lease-least"),
+            authority_ttl: time(bounds, "lease"),
+            retry_budget: BudgetRules {
                 ratio: number(bounds, "repeat-ratio"),
                 window: time(bounds, "repeat-window"),
                 slack: number(bounds, "repeat-slack"),
             },
             policy: Policy {
-                prefill: number(policy, "prefill"),
-                crossing: number(policy, "crossing"),
-                work: number(policy, "work"),
-                beside: number(policy, "beside"),
-                patience: number(policy, "patience"),
+                prefill_fraction: number(policy, "prefill"),
+                cross_domain_ms_per_kb: number(policy, "crossing"),
+                engine_time_weight: number(policy, "work"),
+                decode_engine_weight: number(policy, "beside"),
+                target_factor: number(policy, "patience"),
             },
         }),
     }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -35,7 +35,7 @@
     help_of_host: "host --help" => "  --config FILE  Settings of the host; also -c\n";
     help_shows_defaults: "try --help" => "  --hosts N  Hosts to run [default: 3]\n";
     help_lists_settings: "check --help" => "  refresh  Time between two reads of the list [default: 1s]\n";
-    help_lists_keys_of_a_list: "use check --help" => "\n[service NAME]\n  repeat  Calls that may be repeated;";
+    help_lists_keys_of_a_list: "use check --help" => "\n[service NAME]\n  repeat  Calls that may be retried;";
     help_after_arguments: "plans apply --file x --help" => "Usage: chiveway plans apply [OPTIONS]";
     version: "--version" => concat!("chiveway ", env!("CARGO_PKG_VERSION"), "\n");
     version_of_a_command: "status --version" => concat!("chiveway ", env!("CARGO_PKG_VERSION"));
@@ -96,7 +96,7 @@
             "check-one.ini: [pool a] fencing given \"maybe\", allowed one of checks, ignores\n",
         )
         .stdout_contains("check-one.ini: [platform] kv given nothing, allowed")
-        .stdout_contains("check-two.ini: given text that ends or breaks at line 2, allowed")
+        .stdout_contains("check-two.ini: given a syntax error at line 2, allowed")
         .stderr_contains("error: 12 faults; correct them and check again\n");
     assert_eq!(done.stdout().lines().count(), 12);
 }
