--- a/src/cli/topics.rs
+++ b/src/cli/commands.rs
@@ -21,11 +21,11 @@
 
 /// One command.
 #[derive(Debug)]
-pub struct Topic {
+pub struct CommandSpec {
     /// Words that select the command.
     pub words: &'static str,
     /// Arguments that are not options.
-    pub rest: &'static str,
+    pub positional: &'static str,
     /// What the command does.
     pub about: &'static str,
     /// Its options.
@@ -35,11 +35,11 @@
 const ANY_TIME: Form = Form::Time(Duration::ZERO, Duration::from_hours(1));
 const ANY_COUNT: Form = Form::Count(1, 1_000_000_000);
 /// A revision is a number that the hosts gave out.
-const REVISIONS: Form = Form::Count(0, usize::MAX);
+const REVISION_RANGE: Form = Form::Count(0, usize::MAX);
 /// More hosts than this in one process are no trial.
-const MAX_HOSTS: usize = 16;
+const MAX_TRIAL_HOSTS: usize = 16;
 /// Slowest and fastest engine against one of nominal speed.
-const SPEEDS: Form = Form::Number(0.01, 100.0);
+const SPEED_RANGE: Form = Form::Number(0.01, 100.0);
 
 const fn opt(
     name: &'static str,
@@ -115,12 +115,12 @@
 pub const SPEED: Opt = opt(
     "--speed",
     "N",
-    SPEEDS,
+    SPEED_RANGE,
     Some("1"),
     "speed against a nominal engine",
 );
 /// `--prefill-cost`
-pub const PREFILL: Opt = opt(
+pub const PREFILL_COST: Opt = opt(
     "--prefill-cost",
     "TIME",
     ANY_TIME,
@@ -128,7 +128,7 @@
     "time to prefill one prompt token",
 );
 /// `--decode-cost`
-pub const DECODE: Opt = opt(
+pub const DECODE_COST: Opt = opt(
     "--decode-cost",
     "TIME",
     ANY_TIME,
@@ -170,7 +170,7 @@
 pub const HOSTS: Opt = opt(
     "--hosts",
     "N",
-    Form::Count(1, MAX_HOSTS),
+    Form::Count(1, MAX_TRIAL_HOSTS),
     Some("3"),
     "hosts to run",
 );
@@ -196,7 +196,7 @@
 pub const REVISION: Opt = opt(
     "--revision",
     "N",
-    REVISIONS,
+    REVISION_RANGE,
     None,
     "revision the edit started from; without it the comment that edit left in the file",
 );
@@ -216,7 +216,7 @@
     "callers' listeners of hosts, engines or hops; each gets the same share of requests",
 );
 /// `--target` of a hop
-pub const BEHIND: Opt = opt(
+pub const HOP_TARGET: Opt = opt(
     "--target",
     "IP:PORT",
     Form::Address,
@@ -256,7 +256,7 @@
     "requests open at once",
 );
 /// `--prompt-tokens`
-pub const PROMPT: Opt = opt(
+pub const PROMPT_TOKENS: Opt = opt(
     "--prompt-tokens",
     "N",
     ANY_COUNT,
@@ -264,7 +264,7 @@
     "tokens of each prompt",
 );
 /// `--output-tokens`
-pub const OUTPUT: Opt = opt(
+pub const OUTPUT_TOKENS: Opt = opt(
     "--output-tokens",
     "N",
     ANY_COUNT,
@@ -291,157 +291,174 @@
     "time between tokens, for 95 in 100, of an answer that counts as good",
 );
 
-const ACCESS: &[&Opt] = &[&OPERATORS, &KEY_FILE];
-const ANSWER: &[&Opt] = &[&JSON, &OPERATORS, &KEY_FILE];
-const FETCH: &[&Opt] = &[&FILE, &OPERATORS, &KEY_FILE];
-const APPLY: &[&Opt] = &[&FILE, &REVISION, &WAIT, &OPERATORS, &KEY_FILE];
-const ENGINE: &[&Opt] = &[
-    &LISTEN, &REGISTER, &NAME, &POOL, &MODEL, &DOMAIN, &FENCING, &SPEED, &PREFILL, &DECODE, &SLOTS,
-    &PIECE, &LAG, &INSTANT,
+const ACCESS_OPTIONS: &[&Opt] = &[&OPERATORS, &KEY_FILE];
+const QUERY_OPTIONS: &[&Opt] = &[&JSON, &OPERATORS, &KEY_FILE];
+const FILE_OPTIONS: &[&Opt] = &[&FILE, &OPERATORS, &KEY_FILE];
+const APPLY_OPTIONS: &[&Opt] = &[&FILE, &REVISION, &WAIT, &OPERATORS, &KEY_FILE];
+const ENGINE_OPTIONS: &[&Opt] = &[
+    &LISTEN,
+    &REGISTER,
+    &NAME,
+    &POOL,
+    &MODEL,
+    &DOMAIN,
+    &FENCING,
+    &SPEED,
+    &PREFILL_COST,
+    &DECODE_COST,
+    &SLOTS,
+    &PIECE,
+    &LAG,
+    &INSTANT,
 ];
-const LOAD: &[&Opt] = &[
+const LOAD_OPTIONS: &[&Opt] = &[
     &TARGET,
     &KEY,
     &MODEL,
     &REQUESTS,
     &CONCURRENCY,
-    &PROMPT,
-    &OUTPUT,
+    &PROMPT_TOKENS,
+    &OUTPUT_TOKENS,
     &STREAM,
     &FIRST,
     &BETWEEN,
 ];
 
-const fn topic(
+const fn command(
     words: &'static str,
-    rest: &'static str,
+    positional: &'static str,
     opts: &'static [&'static Opt],
     about: &'static str,
-) -> Topic {
-    Topic {
+) -> CommandSpec {
+    CommandSpec {
         words,
-        rest,
+        positional,
         about,
         opts,
     }
 }
 
 /// Every command, in the order of the help.
-pub const TOPICS: &[Topic] = &[
-    topic("host", "", &[&CONFIG], "Runs one host"),
-    topic(
+pub const COMMANDS: &[CommandSpec] = &[
+    command("host", "", &[&CONFIG], "Runs one host"),
+    command(
         "check",
         "FILE...",
         &[],
         "Checks settings files and prints every fault",
     ),
-    topic(
+    command(
         "plans get",
         "",
-        ACCESS,
+        ACCESS_OPTIONS,
         "Prints the customers' plans in force",
     ),
-    topic(
+    command(
         "plans edit",
         "",
-        FETCH,
+        FILE_OPTIONS,
         "Fetches the customers' plans into a file for editing",
     ),
-    topic(
+    command(
         "plans check",
         "",
-        FETCH,
+        FILE_OPTIONS,
         "Checks a file of customers' plans; with --operators also against the other list",
     ),
-    topic(
+    command(
         "plans diff",
         "",
-        FETCH,
+        FILE_OPTIONS,
         "Shows how a file differs from the customers' plans in force",
     ),
-    topic(
+    command(
         "plans apply",
         "",
-        APPLY,
+        APPLY_OPTIONS,
         "Puts a file of customers' plans in force",
     ),
-    topic("use get", "", ACCESS, "Prints what each plan may use"),
-    topic(
+    command(
+        "use get",
+        "",
+        ACCESS_OPTIONS,
+        "Prints what each plan may use",
+    ),
+    command(
         "use edit",
         "",
-        FETCH,
+        FILE_OPTIONS,
         "Fetches what each plan may use into a file for editing",
     ),
-    topic(
+    command(
         "use check",
         "",
-        FETCH,
+        FILE_OPTIONS,
         "Checks a file of what plans may use; with --operators also against the other list",
     ),
-    topic(
+    command(
         "use diff",
         "",
-        FETCH,
+        FILE_OPTIONS,
         "Shows how a file differs from the uses in force",
     ),
-    topic(
+    command(
         "use apply",
         "",
-        APPLY,
+        APPLY_OPTIONS,
         "Puts a file of what plans may use in force",
     ),
-    topic(
+    command(
         "explain",
         "ID",
-        ANSWER,
+        QUERY_OPTIONS,
         "Tells what became of a request, and why",
     ),
-    topic(
+    command(
         "status",
         "",
-        ANSWER,
+        QUERY_OPTIONS,
         "Shows hosts, engines, the revision in force and the store's health",
     ),
-    topic(
+    command(
         "hash",
         "",
         &[],
         "Reads a key from standard input and prints its BLAKE3 hash",
     ),
-    topic(
+    command(
         "try",
         "",
         &[&ONCE, &HOSTS],
         "Runs hosts and stand-ins in one process on loopback",
     ),
-    topic(
+    command(
         "standin kv",
         "",
         &[&LISTEN, &LAG],
         "Runs a stand-in of the key-value service, for trials",
     ),
-    topic(
+    command(
         "standin engine",
         "",
-        ENGINE,
+        ENGINE_OPTIONS,
         "Runs a stand-in of an engine, for trials",
     ),
-    topic(
+    command(
         "standin service",
         "",
         &[&LISTEN, &REGISTER, &NAME, &POOL, &DOMAIN],
         "Runs a stand-in of a plain service, for trials",
     ),
-    topic(
+    command(
         "standin hop",
         "",
-        &[&LISTEN, &BEHIND],
+        &[&LISTEN, &HOP_TARGET],
         "Passes requests on as they are, to compare with, for trials",
     ),
-    topic(
+    command(
         "load",
         "",
-        LOAD,
+        LOAD_OPTIONS,
         "Sends requests to a host and prints times, for trials",
     ),
 ];
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use super::topics::{Opt, TOPICS, Topic};
+use super::commands::{COMMANDS, CommandSpec, Opt};
 use crate::output::columns;
 use crate::{lists, settings};
 
@@ -23,44 +23,45 @@
 /// Returns the help for a command, or an overview of all that start with `words`.
 #[must_use]
 pub fn help(words: &str) -> Box<str> {
-    match TOPICS.iter().find(|topic| topic.words == words) {
-        Some(topic) => topic_help(topic),
+    match COMMANDS.iter().find(|command| command.words == words) {
+        Some(command) => command_help(command),
         None => overview(words),
     }
 }
 
 /// Returns the commands that start with `words`, all where it is empty.
-pub(super) fn commands(words: &str) -> impl Iterator<Item = &'static Topic> {
-    TOPICS.iter().filter(move |topic| {
-        let rest = topic.words.strip_prefix(words);
+pub(super) fn commands_with_prefix(words: &str) -> impl Iterator<Item = &'static CommandSpec> {
+    COMMANDS.iter().filter(move |command| {
+        let rest = command.words.strip_prefix(words);
         words.is_empty() || rest.is_some_and(|rest| rest.starts_with(' '))
     })
 }
 
 fn overview(words: &str) -> Box<str> {
-    let rows = commands(words).map(|topic| [topic.words.into(), topic.about.into()]);
+    let rows =
+        commands_with_prefix(words).map(|command| [command.words.into(), command.about.into()]);
     format!("{INTRO}\n{}\n{OUTRO}", columns(rows)).into()
 }
 
-fn topic_help(topic: &Topic) -> Box<str> {
-    let rest = match topic.rest {
+fn command_help(command: &CommandSpec) -> Box<str> {
+    let rest = match command.positional {
         "" => String::new(),
         rest => format!(" {rest}"),
     };
-    let rows = topic
+    let rows = command
         .opts
         .iter()
-        .map(|opt| [usage(opt), described(opt.about, opt.default)]);
+        .map(|opt| [option_usage(opt), describe(opt.about, opt.default)]);
     let common = [
         ["--help".into(), "Print this help".into()],
         ["--version".into(), "Print the version".into()],
     ];
     format!(
         "{}.\n\nUsage: chiveway {}{rest} [OPTIONS]\n\nOptions:\n{}{}",
-        topic.about,
-        topic.words,
+        command.about,
+        command.words,
         columns(rows.chain(common)),
-        file_help(topic.words)
+        file_help(command.words)
     )
     .into()
 }
@@ -76,7 +77,7 @@
     let mut text = "\nSections and keys of the file:\n".to_owned();
     for kind in kinds {
         let rows = kind.keys.iter().map(|key| {
-            let about = described(key.about, key.default);
+            let about = describe(key.about, key.default);
             let need = if key.default.is_none() {
                 " [required]"
             } else {
@@ -89,7 +90,7 @@
     text
 }
 
-fn usage(opt: &Opt) -> Box<str> {
+fn option_usage(opt: &Opt) -> Box<str> {
     match opt.value {
         "" => opt.name.into(),
         value => format!("{} {value}", opt.name).into(),
@@ -97,7 +98,7 @@
 }
 
 /// Returns what something is for, starting with a capital, and its default.
-fn described(about: &str, default: Option<&str>) -> Box<str> {
+fn describe(about: &str, default: Option<&str>) -> Box<str> {
     let (first, rest) = about.split_at(1);
     let about = format!("{}{rest}", first.to_ascii_uppercase());
     match default {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,10 +1,10 @@
 //! Command line: one closed list of commands, each with its checked options.
 
+pub mod commands;
 mod help;
 mod parse;
 #[cfg(test)]
 mod tests;
-pub mod topics;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -97,13 +97,13 @@
     /// Speed against a nominal engine.
     pub speed: f64,
     /// Time to prefill one prompt token.
-    pub prefill: Duration,
+    pub prefill_cost: Duration,
     /// Time of one decode step of a full batch.
-    pub decode: Duration,
+    pub decode_cost: Duration,
     /// Streams decoded at once.
     pub slots: usize,
     /// Tokens in one piece of the prefix cache.
-    pub piece: usize,
+    pub block_tokens: usize,
     /// Age of what is reported.
     pub lag: Duration,
     /// Whether costs are modelled.
@@ -131,7 +131,7 @@
 impl ListName {
     /// Returns the word in commands and paths.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Plans => "plans",
             Self::Uses => "use",
@@ -194,7 +194,7 @@
 
 /// Form of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerForm {
+pub enum OutputFormat {
     /// Aligned text.
     Text,
     /// JSON as the host sent it.
@@ -207,7 +207,7 @@
     /// Request id.
     pub id: Box<str>,
     /// Form of the answer.
-    pub form: AnswerForm,
+    pub format: OutputFormat,
     /// Host to ask.
     pub access: Access,
 }
@@ -216,7 +216,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StatusOptions {
     /// Form of the answer.
-    pub form: AnswerForm,
+    pub format: OutputFormat,
     /// Host to ask.
     pub access: Access,
 }
@@ -251,23 +251,23 @@
     /// Requests open at once.
     pub concurrency: usize,
     /// Tokens of each prompt.
-    pub prompt: usize,
+    pub prompt_tokens: usize,
     /// Tokens of each answer.
-    pub output: usize,
+    pub output_tokens: usize,
     /// Ask for streamed answers.
     pub stream: bool,
     /// Time to the first token of a good answer.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Time between tokens of a good answer, for 95 in 100.
-    pub between: Duration,
+    pub token_gap: Duration,
 }
 
 /// A command line that cannot be understood.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("{problem}\nFor help: chiveway {topic}--help"))]
+#[snafu(display("{problem}\nFor help: chiveway {command}--help"))]
 pub struct UsageError {
     /// What is wrong, and what is allowed.
     pub problem: Box<str>,
     /// Words of the command with a space after them; empty before any is known.
-    pub topic: Box<str>,
+    pub command: Box<str>,
 }
--- a/src/cli/parse.rs
+++ b/src/cli/parse.rs
@@ -7,11 +7,11 @@
 
 use pico_args::Arguments;
 
-use super::topics::{self, Opt, TOPICS, Topic};
+use super::commands::{self, COMMANDS, CommandSpec, Opt};
 use super::{
-    Access, Action, AnswerForm, ApplyOptions, CheckOptions, Command, ExplainOptions, HostOptions,
-    ListName, ListOptions, LoadOptions, Pace, StandinKind, StandinOptions, StatusOptions, Target,
-    TryOptions, UsageError, help,
+    Access, Action, ApplyOptions, CheckOptions, Command, ExplainOptions, HostOptions, ListName,
+    ListOptions, LoadOptions, OutputFormat, Pace, StandinKind, StandinOptions, StatusOptions,
+    Target, TryOptions, UsageError, help,
 };
 use crate::form;
 use crate::platform;
@@ -27,64 +27,69 @@
 /// Returns what is wrong with them and what is allowed.
 pub fn parse(args: Vec<OsString>) -> Result<Command, UsageError> {
     let mut args = Arguments::from_vec(args);
-    let words = words(&mut args)?;
+    let words = command_words(&mut args)?;
     if args.contains(["-h", "--help"]) {
         return Ok(Command::Help(help::help(&words)));
     }
     if args.contains(["-V", "--version"]) {
         return Ok(Command::Version);
     }
-    let Some(topic) = TOPICS.iter().find(|topic| topic.words == &*words) else {
-        let known: Vec<_> = help::commands(&words).map(|topic| topic.words).collect();
+    let Some(command) = COMMANDS.iter().find(|command| command.words == &*words) else {
+        let known: Vec<_> = help::commands_with_prefix(&words)
+            .map(|command| command.words)
+            .collect();
         let problem = format!("Name one of the commands: {}.", known.join(", "));
-        return usage(&problem, &words);
+        return usage_error(&problem, &words);
     };
-    let given = Given { args, topic };
-    given.command()
+    let command_args = CommandArgs { args, command };
+    command_args.into_command()
 }
 
 /// Takes the words of the command, of which some have two.
-fn words(args: &mut Arguments) -> Parsed<Box<str>> {
+fn command_words(args: &mut Arguments) -> Parsed<Box<str>> {
     let mut words = String::new();
-    while help::commands(&words).next().is_some() {
+    while help::commands_with_prefix(&words).next().is_some() {
         let word = args.subcommand();
-        let word = word.or_else(|err| usage(&format!("Use UTF-8 arguments: {err}."), &words))?;
+        let word =
+            word.or_else(|err| usage_error(&format!("Use UTF-8 arguments: {err}."), &words))?;
         let Some(word) = word else {
             break;
         };
         let space = if words.is_empty() { "" } else { " " };
         let longer = format!("{words}{space}{word}");
-        let exact = TOPICS.iter().any(|topic| topic.words == longer);
-        if !exact && help::commands(&longer).next().is_none() {
-            let known: Vec<_> = help::commands(&words).map(|topic| topic.words).collect();
+        let exact = COMMANDS.iter().any(|command| command.words == longer);
+        if !exact && help::commands_with_prefix(&longer).next().is_none() {
+            let known: Vec<_> = help::commands_with_prefix(&words)
+                .map(|command| command.words)
+                .collect();
             let problem = format!(
                 "Unknown command {longer:?}; use one of {}.",
                 known.join(", ")
             );
-            return usage(&problem, &words);
+            return usage_error(&problem, &words);
         }
         words = longer;
     }
     Ok(words.into())
 }
 
-fn usage<T>(problem: &str, words: &str) -> Parsed<T> {
+fn usage_error<T>(problem: &str, words: &str) -> Parsed<T> {
     let space = if words.is_empty() { "" } else { " " };
     Err(UsageError {
         problem: problem.into(),
-        topic: format!("{words}{space}").into(),
+        command: format!("{words}{space}").into(),
     })
 }
 
 /// Arguments of a known command that have not been taken yet.
-struct Given {
+struct CommandArgs {
     args: Arguments,
-    topic: &'static Topic,
+    command: &'static CommandSpec,
 }
 
-impl Given {
-    fn command(mut self) -> Parsed<Command> {
-        match self.topic.words {
+impl CommandArgs {
+    fn into_command(mut self) -> Parsed<Command> {
+        match self.command.words {
             "host" => self.host(),
             "check" => self.check(),
             "explain" => self.explain(),
@@ -95,7 +100,7 @@
             "standin engine" => self.standin(StandinKind::Engine),
             "standin service" => self.standin(StandinKind::Service),
             "standin hop" => self.standin(StandinKind::Hop),
-            "hash" => self.end().map(|()| Command::Hash),
+            "hash" => self.expect_end().map(|()| Command::Hash),
             words => {
                 let (noun, verb) = words.split_once(' ').unwrap_or((words, ""));
                 let list = if noun == "plans" {
@@ -104,26 +109,26 @@
                     ListName::Uses
                 };
                 let action = self.action(verb)?;
-                self.end()?;
+                self.expect_end()?;
                 Ok(Command::List(ListOptions { list, action }))
             }
         }
     }
 
     fn host(mut self) -> Parsed<Command> {
-        let config = match self.text(&topics::CONFIG, "-c")? {
+        let config = match self.raw_value(&commands::CONFIG, "-c")? {
             Some(config) => PathBuf::from(&*config),
             None => match platform::settings_file() {
                 Some(config) => config,
                 None => return self.fail("Name the settings: -c FILE."),
             },
         };
-        self.end()?;
+        self.expect_end()?;
         Ok(Command::Host(HostOptions { config }))
     }
 
     fn check(mut self) -> Parsed<Command> {
-        let files: Vec<_> = self.rest()?.into_iter().map(PathBuf::from).collect();
+        let files: Vec<_> = self.positional()?.into_iter().map(PathBuf::from).collect();
         if files.is_empty() {
             return self.fail("Name at least one settings file.");
         }
@@ -131,9 +136,9 @@
     }
 
     fn explain(mut self) -> Parsed<Command> {
-        let form = self.form();
+        let format = self.format();
         let access = self.access()?;
-        let mut ids = self.rest()?;
+        let mut ids = self.positional()?;
         let Some(id) = ids.pop().filter(|_| ids.is_empty()) else {
             return self.fail("Give one request id.");
         };
@@ -141,65 +146,65 @@
             return self.fail("A request id is UTF-8 text.");
         };
         let id = id.into();
-        Ok(Command::Explain(ExplainOptions { id, form, access }))
+        Ok(Command::Explain(ExplainOptions { id, format, access }))
     }
 
     fn status(mut self) -> Parsed<Command> {
-        let form = self.form();
+        let format = self.format();
         let access = self.access()?;
-        self.end()?;
-        Ok(Command::Status(StatusOptions { form, access }))
+        self.expect_end()?;
+        Ok(Command::Status(StatusOptions { format, access }))
     }
 
     fn trial(mut self) -> Parsed<Command> {
-        let once = self.switch(&topics::ONCE);
-        let hosts = self.need(&topics::HOSTS, units::count)?;
-        self.end()?;
+        let once = self.switch(&commands::ONCE);
+        let hosts = self.required(&commands::HOSTS, units::count)?;
+        self.expect_end()?;
         Ok(Command::Try(TryOptions { once, hosts }))
     }
 
     fn load(mut self) -> Parsed<Command> {
         let options = LoadOptions {
-            targets: self.need(&topics::TARGET, targets)?,
-            key: self.need(&topics::KEY, owned)?,
-            model: self.need(&topics::MODEL, owned)?,
-            requests: self.need(&topics::REQUESTS, units::count)?,
-            concurrency: self.need(&topics::CONCURRENCY, units::count)?,
-            prompt: self.need(&topics::PROMPT, units::count)?,
-            output: self.need(&topics::OUTPUT, units::count)?,
-            stream: self.switch(&topics::STREAM),
-            first: self.time(&topics::FIRST)?,
-            between: self.time(&topics::BETWEEN)?,
+            targets: self.required(&commands::TARGET, targets)?,
+            key: self.required(&commands::KEY, owned)?,
+            model: self.required(&commands::MODEL, owned)?,
+            requests: self.required(&commands::REQUESTS, units::count)?,
+            concurrency: self.required(&commands::CONCURRENCY, units::count)?,
+            prompt_tokens: self.required(&commands::PROMPT_TOKENS, units::count)?,
+            output_tokens: self.required(&commands::OUTPUT_TOKENS, units::count)?,
+            stream: self.switch(&commands::STREAM),
+            first_token: self.time(&commands::FIRST)?,
+            token_gap: self.time(&commands::BETWEEN)?,
         };
-        self.end()?;
+        self.expect_end()?;
         Ok(Command::Load(options))
     }
 
     fn standin(mut self, kind: StandinKind) -> Parsed<Command> {
-        let instant = self.switch(&topics::INSTANT);
+        let instant = self.switch(&commands::INSTANT);
         let options = StandinOptions {
             kind,
-            listen: self.need(&topics::LISTEN, form::address)?,
-            register: self.read(&topics::REGISTER, form::address)?,
-            name: self.need(&topics::NAME, owned)?,
-            pool: self.read(&topics::POOL, owned)?,
-            target: self.read(&topics::BEHIND, form::address)?,
-            model: self.need(&topics::MODEL, owned)?,
-            domain: self.need(&topics::DOMAIN, owned)?,
-            fencing: self.need(&topics::FENCING, Fencing::from_word)?,
-            speed: self.need(&topics::SPEED, units::number)?,
-            prefill: self.time(&topics::PREFILL)?,
-            decode: self.time(&topics::DECODE)?,
-            slots: self.need(&topics::SLOTS, units::count)?,
-            piece: self.need(&topics::PIECE, units::count)?,
-            lag: self.time(&topics::LAG)?,
+            listen: self.required(&commands::LISTEN, form::address)?,
+            register: self.optional(&commands::REGISTER, form::address)?,
+            name: self.required(&commands::NAME, owned)?,
+            pool: self.optional(&commands::POOL, owned)?,
+            target: self.optional(&commands::HOP_TARGET, form::address)?,
+            model: self.required(&commands::MODEL, owned)?,
+            domain: self.required(&commands::DOMAIN, owned)?,
+            fencing: self.required(&commands::FENCING, Fencing::from_word)?,
+            speed: self.required(&commands::SPEED, units::number)?,
+            prefill_cost: self.time(&commands::PREFILL_COST)?,
+            decode_cost: self.time(&commands::DECODE_COST)?,
+            slots: self.required(&commands::SLOTS, units::count)?,
+            block_tokens: self.required(&commands::PIECE, units::count)?,
+            lag: self.time(&commands::LAG)?,
             pace: if instant {
                 Pace::Instant
             } else {
                 Pace::Modelled
             },
         };
-        self.end()?;
+        self.expect_end()?;
         Ok(Command::Standin(options))
     }
 
@@ -209,16 +214,16 @@
             "edit" => Ok(Action::Edit(self.access()?, self.file()?)),
             "diff" => Ok(Action::Diff(self.access()?, self.file()?)),
             "check" => {
-                let key_file = self.path(&topics::KEY_FILE)?;
-                let addr = self.read(&topics::OPERATORS, form::address)?;
+                let key_file = self.path(&commands::KEY_FILE)?;
+                let addr = self.optional(&commands::OPERATORS, form::address)?;
                 let access = addr.map(|addr| Access { addr, key_file });
                 Ok(Action::Check(access, self.file()?))
             }
             _ => {
                 let options = ApplyOptions {
                     file: self.file()?,
-                    revision: self.read(&topics::REVISION, |text| text.parse().ok())?,
-                    wait: self.switch(&topics::WAIT),
+                    revision: self.optional(&commands::REVISION, |text| text.parse().ok())?,
+                    wait: self.switch(&commands::WAIT),
                 };
                 Ok(Action::Apply(self.access()?, options))
             }
@@ -227,65 +232,65 @@
 
     fn access(&mut self) -> Parsed<Access> {
         Ok(Access {
-            addr: self.need::<SocketAddr>(&topics::OPERATORS, form::address)?,
-            key_file: self.path(&topics::KEY_FILE)?,
+            addr: self.required::<SocketAddr>(&commands::OPERATORS, form::address)?,
+            key_file: self.path(&commands::KEY_FILE)?,
         })
     }
 
-    fn form(&mut self) -> AnswerForm {
-        if self.switch(&topics::JSON) {
-            AnswerForm::Json
+    fn format(&mut self) -> OutputFormat {
+        if self.switch(&commands::JSON) {
+            OutputFormat::Json
         } else {
-            AnswerForm::Text
+            OutputFormat::Text
         }
     }
 
     fn file(&mut self) -> Parsed<PathBuf> {
-        self.need(&topics::FILE, |text| Some(text.into()))
+        self.required(&commands::FILE, |text| Some(text.into()))
     }
 
     fn path(&mut self, opt: &Opt) -> Parsed<Option<PathBuf>> {
-        self.read(opt, |text| Some(text.into()))
+        self.optional(opt, |text| Some(text.into()))
     }
 
     fn time(&mut self, opt: &Opt) -> Parsed<Duration> {
-        self.need(opt, units::time)
+        self.required(opt, units::time)
     }
 
     /// Takes a switch where the command has it.
     fn switch(&mut self, opt: &Opt) -> bool {
-        self.takes(opt) && self.args.contains(opt.name)
+        self.accepts(opt) && self.args.contains(opt.name)
     }
 
     /// Takes an option that must have a value or a default.
-    fn need<T>(&mut self, opt: &Opt, read: impl Fn(&str) -> Option<T>) -> Parsed<T> {
-        match self.read(opt, read)? {
+    fn required<T>(&mut self, opt: &Opt, read: impl Fn(&str) -> Option<T>) -> Parsed<T> {
+        match self.optional(opt, read)? {
             Some(value) => Ok(value),
             None => self.fail(&format!("Give {} {}, {}.", opt.name, opt.value, opt.about)),
         }
     }
 
-    fn read<T>(&mut self, opt: &Opt, read: impl Fn(&str) -> Option<T>) -> Parsed<Option<T>> {
-        let Some(text) = self.text(opt, opt.name)? else {
+    fn optional<T>(&mut self, opt: &Opt, read: impl Fn(&str) -> Option<T>) -> Parsed<Option<T>> {
+        let Some(text) = self.raw_value(opt, opt.name)? else {
             return Ok(None);
         };
         match read(&text) {
             Some(value) => Ok(Some(value)),
-            None => self.fault(opt, &text),
+            None => self.invalid_value(opt, &text),
         }
     }
 
     /// Takes an option's text, in its form, or its default; `short` is its other name.
-    fn text(&mut self, opt: &Opt, short: &'static str) -> Parsed<Option<Box<str>>> {
+    fn raw_value(&mut self, opt: &Opt, short: &'static str) -> Parsed<Option<Box<str>>> {
         let default = opt.default.map(Into::into);
-        if !self.takes(opt) {
+        if !self.accepts(opt) {
             return Ok(default);
         }
         let mut text = None;
         for name in [opt.name, short] {
             if text.is_none() {
-                let given = self.args.opt_value_from_str::<_, String>(name);
-                text = given.or_else(|_err| self.fail(&format!("Give {name} a value.")))?;
+                let value = self.args.opt_value_from_str::<_, String>(name);
+                text = value.or_else(|_err| self.fail(&format!("Give {name} a value.")))?;
             }
         }
         match text {
@@ -293,24 +298,24 @@
             Some(text) if text.starts_with("--") => {
                 self.fail(&format!("Give {} a value.", opt.name))
             }
-            Some(text) if !opt.form.allows(&text) => self.fault(opt, &text),
+            Some(text) if !opt.form.allows(&text) => self.invalid_value(opt, &text),
             Some(text) => Ok(Some(text.into())),
         }
     }
 
-    fn takes(&self, opt: &Opt) -> bool {
-        self.topic.opts.iter().any(|known| known.name == opt.name)
+    fn accepts(&self, opt: &Opt) -> bool {
+        self.command.opts.iter().any(|known| known.name == opt.name)
     }
 
     /// Takes what is left, none of which may be an option.
-    fn rest(&mut self) -> Parsed<Vec<OsString>> {
+    fn positional(&mut self) -> Parsed<Vec<OsString>> {
         let args = std::mem::replace(&mut self.args, Arguments::from_vec(Vec::new()));
         let rest = args.finish();
         let dashed = rest.iter().filter_map(|arg| arg.to_str());
         let Some(name) = dashed.into_iter().find(|arg| arg.starts_with('-')) else {
             return Ok(rest);
         };
-        let known: Vec<_> = self.topic.opts.iter().map(|opt| opt.name).collect();
+        let known: Vec<_> = self.command.opts.iter().map(|opt| opt.name).collect();
         let problem = if known.contains(&name) {
             format!("Give {name} once.")
         } else if known.is_empty() {
@@ -321,20 +326,20 @@
         self.fail(&problem)
     }
 
-    fn end(&mut self) -> Parsed<()> {
-        match self.rest()?.first() {
+    fn expect_end(&mut self) -> Parsed<()> {
+        match self.positional()?.first() {
             None => Ok(()),
             Some(extra) => self.fail(&format!("Leave out {}.", extra.display())),
         }
     }
 
-    fn fault<T>(&self, opt: &Opt, text: &str) -> Parsed<T> {
+    fn invalid_value<T>(&self, opt: &Opt, text: &str) -> Parsed<T> {
         let allowed = opt.form.allowed();
         self.fail(&format!("{} given {text:?}, allowed {allowed}.", opt.name))
     }
 
     fn fail<T>(&self, problem: &str) -> Parsed<T> {
-        usage(problem, self.topic.words)
+        usage_error(problem, self.command.words)
     }
 }
 
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -6,7 +6,7 @@
 use assert_matches::assert_matches;
 use proptest::prelude::*;
 
-use super::topics::TOPICS;
+use super::commands::COMMANDS;
 use super::{
     Access, Action, ApplyOptions, Command, ListName, ListOptions, Pace, StandinKind,
     StandinOptions, parse,
@@ -31,10 +31,10 @@
         domain: "local".into(),
         fencing: Fencing::Ignores,
         speed: 0.2,
-        prefill: Duration::from_micros(125),
-        decode: Duration::from_millis(20),
+        prefill_cost: Duration::from_micros(125),
+        decode_cost: Duration::from_millis(20),
         slots: 16,
-        piece: 2000,
+        block_tokens: 2000,
         lag: Duration::from_secs(2),
         pace: Pace::Instant,
     };
@@ -62,16 +62,15 @@
 
 #[test]
 fn every_command_has_help_and_every_default_its_form() {
-    for topic in TOPICS {
-        let help =
-            assert_matches!(read(&format!("{} --help", topic.words)), Command::Help(text) => text);
-        assert!(help.contains(topic.about), "{}", topic.words);
-        for opt in topic.opts {
+    for command in COMMANDS {
+        let help = assert_matches!(read(&format!("{} --help", command.words)), Command::Help(text) => text);
+        assert!(help.contains(command.about), "{}", command.words);
+        for opt in command.opts {
             let fine = opt.default.is_none_or(|default| opt.form.allows(default));
             assert!(
                 fine && help.contains(opt.name),
                 "{} {}",
-                topic.words,
+                command.words,
                 opt.name
             );
         }
@@ -81,10 +80,10 @@
 proptest! {
     #[test]
     fn any_arguments_are_read_or_refused(
-        topic in 0..TOPICS.len(),
+        index in 0..COMMANDS.len(),
         rest in prop::collection::vec("(--[a-z]{1,12}|-c|--hosts|--lag|--file|[0-9]{1,30}|\\PC{0,8})", 0..6),
     ) {
-        let words = TOPICS[topic].words.split(' ').map(OsString::from);
+        let words = COMMANDS[index].words.split(' ').map(OsString::from);
         let args = words.chain(rest.into_iter().map(OsString::from)).collect();
         if let Err(err) = parse(args) {
             prop_assert!(err.to_string().contains("\nFor help: chiveway "));
--- a/src/form.rs
+++ b/src/form.rs
@@ -73,7 +73,7 @@
                 units::time(text).is_some_and(|time| time >= min && time <= max)
             }
             Self::Span(min, max) => {
-                units::span(text).is_some_and(|time| time >= min && time <= max)
+                units::fractional_time(text).is_some_and(|time| time >= min && time <= max)
             }
             Self::Size(min, max) => {
                 units::size(text).is_some_and(|size| size >= min && size <= max)
--- a/src/load.rs
+++ b/src/load.rs
@@ -18,13 +18,13 @@
 use crate::web;
 
 /// Bytes of a prompt for each token, as the stand-in engines count.
-const TOKEN_BYTES: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 /// Time without a part of an answer after which a request counts as lost.
-const SILENCE: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 /// Largest value of a histogram, in microseconds.
-const LONGEST: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 /// Part of the gaps between tokens, in hundredths, that must be within the wanted time.
-const PART: usize = 95;
+const GAP_PERCENTILE: usize = 95;
 /// Head of the table of results.
 const HEADER: [&str; 9] = [
     "target",
@@ -52,7 +52,7 @@
     },
     /// Answers were lost or wrong.
     #[snafu(display("{count} answers were lost or wrong"))]
-    Lost {
+    FailedAnswers {
         /// How many.
         count: u64,
     },
@@ -60,7 +60,7 @@
 
 /// How one request ended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
+enum Outcome {
     /// The whole right answer.
     Whole,
     /// An answer that does not belong to the request.
@@ -75,25 +75,25 @@
 
 /// What the requests to one target met.
 #[derive(Debug)]
-struct Tally {
+struct TargetStats {
     target: Target,
-    ends: BTreeMap<End, u64>,
+    outcomes: BTreeMap<Outcome, u64>,
     /// Whole answers within the wanted times.
     good: u64,
-    first: Histogram<u64>,
-    between: Histogram<u64>,
+    first_token: Histogram<u64>,
+    token_gap: Histogram<u64>,
 }
 
-impl Tally {
+impl TargetStats {
     fn new(target: Target) -> Self {
         let histogram =
-            || Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are in order");
+            || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("the bounds are in order");
         Self {
             target,
-            ends: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             good: 0,
-            first: histogram(),
-            between: histogram(),
+            first_token: histogram(),
+            token_gap: histogram(),
         }
     }
 }
@@ -105,21 +105,21 @@
 /// Returns how many answers were lost or wrong, if any; a refusal is neither.
 pub async fn run(options: LoadOptions) -> Result<(), LoadError> {
     let client = web::client("load").await.context(NoClientSnafu)?;
-    let tallies: Vec<_> = options
+    let stats: Vec<_> = options
         .targets
         .iter()
-        .map(|target| Rc::new(RefCell::new(Tally::new(target.clone()))))
+        .map(|target| Rc::new(RefCell::new(TargetStats::new(target.clone()))))
         .collect();
     let options = Rc::new(options);
     let next = Rc::new(Cell::new(0));
     let began = Instant::now();
     let tasks: Vec<_> = (0..options.concurrency)
         .map(|_| {
-            let worker = work(
+            let worker = run_worker(
                 client.clone(),
                 Rc::clone(&options),
                 Rc::clone(&next),
-                tallies.clone(),
+                stats.clone(),
             );
             ntex::rt::spawn(worker)
         })
@@ -130,15 +130,18 @@
         }
     }
     let lasted = began.elapsed();
-    let tallies: Vec<_> = tallies.iter().map(|tally| tally.borrow()).collect();
-    report(&tallies, &options, lasted)
+    let stats: Vec<_> = stats
+        .iter()
+        .map(|target_stats| target_stats.borrow())
+        .collect();
+    report(&stats, &options, lasted)
 }
 
-async fn work(
+async fn run_worker(
     client: Client,
     options: Rc<LoadOptions>,
     next: Rc<Cell<usize>>,
-    tallies: Vec<Rc<RefCell<Tally>>>,
+    stats: Vec<Rc<RefCell<TargetStats>>>,
 ) {
     loop {
         let number = next.get();
@@ -146,35 +149,35 @@
             return;
         }
         next.set(number + 1);
-        let tally = &tallies[number % tallies.len()];
-        let addr = tally.borrow().target.addr;
-        let end = ask(&client, &options, addr, number, tally).await;
-        *tally.borrow_mut().ends.entry(end).or_default() += 1;
+        let target_stats = &stats[number % stats.len()];
+        let addr = target_stats.borrow().target.addr;
+        let end = send_request(&client, &options, addr, number, target_stats).await;
+        *target_stats.borrow_mut().outcomes.entry(end).or_default() += 1;
     }
 }
 
 /// Returns a prompt that differs from that of every other number, of the wanted length.
 fn prompt(number: usize, tokens: usize) -> String {
     let mut text = format!("request {number}: ");
-    while text.len() < tokens * TOKEN_BYTES {
+    while text.len() < tokens * BYTES_PER_TOKEN {
         text.push_str("what does the funder expect? ");
     }
-    text.truncate(tokens * TOKEN_BYTES);
+    text.truncate(tokens * BYTES_PER_TOKEN);
     text
 }
 
-async fn ask(
+async fn send_request(
     client: &Client,
     options: &LoadOptions,
     addr: SocketAddr,
     number: usize,
-    tally: &RefCell<Tally>,
-) -> End {
-    let prompt = prompt(number, options.prompt);
+    target_stats: &RefCell<TargetStats>,
+) -> Outcome {
+    let prompt = prompt(number, options.prompt_tokens);
     let body = json!({
         "model": options.model,
         "prompt": prompt,
-        "max_tokens": options.output,
+        "max_tokens": options.output_tokens,
         "stream": options.stream,
     });
     let began = Instant::now();
@@ -184,41 +187,41 @@
         .header("authorization", format!("Bearer {}", options.key))
         .header("content-type", "application/json")
         .send_body(body.to_string());
-    let Ok(Ok(mut answer)) = tokio::time::timeout(SILENCE, sent).await else {
-        return End::Lost;
+    let Ok(Ok(mut answer)) = tokio::time::timeout(READ_TIMEOUT, sent).await else {
+        return Outcome::Lost;
     };
     let status = answer.status().as_u16();
-    let mut reader = Reader::new(options.stream && status == 200);
+    let mut reader = AnswerReader::new(options.stream && status == 200);
     loop {
         let part = ntex::util::stream_recv(&mut answer);
-        let part = match tokio::time::timeout(SILENCE, part).await {
+        let part = match tokio::time::timeout(READ_TIMEOUT, part).await {
             Ok(Some(Ok(part))) => part,
             Ok(None) => break,
-            Ok(Some(Err(_))) | Err(_) => return End::Short,
+            Ok(Some(Err(_))) | Err(_) => return Outcome::Short,
         };
-        if !reader.take(&part, &mut tally.borrow_mut(), began) {
-            return End::Wrong;
+        if !reader.feed(&part, &mut target_stats.borrow_mut(), began) {
+            return Outcome::Wrong;
         }
     }
     if status != 200 {
         return reader.refusal(status);
     }
-    let good = reader.good(options);
+    let good = reader.meets_targets(options);
     let Some(text) = reader.text() else {
-        return End::Short;
+        return Outcome::Short;
     };
-    let tokens = options.output as u64;
+    let tokens = options.output_tokens as u64;
     if text != expected(&options.model, &prompt, tokens) {
-        return End::Wrong;
+        return Outcome::Wrong;
     }
     if good {
-        tally.borrow_mut().good += 1;
+        target_stats.borrow_mut().good += 1;
     }
-    End::Whole
+    Outcome::Whole
 }
 
 /// Reads an answer part by part.
-struct Reader {
+struct AnswerReader {
     stream: bool,
     parser: Parser,
     body: Vec<u8>,
@@ -229,7 +232,7 @@
     gaps: Vec<Duration>,
 }
 
-impl Reader {
+impl AnswerReader {
     fn new(stream: bool) -> Self {
         Self {
             stream,
@@ -244,7 +247,7 @@
     }
 
     /// Takes in a part; returns whether it can be read.
-    fn take(&mut self, part: &[u8], tally: &mut Tally, began: Instant) -> bool {
+    fn feed(&mut self, part: &[u8], target_stats: &mut TargetStats, began: Instant) -> bool {
         let now = Instant::now();
         if !self.stream {
             self.body.extend_from_slice(part);
@@ -269,11 +272,13 @@
             match self.last.replace(now) {
                 None => {
                     self.first = Some(now - began);
-                    tally.first.saturating_record(micros(now - began));
+                    target_stats
+                        .first_token
+                        .saturating_record(micros(now - began));
                 }
                 Some(last) => {
                     self.gaps.push(now - last);
-                    tally.between.saturating_record(micros(now - last));
+                    target_stats.token_gap.saturating_record(micros(now - last));
                 }
             }
         }
@@ -281,11 +286,11 @@
     }
 
     /// Returns whether a streamed answer came within the wanted times.
-    fn good(&mut self, options: &LoadOptions) -> bool {
+    fn meets_targets(&mut self, options: &LoadOptions) -> bool {
         self.gaps.sort_unstable();
-        let at = self.gaps.len() * PART / 100;
+        let at = self.gaps.len() * GAP_PERCENTILE / 100;
         let gap = self.gaps.get(at).copied().unwrap_or_default();
-        self.first.is_some_and(|first| first <= options.first) && gap <= options.between
+        self.first.is_some_and(|first| first <= options.first_token) && gap <= options.token_gap
     }
 
     /// Returns the answer's text; `None` for one that is not whole.
@@ -297,11 +302,11 @@
         answer["choices"][0]["text"].as_str().map(str::to_owned)
     }
 
-    fn refusal(&self, status: u16) -> End {
+    fn refusal(&self, status: u16) -> Outcome {
         let problem: Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let code = problem["type"].as_str();
         let code = code.and_then(|code| code.strip_prefix("urn:chiveway:"));
-        End::Refused(code.map_or_else(|| status.to_string().into(), Box::from))
+        Outcome::Refused(code.map_or_else(|| status.to_string().into(), Box::from))
     }
 }
 
@@ -314,37 +319,41 @@
 }
 
 /// Returns the row of one target in the table.
-fn row(tally: &Tally) -> [Box<str>; 9] {
-    let whole = tally.ends.get(&End::Whole).copied().unwrap_or(0);
+fn row(target_stats: &TargetStats) -> [Box<str>; 9] {
+    let whole = target_stats
+        .outcomes
+        .get(&Outcome::Whole)
+        .copied()
+        .unwrap_or(0);
     let at = |times: &Histogram<u64>, part| millis(times.value_at_quantile(part));
     [
-        tally.target.name.clone(),
+        target_stats.target.name.clone(),
         whole.to_string().into(),
-        tally.good.to_string().into(),
-        at(&tally.first, 0.5),
-        at(&tally.first, 0.95),
-        at(&tally.first, 0.99),
-        at(&tally.between, 0.5),
-        at(&tally.between, 0.95),
-        at(&tally.between, 0.99),
+        target_stats.good.to_string().into(),
+        at(&target_stats.first_token, 0.5),
+        at(&target_stats.first_token, 0.95),
+        at(&target_stats.first_token, 0.99),
+        at(&target_stats.token_gap, 0.5),
+        at(&target_stats.token_gap, 0.95),
+        at(&target_stats.token_gap, 0.99),
     ]
 }
 
 fn report(
-    tallies: &[std::cell::Ref<'_, Tally>],
+    stats: &[std::cell::Ref<'_, TargetStats>],
     options: &LoadOptions,
     lasted: Duration,
 ) -> Result<(), LoadError> {
     let mut rows = vec![HEADER.map(Box::from)];
-    rows.extend(tallies.iter().map(|tally| row(tally)));
+    rows.extend(stats.iter().map(|target_stats| row(target_stats)));
     let mut lines = vec![output::columns(rows).trim_end().to_owned()];
     let mut fine = 0;
-    for tally in tallies {
-        for (end, count) in &tally.ends {
-            let name = &tally.target.name;
+    for target_stats in stats {
+        for (end, count) in &target_stats.outcomes {
+            let name = &target_stats.target.name;
             match end {
-                End::Whole => fine += count,
-                End::Refused(code) => {
+                Outcome::Whole => fine += count,
+                Outcome::Refused(code) => {
                     fine += count;
                     lines.push(format!("{name}: {count} refused as {code}"));
                 }
@@ -357,9 +366,9 @@
     lines.push(format!(
         "times in ms; {sent} requests in {lasted:.2?}, {rate:.0} a second"
     ));
-    output::say(&lines.join("\n")).context(OutputSnafu)?;
+    output::print(&lines.join("\n")).context(OutputSnafu)?;
     // A worker that panicked has left its request uncounted.
     let count = sent.saturating_sub(fine);
-    ensure!(count == 0, LostSnafu { count });
+    ensure!(count == 0, FailedAnswersSnafu { count });
     Ok(())
 }
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -28,9 +28,9 @@
 use crate::settings::{LogForm, LogSettings};
 
 /// Start of the targets of this program's own events.
-const OWN: &str = "chiveway";
+const OWN_TARGETS: &str = "chiveway";
 /// Most that libraries write: their finer levels report each read and write of a socket.
-const LIBRARY_LEVEL: LevelFilter = LevelFilter::Warn;
+const MAX_LIBRARY_LEVEL: LevelFilter = LevelFilter::Warn;
 /// Name of the only appender.
 const CONSOLE: &str = "console";
 /// Time, level, event and message on one line.
@@ -47,7 +47,7 @@
     },
     /// Logging is set up already.
     #[snafu(display("logging is set up twice: {source}"))]
-    Twice {
+    AlreadySet {
         /// What the library says.
         source: SetLoggerError,
     },
@@ -58,14 +58,14 @@
 /// # Errors
 ///
 /// Returns an error where logging is set up already.
-pub fn start(settings: &LogSettings) -> Result<(), LogError> {
+pub fn init(settings: &LogSettings) -> Result<(), LogError> {
     let logger = log4rs::Logger::new(config(settings)?);
     let most = logger.max_log_level();
     let done = match settings.form {
         LogForm::Json => log::set_boxed_logger(Box::new(logger)),
-        LogForm::Text => log::set_boxed_logger(Box::new(Text(logger))),
+        LogForm::Text => log::set_boxed_logger(Box::new(TextLogger(logger))),
     };
-    done.context(TwiceSnafu)?;
+    done.context(AlreadySetSnafu)?;
     log::set_max_level(most);
     Ok(())
 }
@@ -81,10 +81,10 @@
         .build();
     let root = Root::builder()
         .appender(CONSOLE)
-        .build(settings.level.min(LIBRARY_LEVEL));
+        .build(settings.level.min(MAX_LIBRARY_LEVEL));
     Config::builder()
         .appender(Appender::builder().build(CONSOLE, Box::new(console)))
-        .logger(Filter::builder().build(OWN, settings.level))
+        .logger(Filter::builder().build(OWN_TARGETS, settings.level))
         .build(root)
         .context(ConfigSnafu)
 }
@@ -94,9 +94,9 @@
 /// The library's text pattern can name single fields only; without this the fields of an event
 /// would appear in JSON and be missing in text.
 #[derive(Debug)]
-struct Text(log4rs::Logger);
+struct TextLogger(log4rs::Logger);
 
-impl Log for Text {
+impl Log for TextLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         self.0.enabled(metadata)
     }
@@ -105,7 +105,7 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let line = line(record);
+        let line = format_line(record);
         let args = format_args!("{line}");
         self.0.log(&record.to_builder().args(args).build());
     }
@@ -119,7 +119,7 @@
 ///
 /// Control characters are escaped: a name or path from outside with a line end in it would
 /// otherwise forge a log line of its own.
-fn line(record: &Record<'_>) -> Box<str> {
+fn format_line(record: &Record<'_>) -> Box<str> {
     let mut fields = Fields(record.args().to_string());
     // Writing to a string does not fail, and neither does the visitor.
     let _ = record.key_values().visit(&mut fields);
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -2,7 +2,7 @@
 
 use log::Record;
 
-use super::line;
+use super::format_line;
 
 #[test]
 fn fields_follow_the_message() {
@@ -12,7 +12,7 @@
         .key_values(&fields)
         .build();
     assert_eq!(
-        &*line(&record),
+        &*format_line(&record),
         "an edit is accepted host=dk-øst-1 revision=7"
     );
 }
@@ -27,7 +27,7 @@
         .key_values(&fields)
         .build();
     assert_eq!(
-        &*line(&record),
+        &*format_line(&record),
         "refused\\u{1b} path=/a\\n2026 INFO chiveway::stopped"
     );
 }
--- a/src/operate/client.rs
+++ b/src/operate/client.rs
@@ -10,20 +10,20 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use super::{OperateError, key};
+use super::{OperateError, read_key};
 use crate::cli::Access;
 use crate::settings::Secret;
 
 /// Time for the head of an answer: an edit waits for the key-value service, which can be slow.
-const HEAD_TIME: Millis = Millis(15_000);
+const HEAD_TIMEOUT: Millis = Millis(15_000);
 /// Time for the body of an answer.
-const BODY_TIME: Millis = Millis(30_000);
+const BODY_TIMEOUT: Millis = Millis(30_000);
 /// Most bytes of an answer: room for the lists at several times the size designed for.
-const MAX_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// Connection to one host.
 #[derive(Debug)]
-pub(super) struct Console {
+pub(super) struct OperatorClient {
     client: Client,
     addr: SocketAddr,
     key: Secret,
@@ -40,17 +40,17 @@
     pub body: Box<str>,
 }
 
-impl Console {
+impl OperatorClient {
     /// Makes a client with the operators' key; no connection is opened yet.
     pub async fn open(access: &Access) -> Result<Self, OperateError> {
-        let key = key(access.key_file.as_deref())?;
+        let key = read_key(access.key_file.as_deref())?;
         let addr = access.addr;
         // A redirect would send the key and the edit to an address nobody gave.
         let builder = Client::builder()
             .disable_redirects()
-            .response_timeout(HEAD_TIME)
-            .response_payload_limit(MAX_BODY)
-            .response_payload_timeout(BODY_TIME);
+            .response_timeout(HEAD_TIMEOUT)
+            .response_payload_limit(MAX_BODY_BYTES)
+            .response_payload_timeout(BODY_TIMEOUT);
         let client = builder.build(SharedCfg::new("operators")).await;
         let client = client.map_err(|err| no_answer(addr, &err.to_string()))?;
         Ok(Self { client, addr, key })
@@ -65,12 +65,12 @@
     pub async fn get(&self, path: &str) -> Result<Answer, OperateError> {
         let sent = self.request(self.client.get(self.url(path))).send().await;
         let response = sent.map_err(|err| no_answer(self.addr, &err.to_string()))?;
-        let answer = read(response).await;
+        let answer = read_answer(response).await;
         let answer = answer.map_err(|problem| no_answer(self.addr, &problem))?;
         if answer.status == 200 {
             Ok(answer)
         } else {
-            Err(self.refused(&answer))
+            Err(self.refusal(&answer))
         }
     }
 
@@ -81,7 +81,7 @@
             .header(header::IF_MATCH, format!("\"{revision}\""))
             .content_type("text/plain; charset=utf-8");
         let sent = request.send_body(text.to_owned()).await;
-        read(sent.map_err(|err| Box::from(err.to_string()))?).await
+        read_answer(sent.map_err(|err| Box::from(err.to_string()))?).await
     }
 
     /// Reads an answer as JSON.
@@ -92,11 +92,11 @@
     ) -> Result<T, OperateError> {
         let addr = self.addr();
         serde_json::from_str(&answer.body)
-            .map_err(|_strange| OperateError::Strange { addr, wanted })
+            .map_err(|_strange| OperateError::UnexpectedBody { addr, wanted })
     }
 
     /// Returns the error for an answer that refuses.
-    pub fn refused(&self, answer: &Answer) -> OperateError {
+    pub fn refusal(&self, answer: &Answer) -> OperateError {
         let problem: Value = serde_json::from_str(&answer.body).unwrap_or_default();
         // The title is advice to callers; what the host saw stands in the detail.
         let said = ["detail", "title"]
@@ -125,7 +125,7 @@
     }
 }
 
-async fn read(response: ClientResponse) -> Result<Answer, Box<str>> {
+async fn read_answer(response: ClientResponse) -> Result<Answer, Box<str>> {
     let tag = response.header(header::ETAG);
     let tag = tag.and_then(|tag| tag.to_str().ok());
     let revision = tag.and_then(|tag| tag.trim_matches('"').parse().ok());
@@ -147,7 +147,7 @@
 }
 
 /// Writes text as one segment of a path.
-pub(super) fn escape(text: &str) -> Box<str> {
+pub(super) fn percent_encode(text: &str) -> Box<str> {
     let mut path = String::with_capacity(text.len());
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte) {
--- a/src/operate/mod.rs
+++ b/src/operate/mod.rs
@@ -13,17 +13,17 @@
 
 pub use lists::list;
 
-use self::client::Console;
-use crate::cli::{Access, AnswerForm, ExplainOptions, StatusOptions};
+use self::client::OperatorClient;
+use crate::cli::{Access, ExplainOptions, OutputFormat, StatusOptions};
 use crate::output;
 use crate::settings::Secret;
 
 /// Environment variable with the operators' key.
-pub const KEY_VARIABLE: &str = "CHIVEWAY_OPERATOR_KEY";
+pub const KEY_ENV_VAR: &str = "CHIVEWAY_OPERATOR_KEY";
 
 /// Names in an explanation and in the state of a deployment, as a support engineer reads them:
 /// whose request it was, what became of it, and then each attempt.
-const ORDER: &[&str] = &[
+const FIELD_ORDER: &[&str] = &[
     "id",
     "customer",
     "plan",
@@ -58,7 +58,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum OperateError {
     /// No key was given.
-    #[snafu(display("no operators' key: set {KEY_VARIABLE} or give --key-file FILE"))]
+    #[snafu(display("no operators' key: set {KEY_ENV_VAR} or give --key-file FILE"))]
     NoKey,
     /// A file could not be read or written.
     #[snafu(display("cannot use {}: {source}", path.display()))]
@@ -70,7 +70,7 @@
     },
     /// Standard output could not be written.
     #[snafu(display("cannot write the output: {source}"))]
-    Print {
+    Output {
         /// What the system says.
         source: io::Error,
     },
@@ -87,7 +87,7 @@
         "no answer from {addr}: {problem}; the edit may have been accepted: \
          compare with \"chiveway {list} diff\" before you apply it again"
     ))]
-    Unsure {
+    OutcomeUnknown {
         /// The operators' listener.
         addr: Box<str>,
         /// What the client says.
@@ -109,7 +109,7 @@
     #[snafu(display(
         "{addr} sent an answer without {wanted}; is it a chiveway operators' listener?"
     ))]
-    Strange {
+    UnexpectedBody {
         /// The operators' listener.
         addr: Box<str>,
         /// What is missing.
@@ -117,14 +117,14 @@
     },
     /// The list has faults.
     #[snafu(display("correct these faults and try again:\n{faults}"))]
-    Faulty {
+    InvalidList {
         /// One fault a line.
         faults: Box<str>,
     },
     /// The file does not tell which revision it was fetched at.
     #[snafu(display(
         "the file has no line \"{}N\": fetch it with \"edit\" or give --revision N",
-        lists::REVISION_LINE
+        lists::REVISION_PREFIX
     ))]
     NoRevision,
     /// Another edit came first.
@@ -142,7 +142,7 @@
     #[snafu(display(
         "revision {revision} is accepted, but after {secs} s these hosts were not seen to have it: {missing}"
     ))]
-    Late {
+    NotPropagated {
         /// Accepted revision.
         revision: u64,
         /// Time waited.
@@ -158,8 +158,8 @@
 ///
 /// Returns why the host did not tell it.
 pub async fn explain(options: ExplainOptions) -> Result<(), OperateError> {
-    let path = format!("/explain/{}", client::escape(&options.id));
-    show(&options.access, &path, options.form).await
+    let path = format!("/explain/{}", client::percent_encode(&options.id));
+    show(&options.access, &path, options.format).await
 }
 
 /// Shows the state of the deployment.
@@ -168,25 +168,25 @@
 ///
 /// Returns why the host did not tell it.
 pub async fn status(options: StatusOptions) -> Result<(), OperateError> {
-    show(&options.access, "/status", options.form).await
+    show(&options.access, "/status", options.format).await
 }
 
-async fn show(access: &Access, path: &str, form: AnswerForm) -> Result<(), OperateError> {
-    let console = Console::open(access).await?;
-    let answer = console.get(path).await?;
-    let value: Value = console.json(&answer, "a JSON document")?;
-    let text = match form {
-        AnswerForm::Json => format!("{value:#}"),
-        AnswerForm::Text => output::tree(&value, ORDER),
+async fn show(access: &Access, path: &str, format: OutputFormat) -> Result<(), OperateError> {
+    let client = OperatorClient::open(access).await?;
+    let answer = client.get(path).await?;
+    let value: Value = client.json(&answer, "a JSON document")?;
+    let text = match format {
+        OutputFormat::Json => format!("{value:#}"),
+        OutputFormat::Text => output::tree(&value, FIELD_ORDER),
     };
-    output::say(&text).context(PrintSnafu)
+    output::print(&text).context(OutputSnafu)
 }
 
 /// Reads the operators' key from its file or from the environment.
-fn key(file: Option<&Path>) -> Result<Secret, OperateError> {
+fn read_key(file: Option<&Path>) -> Result<Secret, OperateError> {
     let key = match file {
         Some(path) => fs::read_to_string(path).context(FileSnafu { path })?,
-        None => env::var(KEY_VARIABLE).unwrap_or_default(),
+        None => env::var(KEY_ENV_VAR).unwrap_or_default(),
     };
     match key.trim() {
         "" => NoKeySnafu.fail(),
--- a/src/output/mod.rs
+++ b/src/output/mod.rs
@@ -14,7 +14,7 @@
 /// Spaces before each line.
 const INDENT: usize = 2;
 /// Spaces between columns.
-const GAP: usize = 2;
+const COLUMN_GAP: usize = 2;
 
 /// Writes rows with their columns aligned and indented.
 #[must_use]
@@ -37,7 +37,7 @@
     for row in rows {
         let mut line = " ".repeat(indent);
         for (cell, width) in row.iter().zip(&widths) {
-            let _ = write!(line, "{cell:<width$}", width = width + GAP);
+            let _ = write!(line, "{cell:<width$}", width = width + COLUMN_GAP);
         }
         text.push_str(line.trim_end());
         text.push('\n');
@@ -52,26 +52,26 @@
 #[must_use]
 pub fn tree(value: &Value, order: &[&str]) -> String {
     let mut text = String::new();
-    branch(&mut text, value, 0, order);
+    write_value(&mut text, value, 0, order);
     text
 }
 
-fn branch(text: &mut String, value: &Value, indent: usize, order: &[&str]) {
+fn write_value(text: &mut String, value: &Value, indent: usize, order: &[&str]) {
     match value {
-        Value::Object(map) => object(text, map, indent, order),
-        Value::Array(items) => list(text, items, indent, order),
+        Value::Object(map) => write_object(text, map, indent, order),
+        Value::Array(items) => write_list(text, items, indent, order),
         other => {
-            let leaf = leaf(other).unwrap_or_default();
+            let leaf = inline_value(other).unwrap_or_default();
             let _ = writeln!(text, "{}{leaf}", " ".repeat(indent));
         }
     }
 }
 
-fn object(text: &mut String, map: &Map<String, Value>, indent: usize, order: &[&str]) {
+fn write_object(text: &mut String, map: &Map<String, Value>, indent: usize, order: &[&str]) {
     let mut leaves = Vec::new();
     let mut parts = Vec::new();
     for name in sorted(map.keys(), order) {
-        match field(name, &map[name]) {
+        match inline_field(name, &map[name]) {
             Some(leaf) => leaves.push(vec![label(name), leaf]),
             None => parts.push(name),
         }
@@ -79,37 +79,37 @@
     text.push_str(&table(&leaves, indent));
     for name in parts {
         let _ = writeln!(text, "{}{}:", " ".repeat(indent), label(name));
-        branch(text, &map[name], indent + INDENT, order);
+        write_value(text, &map[name], indent + INDENT, order);
     }
 }
 
 /// Writes a list: as a table where every item is an object of plain values.
-fn list(text: &mut String, items: &[Value], indent: usize, order: &[&str]) {
-    if let Some(rows) = rows(items, order) {
+fn write_list(text: &mut String, items: &[Value], indent: usize, order: &[&str]) {
+    if let Some(rows) = table_rows(items, order) {
         text.push_str(&table(&rows, indent));
         return;
     }
     for item in items {
         let mut part = String::new();
-        branch(&mut part, item, indent + INDENT, order);
+        write_value(&mut part, item, indent + INDENT, order);
         let dash = format!("{}- ", " ".repeat(indent));
         text.push_str(&dash);
         text.push_str(part.get(dash.len()..).unwrap_or_default());
     }
 }
 
-fn rows(items: &[Value], order: &[&str]) -> Option<Vec<Vec<Box<str>>>> {
+fn table_rows(items: &[Value], order: &[&str]) -> Option<Vec<Vec<Box<str>>>> {
     let mut names = BTreeSet::new();
     for item in items {
         for (name, value) in item.as_object()? {
-            field(name, value)?;
+            inline_field(name, value)?;
             names.insert(name);
         }
     }
     let names = sorted(names, order);
     let cell = |item: &Value, name: &str| {
         let value = item.get(name).unwrap_or(&Value::Null);
-        field(name, value).unwrap_or_default()
+        inline_field(name, value).unwrap_or_default()
     };
     let head = names.iter().map(|name| label(name)).collect();
     let body = items
@@ -127,37 +127,37 @@
 }
 
 /// End of the names of times.
-const MILLIS: &str = "_ms";
+const MS_SUFFIX: &str = "_ms";
 /// Least milliseconds that are a time of day, not a length of time: half a century.
-const EPOCH: u64 = 50 * 365 * 24 * 3_600_000;
+const MIN_TIMESTAMP_MS: u64 = 50 * 365 * 24 * 3_600_000;
 
 /// Returns a name as people read it.
 fn label(name: &str) -> Box<str> {
-    let name = name.strip_suffix(MILLIS).unwrap_or(name);
-    plain(&name.replace('_', " "))
+    let name = name.strip_suffix(MS_SUFFIX).unwrap_or(name);
+    mask_controls(&name.replace('_', " "))
 }
 
 /// Returns a named value that fits on a line; times get their unit.
-fn field(name: &str, value: &Value) -> Option<Box<str>> {
-    match value.as_u64().filter(|_| name.ends_with(MILLIS)) {
-        Some(millis) if millis >= EPOCH => Some(units::show_utc(millis)),
+fn inline_field(name: &str, value: &Value) -> Option<Box<str>> {
+    match value.as_u64().filter(|_| name.ends_with(MS_SUFFIX)) {
+        Some(millis) if millis >= MIN_TIMESTAMP_MS => Some(units::show_utc(millis)),
         Some(millis) => Some(format!("{millis} ms").into()),
-        None => leaf(value),
+        None => inline_value(value),
     }
 }
 
 /// Returns a value that fits on a line; `None` for objects and for lists of them.
-fn leaf(value: &Value) -> Option<Box<str>> {
+fn inline_value(value: &Value) -> Option<Box<str>> {
     match value {
         Value::Null => Some("-".into()),
         Value::Bool(true) => Some("yes".into()),
         Value::Bool(false) => Some("no".into()),
         Value::Number(number) => Some(number.to_string().into()),
         Value::String(text) if text.is_empty() => Some("-".into()),
-        Value::String(text) => Some(plain(text)),
+        Value::String(text) => Some(mask_controls(text)),
         Value::Array(items) if items.is_empty() => Some("none".into()),
         Value::Array(items) if items.iter().all(Value::is_string) => {
-            let items: Vec<_> = items.iter().filter_map(leaf).collect();
+            let items: Vec<_> = items.iter().filter_map(inline_value).collect();
             Some(items.join(", ").into())
         }
         Value::Array(_) | Value::Object(_) => None,
@@ -168,14 +168,14 @@
 ///
 /// Explanations hold what callers sent; an escape sequence in it would otherwise reach the support
 /// engineer's terminal and could hide or change lines.
-fn plain(text: &str) -> Box<str> {
+fn mask_controls(text: &str) -> Box<str> {
     let shown = |c: char| if c.is_control() { '\u{fffd}' } else { c };
     text.chars().map(shown).collect::<String>().into()
 }
 
 /// What a message on standard error is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tone {
+pub enum Severity {
     /// The command failed.
     Error,
     /// The command goes on.
@@ -183,10 +183,10 @@
 }
 
 /// Prints a message to standard error, its first word coloured on a terminal.
-pub fn complain(tone: Tone, message: &str) {
+pub fn print_message(tone: Severity, message: &str) {
     let (word, colour) = match tone {
-        Tone::Error => ("error", "\x1b[1;31m"),
-        Tone::Warning => ("warning", "\x1b[1;33m"),
+        Severity::Error => ("error", "\x1b[1;31m"),
+        Severity::Warning => ("warning", "\x1b[1;33m"),
     };
     if stderr().is_terminal() {
         eprintln!("{colour}{word}\x1b[0m: {message}");
@@ -200,7 +200,7 @@
 /// # Errors
 ///
 /// Returns the error of the write.
-pub fn say(text: &str) -> io::Result<()> {
+pub fn print(text: &str) -> io::Result<()> {
     let mut out = stdout().lock();
     let line_end = if text.ends_with('\n') { "" } else { "\n" };
     let done = write!(out, "{text}{line_end}").and_then(|()| out.flush());
--- a/src/run.rs
+++ b/src/run.rs
@@ -27,13 +27,13 @@
 use crate::web;
 
 /// Exit code of a host that a second signal ended before its planned stop was complete.
-const ENDED_BY_SIGNAL: i32 = 130;
+const EXIT_SECOND_SIGNAL: i32 = 130;
 /// Time between two looks at the settings file.
-const REREAD: Duration = Duration::from_secs(5);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 /// Fixed time of a stand-in engine's step.
-const STEP: Duration = Duration::from_millis(5);
+const ENGINE_STEP_TIME: Duration = Duration::from_millis(5);
 /// How much faster a stand-in engine imports a prompt token's KV cache than it prefills it.
-const IMPORT_GAIN: u32 = 20;
+const IMPORT_SPEEDUP: u32 = 20;
 
 /// Why a command failed.
 #[derive(Debug, Snafu)]
@@ -73,7 +73,7 @@
     },
     /// Standard input or output failed.
     #[snafu(display("cannot use standard input or output: {source}"))]
-    Stream {
+    Stdio {
         /// What the system says.
         source: io::Error,
     },
@@ -127,15 +127,15 @@
 /// Returns why it failed, in words that tell the user what to do.
 pub fn run(command: Command) -> Result<(), RunError> {
     match command {
-        Command::Help(text) => output::say(&text).context(StreamSnafu),
-        Command::Version => output::say(VERSION).context(StreamSnafu),
-        Command::Hash => hash(),
-        Command::Check(options) => check(&options),
+        Command::Help(text) => output::print(&text).context(StdioSnafu),
+        Command::Version => output::print(VERSION).context(StdioSnafu),
+        Command::Hash => hash_key(),
+        Command::Check(options) => check_settings(&options),
         Command::List(options) => Ok(block_on(operate::list(options))?),
         Command::Explain(options) => Ok(block_on(operate::explain(options))?),
         Command::Status(options) => Ok(block_on(operate::status(options))?),
-        Command::Host(options) => serve(&options),
-        Command::Standin(options) => block_on(stand_in(options)),
+        Command::Host(options) => run_host(&options),
+        Command::Standin(options) => block_on(run_standin(options)),
         Command::Try(options) => Ok(block_on(trial::run(options))?),
         Command::Load(options) => Ok(block_on(load::run(options))?),
     }
@@ -172,37 +172,37 @@
 }
 
 /// Runs a host until a planned stop is complete.
-fn serve(options: &HostOptions) -> Result<(), RunError> {
+fn run_host(options: &HostOptions) -> Result<(), RunError> {
     let path = options.config.clone();
     block_on(async move {
         let Signals { term, int, hup } = Signals::listen().context(SignalsSnafu)?;
         let mut settings = read_settings(&path)?;
-        logs::start(&settings.log)?;
+        logs::init(&settings.log)?;
         let (stop, stopped) = watch::channel(false);
-        ntex::rt::spawn(stop_at(term, int, stop));
+        ntex::rt::spawn(handle_stop_signals(term, int, stop));
         if settings.relay.is_some() {
             let (tx, reloads) = mpsc::channel(1);
-            ntex::rt::spawn(reread(path, hup, tx));
+            ntex::rt::spawn(reload_settings(path, hup, tx));
             return Ok(host::run_relay(settings, stopped, reloads).await?);
         }
         let listeners = Listeners::open(&mut settings).await?;
         let host = &settings.host;
-        output::say(&format!(
+        output::print(&format!(
             "{}: callers {}, operators {}, peers {}",
             host.name, host.callers, host.operators, host.peers
         ))
-        .context(StreamSnafu)?;
+        .context(StdioSnafu)?;
         Ok(host::run(settings, listeners, stopped).await?)
     })
 }
 
 /// Reads the settings again at SIGHUP, and now and then since they may change without one.
-async fn reread(path: PathBuf, mut hup: Signal, tx: mpsc::Sender<Settings>) {
+async fn reload_settings(path: PathBuf, mut hup: Signal, tx: mpsc::Sender<Settings>) {
     let mut before = fs::read_to_string(&path).unwrap_or_default();
     loop {
         tokio::select! {
             _ = hup.recv() => {}
-            () = tokio::time::sleep(REREAD) => {}
+            () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         let text = match fs::read_to_string(&path) {
             Ok(text) if text != before => text,
@@ -229,7 +229,7 @@
 }
 
 /// Begins a planned stop at the first signal and ends the process at the second.
-async fn stop_at(mut term: Signal, mut int: Signal, stop: watch::Sender<bool>) {
+async fn handle_stop_signals(mut term: Signal, mut int: Signal, stop: watch::Sender<bool>) {
     let mut count = 0;
     loop {
         tokio::select! {
@@ -238,7 +238,7 @@
         }
         count += 1;
         if count > 1 {
-            std::process::exit(ENDED_BY_SIGNAL);
+            std::process::exit(EXIT_SECOND_SIGNAL);
         }
         stop.send_replace(true);
     }
@@ -248,7 +248,7 @@
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     parse_settings(&text, &path.display().to_string()).map_err(|faults| {
         for fault in &faults {
-            output::complain(output::Tone::Error, &fault.to_string());
+            output::print_message(output::Severity::Error, &fault.to_string());
         }
         RunError::Faults {
             count: faults.len(),
@@ -266,14 +266,14 @@
 }
 
 /// Runs a stand-in until it is ended.
-async fn stand_in(options: StandinOptions) -> Result<(), RunError> {
+async fn run_standin(options: StandinOptions) -> Result<(), RunError> {
     let addr = options.listen;
     let listener = web::listen(addr).await.context(ListenSnafu { addr })?;
     let addr = listener.local_addr().context(ListenSnafu { addr })?;
     if let Some(list) = options.register {
         register(&options, list, addr).await?;
     }
-    output::say(&format!("{} listens on {addr}", options.name)).context(StreamSnafu)?;
+    output::print(&format!("{} listens on {addr}", options.name)).context(StdioSnafu)?;
     match options.kind {
         StandinKind::Hop => {
             let target = options.target.context(NoTargetSnafu)?;
@@ -333,11 +333,11 @@
     let pace = match options.pace {
         Pace::Instant => engine::Pace::Instant,
         Pace::Modelled => engine::Pace::Steps(engine::Costs {
-            base: STEP,
-            prefill: options.prefill,
+            base: ENGINE_STEP_TIME,
+            prefill: options.prefill_cost,
             // The option is the cost of a full batch; the stand-in counts each answer.
-            decode: options.decode / u32::try_from(options.slots).unwrap_or(u32::MAX),
-            import: options.prefill / IMPORT_GAIN,
+            decode: options.decode_cost / u32::try_from(options.slots).unwrap_or(u32::MAX),
+            import: options.prefill_cost / IMPORT_SPEEDUP,
             speed: options.speed,
         }),
     };
@@ -354,21 +354,21 @@
         crash: engine::Crash::Exit,
         ..engine::Options::default()
     };
-    engine.cache.piece = options.piece as u64;
+    engine.cache.piece = options.block_tokens as u64;
     engine
 }
 
 /// Reads a key, without the line end, and prints its hash.
-fn hash() -> Result<(), RunError> {
-    let text = io::read_to_string(io::stdin()).context(StreamSnafu)?;
+fn hash_key() -> Result<(), RunError> {
+    let text = io::read_to_string(io::stdin()).context(StdioSnafu)?;
     match text.trim() {
         "" => NoKeySnafu.fail(),
-        key => output::say(&KeyHash::of(key).to_string()).context(StreamSnafu),
+        key => output::print(&KeyHash::of(key).to_string()).context(StdioSnafu),
     }
 }
 
 /// Checks settings files and prints every fault of each.
-fn check(options: &CheckOptions) -> Result<(), RunError> {
+fn check_settings(options: &CheckOptions) -> Result<(), RunError> {
     let mut count = 0;
     for path in &options.files {
         let text = fs::read_to_string(path).context(ReadSnafu {
@@ -377,10 +377,10 @@
         let file = path.display().to_string();
         let faults = parse_settings(&text, &file).err().unwrap_or_default();
         for fault in &faults {
-            output::say(&fault.to_string()).context(StreamSnafu)?;
+            output::print(&fault.to_string()).context(StdioSnafu)?;
         }
         if faults.is_empty() {
-            output::say(&format!("{file}: no fault")).context(StreamSnafu)?;
+            output::print(&format!("{file}: no fault")).context(StdioSnafu)?;
         }
         count += faults.len();
     }
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -109,7 +109,7 @@
         fencing: section.read("fencing", Fencing::from_word),
         first_token: time(section, "first-token"),
         between: time(section, "between"),
-        split: section.read("split", units::yes),
+        split: section.read("split", units::boolean),
         goodput: section.read("goodput", units::number),
         change: section.read("change", units::number),
         prefill: section.read("prefill", units::number),
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -207,7 +207,7 @@
     let store = one(sections, "store");
     let bounds = one(sections, "bounds");
     let policy = one(sections, "policy");
-    let time = |section: &Section, key: &str| section.read(key, units::span);
+    let time = |section: &Section, key: &str| section.read(key, units::fractional_time);
     let number = |section: &Section, key: &str| section.read(key, units::number);
     let addr = |section: &Section, key: &str| section.read(key, form::address);
     Settings {
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -109,7 +109,7 @@
 }
 
 /// Opens a listener on loopback with a port of the kernel's choice.
-fn listener() -> (StdListener, SocketAddr) {
+fn bind_loopback() -> (StdListener, SocketAddr) {
     let listener = StdListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback can be bound");
     listener
         .set_nonblocking(true)
@@ -120,7 +120,7 @@
     (listener, addr)
 }
 
-fn adopt(listener: StdListener) -> TcpListener {
+fn into_tokio(listener: StdListener) -> TcpListener {
     TcpListener::from_std(listener).expect("the listener is non-blocking")
 }
 
@@ -149,7 +149,7 @@
     /// with faults.
     #[must_use]
     pub fn start(options: Options) -> Self {
-        let (kv_listener, kv) = listener();
+        let (kv_listener, kv) = bind_loopback();
         let mut site = Self {
             hosts: Vec::new(),
             kv,
@@ -165,7 +165,7 @@
             site.add_service(at);
         }
         let opts = site.options.kv.clone().hosts(site.list.clone());
-        spawn("kv", move || kv::run(adopt(kv_listener), opts));
+        spawn("kv", move || kv::run(into_tokio(kv_listener), opts));
         for at in 0..site.options.hosts {
             site.add_host(&format!("host-{}", at + 1));
         }
@@ -173,7 +173,7 @@
     }
 
     fn add_engine(&mut self, at: usize) {
-        let (listener, addr) = listener();
+        let (listener, addr) = bind_loopback();
         let name = format!("{MODEL}-{}", at + 1);
         let mut opts = self.options.engine.clone();
         opts.name = name.as_str().into();
@@ -182,21 +182,21 @@
             Fencing::Checks => engine::Fencing::Checks,
             Fencing::Ignores => engine::Fencing::Ignores,
         };
-        spawn(&name, move || engine::run(adopt(listener), opts));
+        spawn(&name, move || engine::run(into_tokio(listener), opts));
         self.list
-            .push(entry(&name, HostKind::Engine, MODEL, addr, at));
+            .push(list_entry(&name, HostKind::Engine, MODEL, addr, at));
         self.engines.push(addr);
     }
 
     fn add_service(&mut self, at: usize) {
-        let (listener, addr) = listener();
+        let (listener, addr) = bind_loopback();
         let name = format!("{SERVICE}-{}", at + 1);
         let opts = service::Options {
             name: SERVICE.into(),
         };
-        spawn(&name, move || service::run(adopt(listener), opts));
+        spawn(&name, move || service::run(into_tokio(listener), opts));
         self.list
-            .push(entry(&name, HostKind::Service, SERVICE, addr, at));
+            .push(list_entry(&name, HostKind::Service, SERVICE, addr, at));
         self.services.push(addr);
     }
 
@@ -215,16 +215,20 @@
                 lines.join("; ")
             )
         });
-        let (callers, callers_addr) = listener();
-        let (operators, operators_addr) = listener();
-        let (peers, peers_addr) = listener();
+        let (callers, callers_addr) = bind_loopback();
+        let (operators, operators_addr) = bind_loopback();
+        let (peers, peers_addr) = bind_loopback();
         settings.host.callers = callers_addr;
         settings.host.operators = operators_addr;
         settings.host.peers = peers_addr;
         let (stop, stopped) = watch::channel(false);
         let own = settings.clone();
         let thread = spawn(name, move || async move {
-            let listeners = Listeners::from_parts(adopt(callers), adopt(operators), adopt(peers));
+            let listeners = Listeners::from_parts(
+                into_tokio(callers),
+                into_tokio(operators),
+                into_tokio(peers),
+            );
             if let Err(err) = host::run(own, listeners, stopped).await {
                 log::error!(target: "chiveway::host.failed", "the host cannot run: {err}");
             }
@@ -247,7 +251,7 @@
     ["dk-east-a", "dk-east-b", "dk-east-c"][at % 3]
 }
 
-fn entry(name: &str, kind: HostKind, pool: &str, addr: SocketAddr, at: usize) -> HostEntry {
+fn list_entry(name: &str, kind: HostKind, pool: &str, addr: SocketAddr, at: usize) -> HostEntry {
     HostEntry {
         name: name.into(),
         kind,
--- a/src/trial.rs
+++ b/src/trial.rs
@@ -14,15 +14,15 @@
 use crate::standin::engine::expected;
 
 /// Time the hosts have to be ready.
-const READY_TIME: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time between two looks whether a host is ready.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time a record has to reach another host.
-const TOLD_TIME: Duration = Duration::from_secs(5);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Prompt of the request that is tried.
 const PROMPT: &str = "What does the funder still expect of us before the cutoff?";
 /// Tokens that are asked for.
-const TOKENS: u64 = 24;
+const OUTPUT_TOKENS: u64 = 24;
 
 /// Why a trial failed.
 #[derive(Debug, Snafu)]
@@ -37,7 +37,7 @@
     },
     /// A call got an answer that it should not get.
     #[snafu(display("{what} was answered with {status}: {body}"))]
-    Wrong {
+    UnexpectedStatus {
         /// What was asked.
         what: Box<str>,
         /// Status of the answer.
@@ -53,7 +53,7 @@
     },
     /// An answer is not the one that belongs to the request.
     #[snafu(display("{what} is not what it should be: {found}"))]
-    Differs {
+    Mismatch {
         /// What was compared.
         what: Box<str>,
         /// What was found.
@@ -86,36 +86,37 @@
         .context(NoClientSnafu)?;
     prepare(&client, &site).await?;
     if options.once {
-        return once(&client, &site).await;
+        return run_once(&client, &site).await;
     }
-    show(&site)?;
+    print_instructions(&site)?;
     // Runs until it is interrupted.
     std::future::pending().await
 }
 
-fn say(text: &str) -> Result<(), TrialError> {
-    output::say(text).context(OutputSnafu)
+fn print(text: &str) -> Result<(), TrialError> {
+    output::print(text).context(OutputSnafu)
 }
 
-fn show(site: &Site) -> Result<(), TrialError> {
+fn print_instructions(site: &Site) -> Result<(), TrialError> {
     for host in &site.hosts {
         let host = &host.settings.host;
-        say(&format!(
+        print(&format!(
             "{:<8}  callers http://{}  operators http://{}",
             host.name, host.callers, host.operators
         ))?;
     }
-    say(&format!("operators' key: {OPERATOR_KEY}"))?;
+    print(&format!("operators' key: {OPERATOR_KEY}"))?;
     let Some(first) = site.hosts.first() else {
         return Ok(());
     };
     let callers = first.settings.host.callers;
-    let body = json!({"model": MODEL, "prompt": PROMPT, "max_tokens": TOKENS, "stream": true});
-    say("\nAsk for a completion:\n")?;
-    say(&format!(
+    let body =
+        json!({"model": MODEL, "prompt": PROMPT, "max_tokens": OUTPUT_TOKENS, "stream": true});
+    print("\nAsk for a completion:\n")?;
+    print(&format!(
         "curl -N http://{callers}/v1/completions -H 'Authorization: Bearer {CUSTOMER_KEY}' -d '{body}'"
     ))?;
-    say("\nThe x-request-id header of the answer (curl -i) names it for `chiveway explain`.")
+    print("\nThe x-request-id header of the answer (curl -i) names it for `chiveway explain`.")
 }
 
 /// Puts the lists in force and waits until every host is ready.
@@ -162,10 +163,10 @@
 {
     let looks = async {
         while look().await.is_none() {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(READY_TIME, looks)
+    tokio::time::timeout(READY_TIMEOUT, looks)
         .await
         .map_err(|_late| TrialError::NotReady { addr })
 }
@@ -175,7 +176,7 @@
     let body = String::from_utf8_lossy(&answer.body);
     ensure!(
         answer.status == 200,
-        WrongSnafu {
+        UnexpectedStatusSnafu {
             what,
             status: answer.status,
             body,
@@ -216,11 +217,12 @@
 }
 
 /// Sends one streamed request and one call that may not repeat, and checks both.
-async fn once(client: &Client, site: &Site) -> Result<(), TrialError> {
+async fn run_once(client: &Client, site: &Site) -> Result<(), TrialError> {
     let callers = |at: usize| site.hosts[at % site.hosts.len()].settings.host.callers;
     let key = format!("Bearer {CUSTOMER_KEY}");
 
-    let body = json!({"model": MODEL, "prompt": PROMPT, "max_tokens": TOKENS, "stream": true});
+    let body =
+        json!({"model": MODEL, "prompt": PROMPT, "max_tokens": OUTPUT_TOKENS, "stream": true});
     let call = Call {
         method: "POST",
         addr: callers(0),
@@ -232,20 +234,20 @@
         body: body.to_string().into(),
     };
     let answer = send(client, "a streamed completion", call).await?;
-    let text = stream_text(&answer.body).context(DiffersSnafu {
+    let text = stream_text(&answer.body).context(MismatchSnafu {
         what: "the stream",
         found: "an answer without its end marker",
     })?;
-    let wanted = expected(MODEL, PROMPT, TOKENS);
+    let wanted = expected(MODEL, PROMPT, OUTPUT_TOKENS);
     ensure!(
         text == wanted,
-        DiffersSnafu {
+        MismatchSnafu {
             what: "the answer",
             found: text,
         }
     );
-    say(&format!("Answer of {TOKENS} tokens:\n{text}\n"))?;
-    told(client, site, &answer, "host-1").await?;
+    print(&format!("Answer of {OUTPUT_TOKENS} tokens:\n{text}\n"))?;
+    check_explanation(client, site, &answer, "host-1").await?;
 
     let call = Call {
         method: "POST",
@@ -262,13 +264,13 @@
     let echo: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     ensure!(
         echo["count"] == 1,
-        DiffersSnafu {
+        MismatchSnafu {
             what: "the count of the extension request",
             found: echo.to_string(),
         }
     );
-    say(&format!("\nAnswer of the service:\n{echo}\n"))?;
-    told(client, site, &answer, "host-2").await
+    print(&format!("\nAnswer of the service:\n{echo}\n"))?;
+    check_explanation(client, site, &answer, "host-2").await
 }
 
 /// Returns the text of a streamed answer; `None` without its end marker.
@@ -292,7 +294,7 @@
 }
 
 /// Checks the explanation of a request, as read from another host than the one that served it.
-async fn told(
+async fn check_explanation(
     client: &Client,
     site: &Site,
     answer: &Answer,
@@ -303,7 +305,7 @@
         .iter()
         .find(|(name, _)| &**name == "x-request-id")
         .map(|(_, id)| id.clone())
-        .context(DiffersSnafu {
+        .context(MismatchSnafu {
             what: "the answer",
             found: "no x-request-id",
         })?;
@@ -311,7 +313,7 @@
         .hosts
         .iter()
         .rfind(|host| &*host.settings.host.name != served)
-        .context(DiffersSnafu {
+        .context(MismatchSnafu {
             what: "the deployment",
             found: "no other host; give --hosts 2 or more",
         })?;
@@ -326,24 +328,24 @@
             if record["outcome"] == "answered" {
                 return record;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let record = tokio::time::timeout(TOLD_TIME, look)
+    let record = tokio::time::timeout(RECORD_TIMEOUT, look)
         .await
         .ok()
-        .context(DiffersSnafu {
+        .context(MismatchSnafu {
             what: "the explanation",
             found: "no finished record in time",
         })?;
     ensure!(
         record["host"] == served && record["customer"] == site::CUSTOMER,
-        DiffersSnafu {
+        MismatchSnafu {
             what: "the explanation",
             found: record.to_string(),
         }
     );
-    say(&format!(
+    print(&format!(
         "Explained by {} for {id}, served by {served}:\n{record:#}",
         other.settings.host.name
     ))
--- a/src/units/mod.rs
+++ b/src/units/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Time units, largest first: suffix and nanoseconds.
-const TIMES: [(&str, u64); 5] = [
+const TIME_UNITS: [(&str, u64); 5] = [
     ("h", 3_600_000_000_000),
     ("m", 60_000_000_000),
     ("s", 1_000_000_000),
@@ -15,7 +15,7 @@
 ];
 
 /// Size units, largest first: suffix and bytes.
-const SIZES: [(&str, u64); 4] = [
+const SIZE_UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
     ("KiB", 1 << 10),
@@ -23,21 +23,21 @@
 ];
 
 /// Suffix of a rate.
-const PER_SECOND: &str = "/s";
+const RATE_SUFFIX: &str = "/s";
 
 /// Reads a time such as `250ms` or `14s`; the units are `us`, `ms`, `s`, `m` and `h`.
 #[must_use]
 pub fn time(text: &str) -> Option<Duration> {
-    whole(text, &TIMES).map(Duration::from_nanos)
+    value_with_unit(text, &TIME_UNITS).map(Duration::from_nanos)
 }
 
 /// Reads a time that a program worked out, such as `5.1s`; the units are those of [`time`].
 #[must_use]
-pub fn span(text: &str) -> Option<Duration> {
+pub fn fractional_time(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let (value, suffix) = text.split_at(split);
     let suffix = suffix.trim_start();
-    let (_, scale) = TIMES.iter().find(|(unit, _)| *unit == suffix)?;
+    let (_, scale) = TIME_UNITS.iter().find(|(unit, _)| *unit == suffix)?;
     Duration::try_from_secs_f64(number(value)? * *scale as f64 / 1e9).ok()
 }
 
@@ -47,7 +47,7 @@
 #[must_use]
 pub fn show_time(time: Duration) -> Box<str> {
     let nanos = u64::try_from(time.as_nanos()).unwrap_or(u64::MAX);
-    show(nanos - nanos % 1_000, &TIMES, "s")
+    show_with_unit(nanos - nanos % 1_000, &TIME_UNITS, "s")
 }
 
 /// Writes a time of day in UTC, given in milliseconds since 1970.
@@ -64,10 +64,10 @@
 ///
 /// Counts in years that start in March, so that the leap day comes last, and in eras of 400 years.
 fn date(days: u64) -> (u64, u64, u64) {
-    const ERA: u64 = 146_097;
-    const MARCH_OF_YEAR_0: u64 = 719_468;
-    let days = days + MARCH_OF_YEAR_0;
-    let (era, day) = (days / ERA, days % ERA);
+    const DAYS_PER_ERA: u64 = 146_097;
+    const DAYS_BEFORE_1970: u64 = 719_468;
+    let days = days + DAYS_BEFORE_1970;
+    let (era, day) = (days / DAYS_PER_ERA, days % DAYS_PER_ERA);
     let year = (day - day / 1_460 + day / 36_524 - day / 146_096) / 365;
     let day = day - (365 * year + year / 4 - year / 100);
     let month = (5 * day + 2) / 153;
@@ -83,25 +83,25 @@
 /// Reads a size such as `64MiB`; the units are `B`, `KiB`, `MiB` and `GiB`.
 #[must_use]
 pub fn size(text: &str) -> Option<usize> {
-    whole(text, &SIZES).and_then(|size| usize::try_from(size).ok())
+    value_with_unit(text, &SIZE_UNITS).and_then(|size| usize::try_from(size).ok())
 }
 
 /// Writes a size in the largest unit that needs no fraction.
 #[must_use]
 pub fn show_size(size: usize) -> Box<str> {
-    show(size as u64, &SIZES, "B")
+    show_with_unit(size as u64, &SIZE_UNITS, "B")
 }
 
 /// Reads a rate such as `50/s` or `0.5/s`, in events a second.
 #[must_use]
 pub fn rate(text: &str) -> Option<f64> {
-    number(text.strip_suffix(PER_SECOND)?.trim_end())
+    number(text.strip_suffix(RATE_SUFFIX)?.trim_end())
 }
 
 /// Writes a rate so that [`rate`] reads the same value back.
 #[must_use]
 pub fn show_rate(rate: f64) -> Box<str> {
-    format!("{rate}{PER_SECOND}").into()
+    format!("{rate}{RATE_SUFFIX}").into()
 }
 
 /// Reads a decimal number of digits with at most one point; no sign, no exponent.
@@ -123,7 +123,7 @@
 
 /// Reads `yes` or `no`.
 #[must_use]
-pub fn yes(text: &str) -> Option<bool> {
+pub fn boolean(text: &str) -> Option<bool> {
     match text {
         "yes" => Some(true),
         "no" => Some(false),
@@ -139,7 +139,7 @@
 }
 
 /// Reads a whole number followed by one of `units`; `None` also where it overflows.
-fn whole(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+fn value_with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
     let (value, suffix) = text.split_at(split);
     let suffix = suffix.trim_start();
@@ -147,7 +147,7 @@
     digits(value)?.checked_mul(*scale)
 }
 
-fn show(value: u64, units: &[(&str, u64)], zero: &str) -> Box<str> {
+fn show_with_unit(value: u64, units: &[(&str, u64)], zero: &str) -> Box<str> {
     let fits = |(_, scale): &&(&str, u64)| value >= *scale && value.is_multiple_of(*scale);
     match units.iter().find(fits) {
         Some((unit, scale)) => format!("{}{unit}", value / scale).into(),
