--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! Every command and option, with its form, its default and its help.
+//! All commands and options, with their forms, defaults and help texts.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     pub name: &'static str,
     /// Name of the value in help; empty for a switch.
     pub value: &'static str,
-    /// What the value may be.
+    /// Form of the value.
     pub form: Form,
     /// Value where the option is absent.
     pub default: Option<&'static str>,
@@ -24,7 +24,7 @@
 pub struct CommandSpec {
     /// Words that select the command.
     pub words: &'static str,
-    /// Arguments that are not options.
+    /// Positional arguments as shown in the usage; empty for none.
     pub positional: &'static str,
     /// What the command does.
     pub about: &'static str,
@@ -34,11 +34,11 @@
 
 const ANY_TIME: Form = Form::Time(Duration::ZERO, Duration::from_hours(1));
 const ANY_COUNT: Form = Form::Count(1, 1_000_000_000);
-/// A revision is a number that the hosts gave out.
+/// Hosts assign revisions, so no number is ruled out.
 const REVISION_RANGE: Form = Form::Count(0, usize::MAX);
-/// More hosts than this in one process are no trial.
+/// Most hosts of `try`, which runs them all in one process.
 const MAX_TRIAL_HOSTS: usize = 16;
-/// Slowest and fastest engine against one of nominal speed.
+/// Slowest and fastest engine, relative to a nominal one.
 const SPEED_RANGE: Form = Form::Number(0.01, 100.0);
 
 const fn opt(
@@ -117,7 +117,7 @@
     "N",
     SPEED_RANGE,
     Some("1"),
-    "speed against a nominal engine",
+    "speed relative to a nominal engine",
 );
 /// `--prefill-cost`
 pub const PREFILL_COST: Opt = opt(
@@ -141,7 +141,7 @@
     "N",
     ANY_COUNT,
     Some("16"),
-    "streams decoded at once",
+    "streams decoded concurrently",
 );
 /// `--piece`
 pub const PIECE: Opt = opt(
@@ -149,7 +149,7 @@
     "N",
     ANY_COUNT,
     Some("2000"),
-    "tokens in one piece of the prefix cache",
+    "tokens in one block of the prefix cache",
 );
 /// `--lag`
 pub const LAG: Opt = opt(
@@ -157,14 +157,14 @@
     "TIME",
     ANY_TIME,
     Some("0s"),
-    "age of what is reported",
+    "age of the reported state",
 );
 /// `--instant`
 pub const INSTANT: Opt = switch("--instant", "answer without the modelled costs");
 /// `--once`
 pub const ONCE: Opt = switch(
     "--once",
-    "send one request and one call, check both and their explanations, and end",
+    "send one request and one call, check both and their explanations, and exit",
 );
 /// `--hosts`
 pub const HOSTS: Opt = opt(
@@ -198,7 +198,7 @@
     "N",
     REVISION_RANGE,
     None,
-    "revision the edit started from; without it the comment that edit left in the file",
+    "revision the edit is based on; without it the one in the comment that edit wrote",
 );
 /// `--wait`
 pub const WAIT: Opt = switch(
@@ -221,7 +221,7 @@
     "IP:PORT",
     Form::Address,
     None,
-    "where requests are passed on to",
+    "address that requests are forwarded to",
 );
 /// `--pool`
 pub const POOL: Opt = opt(
@@ -229,16 +229,10 @@
     "NAME",
     Form::Word,
     None,
-    "pool or service it is listed under; without it the model or the name",
+    "pool or service to register under; without it the model or the name",
 );
 /// `--key`
-pub const KEY: Opt = opt(
-    "--key",
-    "KEY",
-    Form::Text,
-    None,
-    "key of a customer made for trials",
-);
+pub const KEY: Opt = opt("--key", "KEY", Form::Text, None, "key of a test customer");
 /// `--requests`
 pub const REQUESTS: Opt = opt(
     "--requests",
@@ -253,7 +247,7 @@
     "N",
     Form::Count(1, 10_000),
     Some("8"),
-    "requests open at once",
+    "concurrent requests",
 );
 /// `--prompt-tokens`
 pub const PROMPT_TOKENS: Opt = opt(
@@ -272,7 +266,7 @@
     "tokens of each answer",
 );
 /// `--stream`
-pub const STREAM: Opt = switch("--stream", "ask for streamed answers");
+pub const STREAM: Opt = switch("--stream", "request streamed answers");
 
 /// `--first`
 pub const FIRST: Opt = opt(
@@ -280,7 +274,7 @@
     "TIME",
     ANY_TIME,
     Some("780ms"),
-    "time to the first token of an answer that counts as good",
+    "longest time to first token of an answer that counts as good",
 );
 /// `--between`
 pub const BETWEEN: Opt = opt(
@@ -288,7 +282,7 @@
     "TIME",
     ANY_TIME,
     Some("49ms"),
-    "time between tokens, for 95 in 100, of an answer that counts as good",
+    "longest time between tokens, at the 95th percentile, of an answer that counts as good",
 );
 
 const ACCESS_OPTIONS: &[&Opt] = &[&OPERATORS, &KEY_FILE];
@@ -338,7 +332,7 @@
     }
 }
 
-/// Every command, in the order of the help.
+/// All commands, in the order of the help.
 pub const COMMANDS: &[CommandSpec] = &[
     command("host", "", &[&CONFIG], "Runs one host"),
     command(
@@ -399,7 +393,7 @@
         "use diff",
         "",
         FILE_OPTIONS,
-        "Shows how a file differs from the uses in force",
+        "Shows how a file differs from the list of what plans may use in force",
     ),
     command(
         "use apply",
@@ -411,7 +405,7 @@
         "explain",
         "ID",
         QUERY_OPTIONS,
-        "Tells what became of a request, and why",
+        "Explains how a request was handled, and why",
     ),
     command(
         "status",
@@ -453,7 +447,7 @@
         "standin hop",
         "",
         &[&LISTEN, &HOP_TARGET],
-        "Passes requests on as they are, to compare with, for trials",
+        "Forwards requests unchanged, as a baseline, for trials",
     ),
     command(
         "load",
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -1,4 +1,4 @@
-//! Help texts, written from the table of commands.
+//! Help texts, generated from the table of commands.
 
 use std::fmt::Write as _;
 
@@ -7,7 +7,7 @@
 use crate::{lists, settings};
 
 const INTRO: &str = "\
-Serves language-model requests from a fixed fleet of engines and explains what became of each.
+Routes language-model requests to a fixed fleet of engines and explains how each was handled.
 
 Usage: chiveway COMMAND [OPTIONS]
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns the commands that start with `words`, all where it is empty.
+/// Returns the commands whose names continue `words`; all of them where it is empty.
 pub(super) fn commands_with_prefix(words: &str) -> impl Iterator<Item = &'static CommandSpec> {
     COMMANDS.iter().filter(move |command| {
         let rest = command.words.strip_prefix(words);
@@ -44,9 +44,9 @@
 }
 
 fn command_help(command: &CommandSpec) -> Box<str> {
-    let rest = match command.positional {
+    let positional = match command.positional {
         "" => String::new(),
-        rest => format!(" {rest}"),
+        usage => format!(" {usage}"),
     };
     let rows = command
         .opts
@@ -57,7 +57,7 @@
         ["--version".into(), "Print the version".into()],
     ];
     format!(
-        "{}.\n\nUsage: chiveway {}{rest} [OPTIONS]\n\nOptions:\n{}{}",
+        "{}.\n\nUsage: chiveway {}{positional} [OPTIONS]\n\nOptions:\n{}{}",
         command.about,
         command.words,
         columns(rows.chain(common)),
@@ -78,12 +78,12 @@
     for kind in kinds {
         let rows = kind.keys.iter().map(|key| {
             let about = describe(key.about, key.default);
-            let need = if key.default.is_none() {
+            let required = if key.default.is_none() {
                 " [required]"
             } else {
                 ""
             };
-            [key.key.into(), format!("{about}{need}").into()]
+            [key.key.into(), format!("{about}{required}").into()]
         });
         let _ = write!(text, "\n{}\n{}", kind.header(), columns(rows));
     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns what something is for, starting with a capital, and its default.
+/// Returns a description that starts with a capital, followed by the default value.
 fn describe(about: &str, default: Option<&str>) -> Box<str> {
     let (first, rest) = about.split_at(1);
     let about = format!("{}{rest}", first.to_ascii_uppercase());
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Command line: one closed list of commands, each with its checked options.
+//! Command line: the commands, each with its validated options.
 
 pub mod commands;
 mod help;
@@ -17,10 +17,10 @@
 
 use crate::settings::Fencing;
 
-/// A command as given.
+/// A parsed command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Print this help.
+    /// Print this help text.
     Help(Box<str>),
     /// Print the version.
     Version,
@@ -30,9 +30,9 @@
     Standin(StandinOptions),
     /// Run hosts and stand-ins in one process.
     Try(TryOptions),
-    /// Work on one of the two lists.
+    /// Read, check or change one of the two lists.
     List(ListOptions),
-    /// Tell what became of a request.
+    /// Explain how a request was handled.
     Explain(ExplainOptions),
     /// Show the state of the deployment.
     Status(StatusOptions),
@@ -51,7 +51,7 @@
     pub config: PathBuf,
 }
 
-/// What a stand-in stands for.
+/// Kind of a stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StandinKind {
     /// The key-value service and the list of hosts.
@@ -60,60 +60,60 @@
     Engine,
     /// A plain service.
     Service,
-    /// A bare pass-through, to compare with.
+    /// A plain forwarder, the baseline of comparisons.
     Hop,
 }
 
-/// Whether a stand-in engine takes the time an engine would.
+/// Whether the steps of a stand-in engine take time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pace {
-    /// Each step takes its modelled cost.
+    /// Each step takes its modelled time.
     Modelled,
     /// Steps take no time.
     Instant,
 }
 
-/// Options of `standin`; those that a kind does not take hold their defaults.
+/// Options of `standin`; those that a kind does not accept hold their defaults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StandinOptions {
-    /// What it stands for.
+    /// Kind.
     pub kind: StandinKind,
-    /// Listener.
+    /// Address to listen on.
     pub listen: SocketAddr,
     /// List of backend servers to register with.
     pub register: Option<SocketAddr>,
     /// Name in the list.
     pub name: Box<str>,
-    /// Pool or service it belongs to in the list; `None` for the model.
+    /// Pool or service to register under; `None` for the model of an engine, else the name.
     pub pool: Option<Box<str>>,
-    /// Where a hop passes requests on to.
+    /// Address that a hop forwards requests to.
     pub target: Option<SocketAddr>,
     /// Model served.
     pub model: Box<str>,
     /// Failure domain.
     pub domain: Box<str>,
-    /// What it does with old fencing numbers.
+    /// Handling of old fencing numbers.
     pub fencing: Fencing,
-    /// Speed against a nominal engine.
+    /// Speed relative to a nominal engine.
     pub speed: f64,
     /// Time to prefill one prompt token.
     pub prefill_cost: Duration,
     /// Time of one decode step of a full batch.
     pub decode_cost: Duration,
-    /// Streams decoded at once.
+    /// Streams decoded concurrently.
     pub slots: usize,
-    /// Tokens in one piece of the prefix cache.
+    /// Tokens in one block of the prefix cache.
     pub block_tokens: usize,
-    /// Age of what is reported.
+    /// Age of the reported state.
     pub lag: Duration,
-    /// Whether costs are modelled.
+    /// Whether steps take their modelled time.
     pub pace: Pace,
 }
 
 /// Options of `try`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TryOptions {
-    /// Send one request and one call, check both, and end.
+    /// Send one request and one call, check both, and exit.
     pub once: bool,
     /// Hosts to run.
     pub hosts: usize,
@@ -129,7 +129,7 @@
 }
 
 impl ListName {
-    /// Returns the word in commands and paths.
+    /// Returns the list's name in commands and paths.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -148,12 +148,12 @@
     }
 }
 
-/// How to reach the operators' listener of a host.
+/// Address and key of a host's operators' listener.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Access {
     /// Operators' listener.
     pub addr: SocketAddr,
-    /// File with the operators' key; `None` for the environment.
+    /// File with the operators' key; `None` to read it from the environment.
     pub key_file: Option<PathBuf>,
 }
 
@@ -164,9 +164,9 @@
     Get(Access),
     /// Fetch it into a file for editing.
     Edit(Access, PathBuf),
-    /// Check a file, against the other list where a host can be asked.
+    /// Check a file; with access to a host also against the other list.
     Check(Option<Access>, PathBuf),
-    /// Show how a file differs from what is in force.
+    /// Show how a file differs from the list in force.
     Diff(Access, PathBuf),
     /// Put a file in force.
     Apply(Access, ApplyOptions),
@@ -177,7 +177,7 @@
 pub struct ApplyOptions {
     /// File of the list.
     pub file: PathBuf,
-    /// Revision the edit started from; `None` for the comment in the file.
+    /// Revision the edit is based on; `None` to read it from the comment in the file.
     pub revision: Option<u64>,
     /// Wait until the new revision is in force on every host.
     pub wait: bool,
@@ -192,12 +192,12 @@
     pub action: Action,
 }
 
-/// Form of an answer.
+/// Format of the output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutputFormat {
     /// Aligned text.
     Text,
-    /// JSON as the host sent it.
+    /// Indented JSON.
     Json,
 }
 
@@ -206,18 +206,18 @@
 pub struct ExplainOptions {
     /// Request id.
     pub id: Box<str>,
-    /// Form of the answer.
+    /// Format of the output.
     pub format: OutputFormat,
-    /// Host to ask.
+    /// Host to query.
     pub access: Access,
 }
 
 /// Options of `status`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StatusOptions {
-    /// Form of the answer.
+    /// Format of the output.
     pub format: OutputFormat,
-    /// Host to ask.
+    /// Host to query.
     pub access: Access,
 }
 
@@ -233,41 +233,41 @@
 pub struct Target {
     /// Name in the table of results.
     pub name: Box<str>,
-    /// Where it listens for callers.
+    /// Callers' listener.
     pub addr: SocketAddr,
 }
 
 /// Options of `load`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadOptions {
-    /// What to send to; requests go to each in turn.
+    /// Targets; requests go to each in turn.
     pub targets: Vec<Target>,
     /// Customer's key.
     pub key: Box<str>,
-    /// Model to ask.
+    /// Model to request.
     pub model: Box<str>,
     /// Requests to send.
     pub requests: usize,
-    /// Requests open at once.
+    /// Concurrent requests.
     pub concurrency: usize,
     /// Tokens of each prompt.
     pub prompt_tokens: usize,
     /// Tokens of each answer.
     pub output_tokens: usize,
-    /// Ask for streamed answers.
+    /// Request streamed answers.
     pub stream: bool,
-    /// Time to the first token of a good answer.
+    /// Longest time to first token of a good answer.
     pub first_token: Duration,
-    /// Time between tokens of a good answer, for 95 in 100.
+    /// Longest time between tokens of a good answer, at the 95th percentile.
     pub token_gap: Duration,
 }
 
-/// A command line that cannot be understood.
+/// An invalid command line.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{problem}\nFor help: chiveway {command}--help"))]
 pub struct UsageError {
     /// What is wrong, and what is allowed.
     pub problem: Box<str>,
-    /// Words of the command with a space after them; empty before any is known.
+    /// Words of the command with a space after them; empty where none is recognized.
     pub command: Box<str>,
 }
--- a/src/cli/parse.rs
+++ b/src/cli/parse.rs
@@ -1,4 +1,4 @@
-//! Arguments into commands.
+//! Parses arguments into commands.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 
 type Parsed<T> = Result<T, UsageError>;
 
-/// Reads the arguments after the program's name.
+/// Parses the arguments after the program's name.
 ///
 /// # Errors
 ///
@@ -45,7 +45,7 @@
     command_args.into_command()
 }
 
-/// Takes the words of the command, of which some have two.
+/// Takes the one or two words that name the command.
 fn command_words(args: &mut Arguments) -> Parsed<Box<str>> {
     let mut words = String::new();
     while help::commands_with_prefix(&words).next().is_some() {
@@ -56,19 +56,19 @@
             break;
         };
         let space = if words.is_empty() { "" } else { " " };
-        let longer = format!("{words}{space}{word}");
-        let exact = COMMANDS.iter().any(|command| command.words == longer);
-        if !exact && help::commands_with_prefix(&longer).next().is_none() {
+        let extended = format!("{words}{space}{word}");
+        let exact = COMMANDS.iter().any(|command| command.words == extended);
+        if !exact && help::commands_with_prefix(&extended).next().is_none() {
             let known: Vec<_> = help::commands_with_prefix(&words)
                 .map(|command| command.words)
                 .collect();
             let problem = format!(
-                "Unknown command {longer:?}; use one of {}.",
+                "Unknown command {extended:?}; use one of {}.",
                 known.join(", ")
             );
             return usage_error(&problem, &words);
         }
-        words = longer;
+        words = extended;
     }
     Ok(words.into())
 }
@@ -81,7 +81,7 @@
     })
 }
 
-/// Arguments of a known command that have not been taken yet.
+/// Remaining arguments of a known command.
 struct CommandArgs {
     args: Arguments,
     command: &'static CommandSpec,
@@ -257,30 +257,31 @@
         self.required(opt, units::time)
     }
 
-    /// Takes a switch where the command has it.
+    /// Takes a switch; returns false where the command does not accept it.
     fn switch(&mut self, opt: &Opt) -> bool {
         self.accepts(opt) && self.args.contains(opt.name)
     }
 
     /// Takes an option that must have a value or a default.
-    fn required<T>(&mut self, opt: &Opt, read: impl Fn(&str) -> Option<T>) -> Parsed<T> {
-        match self.optional(opt, read)? {
+    fn required<T>(&mut self, opt: &Opt, parse: impl Fn(&str) -> Option<T>) -> Parsed<T> {
+        match self.optional(opt, parse)? {
             Some(value) => Ok(value),
             None => self.fail(&format!("Give {} {}, {}.", opt.name, opt.value, opt.about)),
         }
     }
 
-    fn optional<T>(&mut self, opt: &Opt, read: impl Fn(&str) -> Option<T>) -> Parsed<Option<T>> {
+    fn optional<T>(&mut self, opt: &Opt, parse: impl Fn(&str) -> Option<T>) -> Parsed<Option<T>> {
         let Some(text) = self.raw_value(opt, opt.name)? else {
             return Ok(None);
         };
-        match read(&text) {
+        match parse(&text) {
             Some(value) => Ok(Some(value)),
             None => self.invalid_value(opt, &text),
         }
     }
 
-    /// Takes an option's text, in its form, or its default; `short` is its other name.
+    /// Takes the text of an option, checked against its form, or its default; `short` is its
+    /// other name.
     fn raw_value(&mut self, opt: &Opt, short: &'static str) -> Parsed<Option<Box<str>>> {
         let default = opt.default.map(Into::into);
         if !self.accepts(opt) {
@@ -307,7 +308,7 @@
         self.command.opts.iter().any(|known| known.name == opt.name)
     }
 
-    /// Takes what is left, none of which may be an option.
+    /// Takes the remaining arguments, none of which may be an option.
     fn positional(&mut self) -> Parsed<Vec<OsString>> {
         let args = std::mem::replace(&mut self.args, Arguments::from_vec(Vec::new()));
         let rest = args.finish();
@@ -345,20 +346,20 @@
 
 #[expect(
     clippy::unnecessary_wraps,
-    reason = "has the shape of the other readers"
+    reason = "has the signature of the other parsers"
 )]
 fn owned(text: &str) -> Option<Box<str>> {
     Some(text.into())
 }
 
-/// Reads addresses with commas between them, each with a name before it or named by itself.
+/// Parses comma-separated addresses, each after `NAME=` or named by its own text.
 fn targets(text: &str) -> Option<Vec<Target>> {
-    let read = |item: &str| {
+    let target = |item: &str| {
         let (name, addr) = item.split_once('=').unwrap_or((item, item));
         Some(Target {
             name: name.trim().into(),
             addr: form::address(addr.trim())?,
         })
     };
-    form::items(text).map(read).collect()
+    form::items(text).map(target).collect()
 }
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the command line that need no process.
+//! Tests of the parser of the command line.
 
 use std::ffi::OsString;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn options_of_an_engine_are_checked_values() {
+fn engine_options_are_parsed() {
     let line = "standin engine --model raadgiver --speed 0.2 --lag 2s --fencing ignores --instant";
     let expected = StandinOptions {
         kind: StandinKind::Engine,
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn options_of_apply_are_checked_values() {
+fn apply_options_are_parsed() {
     let line = "use apply --operators 127.0.0.1:8081 --file use.ini --revision 12 --wait";
     let access = Access {
         addr: "127.0.0.1:8081".parse().unwrap(),
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn every_command_has_help_and_every_default_its_form() {
+fn every_command_has_help_and_valid_defaults() {
     for command in COMMANDS {
         let help = assert_matches!(read(&format!("{} --help", command.words)), Command::Help(text) => text);
         assert!(help.contains(command.about), "{}", command.words);
         for opt in command.opts {
-            let fine = opt.default.is_none_or(|default| opt.form.allows(default));
+            let valid = opt.default.is_none_or(|default| opt.form.allows(default));
             assert!(
-                fine && help.contains(opt.name),
+                valid && help.contains(opt.name),
                 "{} {}",
                 command.words,
                 opt.name
@@ -79,7 +79,7 @@
 
 proptest! {
     #[test]
-    fn any_arguments_are_read_or_refused(
+    fn any_arguments_are_parsed_or_rejected(
         index in 0..COMMANDS.len(),
         rest in prop::collection::vec("(--[a-z]{1,12}|-c|--hosts|--lag|--file|[0-9]{1,30}|\\PC{0,8})", 0..6),
     ) {
--- a/src/operate/client.rs
+++ b/src/operate/client.rs
@@ -14,14 +14,14 @@
 use crate::cli::Access;
 use crate::settings::Secret;
 
-/// Time for the head of an answer: an edit waits for the key-value service, which can be slow.
+/// Time-out for the head of an answer: an edit waits for the key-value service, which can be slow.
 const HEAD_TIMEOUT: Millis = Millis(15_000);
-/// Time for the body of an answer.
+/// Time-out for the body of an answer.
 const BODY_TIMEOUT: Millis = Millis(30_000);
-/// Most bytes of an answer: room for the lists at several times the size designed for.
+/// Largest body of an answer: holds lists of several times the size designed for.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Connection to one host.
+/// HTTP client of one host's operators' listener.
 #[derive(Debug)]
 pub(super) struct OperatorClient {
     client: Client,
@@ -29,7 +29,7 @@
     key: Secret,
 }
 
-/// An answer read whole.
+/// A complete answer.
 #[derive(Debug)]
 pub(super) struct Answer {
     /// HTTP status.
@@ -41,11 +41,11 @@
 }
 
 impl OperatorClient {
-    /// Makes a client with the operators' key; no connection is opened yet.
+    /// Creates a client with the operators' key; no connection is opened yet.
     pub async fn open(access: &Access) -> Result<Self, OperateError> {
         let key = read_key(access.key_file.as_deref())?;
         let addr = access.addr;
-        // A redirect would send the key and the edit to an address nobody gave.
+        // A redirect would send the key and the edit to an address that the operator did not name.
         let builder = Client::builder()
             .disable_redirects()
             .response_timeout(HEAD_TIMEOUT)
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Puts a text where `revision` is in force; `Err` holds why no answer came.
+    /// Puts a text on the condition that `revision` is in force; `Err` holds why no answer was
+    /// received.
     pub async fn put(&self, path: &str, revision: u64, text: &str) -> Result<Answer, Box<str>> {
         let request = self.request(self.client.put(self.url(path)));
         let request = request
@@ -84,7 +85,7 @@
         read_answer(sent.map_err(|err| Box::from(err.to_string()))?).await
     }
 
-    /// Reads an answer as JSON.
+    /// Parses an answer as JSON; `wanted` names what it must hold.
     pub fn json<T: DeserializeOwned>(
         &self,
         answer: &Answer,
@@ -92,21 +93,21 @@
     ) -> Result<T, OperateError> {
         let addr = self.addr();
         serde_json::from_str(&answer.body)
-            .map_err(|_strange| OperateError::UnexpectedBody { addr, wanted })
+            .map_err(|_err| OperateError::UnexpectedBody { addr, wanted })
     }
 
-    /// Returns the error for an answer that refuses.
+    /// Returns the error for an answer that is a refusal.
     pub fn refusal(&self, answer: &Answer) -> OperateError {
         let problem: Value = serde_json::from_str(&answer.body).unwrap_or_default();
-        // The title is advice to callers; what the host saw stands in the detail.
-        let said = ["detail", "title"]
+        // The title is general advice to callers; the detail names what the host found.
+        let reason = ["detail", "title"]
             .iter()
             .filter_map(|field| problem.get(field)?.as_str())
-            .find(|said| !said.is_empty());
-        let problem = match (said, answer.status) {
-            (Some(said), _) => said,
+            .find(|reason| !reason.is_empty());
+        let problem = match (reason, answer.status) {
+            (Some(reason), _) => reason,
             (None, 401) => "the operators' key is wrong",
-            (None, 404) => "nothing is known under this name",
+            (None, 404) => "not found",
             (None, _) => "no reason given",
         };
         OperateError::Refused {
@@ -131,7 +132,7 @@
     let revision = tag.and_then(|tag| tag.trim_matches('"').parse().ok());
     let body = response.body().await;
     let body = body.map_err(|err| Box::from(err.to_string()))?;
-    let body = str::from_utf8(&body).map_err(|_binary| Box::from("the body is no text"))?;
+    let body = str::from_utf8(&body).map_err(|_err| Box::from("the body is not valid UTF-8"))?;
     Ok(Answer {
         status: response.status().as_u16(),
         revision,
@@ -146,7 +147,7 @@
     }
 }
 
-/// Writes text as one segment of a path.
+/// Percent-encodes text as one segment of a path.
 pub(super) fn percent_encode(text: &str) -> Box<str> {
     let mut path = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/src/operate/lists.rs
+++ b/src/operate/lists.rs
@@ -1,4 +1,4 @@
-//! Work on the two lists: get, edit, check, diff and apply.
+//! Commands for the two lists: get, edit, check, diff and apply.
 
 use std::fs;
 use std::path::Path;
@@ -21,9 +21,9 @@
 
 /// Start of the comment that holds the revision a file was fetched at.
 pub(super) const REVISION_PREFIX: &str = "# revision ";
-/// Time `--wait` waits: four times the 14 s within which an edit is to be in force everywhere.
+/// Longest wait of `--wait`: four times the 14 s within which an edit must be in force on all hosts.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(56);
-/// Time between two looks at which hosts have the revision.
+/// Time between two queries for the hosts that have the revision in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Either of the two lists.
@@ -50,11 +50,11 @@
     }
 }
 
-/// Carries out a command on a list.
+/// Runs a command on a list.
 ///
 /// # Errors
 ///
-/// Returns why it could not be carried out.
+/// Returns why it failed.
 pub async fn list(options: ListOptions) -> Result<(), OperateError> {
     let name = options.list;
     match options.action {
@@ -83,9 +83,9 @@
     let revision = revision_of(&client, &answer)?;
     let text = format!("{REVISION_PREFIX}{revision}\n\n{}", answer.body);
     fs::write(file, text).context(FileSnafu { path: file })?;
-    let (word, file) = (name.as_str(), file.display());
+    let (list, file) = (name.as_str(), file.display());
     let next = format!(
-        "fetched revision {revision} into {file}; edit it, then: chiveway {word} apply --file {file}"
+        "fetched revision {revision} into {file}; edit it, then: chiveway {list} apply --file {file}"
     );
     output::print(&next).context(OutputSnafu)
 }
@@ -137,10 +137,10 @@
     options: &ApplyOptions,
 ) -> Result<(), OperateError> {
     let (text, list) = read_list(name, &options.file)?;
-    let from = options.revision.or_else(|| recorded_revision(&text));
-    let from = from.context(NoRevisionSnafu)?;
+    let base = options.revision.or_else(|| recorded_revision(&text));
+    let base = base.context(NoRevisionSnafu)?;
     let client = OperatorClient::open(access).await?;
-    let revision = put(&client, name, from, &list).await?;
+    let revision = put(&client, name, base, &list).await?;
     output::print(&format!("revision {revision} is accepted")).context(OutputSnafu)?;
     if options.wait {
         wait_for_hosts(&client, revision).await?;
@@ -154,7 +154,7 @@
     revision: u64,
 }
 
-/// Answer to an edit that came second.
+/// Answer to an edit whose base revision is no longer in force.
 #[derive(Debug, Deserialize)]
 struct Conflict {
     revision: u64,
@@ -165,10 +165,10 @@
 async fn put(
     client: &OperatorClient,
     name: ListName,
-    from: u64,
+    base: u64,
     list: &List,
 ) -> Result<u64, OperateError> {
-    let sent = client.put(&path(name), from, &list.text()).await;
+    let sent = client.put(&path(name), base, &list.text()).await;
     let answer = sent.map_err(|problem| OperateError::OutcomeUnknown {
         addr: client.addr(),
         problem,
@@ -185,25 +185,25 @@
     }
 }
 
-/// Decides what an edit that came second means.
+/// Decides whether a conflict means that another edit was accepted first.
 ///
-/// Where the answer to an accepted edit was lost and the operator applies it again, the host sees
-/// a race of the edit with itself. The operator would look for a rival who does not exist; so a
-/// list that is already as wanted counts as accepted.
+/// Where the answer to an accepted edit is lost and the operator applies the file again, the host
+/// reports a conflict of the edit with itself, and the operator would look for a competing edit
+/// that does not exist. So a conflict counts as accepted where the list in force equals the file.
 async fn resolve_conflict(
     client: &OperatorClient,
     name: ListName,
     answer: &Answer,
     list: &List,
 ) -> Result<u64, OperateError> {
-    let raced: Conflict = client.json(answer, "a revision and a difference")?;
+    let conflict: Conflict = client.json(answer, "a revision and a difference")?;
     let current = fetch(client, name).await?;
     if current.body.trim() == list.text().trim() {
         return revision_of(client, &current);
     }
     Err(OperateError::Conflict {
-        revision: raced.revision,
-        diff: raced.diff,
+        revision: conflict.revision,
+        diff: conflict.diff,
     })
 }
 
@@ -239,7 +239,7 @@
     let start = Instant::now();
     let mut missing: Vec<Box<str>> = vec!["all".into()];
     while start.elapsed() < PROPAGATION_TIMEOUT {
-        // The host asked may itself be replaced while we wait, so that no answer is not the end.
+        // The queried host may itself be restarting: a failed query is tried again.
         if let Ok(answer) = client.get(&path).await {
             let propagation: Propagation = client.json(&answer, "the hosts and their revisions")?;
             if propagation.missing.is_empty() {
@@ -270,14 +270,14 @@
     })
 }
 
-/// Reads a list file: its text and the list in it.
+/// Reads a list file; returns its text and the parsed list.
 fn read_list(name: ListName, file: &Path) -> Result<(Box<str>, List), OperateError> {
     let text = fs::read_to_string(file).context(FileSnafu { path: file })?;
     let list = List::parse(name, &text, &file.display().to_string())?;
     Ok((text.into(), list))
 }
 
-/// Returns the revision noted in a file by `edit`.
+/// Returns the revision that `edit` wrote into a file.
 fn recorded_revision(text: &str) -> Option<u64> {
     let mut lines = text.lines();
     lines.find_map(|line| line.strip_prefix(REVISION_PREFIX)?.trim().parse().ok())
--- a/src/operate/mod.rs
+++ b/src/operate/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' and support engineers' commands, carried out at the operators' listener of a host.
+//! Commands of operators and support engineers, sent to the operators' listener of a host.
 
 mod client;
 mod lists;
@@ -21,8 +21,8 @@
 /// Environment variable with the operators' key.
 pub const KEY_ENV_VAR: &str = "CHIVEWAY_OPERATOR_KEY";
 
-/// Names in an explanation and in the state of a deployment, as a support engineer reads them:
-/// whose request it was, what became of it, and then each attempt.
+/// Order of the fields of an explanation and of the state of a deployment, for support engineers:
+/// the customer of a request first, then its outcome, then each attempt.
 const FIELD_ORDER: &[&str] = &[
     "id",
     "customer",
@@ -53,7 +53,7 @@
     "notes",
 ];
 
-/// Why a command could not be carried out.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OperateError {
@@ -61,28 +61,28 @@
     #[snafu(display("no operators' key: set {KEY_ENV_VAR} or give --key-file FILE"))]
     NoKey,
     /// A file could not be read or written.
-    #[snafu(display("cannot use {}: {source}", path.display()))]
+    #[snafu(display("cannot read or write {}: {source}", path.display()))]
     File {
         /// The file.
         path: Box<Path>,
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
     /// Standard output could not be written.
     #[snafu(display("cannot write the output: {source}"))]
     Output {
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// The host was not reached or did not answer.
+    /// The host is unreachable or did not answer.
     #[snafu(display("no answer from {addr}: {problem}; try another host"))]
     NoAnswer {
         /// The operators' listener.
         addr: Box<str>,
-        /// What the client says.
+        /// Error from the HTTP client.
         problem: Box<str>,
     },
-    /// An edit was sent and its answer is lost.
+    /// An edit was sent, but its answer was lost: it may have been accepted.
     #[snafu(display(
         "no answer from {addr}: {problem}; the edit may have been accepted: \
          compare with \"chiveway {list} diff\" before you apply it again"
@@ -90,22 +90,22 @@
     OutcomeUnknown {
         /// The operators' listener.
         addr: Box<str>,
-        /// What the client says.
+        /// Error from the HTTP client.
         problem: Box<str>,
-        /// Word of the list.
+        /// Name of the list in commands.
         list: &'static str,
     },
-    /// The host refused.
+    /// The host refused the request.
     #[snafu(display("{addr} refused with status {status}: {problem}"))]
     Refused {
         /// The operators' listener.
         addr: Box<str>,
         /// HTTP status.
         status: u16,
-        /// What the host says.
+        /// Reason that the host gave.
         problem: Box<str>,
     },
-    /// The host's answer does not follow the protocol.
+    /// The host's answer lacks what the protocol prescribes.
     #[snafu(display(
         "{addr} sent an answer without {wanted}; is it a chiveway operators' listener?"
     ))]
@@ -118,16 +118,16 @@
     /// The list has faults.
     #[snafu(display("correct these faults and try again:\n{faults}"))]
     InvalidList {
-        /// One fault a line.
+        /// One fault per line.
         faults: Box<str>,
     },
-    /// The file does not tell which revision it was fetched at.
+    /// The file lacks the line with the revision it was fetched at.
     #[snafu(display(
         "the file has no line \"{}N\": fetch it with \"edit\" or give --revision N",
         lists::REVISION_PREFIX
     ))]
     NoRevision,
-    /// Another edit came first.
+    /// Another edit was accepted first.
     #[snafu(display(
         "revision {revision} came first; nothing was changed. From your file to the list in \
          force:\n{diff}\nFetch the list again with \"edit\" and repeat your change."
@@ -138,9 +138,9 @@
         /// Differences from the file to the list in force.
         diff: Box<str>,
     },
-    /// The revision is accepted, but not all hosts were seen to have it.
+    /// The revision is accepted, but not every host was seen to have it in force in time.
     #[snafu(display(
-        "revision {revision} is accepted, but after {secs} s these hosts were not seen to have it: {missing}"
+        "revision {revision} is accepted, but after {secs} s not confirmed in force on: {missing}"
     ))]
     NotPropagated {
         /// Accepted revision.
@@ -152,21 +152,21 @@
     },
 }
 
-/// Tells what became of a request.
+/// Prints how a request was handled.
 ///
 /// # Errors
 ///
-/// Returns why the host did not tell it.
+/// Returns why no explanation was received or printed.
 pub async fn explain(options: ExplainOptions) -> Result<(), OperateError> {
     let path = format!("/explain/{}", client::percent_encode(&options.id));
     show(&options.access, &path, options.format).await
 }
 
-/// Shows the state of the deployment.
+/// Prints the state of the deployment.
 ///
 /// # Errors
 ///
-/// Returns why the host did not tell it.
+/// Returns why no state was received or printed.
 pub async fn status(options: StatusOptions) -> Result<(), OperateError> {
     show(&options.access, "/status", options.format).await
 }
--- a/src/output/mod.rs
+++ b/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! Output for people: aligned columns, trees of values, colour only on a terminal.
+//! Human-readable output: aligned columns, trees of values, colour only on a terminal.
 
 #[cfg(test)]
 mod tests;
@@ -45,10 +45,10 @@
     text
 }
 
-/// Writes a JSON value as indented lines: names with plain values first, then what has parts, and
+/// Writes a JSON value as indented lines: fields with plain values first, then nested ones, and
 /// lists of objects as tables.
 ///
-/// Names in `order` come first and in that order, at each depth; the others follow alphabetically.
+/// Fields in `order` come first and in that order, at each depth; the others follow alphabetically.
 #[must_use]
 pub fn tree(value: &Value, order: &[&str]) -> String {
     let mut text = String::new();
@@ -69,15 +69,15 @@
 
 fn write_object(text: &mut String, map: &Map<String, Value>, indent: usize, order: &[&str]) {
     let mut leaves = Vec::new();
-    let mut parts = Vec::new();
+    let mut nested = Vec::new();
     for name in sorted(map.keys(), order) {
         match inline_field(name, &map[name]) {
             Some(leaf) => leaves.push(vec![label(name), leaf]),
-            None => parts.push(name),
+            None => nested.push(name),
         }
     }
     text.push_str(&table(&leaves, indent));
-    for name in parts {
+    for name in nested {
         let _ = writeln!(text, "{}{}:", " ".repeat(indent), label(name));
         write_value(text, &map[name], indent + INDENT, order);
     }
@@ -90,11 +90,11 @@
         return;
     }
     for item in items {
-        let mut part = String::new();
-        write_value(&mut part, item, indent + INDENT, order);
+        let mut item_text = String::new();
+        write_value(&mut item_text, item, indent + INDENT, order);
         let dash = format!("{}- ", " ".repeat(indent));
         text.push_str(&dash);
-        text.push_str(part.get(dash.len()..).unwrap_or_default());
+        text.push_str(item_text.get(dash.len()..).unwrap_or_default());
     }
 }
 
@@ -118,7 +118,7 @@
     Some([head].into_iter().chain(body).collect())
 }
 
-/// Returns the names in `order` first, then the others as they come.
+/// Returns the names in `order` first, then the others in their given order.
 fn sorted<'a>(names: impl IntoIterator<Item = &'a String>, order: &[&str]) -> Vec<&'a str> {
     let mut names: Vec<&str> = names.into_iter().map(String::as_str).collect();
     let place = |name: &&str| order.iter().position(|known| known == name);
@@ -126,18 +126,18 @@
     names
 }
 
-/// End of the names of times.
+/// Suffix of fields that hold a time in milliseconds.
 const MS_SUFFIX: &str = "_ms";
-/// Least milliseconds that are a time of day, not a length of time: half a century.
+/// Smallest value that is shown as a timestamp and not as a duration: 50 years.
 const MIN_TIMESTAMP_MS: u64 = 50 * 365 * 24 * 3_600_000;
 
-/// Returns a name as people read it.
+/// Returns the label of a field: no suffix for times, spaces in place of underscores.
 fn label(name: &str) -> Box<str> {
     let name = name.strip_suffix(MS_SUFFIX).unwrap_or(name);
     mask_controls(&name.replace('_', " "))
 }
 
-/// Returns a named value that fits on a line; times get their unit.
+/// Returns the value of a field where it fits on a line; times get their unit.
 fn inline_field(name: &str, value: &Value) -> Option<Box<str>> {
     match value.as_u64().filter(|_| name.ends_with(MS_SUFFIX)) {
         Some(millis) if millis >= MIN_TIMESTAMP_MS => Some(units::show_utc(millis)),
@@ -164,38 +164,38 @@
     }
 }
 
-/// Returns text without control characters.
+/// Returns text with U+FFFD in place of each control character.
 ///
-/// Explanations hold what callers sent; an escape sequence in it would otherwise reach the support
+/// Explanations hold text from callers: an escape sequence in it would otherwise reach the support
 /// engineer's terminal and could hide or change lines.
 fn mask_controls(text: &str) -> Box<str> {
     let shown = |c: char| if c.is_control() { '\u{fffd}' } else { c };
     text.chars().map(shown).collect::<String>().into()
 }
 
-/// What a message on standard error is.
+/// Severity of a message on standard error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Severity {
     /// The command failed.
     Error,
-    /// The command goes on.
+    /// The command continues.
     Warning,
 }
 
-/// Prints a message to standard error, its first word coloured on a terminal.
-pub fn print_message(tone: Severity, message: &str) {
-    let (word, colour) = match tone {
+/// Prints a message to standard error, after its severity, which is coloured on a terminal.
+pub fn print_message(severity: Severity, message: &str) {
+    let (prefix, colour) = match severity {
         Severity::Error => ("error", "\x1b[1;31m"),
         Severity::Warning => ("warning", "\x1b[1;33m"),
     };
     if stderr().is_terminal() {
-        eprintln!("{colour}{word}\x1b[0m: {message}");
+        eprintln!("{colour}{prefix}\x1b[0m: {message}");
     } else {
-        eprintln!("{word}: {message}");
+        eprintln!("{prefix}: {message}");
     }
 }
 
-/// Prints text to standard output; a reader that has gone away is no error.
+/// Prints text to standard output; a pipe that its reader has closed is no error.
 ///
 /// # Errors
 ///
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -29,7 +29,7 @@
 }
 
 prints! {
-    help_lists_commands: "--help" => "explain          Tells what became of a request, and why\n";
+    help_lists_commands: "--help" => "explain          Explains how a request was handled, and why\n";
     short_help: "-h" => "Exit codes: 0 done, 1 failed, 2 wrong usage.";
     help_of_a_noun: "plans --help" => "  plans apply  Puts a file of customers' plans in force\n";
     help_of_host: "host --help" => "  --config FILE  Settings of the host; also -c\n";
