--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parser of the command line.
+//! Tests of command-line parsing.
 
 use std::ffi::OsString;
 use std::time::Duration;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Serves language-model requests from a fixed fleet of engines and explains what became of each.
+//! Routes language-model requests to a fixed fleet of engines and explains how each was handled.
 
 pub mod backend;
 pub mod cli;
--- a/src/load.rs
+++ b/src/load.rs
@@ -1,4 +1,4 @@
-//! `chiveway load`: sends requests to hosts, checks every answer, and prints times.
+//! `chiveway load`: sends requests to hosts, checks every answer, and prints latencies.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,15 +17,15 @@
 use crate::standin::engine::expected;
 use crate::web;
 
-/// Bytes of a prompt for each token, as the stand-in engines count.
+/// Bytes of prompt per token, as the stand-in engines count them.
 const BYTES_PER_TOKEN: usize = 4;
-/// Time without a part of an answer after which a request counts as lost.
+/// Longest wait for the head of an answer and for each chunk of its body.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest value of a histogram, in microseconds.
+/// Largest value of a histogram, in microseconds; larger ones count as this.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Part of the gaps between tokens, in hundredths, that must be within the wanted time.
+/// Percentile of the gaps between tokens that a good answer keeps within its target.
 const GAP_PERCENTILE: usize = 95;
-/// Head of the table of results.
+/// Column names of the table of results.
 const HEADER: [&str; 9] = [
     "target",
     "whole",
@@ -38,47 +38,47 @@
     "between p99",
 ];
 
-/// Why load could not be sent.
+/// Why `load` failed.
 #[derive(Debug, Snafu)]
 pub enum LoadError {
-    /// The HTTP client cannot be made.
-    #[snafu(display("the HTTP client cannot be made"))]
+    /// The HTTP client cannot be created.
+    #[snafu(display("the HTTP client cannot be created"))]
     NoClient,
     /// Standard output failed.
     #[snafu(display("cannot write to standard output: {source}"))]
     Output {
-        /// What the system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// Answers were lost or wrong.
-    #[snafu(display("{count} answers were lost or wrong"))]
+    /// Answers were lost, incomplete or wrong.
+    #[snafu(display("{count} answers were lost, incomplete or wrong"))]
     FailedAnswers {
-        /// How many.
+        /// Number of such answers.
         count: u64,
     },
 }
 
-/// How one request ended.
+/// Outcome of one request; the names are printed with the results.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Outcome {
-    /// The whole right answer.
+    /// The complete and correct answer.
     Whole,
-    /// An answer that does not belong to the request.
+    /// An answer that differs from the expected one or cannot be parsed.
     Wrong,
-    /// No end marker.
+    /// An answer without its end.
     Short,
-    /// No answer.
+    /// The head of the answer was not received.
     Lost,
-    /// Refused with this code.
+    /// Refused with this error code, or this HTTP status where there is none.
     Refused(Box<str>),
 }
 
-/// What the requests to one target met.
+/// Outcomes and latencies of the requests to one target.
 #[derive(Debug)]
 struct TargetStats {
     target: Target,
     outcomes: BTreeMap<Outcome, u64>,
-    /// Whole answers within the wanted times.
+    /// Complete answers within the target times.
     good: u64,
     first_token: Histogram<u64>,
     token_gap: Histogram<u64>,
@@ -98,11 +98,11 @@
     }
 }
 
-/// Sends the requests and prints what became of them.
+/// Sends the requests and prints the results.
 ///
 /// # Errors
 ///
-/// Returns how many answers were lost or wrong, if any; a refusal is neither.
+/// Returns the number of lost, incomplete or wrong answers, if any; refusals do not count.
 pub async fn run(options: LoadOptions) -> Result<(), LoadError> {
     let client = web::client("load").await.context(NoClientSnafu)?;
     let stats: Vec<_> = options
@@ -112,7 +112,7 @@
         .collect();
     let options = Rc::new(options);
     let next = Rc::new(Cell::new(0));
-    let began = Instant::now();
+    let start = Instant::now();
     let tasks: Vec<_> = (0..options.concurrency)
         .map(|_| {
             let worker = run_worker(
@@ -126,15 +126,15 @@
         .collect();
     for task in tasks {
         if task.await.is_err() {
-            log::error!("a worker did not end");
+            log::error!("a load worker panicked or was cancelled");
         }
     }
-    let lasted = began.elapsed();
+    let elapsed = start.elapsed();
     let stats: Vec<_> = stats
         .iter()
         .map(|target_stats| target_stats.borrow())
         .collect();
-    report(&stats, &options, lasted)
+    report(&stats, &options, elapsed)
 }
 
 async fn run_worker(
@@ -151,12 +151,17 @@
         next.set(number + 1);
         let target_stats = &stats[number % stats.len()];
         let addr = target_stats.borrow().target.addr;
-        let end = send_request(&client, &options, addr, number, target_stats).await;
-        *target_stats.borrow_mut().outcomes.entry(end).or_default() += 1;
+        let outcome = send_request(&client, &options, addr, number, target_stats).await;
+        *target_stats
+            .borrow_mut()
+            .outcomes
+            .entry(outcome)
+            .or_default() += 1;
     }
 }
 
-/// Returns a prompt that differs from that of every other number, of the wanted length.
+/// Returns the prompt of a request: it has the given length and starts with the request's number,
+/// so that prompts differ.
 fn prompt(number: usize, tokens: usize) -> String {
     let mut text = format!("request {number}: ");
     while text.len() < tokens * BYTES_PER_TOKEN {
@@ -180,7 +185,7 @@
         "max_tokens": options.output_tokens,
         "stream": options.stream,
     });
-    let began = Instant::now();
+    let start = Instant::now();
     let sent = client
         .post(format!("http://{addr}/v1/completions"))
         .address(addr)
@@ -193,13 +198,13 @@
     let status = answer.status().as_u16();
     let mut reader = AnswerReader::new(options.stream && status == 200);
     loop {
-        let part = ntex::util::stream_recv(&mut answer);
-        let part = match tokio::time::timeout(READ_TIMEOUT, part).await {
-            Ok(Some(Ok(part))) => part,
+        let bytes = ntex::util::stream_recv(&mut answer);
+        let bytes = match tokio::time::timeout(READ_TIMEOUT, bytes).await {
+            Ok(Some(Ok(bytes))) => bytes,
             Ok(None) => break,
             Ok(Some(Err(_))) | Err(_) => return Outcome::Short,
         };
-        if !reader.feed(&part, &mut target_stats.borrow_mut(), began) {
+        if !reader.feed(&bytes, &mut target_stats.borrow_mut(), start) {
             return Outcome::Wrong;
         }
     }
@@ -220,7 +225,7 @@
     Outcome::Whole
 }
 
-/// Reads an answer part by part.
+/// Reads an answer chunk by chunk.
 struct AnswerReader {
     stream: bool,
     parser: Parser,
@@ -246,14 +251,14 @@
         }
     }
 
-    /// Takes in a part; returns whether it can be read.
-    fn feed(&mut self, part: &[u8], target_stats: &mut TargetStats, began: Instant) -> bool {
+    /// Parses the next bytes of the answer; returns false where they are malformed.
+    fn feed(&mut self, bytes: &[u8], target_stats: &mut TargetStats, start: Instant) -> bool {
         let now = Instant::now();
         if !self.stream {
-            self.body.extend_from_slice(part);
+            self.body.extend_from_slice(bytes);
             return true;
         }
-        if self.parser.push(part).is_err() {
+        if self.parser.push(bytes).is_err() {
             return false;
         }
         while let Some(event) = self.parser.pop() {
@@ -264,17 +269,17 @@
             let Ok(chunk) = serde_json::from_slice::<Value>(&event.data) else {
                 return false;
             };
-            let piece = chunk["choices"][0]["text"].as_str().unwrap_or_default();
-            if piece.is_empty() {
+            let delta = chunk["choices"][0]["text"].as_str().unwrap_or_default();
+            if delta.is_empty() {
                 continue;
             }
-            self.text.push_str(piece);
+            self.text.push_str(delta);
             match self.last.replace(now) {
                 None => {
-                    self.first = Some(now - began);
+                    self.first = Some(now - start);
                     target_stats
                         .first_token
-                        .saturating_record(micros(now - began));
+                        .saturating_record(micros(now - start));
                 }
                 Some(last) => {
                     self.gaps.push(now - last);
@@ -285,15 +290,15 @@
         true
     }
 
-    /// Returns whether a streamed answer came within the wanted times.
+    /// Returns whether a streamed answer is within the target times.
     fn meets_targets(&mut self, options: &LoadOptions) -> bool {
         self.gaps.sort_unstable();
-        let at = self.gaps.len() * GAP_PERCENTILE / 100;
-        let gap = self.gaps.get(at).copied().unwrap_or_default();
+        let index = self.gaps.len() * GAP_PERCENTILE / 100;
+        let gap = self.gaps.get(index).copied().unwrap_or_default();
         self.first.is_some_and(|first| first <= options.first_token) && gap <= options.token_gap
     }
 
-    /// Returns the answer's text; `None` for one that is not whole.
+    /// Returns the answer's text; `None` for an incomplete answer.
     fn text(self) -> Option<String> {
         if self.stream {
             return self.done.then_some(self.text);
@@ -325,7 +330,7 @@
         .get(&Outcome::Whole)
         .copied()
         .unwrap_or(0);
-    let at = |times: &Histogram<u64>, part| millis(times.value_at_quantile(part));
+    let at = |times: &Histogram<u64>, quantile| millis(times.value_at_quantile(quantile));
     [
         target_stats.target.name.clone(),
         whole.to_string().into(),
@@ -342,19 +347,19 @@
 fn report(
     stats: &[std::cell::Ref<'_, TargetStats>],
     options: &LoadOptions,
-    lasted: Duration,
+    elapsed: Duration,
 ) -> Result<(), LoadError> {
     let mut rows = vec![HEADER.map(Box::from)];
     rows.extend(stats.iter().map(|target_stats| row(target_stats)));
     let mut lines = vec![output::columns(rows).trim_end().to_owned()];
-    let mut fine = 0;
+    let mut valid = 0;
     for target_stats in stats {
-        for (end, count) in &target_stats.outcomes {
+        for (outcome, count) in &target_stats.outcomes {
             let name = &target_stats.target.name;
-            match end {
-                Outcome::Whole => fine += count,
+            match outcome {
+                Outcome::Whole => valid += count,
                 Outcome::Refused(code) => {
-                    fine += count;
+                    valid += count;
                     lines.push(format!("{name}: {count} refused as {code}"));
                 }
                 other => lines.push(format!("{name}: {count} {other:?}")),
@@ -362,13 +367,13 @@
         }
     }
     let sent = options.requests as u64;
-    let rate = options.requests as f64 / lasted.as_secs_f64();
+    let rate = options.requests as f64 / elapsed.as_secs_f64();
     lines.push(format!(
-        "times in ms; {sent} requests in {lasted:.2?}, {rate:.0} a second"
+        "times in ms; {sent} requests in {elapsed:.2?}, {rate:.0} a second"
     ));
     output::print(&lines.join("\n")).context(OutputSnafu)?;
-    // A worker that panicked has left its request uncounted.
-    let count = sent.saturating_sub(fine);
+    // A worker that panicked has not counted its request.
+    let count = sent.saturating_sub(valid);
     ensure!(count == 0, FailedAnswersSnafu { count });
     Ok(())
 }
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Log output: one line an event, as text or JSON, on standard error.
+//! Log output: one line per event, as text or JSON, on standard error.
 //!
 //! Events are written with the `log` crate's macros: the target names the event, the message says
 //! what happened, and key-value pairs hold the fields:
@@ -8,7 +8,7 @@
 //! log::info!(target: "chiveway::lists_accepted", revision; "an edit of the lists is accepted");
 //! ```
 //!
-//! No secret and nothing that a caller wrote in a body goes into an event.
+//! No secret and no part of a request body goes into an event.
 
 #[cfg(test)]
 mod tests;
@@ -27,9 +27,9 @@
 
 use crate::settings::{LogForm, LogSettings};
 
-/// Start of the targets of this program's own events.
+/// Prefix of the targets of this program's own events.
 const OWN_TARGETS: &str = "chiveway";
-/// Most that libraries write: their finer levels report each read and write of a socket.
+/// Finest level logged of libraries: finer ones report each read and write of a socket.
 const MAX_LIBRARY_LEVEL: LevelFilter = LevelFilter::Warn;
 /// Name of the only appender.
 const CONSOLE: &str = "console";
@@ -39,16 +39,16 @@
 /// Logging could not be set up.
 #[derive(Debug, Snafu)]
 pub enum LogError {
-    /// The configuration is refused.
+    /// The configuration is invalid.
     #[snafu(display("cannot configure logging: {source}"))]
     Config {
-        /// What the library says.
+        /// Error from the logging library.
         source: ConfigErrors,
     },
     /// Logging is set up already.
-    #[snafu(display("logging is set up twice: {source}"))]
+    #[snafu(display("logging is already set up: {source}"))]
     AlreadySet {
-        /// What the library says.
+        /// Error from the logging library.
         source: SetLoggerError,
     },
 }
@@ -60,13 +60,13 @@
 /// Returns an error where logging is set up already.
 pub fn init(settings: &LogSettings) -> Result<(), LogError> {
     let logger = log4rs::Logger::new(config(settings)?);
-    let most = logger.max_log_level();
-    let done = match settings.form {
+    let max_level = logger.max_log_level();
+    let result = match settings.form {
         LogForm::Json => log::set_boxed_logger(Box::new(logger)),
         LogForm::Text => log::set_boxed_logger(Box::new(TextLogger(logger))),
     };
-    done.context(AlreadySetSnafu)?;
-    log::set_max_level(most);
+    result.context(AlreadySetSnafu)?;
+    log::set_max_level(max_level);
     Ok(())
 }
 
@@ -91,8 +91,8 @@
 
 /// Adds an event's fields to its message.
 ///
-/// The library's text pattern can name single fields only; without this the fields of an event
-/// would appear in JSON and be missing in text.
+/// The text pattern of the library can only name single fields; without this logger the fields of
+/// an event would appear in JSON but not in text.
 #[derive(Debug)]
 struct TextLogger(log4rs::Logger);
 
@@ -117,11 +117,11 @@
 
 /// Returns the message with its fields after it, on one line.
 ///
-/// Control characters are escaped: a name or path from outside with a line end in it would
-/// otherwise forge a log line of its own.
+/// Control characters are escaped: a line end in a name or path from outside would otherwise forge
+/// a log line.
 fn format_line(record: &Record<'_>) -> Box<str> {
     let mut fields = Fields(record.args().to_string());
-    // Writing to a string does not fail, and neither does the visitor.
+    // Neither the visitor nor writing to a string can fail.
     let _ = record.key_values().visit(&mut fields);
     let escape = |c: char| -> Box<str> {
         if c.is_control() {
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -17,10 +17,10 @@
     );
 }
 
-/// A caller puts a line end into a path that is logged. Without escaping the rest would stand in
-/// the log as an event that never happened, and a support engineer would believe it.
+/// A caller puts a line end into a path that is logged: without escaping, the rest of the path
+/// appears in the log as an event that never happened.
 #[test]
-fn line_ends_in_fields_forge_no_line() {
+fn line_ends_in_fields_are_escaped() {
     let fields = [("path", "/a\n2026 INFO chiveway::stopped")];
     let record = Record::builder()
         .args(format_args!("refused\u{1b}"))
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 #[global_allocator]
 static ALLOC: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
-/// Exit code for a command line that cannot be understood.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/src/operate/lists.rs
+++ b/src/operate/lists.rs
@@ -21,7 +21,7 @@
 
 /// Start of the comment that holds the revision a file was fetched at.
 pub(super) const REVISION_PREFIX: &str = "# revision ";
-/// Longest wait of `--wait`: four times the 14 s within which an edit must be in force on all hosts.
+/// Longest wait of `--wait`: four times the 14 s in which an edit must be in force on all hosts.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(56);
 /// Time between two queries for the hosts that have the revision in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out a command.
+//! Runs a parsed command.
 
 use std::fs;
 use std::io;
@@ -26,58 +26,59 @@
 use crate::trial::{self, TrialError};
 use crate::web;
 
-/// Exit code of a host that a second signal ended before its planned stop was complete.
+/// Exit code of a host that a second signal ends before its planned stop is complete.
 const EXIT_SECOND_SIGNAL: i32 = 130;
-/// Time between two looks at the settings file.
+/// Time between two reads of the settings file.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
-/// Fixed time of a stand-in engine's step.
+/// Time of an empty step of a stand-in engine, to which its work is added.
 const ENGINE_STEP_TIME: Duration = Duration::from_millis(5);
-/// How much faster a stand-in engine imports a prompt token's KV cache than it prefills it.
+/// How many times faster a stand-in engine imports the KV cache of a prompt token than it prefills
+/// the token.
 const IMPORT_SPEEDUP: u32 = 20;
 
 /// Why a command failed.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// Load could not be sent.
+    /// `load` failed.
     #[snafu(transparent)]
     Load {
         /// Why.
         source: LoadError,
     },
-    /// A stand-in could not be listed.
-    #[snafu(display("cannot add {name} to the list at {addr}: {problem}"))]
+    /// A stand-in could not be registered.
+    #[snafu(display("cannot register {name} in the list at {addr}: {problem}"))]
     Register {
         /// Name of the stand-in.
         name: Box<str>,
         /// Address of the list.
         addr: SocketAddr,
-        /// What was met.
+        /// Why.
         problem: Box<str>,
     },
-    /// A hop was not told where to pass requests on to.
-    #[snafu(display("no --target; give the address that requests are passed on to"))]
+    /// A hop has no target.
+    #[snafu(display("no --target: give the address that requests are forwarded to"))]
     NoTarget,
     /// A file could not be read.
     #[snafu(display("cannot read {}: {source}", path.display()))]
     Read {
         /// The file.
         path: Box<Path>,
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// Settings have faults, which were printed.
+    /// Settings files have faults, which have been printed.
     #[snafu(display("{count} faults; correct them and check again"))]
     Faults {
-        /// How many were found.
+        /// Number of faults.
         count: usize,
     },
     /// Standard input or output failed.
     #[snafu(display("cannot use standard input or output: {source}"))]
     Stdio {
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// No key came on standard input.
+    /// Standard input holds no key.
     #[snafu(display("no key on standard input; give one: printf %s KEY | chiveway hash"))]
     NoKey,
     /// A host cannot run.
@@ -91,13 +92,13 @@
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// Signals cannot be waited for.
-    #[snafu(display("signals cannot be waited for: {source}"))]
+    /// Handlers of signals cannot be installed.
+    #[snafu(display("cannot install the signal handlers: {source}"))]
     Signals {
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
     /// The log cannot be set up.
@@ -106,10 +107,10 @@
         /// Why.
         source: LogError,
     },
-    /// A trial failed.
+    /// `try` failed.
     #[snafu(transparent)]
     Trial {
-        /// What was not as it should be.
+        /// Why.
         source: TrialError,
     },
     /// An operators' command failed.
@@ -120,11 +121,11 @@
     },
 }
 
-/// Carries out a command to its end.
+/// Runs a command to its end.
 ///
 /// # Errors
 ///
-/// Returns why it failed, in words that tell the user what to do.
+/// Returns why it failed; the message says how to correct it where the user can.
 pub fn run(command: Command) -> Result<(), RunError> {
     match command {
         Command::Help(text) => output::print(&text).context(StdioSnafu),
@@ -149,7 +150,7 @@
     system.block_on(task)
 }
 
-/// The signals that a host waits for.
+/// Handlers of the signals that a host acts on.
 struct Signals {
     term: Signal,
     int: Signal,
@@ -157,11 +158,11 @@
 }
 
 impl Signals {
-    /// Begins to wait for them.
+    /// Installs the handlers, before anything that takes time.
     ///
-    /// Until then each of them ends the process. A host that was asked to read its settings again
-    /// just after its start was gone, with the requests it had accepted meanwhile: one notices by
-    /// a start without a stop in its log. So this comes before anything that takes time.
+    /// Without a handler each of these signals ends the process: a host that received SIGHUP just
+    /// after its start would exit and lose the requests it had accepted, visible only as a start
+    /// without a stop in its log.
     fn listen() -> io::Result<Self> {
         Ok(Self {
             term: signal(SignalKind::terminate())?,
@@ -196,19 +197,19 @@
     })
 }
 
-/// Reads the settings again at SIGHUP, and now and then since they may change without one.
+/// Reads the settings again on SIGHUP, and periodically since the file may change without one.
 async fn reload_settings(path: PathBuf, mut hup: Signal, tx: mpsc::Sender<Settings>) {
-    let mut before = fs::read_to_string(&path).unwrap_or_default();
+    let mut last_text = fs::read_to_string(&path).unwrap_or_default();
     loop {
         tokio::select! {
             _ = hup.recv() => {}
             () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         let text = match fs::read_to_string(&path) {
-            Ok(text) if text != before => text,
+            Ok(text) if text != last_text => text,
             Ok(_) => continue,
             Err(err) => {
-                log::warn!(target: "chiveway::settings.unreadable", "the old ones stay: {err}");
+                log::warn!(target: "chiveway::settings.unreadable", "cannot read the settings file, the settings in force are kept: {err}");
                 continue;
             }
         };
@@ -220,11 +221,11 @@
             }
             Err(faults) => {
                 for fault in faults {
-                    log::warn!(target: "chiveway::settings.fault", "the old ones stay: {fault}");
+                    log::warn!(target: "chiveway::settings.fault", "invalid settings, those in force are kept: {fault}");
                 }
             }
         }
-        before = text;
+        last_text = text;
     }
 }
 
@@ -256,7 +257,7 @@
     })
 }
 
-/// Reads the settings of a host, of whichever sort the text is.
+/// Parses the settings of a host, with or without section `[relay]`.
 fn parse_settings(text: &str, file: &str) -> Result<Settings, Vec<Fault>> {
     if settings::relay::is_relay(text) {
         Settings::parse_relay(text, file)
@@ -265,7 +266,7 @@
     }
 }
 
-/// Runs a stand-in until it is ended.
+/// Runs a stand-in until the process is ended.
 async fn run_standin(options: StandinOptions) -> Result<(), RunError> {
     let addr = options.listen;
     let listener = web::listen(addr).await.context(ListenSnafu { addr })?;
@@ -289,7 +290,7 @@
     Ok(())
 }
 
-/// Adds a stand-in to the list of hosts and backend servers.
+/// Registers a stand-in in the list of hosts and backend servers.
 async fn register(
     options: &StandinOptions,
     list: SocketAddr,
@@ -325,7 +326,7 @@
     let answer = answer.map_err(|err| failed(err.to_string()))?;
     match answer.status {
         204 => Ok(()),
-        status => Err(failed(format!("answered {status}"))),
+        status => Err(failed(format!("the list answered with status {status}"))),
     }
 }
 
@@ -335,7 +336,7 @@
         Pace::Modelled => engine::Pace::Steps(engine::Costs {
             base: ENGINE_STEP_TIME,
             prefill: options.prefill_cost,
-            // The option is the cost of a full batch; the stand-in counts each answer.
+            // The option is the cost of a full batch; the stand-in takes the cost per stream.
             decode: options.decode_cost / u32::try_from(options.slots).unwrap_or(u32::MAX),
             import: options.prefill_cost / IMPORT_SPEEDUP,
             speed: options.speed,
@@ -358,7 +359,7 @@
     engine
 }
 
-/// Reads a key, without the line end, and prints its hash.
+/// Reads a key from standard input, without its line end, and prints its hash.
 fn hash_key() -> Result<(), RunError> {
     let text = io::read_to_string(io::stdin()).context(StdioSnafu)?;
     match text.trim() {
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -1,5 +1,5 @@
-//! A small deployment in one process: hosts and stand-ins on loopback, each on a thread of its
-//! own. For `chiveway try` and for tests.
+//! A small deployment in one process, for `chiveway try`: hosts and stand-ins on loopback, each on
+//! its own thread.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener as StdListener};
 use std::thread::{self, JoinHandle};
@@ -26,7 +26,7 @@
 /// Secret that the hosts share.
 const SECRET: &str = "a secret for one process only";
 
-/// How big a deployment is and how its parts behave.
+/// Size of a deployment and behaviour of its hosts and stand-ins.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Hosts.
@@ -35,17 +35,17 @@
     pub engines: usize,
     /// Instances of the service.
     pub services: usize,
-    /// What engines do with fencing numbers.
+    /// How engines handle fencing numbers.
     pub fencing: Fencing,
-    /// Template of the engines; each gets a name of its own.
+    /// Template of the engines; name, model and fencing are filled in.
     pub engine: engine::Options,
     /// Template of the key-value service; the list of hosts is filled in.
     pub kv: kv::Options,
-    /// More lines for section `[limits]` of the hosts' settings.
+    /// Additional lines for section `[limits]` of the hosts' settings.
     pub limits: Box<str>,
-    /// More lines for section `[platform]` of the hosts' settings.
+    /// Additional lines for section `[platform]` of the hosts' settings.
     pub platform: Box<str>,
-    /// More lines for section `[pool]` of the hosts' settings.
+    /// Additional lines for section `[pool]` of the hosts' settings.
     pub pool: Box<str>,
 }
 
@@ -68,7 +68,7 @@
 /// A running host.
 #[derive(Debug)]
 pub struct HostHandle {
-    /// Checked settings, with the ports that the kernel chose.
+    /// Validated settings, with the ports that the kernel chose.
     pub settings: Settings,
     stop: Option<watch::Sender<bool>>,
     thread: Option<JoinHandle<()>>,
@@ -80,7 +80,7 @@
         self.stop.take();
     }
 
-    /// Waits for the end of a planned stop.
+    /// Begins a planned stop and waits for its end.
     ///
     /// # Panics
     ///
@@ -88,7 +88,7 @@
     pub fn join(&mut self) {
         self.stop();
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("the host's thread runs to its end");
+            thread.join().expect("the host's thread did not panic");
         }
     }
 }
@@ -108,7 +108,7 @@
     list: Vec<HostEntry>,
 }
 
-/// Opens a listener on loopback with a port of the kernel's choice.
+/// Opens a listener on loopback, on a port that the kernel chooses.
 fn bind_loopback() -> (StdListener, SocketAddr) {
     let listener = StdListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback can be bound");
     listener
@@ -124,7 +124,7 @@
     TcpListener::from_std(listener).expect("the listener is non-blocking")
 }
 
-/// Runs a task on a thread of its own.
+/// Runs a task on its own thread.
 fn spawn<F, T>(name: &str, task: F) -> JoinHandle<()>
 where
     F: FnOnce() -> T + Send + 'static,
@@ -141,12 +141,12 @@
 }
 
 impl Site {
-    /// Starts every part.
+    /// Starts all hosts and stand-ins.
     ///
     /// # Panics
     ///
-    /// When loopback cannot be bound, a thread cannot be started, or the options make settings
-    /// with faults.
+    /// When loopback cannot be bound, a thread cannot be started, or the options give invalid
+    /// settings.
     #[must_use]
     pub fn start(options: Options) -> Self {
         let (kv_listener, kv) = bind_loopback();
@@ -158,23 +158,23 @@
             list: Vec::new(),
             options,
         };
-        for at in 0..site.options.engines {
-            site.add_engine(at);
+        for index in 0..site.options.engines {
+            site.add_engine(index);
         }
-        for at in 0..site.options.services {
-            site.add_service(at);
+        for index in 0..site.options.services {
+            site.add_service(index);
         }
         let opts = site.options.kv.clone().hosts(site.list.clone());
         spawn("kv", move || kv::run(into_tokio(kv_listener), opts));
-        for at in 0..site.options.hosts {
-            site.add_host(&format!("host-{}", at + 1));
+        for index in 0..site.options.hosts {
+            site.add_host(&format!("host-{}", index + 1));
         }
         site
     }
 
-    fn add_engine(&mut self, at: usize) {
+    fn add_engine(&mut self, index: usize) {
         let (listener, addr) = bind_loopback();
-        let name = format!("{MODEL}-{}", at + 1);
+        let name = format!("{MODEL}-{}", index + 1);
         let mut opts = self.options.engine.clone();
         opts.name = name.as_str().into();
         opts.model = MODEL.into();
@@ -184,19 +184,19 @@
         };
         spawn(&name, move || engine::run(into_tokio(listener), opts));
         self.list
-            .push(list_entry(&name, HostKind::Engine, MODEL, addr, at));
+            .push(list_entry(&name, HostKind::Engine, MODEL, addr, index));
         self.engines.push(addr);
     }
 
-    fn add_service(&mut self, at: usize) {
+    fn add_service(&mut self, index: usize) {
         let (listener, addr) = bind_loopback();
-        let name = format!("{SERVICE}-{}", at + 1);
+        let name = format!("{SERVICE}-{}", index + 1);
         let opts = service::Options {
             name: SERVICE.into(),
         };
         spawn(&name, move || service::run(into_tokio(listener), opts));
         self.list
-            .push(list_entry(&name, HostKind::Service, SERVICE, addr, at));
+            .push(list_entry(&name, HostKind::Service, SERVICE, addr, index));
         self.services.push(addr);
     }
 
@@ -204,16 +204,13 @@
     ///
     /// # Panics
     ///
-    /// As [`Site::start`].
+    /// See [`Site::start`].
     pub fn add_host(&mut self, name: &str) {
         let domain = domain(self.hosts.len());
         let text = settings(&self.options, name, domain, self.kv);
         let mut settings = Settings::parse(&text, "host.ini").unwrap_or_else(|faults| {
             let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            panic!(
-                "the options make settings with faults: {}",
-                lines.join("; ")
-            )
+            panic!("the options give invalid settings: {}", lines.join("; "))
         });
         let (callers, callers_addr) = bind_loopback();
         let (operators, operators_addr) = bind_loopback();
@@ -222,14 +219,14 @@
         settings.host.operators = operators_addr;
         settings.host.peers = peers_addr;
         let (stop, stopped) = watch::channel(false);
-        let own = settings.clone();
+        let host_settings = settings.clone();
         let thread = spawn(name, move || async move {
             let listeners = Listeners::from_parts(
                 into_tokio(callers),
                 into_tokio(operators),
                 into_tokio(peers),
             );
-            if let Err(err) = host::run(own, listeners, stopped).await {
+            if let Err(err) = host::run(host_settings, listeners, stopped).await {
                 log::error!(target: "chiveway::host.failed", "the host cannot run: {err}");
             }
         });
@@ -240,35 +237,35 @@
         });
     }
 
-    /// Returns the platform's list as it was at the start.
+    /// Returns the platform's list of backend servers at the start.
     #[must_use]
     pub fn list(&self) -> &[HostEntry] {
         &self.list
     }
 }
 
-fn domain(at: usize) -> &'static str {
-    ["dk-east-a", "dk-east-b", "dk-east-c"][at % 3]
+fn domain(index: usize) -> &'static str {
+    ["dk-east-a", "dk-east-b", "dk-east-c"][index % 3]
 }
 
-fn list_entry(name: &str, kind: HostKind, pool: &str, addr: SocketAddr, at: usize) -> HostEntry {
+fn list_entry(name: &str, kind: HostKind, pool: &str, addr: SocketAddr, index: usize) -> HostEntry {
     HostEntry {
         name: name.into(),
         kind,
         pool: pool.into(),
         addr,
-        domain: domain(at).into(),
+        domain: domain(index).into(),
         state: HostState::Live,
     }
 }
 
-/// Returns the text of a host's settings; its ports are chosen later.
+/// Returns the text of a host's settings; its ports are placeholders.
 fn settings(options: &Options, name: &str, domain: &str, kv: SocketAddr) -> String {
     let fencing = match options.fencing {
         Fencing::Checks => "checks",
         Fencing::Ignores => "ignores",
     };
-    let operator = blake3::hash(OPERATOR_KEY.as_bytes()).to_hex();
+    let key_hash = blake3::hash(OPERATOR_KEY.as_bytes()).to_hex();
     let lines = [
         "[host]".to_owned(),
         format!("name = {name}"),
@@ -278,7 +275,7 @@
         "operators = 127.0.0.1:2".to_owned(),
         "peers = 127.0.0.1:3".to_owned(),
         format!("secret = {SECRET}"),
-        format!("operator-key-hash = {operator}"),
+        format!("operator-key-hash = {key_hash}"),
         "[platform]".to_owned(),
         format!("kv = {kv}"),
         format!("list = {kv}"),
@@ -294,11 +291,11 @@
     lines.join("\n")
 }
 
-/// Returns the two lists of a small deployment, as texts.
+/// Returns the texts of the two lists, plans and uses, of a small deployment.
 #[must_use]
 pub fn lists() -> (String, String) {
-    let key = blake3::hash(CUSTOMER_KEY.as_bytes()).to_hex();
-    let plans = format!("[customer {CUSTOMER}]\nplan = medlem\nkeys = {key}\n");
+    let key_hash = blake3::hash(CUSTOMER_KEY.as_bytes()).to_hex();
+    let plans = format!("[customer {CUSTOMER}]\nplan = medlem\nkeys = {key_hash}\n");
     let uses = format!(
         "[plan medlem]\nmodels = {MODEL}\nservices = {SERVICE}\nrequests = 10000/s\n\
          [service {SERVICE}]\nrepeat = GET *\nonce = POST /extensions*\n"
--- a/src/trial.rs
+++ b/src/trial.rs
@@ -1,4 +1,4 @@
-//! `chiveway try`: a whole deployment in one process, to look at and to check.
+//! `chiveway try`: a whole deployment in one process, to explore or to check.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,68 +13,68 @@
 use crate::site::{self, CUSTOMER_KEY, MODEL, OPERATOR_KEY, SERVICE, Site};
 use crate::standin::engine::expected;
 
-/// Time the hosts have to be ready.
+/// Longest wait for a host to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two looks whether a host is ready.
+/// Time between two polls of a host.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time a record has to reach another host.
+/// Longest wait for a finished record at another host.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Prompt of the request that is tried.
+/// Prompt of the streamed request.
 const PROMPT: &str = "What does the funder still expect of us before the cutoff?";
-/// Tokens that are asked for.
+/// Tokens requested.
 const OUTPUT_TOKENS: u64 = 24;
 
-/// Why a trial failed.
+/// Why `try` failed.
 #[derive(Debug, Snafu)]
 pub enum TrialError {
     /// A call got no answer.
     #[snafu(display("no answer to {what}: {source}"))]
     Call {
-        /// What was asked.
+        /// The call.
         what: Box<str>,
-        /// Why there is no answer.
+        /// Error of the call.
         source: OpenError,
     },
-    /// A call got an answer that it should not get.
-    #[snafu(display("{what} was answered with {status}: {body}"))]
+    /// A call was answered with a status other than 200.
+    #[snafu(display("{what} was answered with status {status}: {body}"))]
     UnexpectedStatus {
-        /// What was asked.
+        /// The call.
         what: Box<str>,
         /// Status of the answer.
         status: u16,
         /// Body of the answer.
         body: Box<str>,
     },
-    /// A host is not ready in time.
-    #[snafu(display("the host at {addr} is not ready in time"))]
+    /// A host was not ready in time.
+    #[snafu(display("the host at {addr} was not ready in time"))]
     NotReady {
         /// Its operators' listener.
         addr: SocketAddr,
     },
-    /// An answer is not the one that belongs to the request.
-    #[snafu(display("{what} is not what it should be: {found}"))]
+    /// A check failed.
+    #[snafu(display("check of {what} failed: found {found}"))]
     Mismatch {
-        /// What was compared.
+        /// What was checked.
         what: Box<str>,
         /// What was found.
         found: Box<str>,
     },
-    /// The HTTP client cannot be made.
-    #[snafu(display("the HTTP client cannot be made"))]
+    /// The HTTP client cannot be created.
+    #[snafu(display("the HTTP client cannot be created"))]
     NoClient,
     /// Standard output failed.
     #[snafu(display("cannot write to standard output: {source}"))]
     Output {
-        /// What the system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs the trial.
+/// Runs the deployment, and with `--once` the checks.
 ///
 /// # Errors
 ///
-/// Returns what was not as it should be.
+/// Returns why the deployment did not start or which check failed.
 pub async fn run(options: TryOptions) -> Result<(), TrialError> {
     let site = Site::start(site::Options {
         hosts: options.hosts,
@@ -112,18 +112,18 @@
     let callers = first.settings.host.callers;
     let body =
         json!({"model": MODEL, "prompt": PROMPT, "max_tokens": OUTPUT_TOKENS, "stream": true});
-    print("\nAsk for a completion:\n")?;
+    print("\nRequest a completion:\n")?;
     print(&format!(
         "curl -N http://{callers}/v1/completions -H 'Authorization: Bearer {CUSTOMER_KEY}' -d '{body}'"
     ))?;
-    print("\nThe x-request-id header of the answer (curl -i) names it for `chiveway explain`.")
+    print("\nThe x-request-id header of the answer (curl -i) is the id for `chiveway explain`.")
 }
 
 /// Puts the lists in force and waits until every host is ready.
 ///
 /// # Errors
 ///
-/// Returns what the hosts refused, or which is not ready in time.
+/// Returns the call that failed or was refused, or the host that was not ready in time.
 pub async fn prepare(client: &Client, site: &Site) -> Result<(), TrialError> {
     let Some(first) = site.hosts.first() else {
         return Ok(());
@@ -147,28 +147,28 @@
                 .and_then(|answer| serde_json::from_slice(&answer.body).ok())?;
             let hosts = status["hosts"].as_array()?.len();
             let backends = status["backends"].as_array()?.len();
-            let whole = hosts == site.hosts.len() && backends == site.list().len();
+            let complete = hosts == site.hosts.len() && backends == site.list().len();
             let current = status["revision"] == 2 && status["ready"] == true;
-            (whole && current).then_some(())
+            (complete && current).then_some(())
         })
         .await?;
     }
     Ok(())
 }
 
-async fn wait_for<F, T>(addr: SocketAddr, look: F) -> Result<(), TrialError>
+async fn wait_for<F, T>(addr: SocketAddr, poll: F) -> Result<(), TrialError>
 where
     F: Fn() -> T,
     T: Future<Output = Option<()>>,
 {
-    let looks = async {
-        while look().await.is_none() {
+    let polls = async {
+        while poll().await.is_none() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(READY_TIMEOUT, looks)
+    tokio::time::timeout(READY_TIMEOUT, polls)
         .await
-        .map_err(|_late| TrialError::NotReady { addr })
+        .map_err(|_elapsed| TrialError::NotReady { addr })
 }
 
 async fn send(client: &Client, what: &str, call: Call<'_>) -> Result<Answer, TrialError> {
@@ -201,24 +201,24 @@
     client: &Client,
     addr: SocketAddr,
     path: &str,
-    base: u64,
+    revision: u64,
     text: String,
 ) -> Result<Answer, TrialError> {
     let key = format!("Bearer {OPERATOR_KEY}");
-    let base = format!("\"{base}\"");
+    let if_match = format!("\"{revision}\"");
     let call = Call {
         method: "PUT",
         addr,
         path,
-        headers: &[("authorization", &key), ("if-match", &base)],
+        headers: &[("authorization", &key), ("if-match", &if_match)],
         body: text.into(),
     };
     send(client, path, call).await
 }
 
-/// Sends one streamed request and one call that may not repeat, and checks both.
+/// Sends one streamed request and one non-retryable call, and checks both.
 async fn run_once(client: &Client, site: &Site) -> Result<(), TrialError> {
-    let callers = |at: usize| site.hosts[at % site.hosts.len()].settings.host.callers;
+    let callers = |index: usize| site.hosts[index % site.hosts.len()].settings.host.callers;
     let key = format!("Bearer {CUSTOMER_KEY}");
 
     let body =
@@ -238,9 +238,9 @@
         what: "the stream",
         found: "an answer without its end marker",
     })?;
-    let wanted = expected(MODEL, PROMPT, OUTPUT_TOKENS);
+    let expected_text = expected(MODEL, PROMPT, OUTPUT_TOKENS);
     ensure!(
-        text == wanted,
+        text == expected_text,
         MismatchSnafu {
             what: "the answer",
             found: text,
@@ -285,15 +285,15 @@
         }
         let chunk: Value = serde_json::from_slice(&event.data).ok()?;
         let choice = &chunk["choices"][0];
-        let piece = choice["text"]
+        let delta = choice["text"]
             .as_str()
             .or_else(|| choice["delta"]["content"].as_str());
-        text.push_str(piece.unwrap_or_default());
+        text.push_str(delta.unwrap_or_default());
     }
     None
 }
 
-/// Checks the explanation of a request, as read from another host than the one that served it.
+/// Checks the explanation of a request, read from another host than the one that served it.
 async fn check_explanation(
     client: &Client,
     site: &Site,
@@ -319,7 +319,7 @@
         })?;
     let addr = other.settings.host.operators;
     let path = format!("/explain/{id}");
-    let look = async {
+    let poll = async {
         loop {
             let record: Value = match get(client, addr, &path).await {
                 Ok(answer) => serde_json::from_slice(&answer.body).unwrap_or_default(),
@@ -331,7 +331,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let record = tokio::time::timeout(RECORD_TIMEOUT, look)
+    let record = tokio::time::timeout(RECORD_TIMEOUT, poll)
         .await
         .ok()
         .context(MismatchSnafu {
--- a/src/units/tests.rs
+++ b/src/units/tests.rs
@@ -1,20 +1,20 @@
-//! Tables of values with units.
+//! Tests of values with units.
 
 use std::time::Duration;
 
 use super::{count, number, rate, show_rate, show_size, show_time, show_utc, size, time};
 
-/// Names each case: a value read from text.
-macro_rules! read {
-    ($($name:ident: $read:ident($text:literal) => $value:expr;)+) => {
+/// Defines a test for each case: a value parsed from text.
+macro_rules! parsed {
+    ($($name:ident: $parse:ident($text:literal) => $value:expr;)+) => {
         $(#[test]
         fn $name() {
-            assert_eq!($read($text), $value);
+            assert_eq!($parse($text), $value);
         })+
     };
 }
 
-read! {
+parsed! {
     milliseconds: time("250ms") => Some(Duration::from_millis(250));
     seconds: time("14s") => Some(Duration::from_secs(14));
     space_before_unit: time("14 s") => Some(Duration::from_secs(14));
@@ -32,7 +32,7 @@
     bytes: size("7B") => Some(7);
     decimal_megabytes: size("64MB") => None;
     whole_rate: rate("50/s") => Some(50.0);
-    half_a_rate: rate("0.5/s") => Some(0.5);
+    fractional_rate: rate("0.5/s") => Some(0.5);
     rate_a_minute: rate("50/m") => None;
     rate_with_sign: rate("+5/s") => None;
     infinite: number("inf") => None;
@@ -43,10 +43,10 @@
     whole_count: count("4096") => Some(4096);
     empty_count: count("") => None;
     signed_count: count("+4") => None;
-    other_digits: count("٤") => None;
+    non_ascii_digits: count("٤") => None;
 }
 
-/// Names each case: a value and its text.
+/// Defines a test for each case: a value and its text.
 macro_rules! shown {
     ($($name:ident: $shown:expr => $text:literal;)+) => {
         $(#[test]
@@ -59,11 +59,11 @@
 shown! {
     largest_unit: show_time(Duration::from_mins(2)) => "2m";
     no_fraction: show_time(Duration::from_millis(1500)) => "1500ms";
-    no_time: show_time(Duration::ZERO) => "0s";
+    zero_time: show_time(Duration::ZERO) => "0s";
     below_a_microsecond: show_time(Duration::from_nanos(1_999)) => "1us";
     whole_size: show_size(8 << 20) => "8MiB";
-    odd_size: show_size(1025) => "1025B";
-    no_size: show_size(0) => "0B";
+    size_in_bytes: show_size(1025) => "1025B";
+    zero_size: show_size(0) => "0B";
     first_day: show_utc(0) => "1970-01-01 00:00:00.000 UTC";
     leap_day: show_utc(951_782_400_000) => "2000-02-29 00:00:00.000 UTC";
     day_after_leap_day: show_utc(951_868_800_000) => "2000-03-01 00:00:00.000 UTC";
