--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Log output: one line an event, as text or JSON, on standard error.
+//! Log output: one line per event, as text or JSON, on standard error.
 //!
 //! Events are written with the `log` crate's macros: the target names the event, the message says
 //! what happened, and key-value pairs hold the fields:
@@ -8,7 +8,7 @@
 //! log::info!(target: "chiveway::lists_accepted", revision; "an edit of the lists is accepted");
 //! ```
 //!
-//! No secret and nothing that a caller wrote in a body goes into an event.
+//! No secret and no part of a request body goes into an event.
 
 #[cfg(test)]
 mod tests;
@@ -27,10 +27,10 @@
 
 use crate::settings::{LogFormat, LogSettings};
 
-/// Start of the targets of this program's own events.
-const OWN: &str = "chiveway";
-/// Most that libraries write: their finer levels report each read and write of a socket.
-const LIBRARY_LEVEL: LevelFilter = LevelFilter::Warn;
+/// Prefix of the targets of this program's own events.
+const OWN_TARGETS: &str = "chiveway";
+/// Finest level logged of libraries: finer ones report each read and write of a socket.
+const MAX_LIBRARY_LEVEL: LevelFilter = LevelFilter::Warn;
 /// Name of the only appender.
 const CONSOLE: &str = "console";
 /// Time, level, event and message on one line.
@@ -39,16 +39,16 @@
 /// Logging could not be set up.
 #[derive(Debug, Snafu)]
 pub enum LogError {
-    /// The configuration is refused.
+    /// The configuration is invalid.
     #[snafu(display("cannot configure logging: {source}"))]
     Config {
-        /// What the library says.
+        /// Error from the logging library.
         source: ConfigErrors,
     },
     /// Logging is set up already.
-    #[snafu(display("logging is set up twice: {source}"))]
-    Twice {
-        /// What the library says.
+    #[snafu(display("logging is already set up: {source}"))]
+    AlreadySet {
+        /// Error from the logging library.
         source: SetLoggerError,
     },
 }
@@ -58,15 +58,15 @@
 /// # Errors
 ///
 /// Returns an error where logging is set up already.
-pub fn start(settings: &LogSettings) -> Result<(), LogError> {
+pub fn init(settings: &LogSettings) -> Result<(), LogError> {
     let logger = log4rs::Logger::new(config(settings)?);
-    let most = logger.max_log_level();
-    let done = match settings.format {
+    let max_level = logger.max_log_level();
+    let result = match settings.format {
         LogFormat::Json => log::set_boxed_logger(Box::new(logger)),
-        LogFormat::Text => log::set_boxed_logger(Box::new(Text(logger))),
+        LogFormat::Text => log::set_boxed_logger(Box::new(TextLogger(logger))),
     };
-    done.context(TwiceSnafu)?;
-    log::set_max_level(most);
+    result.context(AlreadySetSnafu)?;
+    log::set_max_level(max_level);
     Ok(())
 }
 
@@ -81,22 +81,22 @@
         .build();
     let root = Root::builder()
         .appender(CONSOLE)
-        .build(settings.level.min(LIBRARY_LEVEL));
+        .build(settings.level.min(MAX_LIBRARY_LEVEL));
     Config::builder()
         .appender(Appender::builder().build(CONSOLE, Box::new(console)))
-        .logger(Filter::builder().build(OWN, settings.level))
+        .logger(Filter::builder().build(OWN_TARGETS, settings.level))
         .build(root)
         .context(ConfigSnafu)
 }
 
 /// Adds an event's fields to its message.
 ///
-/// The library's text pattern can name single fields only; without this the fields of an event
-/// would appear in JSON and be missing in text.
+/// The text pattern of the library can only name single fields; without this logger the fields of
+/// an event would appear in JSON but not in text.
 #[derive(Debug)]
-struct Text(log4rs::Logger);
+struct TextLogger(log4rs::Logger);
 
-impl Log for Text {
+impl Log for TextLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         self.0.enabled(metadata)
     }
@@ -105,7 +105,7 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let line = line(record);
+        let line = format_line(record);
         let args = format_args!("{line}");
         self.0.log(&record.to_builder().args(args).build());
     }
@@ -117,11 +117,11 @@
 
 /// Returns the message with its fields after it, on one line.
 ///
-/// Control characters are escaped: a name or path from outside with a line end in it would
-/// otherwise forge a log line of its own.
-fn line(record: &Record<'_>) -> Box<str> {
+/// Control characters are escaped: a line end in a name or path from outside would otherwise forge
+/// a log line.
+fn format_line(record: &Record<'_>) -> Box<str> {
     let mut fields = Fields(record.args().to_string());
-    // Writing to a string does not fail, and neither does the visitor.
+    // Neither the visitor nor writing to a string can fail.
     let _ = record.key_values().visit(&mut fields);
     let escape = |c: char| -> Box<str> {
         if c.is_control() {
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -2,7 +2,7 @@
 
 use log::Record;
 
-use super::line;
+use super::format_line;
 
 #[test]
 fn fields_follow_the_message() {
@@ -12,22 +12,22 @@
         .key_values(&fields)
         .build();
     assert_eq!(
-        &*line(&record),
+        &*format_line(&record),
         "an edit is accepted host=dk-øst-1 revision=7"
     );
 }
 
-/// A caller puts a line end into a path that is logged. Without escaping the rest would stand in
-/// the log as an event that never happened, and a support engineer would believe it.
+/// A caller puts a line end into a path that is logged: without escaping, the rest of the path
+/// appears in the log as an event that never happened.
 #[test]
-fn line_ends_in_fields_forge_no_line() {
+fn line_ends_in_fields_are_escaped() {
     let fields = [("path", "/a\n2026 INFO chiveway::stopped")];
     let record = Record::builder()
         .args(format_args!("refused\u{1b}"))
         .key_values(&fields)
         .build();
     assert_eq!(
-        &*line(&record),
+        &*format_line(&record),
         "refused\\u{1b} path=/a\\n2026 INFO chiveway::stopped"
     );
 }
--- a/src/operate/client.rs
+++ b/src/operate/client.rs
@@ -10,26 +10,26 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use super::{OperateError, key};
+use super::{OperateError, read_key};
 use crate::cli::Access;
 use crate::settings::Secret;
 
-/// Time for the head of an answer: an edit waits for the key-value service, which can be slow.
-const HEAD_TIME: Millis = Millis(15_000);
-/// Time for the body of an answer.
-const BODY_TIME: Millis = Millis(30_000);
-/// Most bytes of an answer: room for the lists at several times the size designed for.
-const MAX_BODY: usize = 64 << 20;
+/// Time-out for the head of an answer: an edit waits for the key-value service, which can be slow.
+const HEAD_TIMEOUT: Millis = Millis(15_000);
+/// Time-out for the body of an answer.
+const BODY_TIMEOUT: Millis = Millis(30_000);
+/// Largest body of an answer: holds lists of several times the size designed for.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Connection to one host.
+/// HTTP client of one host's operators' listener.
 #[derive(Debug)]
-pub(super) struct Console {
+pub(super) struct OperatorClient {
     client: Client,
     addr: SocketAddr,
     key: Secret,
 }
 
-/// An answer read whole.
+/// A complete answer.
 #[derive(Debug)]
 pub(super) struct Answer {
     /// HTTP status.
@@ -40,17 +40,17 @@
     pub body: Box<str>,
 }
 
-impl Console {
-    /// Makes a client with the operators' key; no connection is opened yet.
+impl OperatorClient {
+    /// Creates a client with the operators' key; no connection is opened yet.
     pub async fn open(access: &Access) -> Result<Self, OperateError> {
-        let key = key(access.key_file.as_deref())?;
+        let key = read_key(access.key_file.as_deref())?;
         let addr = access.addr;
-        // A redirect would send the key and the edit to an address nobody gave.
+        // A redirect would send the key and the edit to an address that the operator did not name.
         let builder = Client::builder()
             .disable_redirects()
-            .response_timeout(HEAD_TIME)
-            .response_payload_limit(MAX_BODY)
-            .response_payload_timeout(BODY_TIME);
+            .response_timeout(HEAD_TIMEOUT)
+            .response_payload_limit(MAX_BODY_BYTES)
+            .response_payload_timeout(BODY_TIMEOUT);
         let client = builder.build(SharedCfg::new("operators")).await;
         let client = client.map_err(|err| no_answer(addr, &err.to_string()))?;
         Ok(Self { client, addr, key })
@@ -65,26 +65,27 @@
     pub async fn get(&self, path: &str) -> Result<Answer, OperateError> {
         let sent = self.request(self.client.get(self.url(path))).send().await;
         let response = sent.map_err(|err| no_answer(self.addr, &err.to_string()))?;
-        let answer = read(response).await;
+        let answer = read_answer(response).await;
         let answer = answer.map_err(|problem| no_answer(self.addr, &problem))?;
         if answer.status == 200 {
             Ok(answer)
         } else {
-            Err(self.refused(&answer))
+            Err(self.refusal(&answer))
         }
     }
 
-    /// Puts a text where `revision` is in force; `Err` holds why no answer came.
+    /// Puts a text on the condition that `revision` is in force; `Err` holds why no answer was
+    /// received.
     pub async fn put(&self, path: &str, revision: u64, text: &str) -> Result<Answer, Box<str>> {
         let request = self.request(self.client.put(self.url(path)));
         let request = request
             .header(header::IF_MATCH, format!("\"{revision}\""))
             .content_type("text/plain; charset=utf-8");
         let sent = request.send_body(text.to_owned()).await;
-        read(sent.map_err(|err| Box::from(err.to_string()))?).await
+        read_answer(sent.map_err(|err| Box::from(err.to_string()))?).await
     }
 
-    /// Reads an answer as JSON.
+    /// Parses an answer as JSON; `wanted` names what it must hold.
     pub fn json<T: DeserializeOwned>(
         &self,
         answer: &Answer,
@@ -92,21 +93,21 @@
     ) -> Result<T, OperateError> {
         let addr = self.addr();
         serde_json::from_str(&answer.body)
-            .map_err(|_strange| OperateError::Strange { addr, wanted })
+            .map_err(|_err| OperateError::UnexpectedBody { addr, wanted })
     }
 
-    /// Returns the error for an answer that refuses.
-    pub fn refused(&self, answer: &Answer) -> OperateError {
+    /// Returns the error for an answer that is a refusal.
+    pub fn refusal(&self, answer: &Answer) -> OperateError {
         let problem: Value = serde_json::from_str(&answer.body).unwrap_or_default();
-        // The title is advice to callers; what the host saw stands in the detail.
-        let said = ["detail", "title"]
+        // The title is general advice to callers; the detail names what the host found.
+        let reason = ["detail", "title"]
             .iter()
             .filter_map(|field| problem.get(field)?.as_str())
-            .find(|said| !said.is_empty());
-        let problem = match (said, answer.status) {
-            (Some(said), _) => said,
+            .find(|reason| !reason.is_empty());
+        let problem = match (reason, answer.status) {
+            (Some(reason), _) => reason,
             (None, 401) => "the operators' key is wrong",
-            (None, 404) => "nothing is known under this name",
+            (None, 404) => "not found",
             (None, _) => "no reason given",
         };
         OperateError::Refused {
@@ -125,13 +126,13 @@
     }
 }
 
-async fn read(response: ClientResponse) -> Result<Answer, Box<str>> {
+async fn read_answer(response: ClientResponse) -> Result<Answer, Box<str>> {
     let tag = response.header(header::ETAG);
     let tag = tag.and_then(|tag| tag.to_str().ok());
     let revision = tag.and_then(|tag| tag.trim_matches('"').parse().ok());
     let body = response.body().await;
     let body = body.map_err(|err| Box::from(err.to_string()))?;
-    let body = str::from_utf8(&body).map_err(|_binary| Box::from("the body is no text"))?;
+    let body = str::from_utf8(&body).map_err(|_err| Box::from("the body is not valid UTF-8"))?;
     Ok(Answer {
         status: response.status().as_u16(),
         revision,
@@ -146,8 +147,8 @@
     }
 }
 
-/// Writes text as one segment of a path.
-pub(super) fn escape(text: &str) -> Box<str> {
+/// Percent-encodes text as one segment of a path.
+pub(super) fn percent_encode(text: &str) -> Box<str> {
     let mut path = String::with_capacity(text.len());
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte) {
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -111,7 +111,7 @@
         fencing: section.read("fencing", Fencing::from_name),
         first_token: parse_time(section, "first-token"),
         token_gap: parse_time(section, "between"),
-        split: section.read("split", units::yes),
+        split: section.read("split", units::boolean),
         goodput_weight: section.read("goodput", units::number),
         change_cost: section.read("change", units::number),
         prefill_rate: section.read("prefill", units::number),
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -211,7 +211,7 @@
     let store = single_section(sections, "store");
     let bounds = single_section(sections, "bounds");
     let policy = single_section(sections, "policy");
-    let time = |section: &Section, key: &str| section.read(key, units::span);
+    let time = |section: &Section, key: &str| section.read(key, units::fractional_time);
     let number = |section: &Section, key: &str| section.read(key, units::number);
     let addr = |section: &Section, key: &str| section.read(key, form::parse_address);
     Settings {
