--- a/src/run.rs
+++ b/src/run.rs
@@ -331,8 +331,8 @@
 
 fn engine_options(options: StandinOptions) -> engine::Options {
     let pace = match options.pace {
-        Pace::Instant => engine::Pace::Instant,
-        Pace::Modelled => engine::Pace::Steps(engine::Costs {
+        Pace::Instant => engine::Timing::Instant,
+        Pace::Modelled => engine::Timing::Steps(engine::StepCosts {
             base: STEP,
             prefill: options.prefill,
             // The option is the cost of a full batch; the stand-in counts each answer.
@@ -344,9 +344,9 @@
     let mut engine = engine::Options {
         name: options.name,
         model: options.model,
-        pace,
+        timing: pace,
         slots: options.slots,
-        lag: options.lag,
+        load_lag: options.lag,
         fencing: match options.fencing {
             Fencing::Checks => engine::Fencing::Checks,
             Fencing::Ignores => engine::Fencing::Ignores,
@@ -354,7 +354,7 @@
         crash: engine::Crash::Exit,
         ..engine::Options::default()
     };
-    engine.cache.piece = options.piece as u64;
+    engine.cache.block_tokens = options.piece as u64;
     engine
 }
 
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::host::{self, Listeners};
 use crate::settings::{Fencing, Settings};
-use crate::standin::kv::{HostEntry, HostKind, HostState};
+use crate::standin::kv::{ListEntry, ListEntryKind, ListEntryState};
 use crate::standin::{engine, kv, service};
 
 /// Key of the operators of a small deployment.
@@ -105,7 +105,7 @@
     /// Where the instances of the service listen.
     pub services: Vec<SocketAddr>,
     options: Options,
-    list: Vec<HostEntry>,
+    list: Vec<ListEntry>,
 }
 
 /// Opens a listener on loopback with a port of the kernel's choice.
@@ -184,7 +184,7 @@
         };
         spawn(&name, move || engine::run(adopt(listener), opts));
         self.list
-            .push(entry(&name, HostKind::Engine, MODEL, addr, at));
+            .push(entry(&name, ListEntryKind::Engine, MODEL, addr, at));
         self.engines.push(addr);
     }
 
@@ -196,7 +196,7 @@
         };
         spawn(&name, move || service::run(adopt(listener), opts));
         self.list
-            .push(entry(&name, HostKind::Service, SERVICE, addr, at));
+            .push(entry(&name, ListEntryKind::Service, SERVICE, addr, at));
         self.services.push(addr);
     }
 
@@ -238,7 +238,7 @@
 
     /// Returns the platform's list as it was at the start.
     #[must_use]
-    pub fn list(&self) -> &[HostEntry] {
+    pub fn list(&self) -> &[ListEntry] {
         &self.list
     }
 }
@@ -247,14 +247,14 @@
     ["dk-east-a", "dk-east-b", "dk-east-c"][at % 3]
 }
 
-fn entry(name: &str, kind: HostKind, pool: &str, addr: SocketAddr, at: usize) -> HostEntry {
-    HostEntry {
+fn entry(name: &str, kind: ListEntryKind, pool: &str, addr: SocketAddr, at: usize) -> ListEntry {
+    ListEntry {
         name: name.into(),
         kind,
         pool: pool.into(),
         addr,
         domain: domain(at).into(),
-        state: HostState::Live,
+        state: ListEntryState::Live,
     }
 }
 
--- a/src/standin/engine/answer.rs
+++ b/src/standin/engine/answer.rs
@@ -1,7 +1,7 @@
 //! Answers as a pure function of model and prompt, so that any caller can check them.
 
 /// Bytes of prompt that count as one token.
-const TOKEN_BYTES: u64 = 4;
+const BYTES_PER_TOKEN: u64 = 4;
 /// Words an answer is made of; a power of two many.
 const WORDS: [&str; 32] = [
     "amber", "birch", "cedar", "delta", "ember", "fjord", "glade", "heath", "inlet", "juniper",
@@ -10,7 +10,7 @@
     "isle", "lagoon",
 ];
 /// Odd constant of the `SplitMix64` generator.
-const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
+const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Start of an answer: a hash of model and prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +31,9 @@
 /// Returns the word of token `i`, without the space before it.
 #[must_use]
 pub fn word(seed: Seed, i: u64) -> &'static str {
-    let mut z = seed.0.wrapping_add(i.wrapping_add(1).wrapping_mul(GOLDEN));
+    let mut z = seed
+        .0
+        .wrapping_add(i.wrapping_add(1).wrapping_mul(SPLITMIX64_INCREMENT));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     let index = (z ^ (z >> 31)) % WORDS.len() as u64;
@@ -39,7 +41,7 @@
 }
 
 /// Appends tokens `from..to` to `text`; each but token 0 begins with a space.
-pub fn write(text: &mut String, seed: Seed, from: u64, to: u64) {
+pub fn write_tokens(text: &mut String, seed: Seed, from: u64, to: u64) {
     for i in from..to {
         if i > 0 {
             text.push(' ');
@@ -52,14 +54,14 @@
 #[must_use]
 pub fn expected(model: &str, prompt: &str, n: u64) -> String {
     let mut text = String::new();
-    write(&mut text, seed(model, prompt), 0, n);
+    write_tokens(&mut text, seed(model, prompt), 0, n);
     text
 }
 
 /// Returns the number of tokens of a prompt: one for every four bytes begun.
 #[must_use]
 pub fn prompt_tokens(prompt: &str) -> u64 {
-    (prompt.len() as u64).div_ceil(TOKEN_BYTES)
+    (prompt.len() as u64).div_ceil(BYTES_PER_TOKEN)
 }
 
 /// Returns the hashes of a prompt's whole pieces of `size` tokens, in hexadecimal.
@@ -67,18 +69,18 @@
 /// Each is the first 16 bytes of the BLAKE3 hash of the hash before it (the model's name for the
 /// first) and the piece's bytes, so that equal hashes mean equal prompts up to that piece.
 #[must_use]
-pub fn pieces(model: &str, prompt: &str, size: u64) -> Vec<Box<str>> {
-    const HEX: usize = 32;
-    let bytes = usize::try_from(size.max(1) * TOKEN_BYTES).unwrap_or(usize::MAX);
-    let mut before: Box<str> = model.into();
-    let mut names = Vec::new();
-    for piece in prompt.as_bytes().chunks_exact(bytes) {
+pub fn block_hashes(model: &str, prompt: &str, block_tokens: u64) -> Vec<Box<str>> {
+    const HASH_CHARS: usize = 32;
+    let block_bytes = usize::try_from(block_tokens.max(1) * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
+    let mut previous: Box<str> = model.into();
+    let mut hashes = Vec::new();
+    for block in prompt.as_bytes().chunks_exact(block_bytes) {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(before.as_bytes());
+        hasher.update(previous.as_bytes());
         hasher.update(&[0]);
-        hasher.update(piece);
-        before = hasher.finalize().to_hex()[..HEX].into();
-        names.push(before.clone());
+        hasher.update(block);
+        previous = hasher.finalize().to_hex()[..HASH_CHARS].into();
+        hashes.push(previous.clone());
     }
-    names
+    hashes
 }
--- a/src/standin/engine/batch.rs
+++ b/src/standin/engine/batch.rs
@@ -11,21 +11,21 @@
 use tokio::time::Instant;
 
 use super::answer::Seed;
-use super::cache::Cache;
-use super::options::{Faults, Pace};
+use super::cache::PrefixCache;
+use super::options::{Faults, Timing};
 
 /// Prompt tokens worked through in one step at most, so that long prompts do not hold up answers.
-const STEP_TOKENS: u64 = 2048;
+const MAX_STEP_PREFILL_TOKENS: u64 = 2048;
 
 new_key_type! {
     /// Names one attempt in the engine.
-    pub(super) struct RunKey;
+    pub(super) struct AttemptKey;
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub(super) enum End {
+pub(super) enum EndReason {
     /// It has all its tokens.
     Done,
     /// Its caller left.
@@ -38,32 +38,32 @@
 
 /// One attempt.
 #[derive(Debug)]
-pub(super) struct Run {
-    pub attempt: Rc<str>,
+pub(super) struct Attempt {
+    pub id: Rc<str>,
     pub prompt: Box<str>,
     /// BLAKE3 hash of the prompt in hexadecimal.
-    pub hash: Box<str>,
+    pub prompt_hash: Box<str>,
     pub seed: Seed,
-    pub pieces: Vec<Box<str>>,
+    pub block_hashes: Vec<Box<str>>,
     /// Tokens of the prompt, and of an answer continued.
     pub prompt_tokens: u64,
     /// Prompt tokens not yet worked through.
-    pub prefill: u64,
+    pub prefill_left: u64,
     pub priority: i64,
     /// Offset the attempt began at.
-    pub first: u64,
+    pub start_offset: u64,
     /// Offset of the next token to be made.
-    pub made: u64,
+    pub next_offset: u64,
     /// Offset at which the answer is whole.
-    pub limit: u64,
-    pub end: Option<End>,
+    pub end_offset: u64,
+    pub end: Option<EndReason>,
     pub readers: usize,
     /// Grows with each reader, so that a grace period begun before it lapses without effect.
-    pub opened: u64,
+    pub open_count: u64,
     /// Woken at each new token and at the end.
-    pub changed: Rc<Notify>,
+    pub progress: Rc<Notify>,
     /// Place in the log.
-    pub log: usize,
+    pub log_index: usize,
 }
 
 /// Numbers for `GET /stats`.
@@ -91,13 +91,13 @@
 /// One step before its time has passed.
 #[derive(Debug)]
 pub(super) struct Step {
-    work: Vec<(RunKey, u64)>,
-    pub time: Duration,
+    prefill: Vec<(AttemptKey, u64)>,
+    pub duration: Duration,
 }
 
 /// What comes of looking for work.
 #[derive(Debug)]
-pub(super) enum Plan {
+pub(super) enum NextStep {
     Idle,
     Step(Step),
     Crash,
@@ -106,154 +106,160 @@
 /// All attempts of an engine.
 #[derive(Debug, Default)]
 pub(super) struct Batch {
-    pub runs: SlotMap<RunKey, Run>,
-    pub waiting: BTreeSet<(Reverse<i64>, u64, RunKey)>,
-    pub running: Vec<RunKey>,
+    pub attempts: SlotMap<AttemptKey, Attempt>,
+    pub waiting: BTreeSet<(Reverse<i64>, u64, AttemptKey)>,
+    pub running: Vec<AttemptKey>,
     arrivals: u64,
 }
 
 impl Batch {
     /// Takes in an attempt at the end of its priority's queue.
-    pub fn add(&mut self, run: Run) -> RunKey {
-        let priority = Reverse(run.priority);
-        let key = self.runs.insert(run);
+    pub fn add(&mut self, attempt: Attempt) -> AttemptKey {
+        let priority = Reverse(attempt.priority);
+        let key = self.attempts.insert(attempt);
         self.arrivals += 1;
         self.waiting.insert((priority, self.arrivals, key));
         key
     }
 
     /// Ends an attempt; tokens already made can still be read.
-    pub fn end(&mut self, key: RunKey, end: End, stats: &mut Stats) {
-        let Some(run) = self.runs.get_mut(key) else {
+    pub fn end_attempt(&mut self, key: AttemptKey, end: EndReason, stats: &mut Stats) {
+        let Some(attempt) = self.attempts.get_mut(key) else {
             return;
         };
-        if run.end.is_some() {
+        if attempt.end.is_some() {
             return;
         }
-        run.end = Some(end);
+        attempt.end = Some(end);
         // What can still be read of the attempt needs neither, and long prompts add up.
-        run.prompt = Box::default();
-        run.pieces = Vec::new();
-        run.changed.notify_waiters();
+        attempt.prompt = Box::default();
+        attempt.block_hashes = Vec::new();
+        attempt.progress.notify_waiters();
         self.running.retain(|k| *k != key);
         self.waiting.retain(|(_, _, k)| *k != key);
         *match end {
-            End::Done => &mut stats.done,
-            End::Cancelled => &mut stats.cancelled,
-            End::Cut => &mut stats.cut,
-            End::Crashed => &mut stats.crashed,
+            EndReason::Done => &mut stats.done,
+            EndReason::Cancelled => &mut stats.cancelled,
+            EndReason::Cut => &mut stats.cut,
+            EndReason::Crashed => &mut stats.crashed,
         } += 1;
     }
 
     /// Returns the prompt tokens still to be worked through.
-    pub fn prefill_left(&self) -> u64 {
+    pub fn prefill_backlog(&self) -> u64 {
         let waiting = self.waiting.iter().map(|(_, _, key)| key);
         waiting
             .chain(&self.running)
-            .filter_map(|key| self.runs.get(*key))
-            .map(|run| run.prefill)
+            .filter_map(|key| self.attempts.get(*key))
+            .map(|attempt| attempt.prefill_left)
             .sum()
     }
 
     /// Fills the batch from the queue and lays out the next step.
-    pub fn plan(
+    pub fn next_step(
         &mut self,
         slots: usize,
-        pace: Pace,
+        timing: Timing,
         faults: &Faults,
-        cache: &mut Cache,
+        cache: &mut PrefixCache,
         stats: &mut Stats,
-    ) -> Plan {
+    ) -> NextStep {
         while self.running.len() < slots {
             let Some((_, _, key)) = self.waiting.pop_first() else {
                 break;
             };
-            let run = &mut self.runs[key];
-            let cached = cache.reuse(&run.pieces).min(run.prefill);
-            run.prefill -= cached;
+            let attempt = &mut self.attempts[key];
+            let cached = cache
+                .match_prefix(&attempt.block_hashes)
+                .min(attempt.prefill_left);
+            attempt.prefill_left -= cached;
             stats.cached_tokens += cached;
             self.running.push(key);
-            if faults.kills(&run.prompt) {
-                return Plan::Crash;
+            if faults.crashes_on(&attempt.prompt) {
+                return NextStep::Crash;
             }
         }
         if self.running.is_empty() {
-            return Plan::Idle;
+            return NextStep::Idle;
         }
-        let budget = match pace {
-            Pace::Instant => u64::MAX,
-            Pace::Steps(_) => STEP_TOKENS,
+        let budget = match timing {
+            Timing::Instant => u64::MAX,
+            Timing::Steps(_) => MAX_STEP_PREFILL_TOKENS,
         };
-        let work = self.share(budget);
-        let time = match pace {
-            Pace::Instant => Duration::ZERO,
-            Pace::Steps(costs) => {
-                let tokens: u64 = work.iter().map(|(_, tokens)| tokens).sum();
-                let time = costs.base.as_secs_f64()
+        let prefill = self.allot_prefill(budget);
+        let duration = match timing {
+            Timing::Instant => Duration::ZERO,
+            Timing::Steps(costs) => {
+                let tokens: u64 = prefill.iter().map(|(_, tokens)| tokens).sum();
+                let secs = costs.base.as_secs_f64()
                     + costs.prefill.as_secs_f64() * tokens as f64
-                    + costs.decode.as_secs_f64() * self.decoding() as f64;
-                Duration::from_secs_f64(time / faults.speed.unwrap_or(costs.speed).max(1e-6))
+                    + costs.decode.as_secs_f64() * self.decoding_count() as f64;
+                Duration::from_secs_f64(secs / faults.speed.unwrap_or(costs.speed).max(1e-6))
             }
         };
-        Plan::Step(Step { work, time })
+        NextStep::Step(Step { prefill, duration })
     }
 
     /// Applies a step whose time has passed; returns the attempts that are whole now.
     pub fn apply(
         &mut self,
         step: &Step,
-        pace: Pace,
-        cache: &mut Cache,
+        timing: Timing,
+        cache: &mut PrefixCache,
         stats: &mut Stats,
-    ) -> Vec<RunKey> {
+    ) -> Vec<AttemptKey> {
         stats.steps += 1;
-        stats.prefill_steps += u64::from(!step.work.is_empty());
+        stats.prefill_steps += u64::from(!step.prefill.is_empty());
         let now = Instant::now();
-        for (key, tokens) in &step.work {
-            let Some(run) = self.runs.get_mut(*key).filter(|run| run.end.is_none()) else {
+        for (key, tokens) in &step.prefill {
+            let Some(attempt) = self
+                .attempts
+                .get_mut(*key)
+                .filter(|attempt| attempt.end.is_none())
+            else {
                 continue;
             };
-            run.prefill -= tokens;
+            attempt.prefill_left -= tokens;
             stats.prefill_tokens += tokens;
-            if run.prefill == 0 {
-                cache.store(&run.pieces, now);
+            if attempt.prefill_left == 0 {
+                cache.insert(&attempt.block_hashes, now);
             }
         }
-        let mut whole = Vec::new();
+        let mut finished = Vec::new();
         for key in &self.running {
-            let run = &mut self.runs[*key];
-            if run.prefill > 0 {
+            let attempt = &mut self.attempts[*key];
+            if attempt.prefill_left > 0 {
                 continue;
             }
-            let before = run.made;
-            run.made = match pace {
-                Pace::Instant => run.limit,
-                Pace::Steps(_) => (run.made + 1).min(run.limit),
+            let before = attempt.next_offset;
+            attempt.next_offset = match timing {
+                Timing::Instant => attempt.end_offset,
+                Timing::Steps(_) => (attempt.next_offset + 1).min(attempt.end_offset),
             };
-            stats.decode_tokens += run.made - before;
-            run.changed.notify_waiters();
-            if run.made == run.limit {
-                whole.push(*key);
+            stats.decode_tokens += attempt.next_offset - before;
+            attempt.progress.notify_waiters();
+            if attempt.next_offset == attempt.end_offset {
+                finished.push(*key);
             }
         }
-        whole
+        finished
     }
 
     /// Shares out prompt tokens in the order the attempts joined the batch.
-    fn share(&self, mut budget: u64) -> Vec<(RunKey, u64)> {
-        let mut work = Vec::new();
+    fn allot_prefill(&self, mut budget: u64) -> Vec<(AttemptKey, u64)> {
+        let mut prefill = Vec::new();
         for key in &self.running {
-            let tokens = self.runs[*key].prefill.min(budget);
+            let tokens = self.attempts[*key].prefill_left.min(budget);
             if tokens > 0 {
-                work.push((*key, tokens));
+                prefill.push((*key, tokens));
                 budget -= tokens;
             }
         }
-        work
+        prefill
     }
 
-    fn decoding(&self) -> usize {
-        let decodes = |key: &&RunKey| self.runs[**key].prefill == 0;
-        self.running.iter().filter(decodes).count()
+    fn decoding_count(&self) -> usize {
+        let is_decoding = |key: &&AttemptKey| self.attempts[**key].prefill_left == 0;
+        self.running.iter().filter(is_decoding).count()
     }
 }
--- a/src/standin/engine/mod.rs
+++ b/src/standin/engine/mod.rs
@@ -23,28 +23,28 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-pub use answer::{expected, pieces, prompt_tokens};
+pub use answer::{block_hashes, expected, prompt_tokens};
 pub use cache::CacheOptions;
-pub use options::{Answers, Costs, Crash, Fencing, Options, Pace, Role};
+pub use options::{Answers, Crash, Fencing, Options, Role, StepCosts, Timing};
 pub use wire::chat_prompt;
 
-use self::batch::{End, Plan};
+use self::batch::{EndReason, NextStep};
 use self::state::{State, Timer};
 use crate::backend::Client;
 use crate::web;
 
 /// Time by which the batch may be behind its clock and still catch up.
-const CATCH_UP: Duration = Duration::from_millis(5);
+const MAX_CATCH_UP: Duration = Duration::from_millis(5);
 /// Connections the kernel holds for the listener after a crash.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 
 /// What the engine's tasks share.
 struct Shared {
     state: RefCell<State>,
     /// Woken when work arrives.
-    work: Notify,
+    work_added: Notify,
     /// Woken when a timer is set.
-    timer: Notify,
+    timer_set: Notify,
     client: Client,
 }
 
@@ -54,16 +54,16 @@
         if self.state.borrow().opts.crash == Crash::Exit {
             std::process::exit(1);
         }
-        self.state.borrow_mut().wipe();
+        self.state.borrow_mut().reset();
     }
 }
 
 /// Closes all connections when the engine's future is dropped, as the end of a process would.
-struct Closer(Rc<Shared>);
+struct CloseOnDrop(Rc<Shared>);
 
-impl Drop for Closer {
+impl Drop for CloseOnDrop {
     fn drop(&mut self) {
-        self.0.state.borrow_mut().wipe();
+        self.0.state.borrow_mut().reset();
     }
 }
 
@@ -77,11 +77,11 @@
     };
     let shared = Rc::new(Shared {
         state: RefCell::new(State::new(opts)),
-        work: Notify::new(),
-        timer: Notify::new(),
+        work_added: Notify::new(),
+        timer_set: Notify::new(),
         client,
     });
-    let _closer = Closer(Rc::clone(&shared));
+    let _close_on_drop = CloseOnDrop(Rc::clone(&shared));
     let mut listener = listener;
     loop {
         let (_stop, stopped) = watch::channel(false);
@@ -91,8 +91,8 @@
         };
         tokio::select! {
             () = web::serve(listener, web::GRACE, stopped, handler) => return,
-            () = steps(&shared) => {}
-            () = timers(&shared) => {}
+            () = run_batch(&shared) => {}
+            () = run_timers(&shared) => {}
         }
         let crash = shared.state.borrow().opts.crash;
         listener = match listen_again(addr, crash).await {
@@ -117,28 +117,29 @@
     if let Crash::Restart(time) = crash {
         sleep(time).await;
     }
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// Runs the batch until the engine crashes.
-async fn steps(shared: &Shared) {
+async fn run_batch(shared: &Shared) {
     let mut due = Instant::now();
     loop {
-        let plan = shared.state.borrow_mut().plan();
-        match plan {
-            Plan::Idle => {
-                shared.work.notified().await;
+        let next = shared.state.borrow_mut().next_step();
+        match next {
+            NextStep::Idle => {
+                shared.work_added.notified().await;
                 due = Instant::now();
             }
-            Plan::Crash => {
+            NextStep::Crash => {
                 shared.crash();
                 return;
             }
-            Plan::Step(step) => {
-                if step.time.is_zero() {
+            NextStep::Step(step) => {
+                if step.duration.is_zero() {
                     tokio::task::yield_now().await;
                 } else {
-                    due = due.max(Instant::now().checked_sub(CATCH_UP).unwrap_or(due)) + step.time;
+                    due = due.max(Instant::now().checked_sub(MAX_CATCH_UP).unwrap_or(due))
+                        + step.duration;
                     sleep_until(due).await;
                 }
                 shared.state.borrow_mut().apply(&step);
@@ -148,34 +149,36 @@
 }
 
 /// Runs the engine's timers until one of them crashes it.
-async fn timers(shared: &Shared) {
+async fn run_timers(shared: &Shared) {
     loop {
         let next = shared.state.borrow().timers.keys().next().copied();
         let Some((at, _)) = next else {
-            shared.timer.notified().await;
+            shared.timer_set.notified().await;
             continue;
         };
         tokio::select! {
             () = sleep_until(at) => {}
-            () = shared.timer.notified() => continue,
+            () = shared.timer_set.notified() => continue,
         }
         let mut state = shared.state.borrow_mut();
         match state.timers.pop_first().map(|(_, timer)| timer) {
-            Some(Timer::Orphan(key, opened)) => {
-                let run = state.batch.runs.get(key);
-                if run.is_some_and(|run| run.readers == 0 && run.opened == opened) {
-                    state.end(key, End::Cancelled);
+            Some(Timer::ReaderGrace(key, open_count)) => {
+                let attempt = state.batch.attempts.get(key);
+                if attempt
+                    .is_some_and(|attempt| attempt.readers == 0 && attempt.open_count == open_count)
+                {
+                    state.end_attempt(key, EndReason::Cancelled);
                 }
             }
-            Some(Timer::Half(n))
-                if state.changing(n) && state.faults.crash_mid_change == Some(true) =>
+            Some(Timer::ChangeHalfway(number))
+                if state.is_changing(number) && state.faults.crash_mid_change == Some(true) =>
             {
                 state.faults.crash_mid_change = None;
                 drop(state);
                 shared.crash();
                 return;
             }
-            Some(Timer::Changed(n)) if state.changing(n) => state.finish_change(),
+            Some(Timer::ChangeDone(number)) if state.is_changing(number) => state.finish_change(),
             _ => {}
         }
     }
--- a/src/standin/engine/options.rs
+++ b/src/standin/engine/options.rs
@@ -21,7 +21,7 @@
 impl Role {
     /// Returns the role's name in the protocol.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::Both => "both",
             Self::Prefill => "prefill",
@@ -31,25 +31,25 @@
 
     /// Returns the role of that name.
     #[must_use]
-    pub fn parse(word: &str) -> Option<Self> {
+    pub fn parse(name: &str) -> Option<Self> {
         [Self::Both, Self::Prefill, Self::Decode]
             .into_iter()
-            .find(|role| role.word() == word)
+            .find(|role| role.name() == name)
     }
 }
 
 /// How long work takes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Pace {
+pub enum Timing {
     /// No time at all.
     Instant,
     /// Steps of a batch.
-    Steps(Costs),
+    Steps(StepCosts),
 }
 
 /// Time of the parts of one step of a batch.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Costs {
+pub struct StepCosts {
     /// Each step.
     pub base: Duration,
     /// Each prompt token worked through in the step.
@@ -99,21 +99,21 @@
     /// Role at the start.
     pub role: Role,
     /// How long work takes.
-    pub pace: Pace,
+    pub timing: Timing,
     /// Requests in the batch at most.
     pub slots: usize,
     /// Requests waiting at most; more get 503.
-    pub queue: usize,
+    pub max_queue: usize,
     /// Prefix cache.
     pub cache: CacheOptions,
     /// Age of load reports.
-    pub lag: Duration,
+    pub load_lag: Duration,
     /// Time a change of role, model, adapter or version takes.
-    pub change: Duration,
+    pub change_duration: Duration,
     /// Time an attempt without a reader goes on.
-    pub grace: Duration,
+    pub reader_grace: Duration,
     /// Time a finished attempt can still be resumed.
-    pub keep: Duration,
+    pub retention: Duration,
     /// Orders with old fencing numbers.
     pub fencing: Fencing,
     /// What answers depend on.
@@ -128,14 +128,14 @@
             name: "engine".into(),
             model: "model".into(),
             role: Role::Both,
-            pace: Pace::Instant,
+            timing: Timing::Instant,
             slots: 32,
-            queue: 10_000,
+            max_queue: 10_000,
             cache: CacheOptions::default(),
-            lag: Duration::ZERO,
-            change: Duration::from_secs(2),
-            grace: Duration::from_millis(500),
-            keep: Duration::from_mins(1),
+            load_lag: Duration::ZERO,
+            change_duration: Duration::from_secs(2),
+            reader_grace: Duration::from_millis(500),
+            retention: Duration::from_mins(1),
             fencing: Fencing::Checks,
             answers: Answers::Same,
             crash: Crash::Restart(Duration::from_millis(500)),
@@ -181,7 +181,7 @@
     }
 
     /// Returns whether a prompt crashes the engine.
-    pub fn kills(&self, prompt: &str) -> bool {
+    pub fn crashes_on(&self, prompt: &str) -> bool {
         let text = self.crash_on.as_deref().unwrap_or("");
         !text.is_empty() && prompt.contains(text)
     }
--- a/src/standin/engine/orders.rs
+++ b/src/standin/engine/orders.rs
@@ -8,7 +8,7 @@
 use crate::backend::Action;
 
 /// Orders that are remembered so that a repeat is known as one.
-const ORDER_LIMIT: usize = 1000;
+const MAX_ORDERS: usize = 1000;
 
 /// One order as it comes in.
 #[derive(Debug, Clone, Deserialize)]
@@ -23,7 +23,7 @@
 /// What is done with an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub(super) enum Verdict {
+pub(super) enum OrderResult {
     /// It is carried out.
     Applied,
     /// It was carried out before.
@@ -34,13 +34,13 @@
 
 /// One line of the log of orders.
 #[derive(Debug, Clone, Serialize)]
-pub(super) struct OrderLine {
+pub(super) struct OrderLogEntry {
     pub at_ms: u64,
     pub fence: u64,
     pub order: u64,
     pub holder: Box<str>,
     pub action: Action,
-    pub result: Verdict,
+    pub result: OrderResult,
 }
 
 /// Orders seen, by fencing number and order number.
@@ -56,23 +56,23 @@
     }
 
     /// Decides about an order and remembers it unless it is refused.
-    pub fn judge(&mut self, order: &Order, fencing: Fencing) -> Verdict {
+    pub fn decide(&mut self, order: &Order, fencing: Fencing) -> OrderResult {
         let key = (order.fence, order.number);
         if fencing == Fencing::Checks {
             if order.fence < self.highest().0 {
-                return Verdict::Refused;
+                return OrderResult::Refused;
             }
             if self.seen.get(&key) == Some(&order.action) {
-                return Verdict::Repeat;
+                return OrderResult::Repeat;
             }
             if !self.seen.is_empty() && key <= self.highest() {
-                return Verdict::Refused;
+                return OrderResult::Refused;
             }
         }
         self.seen.insert(key, order.action.clone());
-        if self.seen.len() > ORDER_LIMIT {
+        if self.seen.len() > MAX_ORDERS {
             self.seen.pop_first();
         }
-        Verdict::Applied
+        OrderResult::Applied
     }
 }
--- a/src/standin/engine/reader.rs
+++ b/src/standin/engine/reader.rs
@@ -9,18 +9,18 @@
 use tokio::time::Instant;
 
 use super::Shared;
-use super::answer::write;
-use super::batch::{End, RunKey};
+use super::answer::write_tokens;
+use super::batch::{AttemptKey, EndReason};
 use super::state::{State, Timer};
-use super::wire::{Form, Frame, Usage};
+use super::wire::{AnswerFormat, ChunkTemplate, TokenUsage};
 
 /// The attempt ended without its last token; the connection is closed.
 #[derive(Debug, Snafu)]
 #[snafu(display("the attempt was cut"))]
-pub(super) struct Cut;
+pub(super) struct AttemptCut;
 
 /// What can be read at one moment.
-enum Out {
+enum ReadOutcome {
     Wait,
     Events(String),
     Last(String),
@@ -30,14 +30,14 @@
 /// One reader; the attempt is cancelled a while after its last reader is gone.
 pub(super) struct Reader {
     shared: Rc<Shared>,
-    key: RunKey,
-    frame: Frame,
-    stray: Frame,
-    start: u64,
+    key: AttemptKey,
+    template: ChunkTemplate,
+    foreign_template: ChunkTemplate,
+    start_offset: u64,
     offset: u64,
     /// Value of [`State::silent`] when the stream was opened.
-    since: u64,
-    changed: Rc<Notify>,
+    epoch: u64,
+    progress: Rc<Notify>,
     phase: Phase,
 }
 
@@ -50,143 +50,152 @@
 
 impl Reader {
     /// Opens an attempt at `offset`, or at its beginning.
-    pub fn new(shared: &Rc<Shared>, key: RunKey, form: Form, offset: Option<u64>) -> Option<Self> {
+    pub fn new(
+        shared: &Rc<Shared>,
+        key: AttemptKey,
+        format: AnswerFormat,
+        offset: Option<u64>,
+    ) -> Option<Self> {
         let mut state = shared.state.borrow_mut();
         let state = &mut *state;
-        let run = state.batch.runs.get_mut(key)?;
-        let frame = Frame::new(form, &run.attempt, &state.model);
-        let stray = Frame::new(form, &format!("{}-other", run.attempt), &state.model);
-        run.readers += 1;
-        run.opened += 1;
-        let offset = offset.unwrap_or(run.first).max(run.first);
+        let attempt = state.batch.attempts.get_mut(key)?;
+        let template = ChunkTemplate::new(format, &attempt.id, &state.model);
+        let foreign_template =
+            ChunkTemplate::new(format, &format!("{}-other", attempt.id), &state.model);
+        attempt.readers += 1;
+        attempt.open_count += 1;
+        let offset = offset
+            .unwrap_or(attempt.start_offset)
+            .max(attempt.start_offset);
         Some(Self {
             shared: Rc::clone(shared),
             key,
-            frame,
-            stray,
-            start: offset,
+            template,
+            foreign_template,
+            start_offset: offset,
             offset,
-            since: state.silent,
-            changed: Rc::clone(&run.changed),
+            epoch: state.silence_epoch,
+            progress: Rc::clone(&attempt.progress),
             phase: Phase::First,
         })
     }
 
     /// Returns the next events, or `None` after the last.
-    pub async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    pub async fn next(&mut self) -> Option<Result<Bytes, AttemptCut>> {
         if self.phase == Phase::Closed {
             return None;
         }
         loop {
-            let changed = Rc::clone(&self.changed);
-            let changed = changed.notified();
-            let out = self.read();
-            if self.shared.state.borrow().silent > self.since {
+            let progress = Rc::clone(&self.progress);
+            let progress = progress.notified();
+            let outcome = self.poll_events();
+            if self.shared.state.borrow().silence_epoch > self.epoch {
                 return pending().await;
             }
-            match out {
-                Out::Wait => changed.await,
-                Out::Events(text) => return Some(Ok(text.into())),
-                Out::Last(text) => {
+            match outcome {
+                ReadOutcome::Wait => progress.await,
+                ReadOutcome::Events(text) => return Some(Ok(text.into())),
+                ReadOutcome::Last(text) => {
                     self.phase = Phase::Closed;
                     return Some(Ok(text.into()));
                 }
-                Out::Cut => {
+                ReadOutcome::Cut => {
                     self.phase = Phase::Closed;
-                    return Some(Err(Cut));
+                    return Some(Err(AttemptCut));
                 }
             }
         }
     }
 
     /// Waits for the end and returns the text from the reader's offset on, with its counts.
-    pub async fn whole(&mut self) -> Result<(String, Usage), Cut> {
+    pub async fn read_to_end(&mut self) -> Result<(String, TokenUsage), AttemptCut> {
         loop {
-            let changed = Rc::clone(&self.changed);
-            let changed = changed.notified();
+            let progress = Rc::clone(&self.progress);
+            let progress = progress.notified();
             {
                 let state = self.shared.state.borrow();
-                let run = state.batch.runs.get(self.key).ok_or(Cut)?;
-                match run.end {
+                let attempt = state.batch.attempts.get(self.key).ok_or(AttemptCut)?;
+                match attempt.end {
                     None => {}
-                    Some(End::Done) => {
+                    Some(EndReason::Done) => {
                         let mut text = String::new();
-                        write(&mut text, run.seed, self.offset, run.made);
-                        let usage = Usage {
-                            prompt: run.prompt_tokens,
-                            completion: run.made - run.first,
+                        write_tokens(&mut text, attempt.seed, self.offset, attempt.next_offset);
+                        let usage = TokenUsage {
+                            prompt: attempt.prompt_tokens,
+                            completion: attempt.next_offset - attempt.start_offset,
                         };
                         return Ok((text, usage));
                     }
-                    Some(_) => return Err(Cut),
+                    Some(_) => return Err(AttemptCut),
                 }
             }
-            changed.await;
+            progress.await;
         }
     }
 
-    fn read(&mut self) -> Out {
+    fn poll_events(&mut self) -> ReadOutcome {
         let shared = Rc::clone(&self.shared);
         let mut state = shared.state.borrow_mut();
-        let Some(run) = state.batch.runs.get(self.key) else {
-            return Out::Cut;
+        let Some(attempt) = state.batch.attempts.get(self.key) else {
+            return ReadOutcome::Cut;
         };
-        let (mut upto, end) = (run.made, run.end);
+        let (mut until, end) = (attempt.next_offset, attempt.end);
         if let Some(n) = state.faults.drop_after.filter(|n| *n > 0) {
-            if self.offset >= self.start + n {
+            if self.offset >= self.start_offset + n {
                 state.faults.drop_after = None;
-                return Out::Cut;
+                return ReadOutcome::Cut;
             }
-            upto = upto.min(self.start + n);
+            until = until.min(self.start_offset + n);
         }
-        let pairs = state.faults.reorder_chunks == Some(true);
-        if upto > self.offset {
+        let reorder = state.faults.reorder_chunks == Some(true);
+        if until > self.offset {
             // A single chunk has no other to change places with.
-            if pairs && upto == self.offset + 1 && end.is_none() {
-                return Out::Wait;
+            if reorder && until == self.offset + 1 && end.is_none() {
+                return ReadOutcome::Wait;
             }
-            return Out::Events(self.events(&state, upto));
+            return ReadOutcome::Events(self.write_events(&state, until));
         }
         match end {
-            None => Out::Wait,
-            Some(End::Done) => {
-                let usage = Usage {
-                    prompt: run.prompt_tokens,
-                    completion: run.made - run.first,
+            None => ReadOutcome::Wait,
+            Some(EndReason::Done) => {
+                let usage = TokenUsage {
+                    prompt: attempt.prompt_tokens,
+                    completion: attempt.next_offset - attempt.start_offset,
                 };
                 let mut text = String::new();
-                self.frame.last(&mut text, upto, usage);
-                Out::Last(text)
+                self.template.write_end(&mut text, until, usage);
+                ReadOutcome::Last(text)
             }
-            Some(_) => Out::Cut,
+            Some(_) => ReadOutcome::Cut,
         }
     }
 
     /// Returns the events up to an offset, in the order the faults give.
-    fn events(&mut self, state: &State, upto: u64) -> String {
-        let seed = state.batch.runs[self.key].seed;
+    fn write_events(&mut self, state: &State, until: u64) -> String {
+        let seed = state.batch.attempts[self.key].seed;
         let mut events = Vec::new();
-        let stray = self.phase == Phase::First && state.faults.wrong_attempt == Some(true);
-        if stray {
+        let foreign = self.phase == Phase::First && state.faults.wrong_attempt == Some(true);
+        if foreign {
             let mut event = String::new();
-            self.stray.token(&mut event, self.offset + 1, " stray");
+            self.foreign_template
+                .write_token(&mut event, self.offset + 1, " stray");
             events.push(event);
         }
-        for i in self.offset..upto {
+        for i in self.offset..until {
             let (mut word, mut event) = (String::new(), String::new());
-            write(&mut word, seed, i, i + 1);
-            self.frame.token(&mut event, i + 1, &word);
+            write_tokens(&mut word, seed, i, i + 1);
+            self.template.write_token(&mut event, i + 1, &word);
             if state.faults.repeat_chunk == Some(true) {
                 events.push(event.clone());
             }
             events.push(event);
         }
         if state.faults.reorder_chunks == Some(true) {
-            let own = &mut events[usize::from(stray)..];
-            own.chunks_exact_mut(2).for_each(<[String]>::reverse);
+            let own_events = &mut events[usize::from(foreign)..];
+            own_events.chunks_exact_mut(2).for_each(<[String]>::reverse);
         }
         self.phase = Phase::Open;
-        self.offset = upto;
+        self.offset = until;
         events.concat()
     }
 }
@@ -194,15 +203,15 @@
 impl Drop for Reader {
     fn drop(&mut self) {
         let mut state = self.shared.state.borrow_mut();
-        let grace = state.opts.grace;
-        let Some(run) = state.batch.runs.get_mut(self.key) else {
+        let grace = state.opts.reader_grace;
+        let Some(attempt) = state.batch.attempts.get_mut(self.key) else {
             return;
         };
-        run.readers -= 1;
-        if run.readers == 0 && run.end.is_none() {
-            let timer = Timer::Orphan(self.key, run.opened);
+        attempt.readers -= 1;
+        if attempt.readers == 0 && attempt.end.is_none() {
+            let timer = Timer::ReaderGrace(self.key, attempt.open_count);
             state.set_timer(Instant::now() + grace, timer);
-            self.shared.timer.notify_one();
+            self.shared.timer_set.notify_one();
         }
     }
 }
--- a/src/standin/engine/routes.rs
+++ b/src/standin/engine/routes.rs
@@ -12,19 +12,19 @@
 use tokio::time::Instant;
 
 use super::Shared;
-use super::batch::RunKey;
+use super::batch::AttemptKey;
 use super::options::{Faults, Role};
-use super::orders::{Order, Verdict};
+use super::orders::{Order, OrderResult};
 use super::reader::Reader;
-use super::state::{Conn, Job, JobKind, Refusal};
-use super::wire::{self, Body, Form, Transfer};
+use super::state::{Connection, Job, JobKind, Refusal};
+use super::wire::{self, AnswerFormat, KvTransfer, RequestBody};
 use crate::backend::{Action, Call};
 use crate::web;
 
 /// Most bytes of a request's body.
-const BODY_LIMIT: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Time a caller has to send a body.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Paths for tests, which answer on silent connections too.
 const TEST_PATHS: [&str; 3] = ["/fault", "/log", "/stats"];
 
@@ -33,23 +33,27 @@
     if is_silent(&shared, &req) && !TEST_PATHS.contains(&req.path()) {
         return std::future::pending().await;
     }
-    let body = match web::read_body(&mut req, BODY_LIMIT, BODY_TIME).await {
+    let body = match web::read_body(&mut req, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(status) => return Response::new(status),
     };
     match (req.method(), req.path()) {
-        (&Method::POST, "/v1/completions") => answer(&shared, &req, &body, Form::Text).await,
-        (&Method::POST, "/v1/chat/completions") => answer(&shared, &req, &body, Form::Chat).await,
-        (&Method::POST, "/v1/prefill") => prefill(&shared, &req, &body).await,
+        (&Method::POST, "/v1/completions") => {
+            handle_completion(&shared, &req, &body, AnswerFormat::Text).await
+        }
+        (&Method::POST, "/v1/chat/completions") => {
+            handle_completion(&shared, &req, &body, AnswerFormat::Chat).await
+        }
+        (&Method::POST, "/v1/prefill") => handle_prefill(&shared, &req, &body).await,
         (&Method::GET, "/v1/models") => models(&shared),
-        (&Method::GET, "/load") => Response::Ok().json(&shared.state.borrow_mut().load()),
-        (&Method::GET, "/events") => events(&shared, &req),
-        (&Method::GET, "/log") => log(&shared),
+        (&Method::GET, "/load") => Response::Ok().json(&shared.state.borrow_mut().visible_load()),
+        (&Method::GET, "/events") => cache_events(&shared, &req),
+        (&Method::GET, "/log") => logs(&shared),
         (&Method::GET, "/stats") => Response::Ok().json(&shared.state.borrow().stats),
-        (&Method::POST, "/order") => order(&shared, &body),
-        (&Method::POST, "/fault") => fault(&shared, &body),
-        (&Method::GET, path) if path.starts_with("/kv/") => exported(&shared, path),
-        _ => error(StatusCode::NOT_FOUND, "path"),
+        (&Method::POST, "/order") => handle_order(&shared, &body),
+        (&Method::POST, "/fault") => set_faults(&shared, &body),
+        (&Method::GET, path) if path.starts_with("/kv/") => export_prompt(&shared, path),
+        _ => error_response(StatusCode::NOT_FOUND, "path"),
     }
 }
 
@@ -60,137 +64,159 @@
     };
     let id = io.id();
     let mut state = shared.state.borrow_mut();
-    let since = state.silent;
-    let conns = &mut state.conns;
-    if !conns.contains_key(&id) {
-        conns.retain(|_, conn| !conn.io.is_closed());
+    let epoch = state.silence_epoch;
+    let connections = &mut state.connections;
+    if !connections.contains_key(&id) {
+        connections.retain(|_, conn| !conn.io.is_closed());
         let io = io.clone();
-        conns.insert(id, Conn { io, since });
+        connections.insert(id, Connection { io, epoch });
         state.stats.connections += 1;
     }
-    state.conns[&id].since < since
+    state.connections[&id].epoch < epoch
 }
 
-async fn answer(shared: &Rc<Shared>, req: &Request, body: &[u8], form: Form) -> Response {
+async fn handle_completion(
+    shared: &Rc<Shared>,
+    req: &Request,
+    body: &[u8],
+    format: AnswerFormat,
+) -> Response {
     let resume = header(req, "last-event-id").map(str::parse);
     if let (Some(attempt), Some(offset)) = (header(req, "x-attempt-id"), resume) {
-        let key = shared.state.borrow().attempts.get(attempt).copied();
-        let reader = key.and_then(|key| Reader::new(shared, key, form, offset.ok()));
+        let key = shared.state.borrow().attempt_keys.get(attempt).copied();
+        let reader = key.and_then(|key| Reader::new(shared, key, format, offset.ok()));
         return match reader {
-            Some(reader) => stream(reader),
-            None => error(StatusCode::NOT_FOUND, "attempt"),
+            Some(reader) => stream_response(reader),
+            None => error_response(StatusCode::NOT_FOUND, "attempt"),
         };
     }
-    let streamed = match serde_json::from_slice::<Body>(body) {
+    let streamed = match serde_json::from_slice::<RequestBody>(body) {
         Ok(body) => body.stream,
         Err(_) => false,
     };
-    let key = match begin(shared, req, body, JobKind::Whole).await {
+    let key = match admit_request(shared, req, body, JobKind::Full).await {
         Ok(key) => key,
         Err(response) => return response,
     };
-    let Some(mut reader) = Reader::new(shared, key, form, None) else {
-        return error(StatusCode::INTERNAL_SERVER_ERROR, "attempt");
+    let Some(mut reader) = Reader::new(shared, key, format, None) else {
+        return error_response(StatusCode::INTERNAL_SERVER_ERROR, "attempt");
     };
     if streamed {
-        return stream(reader);
+        return stream_response(reader);
     }
-    match reader.whole().await {
+    match reader.read_to_end().await {
         Ok((text, usage)) => {
             let state = shared.state.borrow();
-            let attempt = state.batch.runs.get(key).map(|run| &*run.attempt);
-            let attempt = attempt.unwrap_or_default();
-            Response::Ok().json(&wire::whole(form, attempt, &state.model, &text, usage))
+            let attempt_id = state.batch.attempts.get(key).map(|attempt| &*attempt.id);
+            let attempt_id = attempt_id.unwrap_or_default();
+            Response::Ok().json(&wire::completion_json(
+                format,
+                attempt_id,
+                &state.model,
+                &text,
+                usage,
+            ))
         }
-        Err(_cut) => cut(req),
+        Err(_cut) => close_connection(req),
     }
 }
 
-async fn prefill(shared: &Rc<Shared>, req: &Request, body: &[u8]) -> Response {
-    let key = match begin(shared, req, body, JobKind::Prefill).await {
+async fn handle_prefill(shared: &Rc<Shared>, req: &Request, body: &[u8]) -> Response {
+    let key = match admit_request(shared, req, body, JobKind::Prefill).await {
         Ok(key) => key,
         Err(response) => return response,
     };
-    let Some(mut reader) = Reader::new(shared, key, Form::Text, None) else {
-        return error(StatusCode::INTERNAL_SERVER_ERROR, "attempt");
+    let Some(mut reader) = Reader::new(shared, key, AnswerFormat::Text, None) else {
+        return error_response(StatusCode::INTERNAL_SERVER_ERROR, "attempt");
     };
-    let Ok((_, usage)) = reader.whole().await else {
-        return cut(req);
+    let Ok((_, usage)) = reader.read_to_end().await else {
+        return close_connection(req);
     };
     let mut state = shared.state.borrow_mut();
-    let Some(run) = state.batch.runs.get(key) else {
-        return cut(req);
+    let Some(attempt) = state.batch.attempts.get(key) else {
+        return close_connection(req);
     };
-    let hash = run.hash.clone();
-    let handle: Box<str> = format!("kv-{}-{}", state.opts.name, run.attempt).into();
-    state.handles.insert(handle.clone(), (hash, usage.prompt));
+    let hash = attempt.prompt_hash.clone();
+    let handle: Box<str> = format!("kv-{}-{}", state.opts.name, attempt.id).into();
+    state
+        .kv_handles
+        .insert(handle.clone(), (hash, usage.prompt));
     Response::Ok().json(&json!({"kv": handle, "prompt_tokens": usage.prompt}))
 }
 
 /// Understands a request for work and takes it in, or returns the answer that refuses it.
-async fn begin(
+async fn admit_request(
     shared: &Rc<Shared>,
     req: &Request,
     body: &[u8],
     kind: JobKind,
-) -> Result<RunKey, Response> {
-    let parsed = serde_json::from_slice::<Body>(body);
+) -> Result<AttemptKey, Response> {
+    let parsed = serde_json::from_slice::<RequestBody>(body);
     let Ok(body) = parsed else {
-        return Err(not_run(400, "body"));
+        return Err(not_run_response(400, "body"));
     };
     let Some(prompt) = body.prompt() else {
-        return Err(not_run(400, "prompt"));
+        return Err(not_run_response(400, "prompt"));
     };
     let kind = match (&body.kv_transfer, kind) {
-        (Some(_), JobKind::Whole) => JobKind::Imported,
+        (Some(_), JobKind::Full) => JobKind::Imported,
         _ => kind,
     };
-    let attempt = check(shared, req, &body, kind)?;
+    let attempt_id = validate(shared, req, &body, kind)?;
     if let Some(transfer) = &body.kv_transfer {
-        import(shared, transfer, &prompt).await?;
+        import_prompt(shared, transfer, &prompt).await?;
     }
     let job = Job {
-        attempt: attempt.as_str().into(),
+        id: attempt_id.as_str().into(),
         request: header(req, "x-request-id").unwrap_or_default().into(),
         prompt,
-        tokens: match kind {
+        max_tokens: match kind {
             JobKind::Prefill => 0,
-            JobKind::Whole | JobKind::Imported => body.max_tokens(),
+            JobKind::Full | JobKind::Imported => body.max_tokens(),
         },
         priority: header(req, "x-priority")
             .and_then(|text| text.parse().ok())
             .unwrap_or(body.priority),
-        continued: body.continue_from,
+        continuation: body.continue_from,
         kind,
     };
     let admitted = shared.state.borrow_mut().admit(job);
-    let key = admitted.map_err(|Refusal { status, error }| not_run(status, error))?;
-    shared.work.notify_one();
+    let key = admitted.map_err(|Refusal { status, error }| not_run_response(status, error))?;
+    shared.work_added.notify_one();
     Ok(key)
 }
 
 /// Checks all that can be checked before a prompt is imported; returns the attempt's name.
-fn check(shared: &Shared, req: &Request, body: &Body, kind: JobKind) -> Result<String, Response> {
+fn validate(
+    shared: &Shared,
+    req: &Request,
+    body: &RequestBody,
+    kind: JobKind,
+) -> Result<String, Response> {
     let mut state = shared.state.borrow_mut();
     if body.model.as_ref().is_some_and(|name| *name != state.model) {
-        return Err(not_run(404, "model"));
+        return Err(not_run_response(404, "model"));
     }
     if let Some(Refusal { status, error }) = state.refusal(kind) {
         state.stats.refused += 1;
-        return Err(not_run(status, error));
+        return Err(not_run_response(status, error));
     }
     match header(req, "x-attempt-id") {
         // The attempt is there already: starting it again would run the request twice.
-        Some(name) if state.attempts.contains_key(name) => {
-            Err(error(StatusCode::CONFLICT, "attempt"))
+        Some(name) if state.attempt_keys.contains_key(name) => {
+            Err(error_response(StatusCode::CONFLICT, "attempt"))
         }
         Some(name) => Ok(name.into()),
-        None => Ok(format!("{}-{}", state.opts.name, state.run_log.len())),
+        None => Ok(format!("{}-{}", state.opts.name, state.attempt_log.len())),
     }
 }
 
 /// Fetches a prompt's state from the engine that worked through it.
-async fn import(shared: &Shared, transfer: &Transfer, prompt: &str) -> Result<(), Response> {
+async fn import_prompt(
+    shared: &Shared,
+    transfer: &KvTransfer,
+    prompt: &str,
+) -> Result<(), Response> {
     #[derive(Deserialize)]
     struct Exported {
         prompt_hash: Box<str>,
@@ -210,7 +236,7 @@
         .and_then(|answer| serde_json::from_slice::<Exported>(&answer.body).ok())
         .filter(|found| *found.prompt_hash == *blake3::hash(prompt.as_bytes()).to_hex().as_str());
     let Some(found) = found else {
-        return Err(not_run(424, "kv"));
+        return Err(not_run_response(424, "kv"));
     };
     let time = shared.state.borrow().import_time(found.prompt_tokens);
     if !time.is_zero() {
@@ -220,13 +246,13 @@
     Ok(())
 }
 
-fn exported(shared: &Shared, path: &str) -> Response {
+fn export_prompt(shared: &Shared, path: &str) -> Response {
     let handle = path.trim_start_matches("/kv/");
-    match shared.state.borrow().handles.get(handle) {
+    match shared.state.borrow().kv_handles.get(handle) {
         Some((hash, tokens)) => {
             Response::Ok().json(&json!({"prompt_hash": hash, "prompt_tokens": tokens}))
         }
-        None => error(StatusCode::NOT_FOUND, "kv"),
+        None => error_response(StatusCode::NOT_FOUND, "kv"),
     }
 }
 
@@ -237,7 +263,7 @@
     Response::Ok().json(&json!({"object": "list", "data": [model]}))
 }
 
-fn events(shared: &Shared, req: &Request) -> Response {
+fn cache_events(shared: &Shared, req: &Request) -> Response {
     let query = req.uri().query().unwrap_or_default();
     let after = query.strip_prefix("after=").map_or(Ok(0), str::parse);
     match after {
@@ -245,14 +271,14 @@
             let state = shared.state.borrow();
             Response::Ok().json(&state.cache.events(after, Instant::now()))
         }
-        Err(_) => error(StatusCode::BAD_REQUEST, "after"),
+        Err(_) => error_response(StatusCode::BAD_REQUEST, "after"),
     }
 }
 
-fn log(shared: &Shared) -> Response {
+fn logs(shared: &Shared) -> Response {
     let state = shared.state.borrow();
     let runs: Vec<Value> = state
-        .run_log
+        .attempt_log
         .iter()
         .map(|line| {
             let mut line = json!(line);
@@ -265,9 +291,9 @@
     Response::Ok().json(&json!({"orders": state.order_log, "runs": runs}))
 }
 
-fn order(shared: &Shared, body: &[u8]) -> Response {
+fn handle_order(shared: &Shared, body: &[u8]) -> Response {
     let Ok(order) = serde_json::from_slice::<Order>(body) else {
-        return error(StatusCode::BAD_REQUEST, "order");
+        return error_response(StatusCode::BAD_REQUEST, "order");
     };
     let known = match &order.action {
         Action::Role { role } => Role::parse(role).is_some(),
@@ -275,33 +301,33 @@
         Action::Drain | Action::Resume => true,
     };
     if !known {
-        return error(StatusCode::BAD_REQUEST, "action");
+        return error_response(StatusCode::BAD_REQUEST, "action");
     }
-    let (verdict, fence) = shared.state.borrow_mut().order(order);
-    shared.timer.notify_one();
-    match verdict {
-        Verdict::Refused => {
+    let (result, fence) = shared.state.borrow_mut().handle_order(order);
+    shared.timer_set.notify_one();
+    match result {
+        OrderResult::Refused => {
             Response::build(StatusCode::CONFLICT).json(&json!({"error": "fence", "fence": fence}))
         }
-        Verdict::Applied | Verdict::Repeat => {
-            Response::Ok().json(&json!({"result": verdict, "fence": fence}))
+        OrderResult::Applied | OrderResult::Repeat => {
+            Response::Ok().json(&json!({"result": result, "fence": fence}))
         }
     }
 }
 
-fn fault(shared: &Shared, body: &[u8]) -> Response {
+fn set_faults(shared: &Shared, body: &[u8]) -> Response {
     let Ok(faults) = serde_json::from_slice::<Faults>(body) else {
-        return error(StatusCode::BAD_REQUEST, "fault");
+        return error_response(StatusCode::BAD_REQUEST, "fault");
     };
     let mut state = shared.state.borrow_mut();
     if faults.silent == Some(true) {
-        state.silent += 1;
+        state.silence_epoch += 1;
     }
     state.faults.update(faults);
     Response::NoContent().finish()
 }
 
-fn stream(reader: Reader) -> Response {
+fn stream_response(reader: Reader) -> Response {
     let events = unfold(reader, async |mut reader| {
         let next = reader.next().await?;
         Some((next, reader))
@@ -314,22 +340,22 @@
 }
 
 /// Closes the connection of a request that ended without its answer.
-fn cut(req: &Request) -> Response {
+fn close_connection(req: &Request) -> Response {
     if let Some(io) = req.io() {
         io.terminate();
     }
-    error(StatusCode::INTERNAL_SERVER_ERROR, "cut")
+    error_response(StatusCode::INTERNAL_SERVER_ERROR, "cut")
 }
 
 fn header<'a>(req: &'a Request, name: &str) -> Option<&'a str> {
     req.headers().get(name)?.to_str().ok()
 }
 
-fn error(status: StatusCode, error: &str) -> Response {
+fn error_response(status: StatusCode, error: &str) -> Response {
     Response::build(status).json(&json!({"error": error}))
 }
 
-fn not_run(status: u16, error: &str) -> Response {
+fn not_run_response(status: u16, error: &str) -> Response {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     Response::build(status)
         .header("x-ran", "no")
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -9,38 +9,38 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::answer::{expected, pieces, prompt_tokens, seed};
-use super::batch::{Batch, End, Plan, Run, RunKey, Stats, Step};
-use super::cache::Cache;
-use super::options::{Answers, Faults, Options, Pace, Role};
-use super::orders::{Order, OrderLine, Orders, Verdict};
-use super::wire::Continue;
+use super::answer::{block_hashes, expected, prompt_tokens, seed};
+use super::batch::{Attempt, AttemptKey, Batch, EndReason, NextStep, Stats, Step};
+use super::cache::PrefixCache;
+use super::options::{Answers, Faults, Options, Role, Timing};
+use super::orders::{Order, OrderLogEntry, OrderResult, Orders};
+use super::wire::Continuation;
 use crate::backend::{Action, Load};
 
 /// Lines kept of each log; later ones are counted only.
-const LOG_LIMIT: usize = 200_000;
+const MAX_LOG_ENTRIES: usize = 200_000;
 
 /// One line of the log of attempts.
 #[derive(Debug, Clone, Serialize)]
-pub(super) struct RunLine {
+pub(super) struct AttemptLogEntry {
     pub at_ms: u64,
     pub attempt: Box<str>,
     pub request: Box<str>,
     pub prompt_hash: Box<str>,
     pub offset: u64,
     pub tokens: u64,
-    pub end: Option<End>,
+    pub end: Option<EndReason>,
 }
 
 /// A request for work that was understood.
 #[derive(Debug)]
 pub(super) struct Job {
-    pub attempt: Rc<str>,
+    pub id: Rc<str>,
     pub request: Box<str>,
     pub prompt: String,
-    pub tokens: u64,
+    pub max_tokens: u64,
     pub priority: i64,
-    pub continued: Option<Continue>,
+    pub continuation: Option<Continuation>,
     pub kind: JobKind,
 }
 
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum JobKind {
     /// Prompt and answer.
-    Whole,
+    Full,
     /// Prompt only.
     Prefill,
     /// Answer to an imported prompt.
@@ -66,19 +66,19 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Timer {
     /// An attempt's grace without a reader ends, unless it was opened again.
-    Orphan(RunKey, u64),
+    ReaderGrace(AttemptKey, u64),
     /// The change with this number is halfway.
-    Half(u64),
+    ChangeHalfway(u64),
     /// The change with this number is over.
-    Changed(u64),
+    ChangeDone(u64),
 }
 
 /// One connection that has sent a request.
 #[derive(Debug)]
-pub(super) struct Conn {
+pub(super) struct Connection {
     pub io: IoRef,
     /// Value of [`State::silent`] at its first request.
-    pub since: u64,
+    pub epoch: u64,
 }
 
 #[derive(Debug)]
@@ -89,27 +89,27 @@
     pub adapter: Box<str>,
     pub version: Box<str>,
     pub batch: Batch,
-    pub cache: Cache,
+    pub cache: PrefixCache,
     pub faults: Faults,
     pub orders: Orders,
-    pub order_log: Vec<OrderLine>,
-    pub run_log: Vec<RunLine>,
+    pub order_log: Vec<OrderLogEntry>,
+    pub attempt_log: Vec<AttemptLogEntry>,
     /// Prompt hash and tokens by handle.
-    pub handles: BTreeMap<Box<str>, (Box<str>, u64)>,
-    pub attempts: BTreeMap<Rc<str>, RunKey>,
-    finished: VecDeque<(Instant, RunKey)>,
+    pub kv_handles: BTreeMap<Box<str>, (Box<str>, u64)>,
+    pub attempt_keys: BTreeMap<Rc<str>, AttemptKey>,
+    finished: VecDeque<(Instant, AttemptKey)>,
     /// The change under way and its number.
-    change: Option<(u64, Action)>,
-    changes: u64,
+    current_change: Option<(u64, Action)>,
+    change_count: u64,
     pub draining: bool,
     pub stats: Stats,
-    reports: VecDeque<(Instant, Load)>,
+    load_reports: VecDeque<(Instant, Load)>,
     started: Instant,
-    pub conns: BTreeMap<ntex::io::Id, Conn>,
+    pub connections: BTreeMap<ntex::io::Id, Connection>,
     /// Grows each time the connections open then go silent.
-    pub silent: u64,
+    pub silence_epoch: u64,
     pub timers: BTreeMap<(Instant, u64), Timer>,
-    timer_count: u64,
+    last_timer_id: u64,
 }
 
 impl State {
@@ -120,57 +120,57 @@
             adapter: "".into(),
             version: "".into(),
             batch: Batch::default(),
-            cache: Cache::new(opts.cache),
+            cache: PrefixCache::new(opts.cache),
             faults: Faults::default(),
             orders: Orders::default(),
             order_log: Vec::new(),
-            run_log: Vec::new(),
-            handles: BTreeMap::new(),
-            attempts: BTreeMap::new(),
+            attempt_log: Vec::new(),
+            kv_handles: BTreeMap::new(),
+            attempt_keys: BTreeMap::new(),
             finished: VecDeque::new(),
-            change: None,
-            changes: 0,
+            current_change: None,
+            change_count: 0,
             draining: false,
             stats: Stats::default(),
-            reports: VecDeque::new(),
+            load_reports: VecDeque::new(),
             started: Instant::now(),
-            conns: BTreeMap::new(),
-            silent: 0,
+            connections: BTreeMap::new(),
+            silence_epoch: 0,
             timers: BTreeMap::new(),
-            timer_count: 0,
+            last_timer_id: 0,
             opts,
         };
-        state.report();
+        state.record_load();
         state
     }
 
     /// Forgets everything but what it was started with, its faults, and the logs tests read.
-    pub fn wipe(&mut self) {
-        let keys: Vec<RunKey> = self.batch.runs.keys().collect();
+    pub fn reset(&mut self) {
+        let keys: Vec<AttemptKey> = self.batch.attempts.keys().collect();
         for key in keys {
-            self.end(key, End::Crashed);
+            self.end_attempt(key, EndReason::Crashed);
         }
-        for conn in std::mem::take(&mut self.conns).into_values() {
+        for conn in std::mem::take(&mut self.connections).into_values() {
             conn.io.terminate();
         }
         let fresh = Self::new(self.opts.clone());
         let old = std::mem::replace(self, fresh);
         // Cleared, not new: a reader's key from before must not find an attempt from after.
-        self.batch.runs = old.batch.runs;
-        self.batch.runs.clear();
+        self.batch.attempts = old.batch.attempts;
+        self.batch.attempts.clear();
         self.faults = old.faults;
         self.order_log = old.order_log;
-        self.run_log = old.run_log;
+        self.attempt_log = old.attempt_log;
         self.stats = old.stats;
-        self.silent = old.silent;
-        self.changes = old.changes;
+        self.silence_epoch = old.silence_epoch;
+        self.change_count = old.change_count;
         self.stats.crashes += 1;
     }
 
     /// Returns why new work of this kind is refused now, if it is.
     pub fn refusal(&self, kind: JobKind) -> Option<Refusal> {
         let refuse = |status, error| Some(Refusal { status, error });
-        if self.change.is_some() {
+        if self.current_change.is_some() {
             return refuse(503, "changing");
         }
         if self.draining {
@@ -179,19 +179,19 @@
         if self.faults.refuse == Some(true) {
             return refuse(503, "refused");
         }
-        if self.batch.waiting.len() >= self.opts.queue {
+        if self.batch.waiting.len() >= self.opts.max_queue {
             return refuse(503, "full");
         }
         match (self.role, kind) {
-            (Role::Prefill, JobKind::Whole | JobKind::Imported)
-            | (Role::Decode, JobKind::Whole | JobKind::Prefill) => refuse(409, "role"),
+            (Role::Prefill, JobKind::Full | JobKind::Imported)
+            | (Role::Decode, JobKind::Full | JobKind::Prefill) => refuse(409, "role"),
             _ => None,
         }
     }
 
     /// Takes in a job.
-    pub fn admit(&mut self, job: Job) -> Result<RunKey, Refusal> {
-        self.forget();
+    pub fn admit(&mut self, job: Job) -> Result<AttemptKey, Refusal> {
+        self.remove_expired();
         if let Some(refusal) = self.refusal(job.kind) {
             self.stats.refused += 1;
             return Err(refusal);
@@ -201,60 +201,60 @@
             Answers::Diverge => seed(&format!("{}/{}", self.model, self.opts.name), &job.prompt),
         };
         let hash = blake3::hash(job.prompt.as_bytes()).to_hex();
-        let (mut prompt, mut count, mut first) = (job.prompt, 0, 0);
-        if let Some(done) = &job.continued {
+        let (mut prompt, mut token_count, mut start_offset) = (job.prompt, 0, 0);
+        if let Some(done) = &job.continuation {
             if *done.text != expected(&self.model, &prompt, done.tokens) {
                 self.stats.continue_mismatch += 1;
             }
-            (count, first) = (done.tokens, done.tokens);
+            (token_count, start_offset) = (done.tokens, done.tokens);
         }
-        count += prompt_tokens(&prompt);
-        if let Some(done) = &job.continued {
+        token_count += prompt_tokens(&prompt);
+        if let Some(done) = &job.continuation {
             prompt.push_str(&done.text);
         }
         self.stats.started += 1;
-        let log = self.run_log.len();
-        if log < LOG_LIMIT {
-            self.run_log.push(RunLine {
+        let log_index = self.attempt_log.len();
+        if log_index < MAX_LOG_ENTRIES {
+            self.attempt_log.push(AttemptLogEntry {
                 at_ms: unix_ms(),
-                attempt: (*job.attempt).into(),
+                attempt: (*job.id).into(),
                 request: job.request,
                 prompt_hash: hash.as_str().into(),
-                offset: first,
+                offset: start_offset,
                 tokens: 0,
                 end: None,
             });
         }
-        let prefill = match job.kind {
-            JobKind::Whole | JobKind::Prefill => count,
-            JobKind::Imported => first,
+        let prefill_left = match job.kind {
+            JobKind::Full | JobKind::Prefill => token_count,
+            JobKind::Imported => start_offset,
         };
-        let key = self.batch.add(Run {
-            attempt: Rc::clone(&job.attempt),
-            pieces: pieces(&self.model, &prompt, self.opts.cache.piece),
+        let key = self.batch.add(Attempt {
+            id: Rc::clone(&job.id),
+            block_hashes: block_hashes(&self.model, &prompt, self.opts.cache.block_tokens),
             prompt: prompt.into(),
-            hash: hash.as_str().into(),
+            prompt_hash: hash.as_str().into(),
             seed,
-            prompt_tokens: count,
-            prefill,
+            prompt_tokens: token_count,
+            prefill_left,
             priority: job.priority,
-            first,
-            made: first,
-            limit: job.tokens.max(first),
+            start_offset,
+            next_offset: start_offset,
+            end_offset: job.max_tokens.max(start_offset),
             end: None,
             readers: 0,
-            opened: 0,
-            changed: Rc::new(Notify::new()),
-            log,
+            open_count: 0,
+            progress: Rc::new(Notify::new()),
+            log_index,
         });
-        self.attempts.insert(job.attempt, key);
-        self.report();
+        self.attempt_keys.insert(job.id, key);
+        self.record_load();
         Ok(key)
     }
 
     /// Lays out the next step of the batch.
-    pub fn plan(&mut self) -> Plan {
-        let pace = self.opts.pace;
+    pub fn next_step(&mut self) -> NextStep {
+        let timing = self.opts.timing;
         let Self {
             batch,
             cache,
@@ -262,92 +262,104 @@
             faults,
             ..
         } = self;
-        let plan = batch.plan(self.opts.slots, pace, faults, cache, stats);
-        self.report();
-        plan
+        let next = batch.next_step(self.opts.slots, timing, faults, cache, stats);
+        self.record_load();
+        next
     }
 
     /// Applies a step whose time has passed.
     pub fn apply(&mut self, step: &Step) {
-        let pace = self.opts.pace;
+        let timing = self.opts.timing;
         let Self {
             batch,
             cache,
             stats,
             ..
         } = self;
-        for key in batch.apply(step, pace, cache, stats) {
-            self.end(key, End::Done);
+        for key in batch.apply(step, timing, cache, stats) {
+            self.end_attempt(key, EndReason::Done);
         }
-        self.report();
+        self.record_load();
     }
 
     /// Ends an attempt and notes it in the log.
-    pub fn end(&mut self, key: RunKey, end: End) {
-        let Some(run) = self.batch.runs.get(key).filter(|run| run.end.is_none()) else {
+    pub fn end_attempt(&mut self, key: AttemptKey, end: EndReason) {
+        let Some(attempt) = self
+            .batch
+            .attempts
+            .get(key)
+            .filter(|attempt| attempt.end.is_none())
+        else {
             return;
         };
-        if let Some(line) = self.run_log.get_mut(run.log) {
-            line.tokens = run.made - run.first;
+        if let Some(line) = self.attempt_log.get_mut(attempt.log_index) {
+            line.tokens = attempt.next_offset - attempt.start_offset;
             line.end = Some(end);
         }
-        self.batch.end(key, end, &mut self.stats);
+        self.batch.end_attempt(key, end, &mut self.stats);
         self.finished.push_back((Instant::now(), key));
-        self.report();
+        self.record_load();
     }
 
     /// Carries out or refuses an order; returns the verdict and the highest fencing number.
-    pub fn order(&mut self, order: Order) -> (Verdict, u64) {
-        let verdict = self.orders.judge(&order, self.opts.fencing);
-        if verdict == Verdict::Refused {
+    pub fn handle_order(&mut self, order: Order) -> (OrderResult, u64) {
+        let result = self.orders.decide(&order, self.opts.fencing);
+        if result == OrderResult::Refused {
             self.stats.orders_refused += 1;
         }
-        if self.order_log.len() < LOG_LIMIT {
-            self.order_log.push(OrderLine {
+        if self.order_log.len() < MAX_LOG_ENTRIES {
+            self.order_log.push(OrderLogEntry {
                 at_ms: unix_ms(),
                 fence: order.fence,
                 order: order.number,
                 holder: order.holder,
                 action: order.action.clone(),
-                result: verdict,
+                result,
             });
         }
-        if verdict == Verdict::Applied {
-            self.act(order.action);
+        if result == OrderResult::Applied {
+            self.start_action(order.action);
         }
-        self.report();
-        (verdict, self.orders.highest().0)
+        self.record_load();
+        (result, self.orders.highest().0)
     }
 
     /// Begins an action; changes cut what is running and last for a while.
-    fn act(&mut self, action: Action) {
+    fn start_action(&mut self, action: Action) {
         match &action {
             Action::Drain => self.draining = true,
             Action::Resume => self.draining = false,
-            Action::Role { role } if Role::parse(role) == Some(self.role) => self.change = None,
+            Action::Role { role } if Role::parse(role) == Some(self.role) => {
+                self.current_change = None;
+            }
             Action::Role { .. } | Action::Load { .. } => {
-                let keys: Vec<RunKey> = self.batch.runs.keys().collect();
+                let keys: Vec<AttemptKey> = self.batch.attempts.keys().collect();
                 for key in keys {
-                    self.end(key, End::Cut);
+                    self.end_attempt(key, EndReason::Cut);
                 }
-                self.changes += 1;
+                self.change_count += 1;
                 self.stats.changes += 1;
-                let (number, now) = (self.changes, Instant::now());
-                self.change = Some((number, action));
-                self.set_timer(now + self.opts.change / 2, Timer::Half(number));
-                self.set_timer(now + self.opts.change, Timer::Changed(number));
+                let (number, now) = (self.change_count, Instant::now());
+                self.current_change = Some((number, action));
+                self.set_timer(
+                    now + self.opts.change_duration / 2,
+                    Timer::ChangeHalfway(number),
+                );
+                self.set_timer(now + self.opts.change_duration, Timer::ChangeDone(number));
             }
         }
     }
 
     /// Returns whether a change with this number is under way.
-    pub fn changing(&self, number: u64) -> bool {
-        self.change.as_ref().is_some_and(|(n, _)| *n == number)
+    pub fn is_changing(&self, number: u64) -> bool {
+        self.current_change
+            .as_ref()
+            .is_some_and(|(n, _)| *n == number)
     }
 
     /// Puts the change under way into force.
     pub fn finish_change(&mut self) {
-        match self.change.take() {
+        match self.current_change.take() {
             Some((_, Action::Role { role })) => self.role = Role::parse(&role).unwrap_or(self.role),
             Some((_, Action::Load { what, name })) => {
                 match &*what {
@@ -359,24 +371,28 @@
             }
             _ => {}
         }
-        self.report();
+        self.record_load();
     }
 
     pub fn set_timer(&mut self, at: Instant, timer: Timer) {
-        self.timer_count += 1;
-        self.timers.insert((at, self.timer_count), timer);
+        self.last_timer_id += 1;
+        self.timers.insert((at, self.last_timer_id), timer);
     }
 
     /// Returns the newest report that is old enough to be seen.
-    pub fn load(&mut self) -> Load {
+    pub fn visible_load(&mut self) -> Load {
         let now = Instant::now();
-        let lag = self.opts.lag;
-        while self.reports.get(1).is_some_and(|(at, _)| *at + lag <= now) {
-            self.reports.pop_front();
+        let lag = self.opts.load_lag;
+        while self
+            .load_reports
+            .get(1)
+            .is_some_and(|(at, _)| *at + lag <= now)
+        {
+            self.load_reports.pop_front();
         }
-        let mut load = match self.reports.front() {
+        let mut load = match self.load_reports.front() {
             Some((_, load)) => load.clone(),
-            None => self.snapshot(),
+            None => self.current_load(),
         };
         let age = lag.min(now - self.started);
         load.age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
@@ -384,46 +400,54 @@
     }
 
     /// Notes the load as it is now.
-    pub fn report(&mut self) {
-        let (now, lag) = (Instant::now(), self.opts.lag);
+    pub fn record_load(&mut self) {
+        let (now, lag) = (Instant::now(), self.opts.load_lag);
         if lag.is_zero() {
             return;
         }
-        let load = self.snapshot();
-        while self.reports.get(1).is_some_and(|(at, _)| *at + lag <= now) {
-            self.reports.pop_front();
+        let load = self.current_load();
+        while self
+            .load_reports
+            .get(1)
+            .is_some_and(|(at, _)| *at + lag <= now)
+        {
+            self.load_reports.pop_front();
         }
-        if self.reports.back().is_none_or(|(_, last)| *last != load) {
-            self.reports.push_back((now, load));
+        if self
+            .load_reports
+            .back()
+            .is_none_or(|(_, last)| *last != load)
+        {
+            self.load_reports.push_back((now, load));
         }
     }
 
-    fn snapshot(&self) -> Load {
+    fn current_load(&self) -> Load {
         let (fence_seen, order_seen) = self.orders.highest();
         Load {
             running: self.batch.running.len() as u64,
             waiting: self.batch.waiting.len() as u64,
-            prefill_tokens: self.batch.prefill_left(),
+            prefill_tokens: self.batch.prefill_backlog(),
             pieces_used: self.cache.len() as u64,
-            role: self.role.word().into(),
+            role: self.role.name().into(),
             model: self.model.clone(),
             fence_seen,
             order_seen,
-            changing: self.change.is_some(),
+            changing: self.current_change.is_some(),
             draining: self.draining,
             age_ms: 0,
         }
     }
 
     /// Forgets attempts that ended too long ago to be resumed.
-    fn forget(&mut self) {
+    fn remove_expired(&mut self) {
         let now = Instant::now();
         while let Some((at, key)) = self.finished.front() {
-            if *at + self.opts.keep > now {
+            if *at + self.opts.retention > now {
                 return;
             }
-            if let Some(run) = self.batch.runs.remove(*key) {
-                self.attempts.remove(&run.attempt);
+            if let Some(attempt) = self.batch.attempts.remove(*key) {
+                self.attempt_keys.remove(&attempt.id);
             }
             self.finished.pop_front();
         }
@@ -439,9 +463,9 @@
 impl State {
     /// Returns how long the import of a prompt takes.
     pub fn import_time(&self, tokens: u64) -> Duration {
-        match self.opts.pace {
-            Pace::Instant => Duration::ZERO,
-            Pace::Steps(costs) => {
+        match self.opts.timing {
+            Timing::Instant => Duration::ZERO,
+            Timing::Steps(costs) => {
                 let speed = self.faults.speed.unwrap_or(costs.speed).max(1e-6);
                 Duration::from_secs_f64(costs.import.as_secs_f64() * tokens as f64 / speed)
             }
--- a/src/standin/engine/wire.rs
+++ b/src/standin/engine/wire.rs
@@ -7,13 +7,13 @@
 use serde_json::{Value, json};
 
 /// Tokens of an answer when the request names none.
-const DEFAULT_TOKENS: u64 = 64;
+const DEFAULT_MAX_TOKENS: u64 = 64;
 /// Tokens of an answer at most.
-pub(super) const MAX_TOKENS: u64 = 100_000;
+pub(super) const MAX_ANSWER_TOKENS: u64 = 100_000;
 
 /// Body of a request for an answer or a prefill.
 #[derive(Debug, Deserialize)]
-pub(super) struct Body {
+pub(super) struct RequestBody {
     pub model: Option<Box<str>>,
     pub prompt: Option<Box<str>>,
     pub messages: Option<Vec<Message>>,
@@ -22,8 +22,8 @@
     pub max_tokens: Option<u64>,
     #[serde(default)]
     pub priority: i64,
-    pub continue_from: Option<Continue>,
-    pub kv_transfer: Option<Transfer>,
+    pub continue_from: Option<Continuation>,
+    pub kv_transfer: Option<KvTransfer>,
 }
 
 /// One message of a chat.
@@ -35,19 +35,19 @@
 
 /// The part of an answer that was delivered before.
 #[derive(Debug, Deserialize)]
-pub(super) struct Continue {
+pub(super) struct Continuation {
     pub text: Box<str>,
     pub tokens: u64,
 }
 
 /// Where a prompt was worked through.
 #[derive(Debug, Deserialize)]
-pub(super) struct Transfer {
+pub(super) struct KvTransfer {
     pub source: SocketAddr,
     pub handle: Box<str>,
 }
 
-impl Body {
+impl RequestBody {
     /// Returns the prompt, or for a chat its messages, each as `role: content` and a line feed.
     pub fn prompt(&self) -> Option<String> {
         if let Some(prompt) = &self.prompt {
@@ -60,7 +60,9 @@
     }
 
     pub fn max_tokens(&self) -> u64 {
-        self.max_tokens.unwrap_or(DEFAULT_TOKENS).min(MAX_TOKENS)
+        self.max_tokens
+            .unwrap_or(DEFAULT_MAX_TOKENS)
+            .min(MAX_ANSWER_TOKENS)
     }
 }
 
@@ -79,31 +81,31 @@
 
 /// Form of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Form {
+pub(super) enum AnswerFormat {
     Text,
     Chat,
 }
 
 /// Counts of one answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Usage {
+pub(super) struct TokenUsage {
     pub prompt: u64,
     pub completion: u64,
 }
 
 /// The parts of a stream's chunks that stay the same, ready to be written.
 #[derive(Debug)]
-pub(super) struct Frame {
+pub(super) struct ChunkTemplate {
     before: Box<str>,
     after: &'static str,
 }
 
-impl Frame {
-    pub fn new(form: Form, attempt: &str, model: &str) -> Self {
+impl ChunkTemplate {
+    pub fn new(format: AnswerFormat, attempt: &str, model: &str) -> Self {
         let (attempt, model) = (json!(attempt), json!(model));
-        let (object, field, after) = match form {
-            Form::Text => ("text_completion", r#""text":"#, ""),
-            Form::Chat => ("chat.completion.chunk", r#""delta":{"content":"#, "}"),
+        let (object, field, after) = match format {
+            AnswerFormat::Text => ("text_completion", r#""text":"#, ""),
+            AnswerFormat::Chat => ("chat.completion.chunk", r#""delta":{"content":"#, "}"),
         };
         let before = format!(
             r#"{{"id":{attempt},"object":"{object}","model":{model},"choices":[{{"index":0,{field}"#
@@ -115,7 +117,7 @@
     }
 
     /// Appends the event of one token, a plain word; `id` is the offset of the token after it.
-    pub fn token(&self, text: &mut String, id: u64, word: &str) {
+    pub fn write_token(&self, text: &mut String, id: u64, word: &str) {
         let Self { before, after } = self;
         // Writing to a string does not fail.
         let _ = write!(
@@ -125,7 +127,7 @@
     }
 
     /// Appends the events that end a stream: finish reason with usage, and the end mark.
-    pub fn last(&self, text: &mut String, id: u64, usage: Usage) {
+    pub fn write_end(&self, text: &mut String, id: u64, usage: TokenUsage) {
         let Self { before, after } = self;
         let usage = usage_json(usage);
         let _ = write!(
@@ -137,13 +139,19 @@
 }
 
 /// Returns a whole answer.
-pub(super) fn whole(form: Form, attempt: &str, model: &str, text: &str, usage: Usage) -> Value {
-    let (object, choice) = match form {
-        Form::Text => (
+pub(super) fn completion_json(
+    format: AnswerFormat,
+    attempt: &str,
+    model: &str,
+    text: &str,
+    usage: TokenUsage,
+) -> Value {
+    let (object, choice) = match format {
+        AnswerFormat::Text => (
             "text_completion",
             json!({"index": 0, "text": text, "finish_reason": "length"}),
         ),
-        Form::Chat => (
+        AnswerFormat::Chat => (
             "chat.completion",
             json!({
                 "index": 0, "message": {"role": "assistant", "content": text},
@@ -157,7 +165,7 @@
     })
 }
 
-fn usage_json(usage: Usage) -> Value {
+fn usage_json(usage: TokenUsage) -> Value {
     json!({
         "prompt_tokens": usage.prompt,
         "completion_tokens": usage.completion,
--- a/src/standin/hop.rs
+++ b/src/standin/hop.rs
@@ -15,9 +15,9 @@
 use crate::web::{self, HandlerError};
 
 /// Most bytes of a request.
-const BODY_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// Time a caller has to send its body.
-const BODY_TIME: std::time::Duration = std::time::Duration::from_secs(30);
+const BODY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
 
 /// Passes requests on to `target` until dropped; must run inside an ntex system.
 pub async fn run(listener: TcpListener, target: SocketAddr) {
@@ -26,33 +26,33 @@
     };
     let (_stop, stopped) = watch::channel(false);
     web::serve(listener, web::GRACE, stopped, move |req| {
-        pass(client.clone(), target, req)
+        forward(client.clone(), target, req)
     })
     .await;
 }
 
-async fn pass(client: Client, target: SocketAddr, mut req: Request) -> Response {
-    let body = match web::read_body(&mut req, BODY_LIMIT, BODY_TIME).await {
+async fn forward(client: Client, target: SocketAddr, mut req: Request) -> Response {
+    let body = match web::read_body(&mut req, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(status) => return Response::new(status),
     };
     let url = format!("http://{target}{}", req.path());
-    let mut onward = client.request(req.method().clone(), url).address(target);
+    let mut forwarded = client.request(req.method().clone(), url).address(target);
     for name in ["content-type", "authorization"] {
         if let Some(value) = req.headers().get(name) {
-            onward = onward.header(name, value.clone());
+            forwarded = forwarded.header(name, value.clone());
         }
     }
-    match onward
+    match forwarded
         .send_body(ntex::util::Bytes::copy_from_slice(&body))
         .await
     {
         Ok(answer) => {
             let mut response = Response::build(answer.status());
-            if let Some(media) = answer.header("content-type") {
-                response.content_type(media.clone());
+            if let Some(content_type) = answer.header("content-type") {
+                response.content_type(content_type.clone());
             }
-            response.streaming(answer.map(|part| part.map_err(|_broken| HandlerError)))
+            response.streaming(answer.map(|chunk| chunk.map_err(|_broken| HandlerError)))
         }
         Err(_) => Response::build(StatusCode::BAD_GATEWAY).body(Bytes::new().to_vec()),
     }
--- a/src/standin/kv/faults.rs
+++ b/src/standin/kv/faults.rs
@@ -20,7 +20,7 @@
 /// Body of `POST /fault`; what is left out stays as it is.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct FaultCall {
+pub(super) struct FaultRequest {
     pub down: Option<Down>,
     pub slow_ms: Option<u64>,
     pub lose_answers: Option<usize>,
@@ -59,29 +59,29 @@
 #[derive(Debug, Default)]
 pub(super) struct Faults {
     pub outage: Outage,
-    pub slow: Duration,
-    pub lose: usize,
-    pub lose_key: Box<str>,
-    pub lag: Duration,
+    pub delay: Duration,
+    pub answers_to_lose: usize,
+    pub lose_prefix: Box<str>,
+    pub list_lag: Duration,
     pub hosts_down: bool,
 }
 
 impl Faults {
-    pub(super) fn apply(&mut self, call: &FaultCall) {
+    pub(super) fn apply(&mut self, call: &FaultRequest) {
         if let Some(down) = call.down {
             self.outage = down.into();
         }
         if let Some(ms) = call.slow_ms {
-            self.slow = Duration::from_millis(ms);
+            self.delay = Duration::from_millis(ms);
         }
         if let Some(n) = call.lose_answers {
-            self.lose = n;
+            self.answers_to_lose = n;
         }
         if let Some(key) = &call.lose_key {
-            self.lose_key.clone_from(key);
+            self.lose_prefix.clone_from(key);
         }
         if let Some(ms) = call.lag_ms {
-            self.lag = Duration::from_millis(ms);
+            self.list_lag = Duration::from_millis(ms);
         }
         if let Some(down) = call.hosts_down {
             self.hosts_down = down;
@@ -91,7 +91,7 @@
 
 /// Kinds of calls that are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Sort {
+pub(super) enum CallKind {
     Range,
     Put,
     Delete,
@@ -106,7 +106,7 @@
 
 /// Answer of `GET /calls`.
 #[derive(Debug, Clone, Default, Serialize)]
-pub(super) struct Calls {
+pub(super) struct CallCounts {
     pub range: u64,
     pub put: u64,
     pub delete: u64,
@@ -119,9 +119,11 @@
     pub compaction: u64,
     pub hosts: u64,
     /// Watches waiting now; each counts as a call of the platform's budget.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub open_watches: usize,
     /// Most watches that waited at once.
-    pub most_waiting: usize,
+    #[serde(rename = "most_waiting")]
+    pub max_open_watches: usize,
     /// Calls answered with an error or left hanging in an outage.
     pub refused: u64,
     /// Answers lost on purpose.
@@ -129,32 +131,32 @@
     /// Most calls that came in one whole second since the last reset.
     pub busiest_second: u64,
     #[serde(skip)]
-    second: u64,
+    current_second: u64,
     #[serde(skip)]
-    in_second: u64,
+    calls_in_second: u64,
 }
 
-impl Calls {
+impl CallCounts {
     /// Counts one call that came at `now`, in whole seconds since `start`.
-    pub(super) fn count(&mut self, sort: Sort, start: Instant, now: Instant) {
-        *match sort {
-            Sort::Range => &mut self.range,
-            Sort::Put => &mut self.put,
-            Sort::Delete => &mut self.delete,
-            Sort::Txn => &mut self.txn,
-            Sort::Grant => &mut self.grant,
-            Sort::Keepalive => &mut self.keepalive,
-            Sort::Revoke => &mut self.revoke,
-            Sort::TimeLeft => &mut self.time_left,
-            Sort::Watch => &mut self.watch,
-            Sort::Compaction => &mut self.compaction,
+    pub(super) fn count(&mut self, kind: CallKind, start: Instant, now: Instant) {
+        *match kind {
+            CallKind::Range => &mut self.range,
+            CallKind::Put => &mut self.put,
+            CallKind::Delete => &mut self.delete,
+            CallKind::Txn => &mut self.txn,
+            CallKind::Grant => &mut self.grant,
+            CallKind::Keepalive => &mut self.keepalive,
+            CallKind::Revoke => &mut self.revoke,
+            CallKind::TimeLeft => &mut self.time_left,
+            CallKind::Watch => &mut self.watch,
+            CallKind::Compaction => &mut self.compaction,
         } += 1;
-        let second = now.saturating_duration_since(start).as_secs();
-        if second != self.second {
-            self.second = second;
-            self.in_second = 0;
+        let current_second = now.saturating_duration_since(start).as_secs();
+        if current_second != self.current_second {
+            self.current_second = current_second;
+            self.calls_in_second = 0;
         }
-        self.in_second += 1;
-        self.busiest_second = self.busiest_second.max(self.in_second);
+        self.calls_in_second += 1;
+        self.busiest_second = self.busiest_second.max(self.calls_in_second);
     }
 }
--- a/src/standin/kv/hosts.rs
+++ b/src/standin/kv/hosts.rs
@@ -9,11 +9,11 @@
 /// One entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
+pub struct ListEntry {
     /// Name, one of its kind.
     pub name: Box<str>,
     /// `host`, `engine` or `service`.
-    pub kind: Kind,
+    pub kind: ListEntryKind,
     /// Model pool or service that the entry serves; empty for hosts.
     #[serde(default)]
     pub pool: Box<str>,
@@ -22,13 +22,13 @@
     /// Failure domain it stands in.
     pub domain: Box<str>,
     /// Whether it stays.
-    pub state: State,
+    pub state: ListEntryState,
 }
 
 /// What an entry is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum ListEntryKind {
     /// One of this program's hosts.
     Host,
     /// A model engine.
@@ -40,7 +40,7 @@
 /// Whether an entry stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum ListEntryState {
     /// It takes work.
     Live,
     /// It is about to go.
@@ -49,15 +49,15 @@
 
 /// The true lists of the past, oldest first.
 #[derive(Debug, Default)]
-pub(super) struct Hosts(Vec<(Instant, Vec<Entry>)>);
+pub(super) struct ListHistory(Vec<(Instant, Vec<ListEntry>)>);
 
-impl Hosts {
-    pub(super) fn set(&mut self, list: Vec<Entry>, now: Instant) {
+impl ListHistory {
+    pub(super) fn set(&mut self, list: Vec<ListEntry>, now: Instant) {
         self.0.push((now, list));
     }
 
     /// Adds an entry, in place of one with its name.
-    pub(super) fn add(&mut self, entry: Entry, now: Instant) {
+    pub(super) fn add(&mut self, entry: ListEntry, now: Instant) {
         let newest = self.0.last();
         let mut list = newest.map_or_else(Vec::new, |(_, list)| list.clone());
         list.retain(|other| other.name != entry.name);
@@ -66,7 +66,7 @@
     }
 
     /// Returns the list as it was `lag` ago.
-    pub(super) fn shown(&self, lag: Duration, now: Instant) -> &[Entry] {
+    pub(super) fn delayed_by(&self, lag: Duration, now: Instant) -> &[ListEntry] {
         self.0
             .iter()
             .rev()
--- a/src/standin/kv/mod.rs
+++ b/src/standin/kv/mod.rs
@@ -13,9 +13,9 @@
 //!   `hosts_down` (the list answers 503).
 //! * `GET /calls` counts calls by kind, `POST /calls/reset` starts the counts again.
 
-mod data;
 mod faults;
 mod hosts;
+mod mvcc;
 #[cfg(test)]
 mod tests;
 mod watches;
@@ -35,35 +35,38 @@
 
 use crate::web;
 
-use data::Data;
-use faults::{Calls, FaultCall, Faults, Outage, Sort};
-use hosts::Hosts;
-pub use hosts::{Entry as HostEntry, Kind as HostKind, State as HostState};
+use faults::{CallCounts, CallKind, FaultRequest, Faults, Outage};
+use hosts::ListHistory;
+pub use hosts::{ListEntry, ListEntryKind, ListEntryState};
+use mvcc::MvccStore;
 use watches::Watches;
-use wire::{Compaction, Fail, Keys, LeaseCall, Put, Step, Txn, WatchCall};
+use wire::{
+    CompactionRequest, GatewayError, KeyRange, LeaseRequest, PutRequest, RequestOp, TxnRequest,
+    WatchRequest,
+};
 
 /// Most bytes of a request: some values of a megabyte in base64.
-const MAX_BODY: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// Time a caller has to send its request.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two looks for leases that lapsed.
-const TICK: Duration = Duration::from_millis(20);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How the stand-in behaves.
 #[derive(Debug, Clone)]
 pub struct Options {
-    progress: Duration,
-    second: Duration,
+    progress_interval: Duration,
+    lease_second: Duration,
     history: usize,
-    hosts: Vec<HostEntry>,
+    hosts: Vec<ListEntry>,
 }
 
 impl Default for Options {
     /// Progress every second, leases in real seconds, 100,000 changes remembered, no hosts.
     fn default() -> Self {
         Self {
-            progress: Duration::from_secs(1),
-            second: Duration::from_secs(1),
+            progress_interval: Duration::from_secs(1),
+            lease_second: Duration::from_secs(1),
             history: 100_000,
             hosts: Vec::new(),
         }
@@ -73,15 +76,15 @@
 impl Options {
     /// Sets the time between two progress notifications of a watch.
     #[must_use]
-    pub fn progress(mut self, time: Duration) -> Self {
-        self.progress = time;
+    pub fn progress_interval(mut self, time: Duration) -> Self {
+        self.progress_interval = time;
         self
     }
 
     /// Sets how long one second of a lease lasts, so that tests need not wait for real ones.
     #[must_use]
-    pub fn second(mut self, time: Duration) -> Self {
-        self.second = time;
+    pub fn lease_second(mut self, time: Duration) -> Self {
+        self.lease_second = time;
         self
     }
 
@@ -94,90 +97,90 @@
 
     /// Sets the list of hosts and backend servers to start with.
     #[must_use]
-    pub fn hosts(mut self, list: Vec<HostEntry>) -> Self {
+    pub fn hosts(mut self, list: Vec<ListEntry>) -> Self {
         self.hosts = list;
         self
     }
 }
 
 struct State {
-    data: Data,
+    store: MvccStore,
     watches: Watches,
     faults: Faults,
-    calls: Calls,
-    hosts: Hosts,
-    start: Instant,
+    calls: CallCounts,
+    hosts: ListHistory,
+    started: Instant,
 }
 
 struct Shared {
     state: RefCell<State>,
     /// Told when the switches change.
-    changed: Notify,
+    faults_changed: Notify,
 }
 
 /// Serves connections of `listener` on this thread until the future is dropped.
 pub async fn run(listener: TcpListener, opts: Options) {
     let now = Instant::now();
-    let mut hosts = Hosts::default();
+    let mut hosts = ListHistory::default();
     hosts.set(opts.hosts, now);
     let shared = Rc::new(Shared {
         state: RefCell::new(State {
-            data: Data::new(opts.history, opts.second),
+            store: MvccStore::new(opts.history, opts.lease_second),
             watches: Watches::default(),
             faults: Faults::default(),
-            calls: Calls::default(),
+            calls: CallCounts::default(),
             hosts,
-            start: now,
+            started: now,
         }),
-        changed: Notify::new(),
+        faults_changed: Notify::new(),
     });
     let (_stop, stopped) = watch::channel(false);
-    let at = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     let serve = web::serve(listener, web::GRACE, stopped, move |req| {
-        answer(Rc::clone(&at), req)
+        handle(Rc::clone(&state), req)
     });
     tokio::select! {
         () = serve => (),
-        () = tick(&shared, opts.progress) => (),
+        () = run_timers(&shared, opts.progress_interval) => (),
     }
 }
 
-async fn tick(shared: &Shared, progress: Duration) {
-    let mut told = Instant::now();
+async fn run_timers(shared: &Shared, progress: Duration) {
+    let mut last_progress = Instant::now();
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let now = Instant::now();
         let mut state = shared.state.borrow_mut();
         if state.faults.outage != Outage::None {
             continue;
         }
-        state.settle(now);
-        if now.saturating_duration_since(told) >= progress {
-            told = now;
-            let State { data, watches, .. } = &mut *state;
-            watches.progress(data);
+        state.expire_and_deliver(now);
+        if now.saturating_duration_since(last_progress) >= progress {
+            last_progress = now;
+            let State { store, watches, .. } = &mut *state;
+            watches.send_progress(store);
         }
     }
 }
 
 impl State {
     /// Ends leases that are over and tells the watches what is new.
-    fn settle(&mut self, now: Instant) {
+    fn expire_and_deliver(&mut self, now: Instant) {
         if self.faults.outage == Outage::None {
-            self.data.lapse(now);
+            self.store.expire_leases(now);
         }
-        self.watches.tell(&self.data);
+        self.watches.deliver(&self.store);
     }
 
-    fn fault(&mut self, call: &FaultCall, now: Instant) {
+    fn set_faults(&mut self, call: &FaultRequest, now: Instant) {
         let before = self.faults.outage;
         if before == Outage::None {
-            self.settle(now);
+            self.expire_and_deliver(now);
         }
         self.faults.apply(call);
         match (before, self.faults.outage) {
-            (_, Outage::Refuse) => self.watches.close(),
-            (Outage::Refuse | Outage::Hang, Outage::None) => self.data.renew(now),
+            (_, Outage::Refuse) => self.watches.close_all(),
+            (Outage::Refuse | Outage::Hang, Outage::None) => self.store.renew_leases(now),
             _ => (),
         }
         if call.freeze_watches == Some(true) {
@@ -185,89 +188,104 @@
         }
     }
 
-    fn run(&mut self, sort: Sort, body: &[u8], now: Instant) -> Result<Value, Fail> {
-        let data = &mut self.data;
-        match sort {
-            Sort::Range => parse::<Keys>(body).and_then(|keys| data.single(Step::Range(keys))),
-            Sort::Put => parse::<Put>(body).and_then(|put| data.single(Step::Put(put))),
-            Sort::Delete => parse::<Keys>(body).and_then(|keys| data.single(Step::Delete(keys))),
-            Sort::Txn => parse::<Txn>(body).and_then(|txn| data.txn(&txn)),
-            Sort::Grant => parse::<LeaseCall>(body).and_then(|call| data.grant(&call, now)),
-            Sort::Keepalive => parse::<LeaseCall>(body).map(|call| data.keepalive(&call, now)),
-            Sort::Revoke => parse::<LeaseCall>(body).and_then(|call| data.revoke(call.id)),
-            Sort::TimeLeft => parse::<LeaseCall>(body).map(|call| data.time_left(&call, now)),
-            Sort::Compaction => parse::<Compaction>(body).map(|call| {
-                data.forget(call.revision);
-                serde_json::json!({"header": wire::header(data.revision)})
+    fn execute(
+        &mut self,
+        kind: CallKind,
+        body: &[u8],
+        now: Instant,
+    ) -> Result<Value, GatewayError> {
+        let store = &mut self.store;
+        match kind {
+            CallKind::Range => {
+                parse::<KeyRange>(body).and_then(|keys| store.run_single(RequestOp::Range(keys)))
+            }
+            CallKind::Put => {
+                parse::<PutRequest>(body).and_then(|put| store.run_single(RequestOp::Put(put)))
+            }
+            CallKind::Delete => {
+                parse::<KeyRange>(body).and_then(|keys| store.run_single(RequestOp::Delete(keys)))
+            }
+            CallKind::Txn => parse::<TxnRequest>(body).and_then(|txn| store.txn(&txn)),
+            CallKind::Grant => parse::<LeaseRequest>(body).and_then(|call| store.grant(&call, now)),
+            CallKind::Keepalive => {
+                parse::<LeaseRequest>(body).map(|call| store.keepalive(&call, now))
+            }
+            CallKind::Revoke => parse::<LeaseRequest>(body).and_then(|call| store.revoke(call.id)),
+            CallKind::TimeLeft => {
+                parse::<LeaseRequest>(body).map(|call| store.time_left(&call, now))
+            }
+            CallKind::Compaction => parse::<CompactionRequest>(body).map(|call| {
+                store.compact(call.revision);
+                serde_json::json!({"header": wire::response_header(store.revision)})
             }),
-            Sort::Watch => Err(Fail::NO_PATH),
+            CallKind::Watch => Err(GatewayError::PATH_NOT_FOUND),
         }
     }
 
     /// Tells whether the answer to a change made after revision `before` is to be lost.
-    fn loses(&mut self, before: i64) -> bool {
-        let prefix = self.faults.lose_key.as_bytes();
-        let lost = self.faults.lose > 0
+    fn take_lost_answer(&mut self, before: i64) -> bool {
+        let prefix = self.faults.lose_prefix.as_bytes();
+        let lost = self.faults.answers_to_lose > 0
             && self
-                .data
-                .since(before + 1)
+                .store
+                .changes_since(before + 1)
                 .any(|event| event.key.starts_with(prefix));
         if lost {
-            self.faults.lose -= 1;
+            self.faults.answers_to_lose -= 1;
             self.calls.lost += 1;
         }
         lost
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Fail> {
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, GatewayError> {
     serde_json::from_slice(body).map_err(|err| {
         log::debug!("request not understood: {err}");
-        Fail::BAD_JSON
+        GatewayError::INVALID_REQUEST
     })
 }
 
-fn sort(path: &str) -> Option<Sort> {
+fn call_kind(path: &str) -> Option<CallKind> {
     Some(match path {
-        "/v3/kv/range" => Sort::Range,
-        "/v3/kv/put" => Sort::Put,
-        "/v3/kv/deleterange" => Sort::Delete,
-        "/v3/kv/txn" => Sort::Txn,
-        "/v3/kv/compaction" => Sort::Compaction,
-        "/v3/lease/grant" => Sort::Grant,
-        "/v3/lease/keepalive" => Sort::Keepalive,
-        "/v3/lease/revoke" | "/v3/kv/lease/revoke" => Sort::Revoke,
-        "/v3/lease/timetolive" | "/v3/kv/lease/timetolive" => Sort::TimeLeft,
-        "/v3/watch" => Sort::Watch,
+        "/v3/kv/range" => CallKind::Range,
+        "/v3/kv/put" => CallKind::Put,
+        "/v3/kv/deleterange" => CallKind::Delete,
+        "/v3/kv/txn" => CallKind::Txn,
+        "/v3/kv/compaction" => CallKind::Compaction,
+        "/v3/lease/grant" => CallKind::Grant,
+        "/v3/lease/keepalive" => CallKind::Keepalive,
+        "/v3/lease/revoke" | "/v3/kv/lease/revoke" => CallKind::Revoke,
+        "/v3/lease/timetolive" | "/v3/kv/lease/timetolive" => CallKind::TimeLeft,
+        "/v3/watch" => CallKind::Watch,
         _ => return None,
     })
 }
 
-fn json(status: StatusCode, value: &impl serde::Serialize) -> Response {
+fn json_response(status: StatusCode, value: &impl serde::Serialize) -> Response {
     Response::build(status).json(value)
 }
 
-fn fail(fail: Fail) -> Response {
-    json(fail.status, &fail.body())
+fn error_response(error: GatewayError) -> Response {
+    json_response(error.status, &error.body())
 }
 
-async fn answer(shared: Rc<Shared>, mut req: Request) -> Response {
-    let body = match web::read_body(&mut req, MAX_BODY, BODY_TIME).await {
+async fn handle(shared: Rc<Shared>, mut req: Request) -> Response {
+    let body = match web::read_body(&mut req, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(status) => return Response::new(status),
     };
-    match sort(req.path()) {
-        Some(sort) if req.method() == Method::POST => call(&shared, &req, sort, body).await,
-        _ => control(&shared, &req, &body),
+    match call_kind(req.path()) {
+        Some(kind) if req.method() == Method::POST => handle_call(&shared, &req, kind, body).await,
+        _ => handle_control(&shared, &req, &body),
     }
 }
 
-async fn call(shared: &Shared, req: &Request, sort: Sort, body: Bytes) -> Response {
+async fn handle_call(shared: &Shared, req: &Request, kind: CallKind, body: Bytes) -> Response {
     let now = Instant::now();
     let outage = {
         let mut state = shared.state.borrow_mut();
-        let start = state.start;
-        state.calls.count(sort, start, now);
+        let started = state.started;
+        state.calls.count(kind, started, now);
         if state.faults.outage != Outage::None {
             state.calls.refused += 1;
         }
@@ -275,42 +293,42 @@
     };
     match outage {
         Outage::None => (),
-        Outage::Refuse => return fail(Fail::NO_LEADER),
+        Outage::Refuse => return error_response(GatewayError::NO_LEADER),
         Outage::Hang => {
-            hang(shared).await;
-            return hang_up(req);
+            wait_for_hang_end(shared).await;
+            return close_connection(req);
         }
     }
-    if sort == Sort::Watch {
-        return open(shared, &body, now);
+    if kind == CallKind::Watch {
+        return open_watch(shared, &body, now);
     }
-    let (result, lost, slow) = {
+    let (result, lost, delay) = {
         let mut state = shared.state.borrow_mut();
-        state.settle(now);
-        let before = state.data.revision;
-        let result = state.run(sort, &body, now);
-        state.settle(now);
+        state.expire_and_deliver(now);
+        let before = state.store.revision;
+        let result = state.execute(kind, &body, now);
+        state.expire_and_deliver(now);
         if result.is_err() {
             state.calls.refused += 1;
         }
-        (result, state.loses(before), state.faults.slow)
+        (result, state.take_lost_answer(before), state.faults.delay)
     };
     if lost {
-        return hang_up(req);
+        return close_connection(req);
     }
-    if !slow.is_zero() {
-        tokio::time::sleep(slow).await;
+    if !delay.is_zero() {
+        tokio::time::sleep(delay).await;
     }
     match result {
-        Ok(value) => json(StatusCode::OK, &value),
-        Err(err) => fail(err),
+        Ok(value) => json_response(StatusCode::OK, &value),
+        Err(err) => error_response(err),
     }
 }
 
 /// Waits until the service no longer hangs.
-async fn hang(shared: &Shared) {
+async fn wait_for_hang_end(shared: &Shared) {
     loop {
-        let changed = shared.changed.notified();
+        let changed = shared.faults_changed.notified();
         if shared.state.borrow().faults.outage != Outage::Hang {
             return;
         }
@@ -319,78 +337,81 @@
 }
 
 /// Closes the connection without an answer.
-fn hang_up(req: &Request) -> Response {
+fn close_connection(req: &Request) -> Response {
     if let Some(io) = req.io() {
         io.terminate();
     }
     Response::new(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-fn open(shared: &Shared, body: &[u8], now: Instant) -> Response {
+fn open_watch(shared: &Shared, body: &[u8], now: Instant) -> Response {
     let mut state = shared.state.borrow_mut();
-    state.settle(now);
-    match parse::<WatchCall>(body) {
+    state.expire_and_deliver(now);
+    match parse::<WatchRequest>(body) {
         Ok(call) => {
             let State {
-                data,
+                store,
                 watches,
                 calls,
                 ..
             } = &mut *state;
-            let stream = watches.open(call.create_request, data);
-            calls.most_waiting = calls.most_waiting.max(watches.waiting());
+            let stream = watches.open(call.create_request, store);
+            calls.max_open_watches = calls.max_open_watches.max(watches.open_count());
             Response::build(StatusCode::OK)
                 .content_type("application/json")
                 .streaming(stream)
         }
         Err(err) => {
             state.calls.refused += 1;
-            fail(err)
+            error_response(err)
         }
     }
 }
 
-fn control(shared: &Shared, req: &Request, body: &[u8]) -> Response {
+fn handle_control(shared: &Shared, req: &Request, body: &[u8]) -> Response {
     let now = Instant::now();
     let mut state = shared.state.borrow_mut();
     match (req.method().as_str(), req.path()) {
         ("GET", "/hosts") => {
             state.calls.hosts += 1;
             if state.faults.hosts_down {
-                return fail(Fail::NO_LEADER);
+                return error_response(GatewayError::NO_LEADER);
             }
-            json(StatusCode::OK, &state.hosts.shown(state.faults.lag, now))
+            json_response(
+                StatusCode::OK,
+                &state.hosts.delayed_by(state.faults.list_lag, now),
+            )
         }
         ("POST", "/hosts") => match parse(body) {
             Ok(entry) => {
                 state.hosts.add(entry, now);
                 Response::new(StatusCode::NO_CONTENT)
             }
-            Err(err) => fail(err),
+            Err(err) => error_response(err),
         },
         ("PUT", "/hosts") => match parse(body) {
             Ok(list) => {
                 state.hosts.set(list, now);
                 Response::new(StatusCode::NO_CONTENT)
             }
-            Err(err) => fail(err),
+            Err(err) => error_response(err),
         },
-        ("POST", "/fault") => match parse::<FaultCall>(body) {
+        ("POST", "/fault") => match parse::<FaultRequest>(body) {
             Ok(call) => {
-                state.fault(&call, now);
-                shared.changed.notify_waiters();
+                state.set_faults(&call, now);
+                shared.faults_changed.notify_waiters();
                 Response::new(StatusCode::NO_CONTENT)
             }
-            Err(err) => fail(err),
+            Err(err) => error_response(err),
         },
         ("GET", "/calls") => {
-            state.calls.waiting = state.watches.waiting();
-            json(StatusCode::OK, &state.calls)
+            state.calls.open_watches = state.watches.open_count();
+            json_response(StatusCode::OK, &state.calls)
         }
         ("POST", "/calls/reset") => {
-            state.calls = Calls::default();
+            state.calls = CallCounts::default();
             Response::new(StatusCode::NO_CONTENT)
         }
-        _ => fail(Fail::NO_PATH),
+        _ => error_response(GatewayError::PATH_NOT_FOUND),
     }
 }
--- a/src/standin/kv/watches.rs
+++ b/src/standin/kv/watches.rs
@@ -8,94 +8,94 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-use super::data::{Data, Event};
-use super::wire::{Keys, WatchCreate, header};
+use super::mvcc::{Event, MvccStore};
+use super::wire::{KeyRange, WatchCreateRequest, response_header};
 
 #[derive(Debug)]
-struct Open {
-    keys: Keys,
-    to: mpsc::UnboundedSender<Bytes>,
+struct OpenWatch {
+    keys: KeyRange,
+    sender: mpsc::UnboundedSender<Bytes>,
     /// Next revision to tell.
-    next: i64,
-    progress: bool,
+    next_revision: i64,
+    progress_notify: bool,
     frozen: bool,
 }
 
 /// Hands `result` to a watch; one whose reader is gone is pruned later.
-fn send(to: &mpsc::UnboundedSender<Bytes>, result: &Value) {
+fn send_result(sender: &mpsc::UnboundedSender<Bytes>, result: &Value) {
     let line = format!("{}\n", json!({"result": result}));
-    if to.send(Bytes::from(line)).is_err() {
+    if sender.send(Bytes::from(line)).is_err() {
         log::trace!("a watch is gone");
     }
 }
 
 /// All open watches.
 #[derive(Debug, Default)]
-pub(super) struct Watches(Vec<Open>);
+pub(super) struct Watches(Vec<OpenWatch>);
 
 impl Watches {
     /// Opens a watch; the stream ends when the watch is closed here.
     pub(super) fn open(
         &mut self,
-        call: WatchCreate,
-        data: &Data,
+        call: WatchCreateRequest,
+        store: &MvccStore,
     ) -> impl Stream<Item = io::Result<Bytes>> + Unpin + use<> {
-        let (to, mut from) = mpsc::unbounded_channel();
-        let next = if call.start_revision == 0 {
-            data.revision + 1
+        let (sender, mut receiver) = mpsc::unbounded_channel();
+        let next_revision = if call.start_revision == 0 {
+            store.revision + 1
         } else {
             call.start_revision
         };
-        send(
-            &to,
-            &json!({"header": header(data.revision), "created": true}),
+        send_result(
+            &sender,
+            &json!({"header": response_header(store.revision), "created": true}),
         );
-        if next <= data.compacted {
-            send(
-                &to,
+        if next_revision <= store.compacted {
+            send_result(
+                &sender,
                 &json!({
-                    "header": header(data.revision),
+                    "header": response_header(store.revision),
                     "canceled": true,
-                    "compact_revision": (data.compacted + 1).to_string(),
+                    "compact_revision": (store.compacted + 1).to_string(),
                 }),
             );
         } else {
-            self.0.push(Open {
-                keys: Keys {
+            self.0.push(OpenWatch {
+                keys: KeyRange {
                     key: call.key,
                     range_end: call.range_end,
                 },
-                to,
-                next,
-                progress: call.progress_notify,
+                sender,
+                next_revision,
+                progress_notify: call.progress_notify,
                 frozen: false,
             });
-            self.tell(data);
+            self.deliver(store);
         }
-        futures_util::stream::poll_fn(move |cx| match from.poll_recv(cx) {
+        futures_util::stream::poll_fn(move |cx| match receiver.poll_recv(cx) {
             Poll::Ready(part) => Poll::Ready(part.map(Ok)),
             Poll::Pending => Poll::Pending,
         })
     }
 
     /// Sends what is new, one message a revision.
-    pub(super) fn tell(&mut self, data: &Data) {
-        for open in &mut self.0 {
-            let from = open.next;
-            open.next = open.next.max(data.revision + 1);
-            if open.frozen {
+    pub(super) fn deliver(&mut self, store: &MvccStore) {
+        for watch in &mut self.0 {
+            let from = watch.next_revision;
+            watch.next_revision = watch.next_revision.max(store.revision + 1);
+            if watch.frozen {
                 continue;
             }
-            let events: Vec<&Event> = data
-                .since(from)
-                .filter(|event| open.keys.holds(&event.key))
+            let events: Vec<&Event> = store
+                .changes_since(from)
+                .filter(|event| watch.keys.contains(&event.key))
                 .collect();
-            for same in events.chunk_by(|a, b| a.entry.modified == b.entry.modified) {
-                let all: Vec<Value> = same.iter().map(|event| event.json()).collect();
-                let revision = same.first().map_or(0, |event| event.entry.modified);
-                send(
-                    &open.to,
-                    &json!({"header": header(revision), "events": all}),
+            for changes in events.chunk_by(|a, b| a.entry.mod_revision == b.entry.mod_revision) {
+                let all: Vec<Value> = changes.iter().map(|event| event.to_json()).collect();
+                let revision = changes.first().map_or(0, |event| event.entry.mod_revision);
+                send_result(
+                    &watch.sender,
+                    &json!({"header": response_header(revision), "events": all}),
                 );
             }
         }
@@ -103,37 +103,35 @@
     }
 
     /// Sends a progress notification to each watch that asked for them.
-    pub(super) fn progress(&mut self, data: &Data) {
-        let told = json!({"header": header(data.revision)});
-        for open in self
-            .0
-            .iter()
-            .filter(|open| open.progress && !open.frozen && open.next > data.revision)
-        {
-            send(&open.to, &told);
+    pub(super) fn send_progress(&mut self, store: &MvccStore) {
+        let result = json!({"header": response_header(store.revision)});
+        for watch in self.0.iter().filter(|watch| {
+            watch.progress_notify && !watch.frozen && watch.next_revision > store.revision
+        }) {
+            send_result(&watch.sender, &result);
         }
         self.prune();
     }
 
     /// Makes the watches that are open now silent for good.
     pub(super) fn freeze(&mut self) {
-        for open in &mut self.0 {
-            open.frozen = true;
+        for watch in &mut self.0 {
+            watch.frozen = true;
         }
     }
 
     /// Closes all watches.
-    pub(super) fn close(&mut self) {
+    pub(super) fn close_all(&mut self) {
         self.0.clear();
     }
 
     /// Returns the number of watches that wait.
-    pub(super) fn waiting(&mut self) -> usize {
+    pub(super) fn open_count(&mut self) -> usize {
         self.prune();
         self.0.len()
     }
 
     fn prune(&mut self) {
-        self.0.retain(|open| !open.to.is_closed());
+        self.0.retain(|watch| !watch.sender.is_closed());
     }
 }
--- a/src/standin/kv/wire.rs
+++ b/src/standin/kv/wire.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::{Map, Value, json};
 
-use super::data::Entry;
+use super::mvcc::Entry;
 
 /// Bytes that travel as base64.
-pub(super) type Raw = Vec<u8>;
+pub(super) type Base64Bytes = Vec<u8>;
 
 /// A refusal in the gateway's form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Fail {
+pub(super) struct GatewayError {
     /// HTTP status.
     pub status: StatusCode,
     /// gRPC code the status stands for.
@@ -22,30 +22,30 @@
     pub message: &'static str,
 }
 
-impl Fail {
+impl GatewayError {
     pub(super) const NO_LEADER: Self = Self {
         status: StatusCode::SERVICE_UNAVAILABLE,
         code: 14,
         message: "etcdserver: no leader",
     };
     pub(super) const TOO_LARGE: Self = Self::invalid("etcdserver: request is too large");
-    pub(super) const DUPLICATE: Self =
+    pub(super) const DUPLICATE_KEY: Self =
         Self::invalid("etcdserver: duplicate key given in txn request");
-    pub(super) const TOO_MANY: Self =
+    pub(super) const TOO_MANY_OPS: Self =
         Self::invalid("etcdserver: too many operations in txn request");
     pub(super) const NO_KEY: Self = Self::invalid("etcdserver: key is not provided");
-    pub(super) const BAD_JSON: Self = Self::invalid("the request is not understood");
+    pub(super) const INVALID_REQUEST: Self = Self::invalid("the request is not understood");
     pub(super) const LEASE_EXISTS: Self = Self {
         status: StatusCode::PRECONDITION_FAILED,
         code: 9,
         message: "etcdserver: lease already exists",
     };
-    pub(super) const NO_LEASE: Self = Self {
+    pub(super) const LEASE_NOT_FOUND: Self = Self {
         status: StatusCode::NOT_FOUND,
         code: 5,
         message: "etcdserver: requested lease not found",
     };
-    pub(super) const NO_PATH: Self = Self {
+    pub(super) const PATH_NOT_FOUND: Self = Self {
         status: StatusCode::NOT_FOUND,
         code: 5,
         message: "Not Found",
@@ -64,15 +64,17 @@
     }
 }
 
-fn raw<'de, D: Deserializer<'de>>(from: D) -> Result<Raw, D::Error> {
+fn deserialize_bytes<'de, D: Deserializer<'de>>(from: D) -> Result<Base64Bytes, D::Error> {
     let text = Box::<str>::deserialize(from)?;
     STANDARD
         .decode(&*text)
         .map_err(|err| serde::de::Error::custom(err.to_string()))
 }
 
-fn raw_option<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Raw>, D::Error> {
-    raw(from).map(Some)
+fn deserialize_optional_bytes<'de, D: Deserializer<'de>>(
+    from: D,
+) -> Result<Option<Base64Bytes>, D::Error> {
+    deserialize_bytes(from).map(Some)
 }
 
 #[derive(Deserialize)]
@@ -82,7 +84,7 @@
     Text(Box<str>),
 }
 
-fn int<'de, D: Deserializer<'de>>(from: D) -> Result<i64, D::Error> {
+fn deserialize_int<'de, D: Deserializer<'de>>(from: D) -> Result<i64, D::Error> {
     match Int::deserialize(from)? {
         Int::Number(n) => Ok(n),
         Int::Text(text) => text
@@ -91,23 +93,23 @@
     }
 }
 
-fn int_option<'de, D: Deserializer<'de>>(from: D) -> Result<Option<i64>, D::Error> {
-    int(from).map(Some)
+fn deserialize_optional_int<'de, D: Deserializer<'de>>(from: D) -> Result<Option<i64>, D::Error> {
+    deserialize_int(from).map(Some)
 }
 
 /// One key, or the keys from `key` up to `range_end`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct Keys {
-    #[serde(deserialize_with = "raw")]
-    pub key: Raw,
-    #[serde(default, alias = "rangeEnd", deserialize_with = "raw")]
-    pub range_end: Raw,
+pub(super) struct KeyRange {
+    #[serde(deserialize_with = "deserialize_bytes")]
+    pub key: Base64Bytes,
+    #[serde(default, alias = "rangeEnd", deserialize_with = "deserialize_bytes")]
+    pub range_end: Base64Bytes,
 }
 
-impl Keys {
+impl KeyRange {
     /// Tells whether `key` is among the keys meant; an end of one zero byte means no end.
-    pub(super) fn holds(&self, key: &[u8]) -> bool {
+    pub(super) fn contains(&self, key: &[u8]) -> bool {
         match &*self.range_end {
             [] => *key == *self.key,
             [0] => *key >= *self.key,
@@ -118,12 +120,12 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct Put {
-    #[serde(deserialize_with = "raw")]
-    pub key: Raw,
-    #[serde(default, deserialize_with = "raw")]
-    pub value: Raw,
-    #[serde(default, deserialize_with = "int")]
+pub(super) struct PutRequest {
+    #[serde(deserialize_with = "deserialize_bytes")]
+    pub key: Base64Bytes,
+    #[serde(default, deserialize_with = "deserialize_bytes")]
+    pub value: Base64Bytes,
+    #[serde(default, deserialize_with = "deserialize_int")]
     pub lease: i64,
 }
 
@@ -155,65 +157,73 @@
     pub result: Relation,
     #[serde(default)]
     pub target: Target,
-    #[serde(deserialize_with = "raw")]
-    pub key: Raw,
-    #[serde(default, deserialize_with = "raw_option")]
-    pub value: Option<Raw>,
-    #[serde(default, deserialize_with = "int_option")]
+    #[serde(deserialize_with = "deserialize_bytes")]
+    pub key: Base64Bytes,
+    #[serde(default, deserialize_with = "deserialize_optional_bytes")]
+    pub value: Option<Base64Bytes>,
+    #[serde(default, deserialize_with = "deserialize_optional_int")]
     pub version: Option<i64>,
-    #[serde(default, alias = "createRevision", deserialize_with = "int_option")]
+    #[serde(
+        default,
+        alias = "createRevision",
+        deserialize_with = "deserialize_optional_int"
+    )]
     pub create_revision: Option<i64>,
-    #[serde(default, alias = "modRevision", deserialize_with = "int_option")]
+    #[serde(
+        default,
+        alias = "modRevision",
+        deserialize_with = "deserialize_optional_int"
+    )]
     pub mod_revision: Option<i64>,
-    #[serde(default, deserialize_with = "int_option")]
+    #[serde(default, deserialize_with = "deserialize_optional_int")]
     pub lease: Option<i64>,
 }
 
 #[derive(Debug, Deserialize)]
-pub(super) enum Step {
+pub(super) enum RequestOp {
     #[serde(rename = "requestRange", alias = "request_range")]
-    Range(Keys),
+    Range(KeyRange),
     #[serde(rename = "requestPut", alias = "request_put")]
-    Put(Put),
+    Put(PutRequest),
     #[serde(rename = "requestDeleteRange", alias = "request_delete_range")]
-    Delete(Keys),
+    Delete(KeyRange),
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct Txn {
+pub(super) struct TxnRequest {
     #[serde(default)]
     pub compare: Vec<Compare>,
     #[serde(default)]
-    pub success: Vec<Step>,
+    pub success: Vec<RequestOp>,
     #[serde(default)]
-    pub failure: Vec<Step>,
+    pub failure: Vec<RequestOp>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct LeaseCall {
-    #[serde(rename = "TTL", default, deserialize_with = "int")]
+pub(super) struct LeaseRequest {
+    #[serde(rename = "TTL", default, deserialize_with = "deserialize_int")]
     pub ttl: i64,
-    #[serde(rename = "ID", default, deserialize_with = "int")]
+    #[serde(rename = "ID", default, deserialize_with = "deserialize_int")]
     pub id: i64,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct WatchCall {
+pub(super) struct WatchRequest {
     #[serde(alias = "createRequest")]
-    pub create_request: WatchCreate,
+    pub create_request: WatchCreateRequest,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct WatchCreate {
-    #[serde(deserialize_with = "raw")]
-    pub key: Raw,
-    #[serde(default, alias = "rangeEnd", deserialize_with = "raw")]
-    pub range_end: Raw,
-    #[serde(default, alias = "startRevision", deserialize_with = "int")]
+pub(super) struct WatchCreateRequest {
+    #[serde(deserialize_with = "deserialize_bytes")]
+    pub key: Base64Bytes,
+    #[serde(default, alias = "rangeEnd", deserialize_with = "deserialize_bytes")]
+    pub range_end: Base64Bytes,
+    #[serde(default, alias = "startRevision", deserialize_with = "deserialize_int")]
     pub start_revision: i64,
     #[serde(default, alias = "progressNotify")]
     pub progress_notify: bool,
@@ -221,20 +231,20 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct Compaction {
-    #[serde(deserialize_with = "int")]
+pub(super) struct CompactionRequest {
+    #[serde(deserialize_with = "deserialize_int")]
     pub revision: i64,
 }
 
 /// Writes `n` as the gateway does: as text, and not at all when zero.
-pub(super) fn set_int(map: &mut Map<String, Value>, name: &str, n: i64) {
+pub(super) fn insert_int(map: &mut Map<String, Value>, name: &str, n: i64) {
     if n != 0 {
         map.insert(name.into(), Value::String(n.to_string()));
     }
 }
 
 /// The header every answer carries.
-pub(super) fn header(revision: i64) -> Value {
+pub(super) fn response_header(revision: i64) -> Value {
     json!({
         "cluster_id": "1",
         "member_id": "1",
@@ -244,15 +254,15 @@
 }
 
 /// One key and its value.
-pub(super) fn pair(key: &[u8], entry: &Entry) -> Value {
+pub(super) fn key_value(key: &[u8], entry: &Entry) -> Value {
     let mut map = Map::new();
     map.insert("key".into(), STANDARD.encode(key).into());
-    set_int(&mut map, "create_revision", entry.created);
-    set_int(&mut map, "mod_revision", entry.modified);
-    set_int(&mut map, "version", entry.version);
+    insert_int(&mut map, "create_revision", entry.create_revision);
+    insert_int(&mut map, "mod_revision", entry.mod_revision);
+    insert_int(&mut map, "version", entry.version);
     if !entry.value.is_empty() {
         map.insert("value".into(), STANDARD.encode(&entry.value).into());
     }
-    set_int(&mut map, "lease", entry.lease);
+    insert_int(&mut map, "lease", entry.lease);
     Value::Object(map)
 }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -14,11 +14,11 @@
 use crate::web;
 
 /// Most bytes of a call's body.
-const BODY_LIMIT: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Time a caller has to send a body.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Header that names a call which may not repeat.
-const KEY_HEADER: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// What a stand-in service is told at its start.
 #[derive(Debug, Clone)]
@@ -51,10 +51,10 @@
 }
 
 /// What is done with one call after its faults are looked up.
-enum Fate {
+enum Outcome {
     Answer,
     Fail,
-    Lose,
+    LoseAnswer,
     Redirect,
 }
 
@@ -66,22 +66,22 @@
 }
 
 impl State {
-    fn fate(&mut self) -> Fate {
-        if take(&mut self.faults.fail_next) {
-            Fate::Fail
-        } else if take(&mut self.faults.lose_answers) {
-            Fate::Lose
+    fn next_outcome(&mut self) -> Outcome {
+        if consume_one(&mut self.faults.fail_next) {
+            Outcome::Fail
+        } else if consume_one(&mut self.faults.lose_answers) {
+            Outcome::LoseAnswer
         } else if self.faults.redirect == Some(true) {
-            Fate::Redirect
+            Outcome::Redirect
         } else {
-            Fate::Answer
+            Outcome::Answer
         }
     }
 }
 
 /// Takes one from a number of calls that is not yet used up.
-fn take(left: &mut Option<u64>) -> bool {
-    match left {
+fn consume_one(remaining: &mut Option<u64>) -> bool {
+    match remaining {
         Some(n) if *n > 0 => {
             *n -= 1;
             true
@@ -108,7 +108,7 @@
 }
 
 async fn handle(state: Rc<RefCell<State>>, mut req: Request) -> Response {
-    let body = match web::read_body(&mut req, BODY_LIMIT, BODY_TIME).await {
+    let body = match web::read_body(&mut req, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(status) => return Response::new(status),
     };
@@ -121,22 +121,25 @@
             }
             Err(err) => Response::BadRequest().json(&json!({"error": err.to_string()})),
         },
-        _ => call(&state, &req, &body).await,
+        _ => handle_call(&state, &req, &body).await,
     }
 }
 
-async fn call(state: &RefCell<State>, req: &Request, body: &[u8]) -> Response {
+async fn handle_call(state: &RefCell<State>, req: &Request, body: &[u8]) -> Response {
     let (method, path) = (req.method().as_str(), req.path());
-    let key = req.headers().get(KEY_HEADER).and_then(|v| v.to_str().ok());
-    let (fate, slow) = {
+    let key = req
+        .headers()
+        .get(IDEMPOTENCY_KEY_HEADER)
+        .and_then(|v| v.to_str().ok());
+    let (outcome, delay) = {
         let mut state = state.borrow_mut();
-        let slow = state.faults.slow_ms.unwrap_or(0);
-        (state.fate(), Duration::from_millis(slow))
+        let delay_ms = state.faults.slow_ms.unwrap_or(0);
+        (state.next_outcome(), Duration::from_millis(delay_ms))
     };
-    if !slow.is_zero() {
-        tokio::time::sleep(slow).await;
+    if !delay.is_zero() {
+        tokio::time::sleep(delay).await;
     }
-    if matches!(fate, Fate::Fail) {
+    if matches!(outcome, Outcome::Fail) {
         return Response::build(StatusCode::SERVICE_UNAVAILABLE)
             .header("x-ran", "no")
             .json(&json!({"error": "unavailable"}));
@@ -148,17 +151,17 @@
         *count += 1;
         *count
     };
-    match fate {
-        Fate::Lose => {
+    match outcome {
+        Outcome::LoseAnswer => {
             if let Some(io) = req.io() {
                 io.terminate();
             }
             Response::InternalServerError().finish()
         }
-        Fate::Redirect => Response::build(StatusCode::TEMPORARY_REDIRECT)
+        Outcome::Redirect => Response::build(StatusCode::TEMPORARY_REDIRECT)
             .header("location", path)
             .finish(),
-        Fate::Answer | Fate::Fail => Response::Ok().json(&json!({
+        Outcome::Answer | Outcome::Fail => Response::Ok().json(&json!({
             "service": state.borrow().name, "method": method, "path": path, "key": key,
             "count": count, "body_hash": blake3::hash(body).to_hex().as_str(),
         })),
--- a/tests/engine/answers.rs
+++ b/tests/engine/answers.rs
@@ -9,7 +9,7 @@
 };
 use chiveway::error::Ran;
 use chiveway::standin::engine::{
-    CacheOptions, Crash, Fencing, Options, Role, chat_prompt, expected, pieces, prompt_tokens,
+    CacheOptions, Crash, Fencing, Options, Role, block_hashes, chat_prompt, expected, prompt_tokens,
 };
 use serde_json::json;
 use tokio::time::{sleep, timeout};
@@ -45,7 +45,7 @@
     /// A connection breaks in the middle of an answer. The caller must get the rest, and the
     /// engine must not run the request again.
     a_broken_stream_is_resumed: |c| {
-        let e = engine(Options { grace: LIMIT, ..slow() });
+        let e = engine(Options { reader_grace: LIMIT, ..slow() });
         fault(c, e.addr, json!({"drop_after": 7})).await;
         let mut s = begin(c, e.addr, "a draft", 30, "a1").await;
         let (text, offset, _) = read(&mut s, 7).await.expect("read");
@@ -119,7 +119,7 @@
     /// An engine changes its role while it answers. The answer is cut, and new work is refused as
     /// not run until the change is over.
     a_change_cuts_and_refuses: |c| {
-        let e = engine(Options { change: Duration::from_millis(300), ..slow() });
+        let e = engine(Options { change_duration: Duration::from_millis(300), ..slow() });
         let mut s = begin(c, e.addr, "a draft", MANY, "a1").await;
         let role = Action::Role { role: "decode".into() };
         order(c, e.addr, 1, 1, "h1", &role).await.expect("order");
@@ -133,7 +133,7 @@
     }
 
     a_cached_prefix_saves_steps: |c| {
-        let cache = CacheOptions { pieces: 4, drop_nth: 2, ..CacheOptions::default() };
+        let cache = CacheOptions { max_blocks: 4, drop_nth: 2, ..CacheOptions::default() };
         let e = engine(Options { cache, ..slow() });
         let long = "x".repeat(4 * 8000);
         let mut steps = vec![0];
@@ -147,7 +147,7 @@
         assert_eq!(steps, [0, 4, 4]);
         let list = events(c, e.addr, 0).await.expect("events");
         assert_eq!(list.iter().map(|event| event.seq).collect::<Vec<_>>(), [1, 3]);
-        let names = pieces("model", &long, 2000);
+        let names = block_hashes("model", &long, 2000);
         assert_eq!((&list[0].piece, &list[1].piece), (&names[0], &names[2]));
     }
 
@@ -199,7 +199,7 @@
     a_crash_halfway_leaves_the_old_role: |c| {
         let crash = Crash::Restart(Duration::from_millis(50));
         let change = Duration::from_millis(50);
-        let e = engine(Options { crash, change, ..Options::default() });
+        let e = engine(Options { crash, change_duration: change, ..Options::default() });
         fault(c, e.addr, json!({"crash_mid_change": true})).await;
         let role = Action::Role { role: "decode".into() };
         order(c, e.addr, 1, 1, "h1", &role).await.expect("order");
@@ -216,8 +216,8 @@
 
     /// Reports come late, so that a busy engine looks idle and a full cache empty.
     reports_and_events_come_late: |c| {
-        let cache = CacheOptions { lag: LIMIT, ..CacheOptions::default() };
-        let e = engine(Options { lag: LIMIT, cache, ..slow() });
+        let cache = CacheOptions { event_lag: LIMIT, ..CacheOptions::default() };
+        let e = engine(Options { load_lag: LIMIT, cache, ..slow() });
         let mut s = begin(c, e.addr, &"x".repeat(8000), MANY, "a1").await;
         read(&mut s, 1).await.expect("read");
         let load = load(c, e.addr).await.expect("load");
--- a/tests/engine/main.rs
+++ b/tests/engine/main.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use chiveway::backend::{Answer, Call, Client, Options as Settings, ReadError, Stream, open};
-use chiveway::standin::engine::{self, Costs, Options, Pace};
+use chiveway::standin::engine::{self, Options, StepCosts, Timing};
 use chiveway::standin::service;
 use ntex::rt::{DefaultRuntime, System};
 use serde_json::{Value, json};
@@ -87,7 +87,7 @@
 
 /// One millisecond a step, so that answers take a while.
 fn slow() -> Options {
-    let costs = Costs {
+    let costs = StepCosts {
         base: Duration::from_millis(1),
         prefill: Duration::ZERO,
         decode: Duration::ZERO,
@@ -95,8 +95,8 @@
         speed: 1.0,
     };
     Options {
-        pace: Pace::Steps(costs),
-        grace: Duration::from_millis(50),
+        timing: Timing::Steps(costs),
+        reader_grace: Duration::from_millis(50),
         ..Options::default()
     }
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -61,8 +61,8 @@
                 let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
                 tell.send(listener.local_addr().unwrap()).unwrap();
                 let opts = Options::default()
-                    .progress(SILENCE / 40)
-                    .second(SILENCE / 40)
+                    .progress_interval(SILENCE / 40)
+                    .lease_second(SILENCE / 40)
                     .history(8);
                 tokio::select! {
                     () = kv::run(listener, opts) => (),
