--- a/src/standin/hop.rs
+++ b/src/standin/hop.rs
@@ -1,7 +1,7 @@
-//! A bare pass-through: the same HTTP server and client as a host, and nothing between them.
+//! Pass-through proxy: the HTTP server and client of a host, without routing.
 //!
-//! What it adds to a request is the least that any program on these libraries adds, and the
-//! measure of what a host adds.
+//! Its overhead per request is the minimum for any program on these libraries; the overhead of a
+//! host is compared with it.
 
 use std::net::SocketAddr;
 
@@ -14,12 +14,12 @@
 
 use crate::web::{self, HandlerError};
 
-/// Most bytes of a request.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// Time a caller has to send its body.
+/// Time limit for receiving a request body.
 const BODY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
 
-/// Passes requests on to `target` until dropped; must run inside an ntex system.
+/// Forwards requests to `target` until the future is dropped; must run inside an ntex system.
 pub async fn run(listener: TcpListener, target: SocketAddr) {
     let Some(client) = web::client("hop").await else {
         return;
--- a/src/standin/kv/faults.rs
+++ b/src/standin/kv/faults.rs
@@ -1,23 +1,24 @@
-//! The switches of the stand-in, and its counts of calls.
+//! Faults of the stand-in, and its call counts.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Whether and how the service is out.
+/// Whether and how the service is down.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Outage {
-    /// It works.
+    /// The service works.
     #[default]
     None,
-    /// Calls are answered 503 at once; open watches are closed.
+    /// Calls are answered with 503 without delay; open watches are closed.
     Refuse,
-    /// Calls get no answer until the outage ends; open watches fall silent.
+    /// Calls get no answer, and their connections are closed when the hang ends; open watches send
+    /// nothing.
     Hang,
 }
 
-/// Body of `POST /fault`; what is left out stays as it is.
+/// Body of `POST /fault`; omitted fields leave their fault unchanged.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FaultRequest {
@@ -30,7 +31,7 @@
     pub hosts_down: Option<bool>,
 }
 
-/// `true` and `"refuse"` are the same.
+/// Value of `down`; `true` and `"refuse"` mean the same.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(untagged)]
 pub(super) enum Down {
@@ -55,13 +56,16 @@
     }
 }
 
-/// The switches as they stand.
+/// Faults in force.
 #[derive(Debug, Default)]
 pub(super) struct Faults {
     pub outage: Outage,
     pub delay: Duration,
+    /// Number of next answers to changes of keys that are lost.
     pub answers_to_lose: usize,
+    /// Prefix of the keys whose changes lose answers; empty for all keys.
     pub lose_prefix: Box<str>,
+    /// Age at which the list of hosts is served.
     pub list_lag: Duration,
     pub hosts_down: bool,
 }
@@ -118,17 +122,17 @@
     pub watch: u64,
     pub compaction: u64,
     pub hosts: u64,
-    /// Watches waiting now; each counts as a call of the platform's budget.
+    /// Watches open now; each counts against the platform's call budget.
     #[serde(rename = "waiting")]
     pub open_watches: usize,
-    /// Most watches that waited at once.
+    /// Maximum of watches open at the same time.
     #[serde(rename = "most_waiting")]
     pub max_open_watches: usize,
-    /// Calls answered with an error or left hanging in an outage.
+    /// Calls answered with an error, or received during an outage.
     pub refused: u64,
-    /// Answers lost on purpose.
+    /// Answers lost by the fault `lose_answers`.
     pub lost: u64,
-    /// Most calls that came in one whole second since the last reset.
+    /// Maximum of calls received in one whole second since the last reset.
     pub busiest_second: u64,
     #[serde(skip)]
     current_second: u64,
@@ -137,7 +141,7 @@
 }
 
 impl CallCounts {
-    /// Counts one call that came at `now`, in whole seconds since `start`.
+    /// Counts one call received at `now`; whole seconds are counted from `start`.
     pub(super) fn count(&mut self, kind: CallKind, start: Instant, now: Instant) {
         *match kind {
             CallKind::Range => &mut self.range,
--- a/src/standin/kv/hosts.rs
+++ b/src/standin/kv/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts and backend servers, shown late.
+//! The platform's list of live and leaving hosts and backend servers, served with a lag.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListEntry {
-    /// Name, one of its kind.
+    /// Unique name.
     pub name: Box<str>,
     /// `host`, `engine` or `service`.
     pub kind: ListEntryKind,
     /// Model pool or service that the entry serves; empty for hosts.
     #[serde(default)]
     pub pool: Box<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain.
     pub domain: Box<str>,
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub state: ListEntryState,
 }
 
-/// What an entry is.
+/// Kind of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListEntryKind {
@@ -37,17 +37,17 @@
     Service,
 }
 
-/// Whether an entry stays.
+/// State of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListEntryState {
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It is about to go.
+    /// It is about to be removed.
     Leaving,
 }
 
-/// The true lists of the past, oldest first.
+/// All versions of the list, oldest first, each with the time at which it was set.
 #[derive(Debug, Default)]
 pub(super) struct ListHistory(Vec<(Instant, Vec<ListEntry>)>);
 
@@ -56,7 +56,7 @@
         self.0.push((now, list));
     }
 
-    /// Adds an entry, in place of one with its name.
+    /// Adds an entry, or replaces the entry of the same name.
     pub(super) fn add(&mut self, entry: ListEntry, now: Instant) {
         let newest = self.0.last();
         let mut list = newest.map_or_else(Vec::new, |(_, list)| list.clone());
@@ -65,7 +65,7 @@
         self.set(list, now);
     }
 
-    /// Returns the list as it was `lag` ago.
+    /// Returns the list as it was `lag` ago; empty if none was set by then.
     pub(super) fn delayed_by(&self, lag: Duration, now: Instant) -> &[ListEntry] {
         self.0
             .iter()
--- a/src/standin/kv/mod.rs
+++ b/src/standin/kv/mod.rs
@@ -1,17 +1,17 @@
 //! Stand-in for the platform's key-value service and its lagging list of hosts.
 //!
-//! Speaks the JSON-over-HTTP gateway form of etcd's published v3 API as far as the program uses
-//! it; fields it does not know are refused rather than ignored. Beside it:
+//! Implements the part of etcd's published v3 API that the program uses, in its JSON-over-HTTP
+//! gateway form; unknown fields are refused rather than ignored. Further endpoints:
 //!
-//! * `GET /hosts` shows the list as it was `lag_ms` ago, `PUT /hosts` replaces the true one,
+//! * `GET /hosts` returns the list as it was `lag_ms` ago, `PUT /hosts` replaces the current list,
 //!   `POST /hosts` adds one entry to it.
-//! * `POST /fault` sets the switches, any subset of: `down` (`false`, `true` or `"refuse"` for
-//!   503 at once, `"hang"` for no answer), `slow_ms` (delay of each answer; the call itself takes
-//!   effect at once), `lose_answers` (that many of the next changes of keys take effect and the
-//!   connection is closed without an answer), `lose_key` (loses only answers of changes below
-//!   this prefix), `freeze_watches` (`true`: watches open now stay silent for good), `lag_ms`,
-//!   `hosts_down` (the list answers 503).
-//! * `GET /calls` counts calls by kind, `POST /calls/reset` starts the counts again.
+//! * `POST /fault` sets faults, any subset of: `down` (`false`, `true` or `"refuse"` for an
+//!   immediate 503, `"hang"` for no answer), `slow_ms` (delay of each answer; the call itself takes
+//!   effect without delay), `lose_answers` (this many of the next calls that change keys take
+//!   effect, but their connection is closed without an answer), `lose_key` (restricts
+//!   `lose_answers` to changes of keys with this prefix), `freeze_watches` (`true`: the watches
+//!   that are open now send nothing more), `lag_ms`, `hosts_down` (`GET /hosts` answers 503).
+//! * `GET /calls` returns call counts by kind, `POST /calls/reset` resets them.
 
 mod faults;
 mod hosts;
@@ -45,14 +45,14 @@
     WatchRequest,
 };
 
-/// Most bytes of a request: some values of a megabyte in base64.
+/// Maximum size of a request body: room for several values of 1 MiB in base64.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// Time a caller has to send its request.
+/// Time limit for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks for leases that lapsed.
+/// Interval between checks for expired leases.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How the stand-in behaves.
+/// Start options of the stand-in.
 #[derive(Debug, Clone)]
 pub struct Options {
     progress_interval: Duration,
@@ -62,7 +62,8 @@
 }
 
 impl Default for Options {
-    /// Progress every second, leases in real seconds, 100,000 changes remembered, no hosts.
+    /// Progress notifications every second, TTLs in real seconds, a history of 100,000 changes, no
+    /// hosts.
     fn default() -> Self {
         Self {
             progress_interval: Duration::from_secs(1),
@@ -74,28 +75,29 @@
 }
 
 impl Options {
-    /// Sets the time between two progress notifications of a watch.
+    /// Sets the interval between progress notifications of a watch.
     #[must_use]
-    pub fn progress_interval(mut self, time: Duration) -> Self {
-        self.progress_interval = time;
+    pub fn progress_interval(mut self, interval: Duration) -> Self {
+        self.progress_interval = interval;
         self
     }
 
-    /// Sets how long one second of a lease lasts, so that tests need not wait for real ones.
+    /// Sets the real duration of one second of a lease's TTL, so that tests need not wait for real
+    /// seconds.
     #[must_use]
-    pub fn lease_second(mut self, time: Duration) -> Self {
-        self.lease_second = time;
+    pub fn lease_second(mut self, duration: Duration) -> Self {
+        self.lease_second = duration;
         self
     }
 
-    /// Sets how many changes are remembered for watches; older ones are compacted away.
+    /// Sets how many changes are kept for watches; older ones are compacted.
     #[must_use]
     pub fn history(mut self, changes: usize) -> Self {
         self.history = changes;
         self
     }
 
-    /// Sets the list of hosts and backend servers to start with.
+    /// Sets the initial list of hosts and backend servers.
     #[must_use]
     pub fn hosts(mut self, list: Vec<ListEntry>) -> Self {
         self.hosts = list;
@@ -114,7 +116,7 @@
 
 struct Shared {
     state: RefCell<State>,
-    /// Told when the switches change.
+    /// Notified when faults are set.
     faults_changed: Notify,
 }
 
@@ -145,7 +147,8 @@
     }
 }
 
-async fn run_timers(shared: &Shared, progress: Duration) {
+/// Expires leases and sends progress notifications; pauses during an outage.
+async fn run_timers(shared: &Shared, progress_interval: Duration) {
     let mut last_progress = Instant::now();
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
@@ -155,7 +158,7 @@
             continue;
         }
         state.expire_and_deliver(now);
-        if now.saturating_duration_since(last_progress) >= progress {
+        if now.saturating_duration_since(last_progress) >= progress_interval {
             last_progress = now;
             let State { store, watches, .. } = &mut *state;
             watches.send_progress(store);
@@ -164,7 +167,7 @@
 }
 
 impl State {
-    /// Ends leases that are over and tells the watches what is new.
+    /// Expires leases, unless the service is down, and sends new changes to the watches.
     fn expire_and_deliver(&mut self, now: Instant) {
         if self.faults.outage == Outage::None {
             self.store.expire_leases(now);
@@ -222,7 +225,8 @@
         }
     }
 
-    /// Tells whether the answer to a change made after revision `before` is to be lost.
+    /// Returns whether the answer to a call is to be lost, given the revision before it; counts it
+    /// as lost if so.
     fn take_lost_answer(&mut self, before: i64) -> bool {
         let prefix = self.faults.lose_prefix.as_bytes();
         let lost = self.faults.answers_to_lose > 0
@@ -240,7 +244,7 @@
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, GatewayError> {
     serde_json::from_slice(body).map_err(|err| {
-        log::debug!("request not understood: {err}");
+        log::debug!("cannot parse the request body: {err}");
         GatewayError::INVALID_REQUEST
     })
 }
@@ -325,7 +329,7 @@
     }
 }
 
-/// Waits until the service no longer hangs.
+/// Waits until the outage is no longer [`Outage::Hang`].
 async fn wait_for_hang_end(shared: &Shared) {
     loop {
         let changed = shared.faults_changed.notified();
--- a/src/standin/kv/mvcc.rs
+++ b/src/standin/kv/mvcc.rs
@@ -1,4 +1,4 @@
-//! The keys, their past and the leases.
+//! Multi-version key store: the keys, the history of their changes and the leases.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,14 +12,15 @@
     Target, TxnRequest, insert_int, key_value, response_header,
 };
 
-/// Most bytes of one value.
+/// Maximum size of one value.
 const MAX_VALUE_BYTES: usize = 1024 * 1024;
-/// Most bytes of keys and values that one call writes; etcd's default for a request.
+/// Maximum size of the keys and values that one call writes; etcd's default limit of a request.
 const MAX_WRITE_BYTES: usize = 3 * 512 * 1024;
-/// Most steps or conditions of one transaction; etcd's default.
+/// Maximum number of conditions, or of operations of either branch, of one transaction; etcd's
+/// default.
 const MAX_TXN_OPS: usize = 128;
 
-/// What is stored under one key.
+/// Value and revisions of one key.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Entry {
     pub value: Bytes,
@@ -53,18 +54,19 @@
     expires_at: Instant,
 }
 
-/// Everything the service keeps.
+/// State of the key-value service.
 #[derive(Debug)]
 pub(super) struct MvccStore {
-    /// Revision of the last change; 1 when nothing was ever written, as in etcd.
+    /// Revision of the last change; 1 before the first write, as in etcd.
     pub revision: i64,
-    /// Oldest revision whose changes are still known, less one.
+    /// Newest compacted revision; only changes after it are in the history.
     pub compacted: i64,
     keys: BTreeMap<Base64Bytes, Entry>,
     history: VecDeque<Event>,
     max_history: usize,
     leases: BTreeMap<i64, Lease>,
     last_lease_id: i64,
+    /// Real duration of one second of a TTL.
     lease_second: Duration,
 }
 
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Returns the changes from `revision` on, oldest first.
+    /// Returns the changes at `revision` and later, oldest first.
     pub(super) fn changes_since(&self, revision: i64) -> impl Iterator<Item = &Event> {
         let from = self
             .history
@@ -131,12 +133,12 @@
         Ok(Value::Object(map))
     }
 
-    /// Runs one step outside a transaction.
+    /// Runs one operation outside a transaction.
     pub(super) fn run_single(&mut self, op: RequestOp) -> Result<Value, GatewayError> {
         let ops = [op];
         self.validate(&ops)?;
-        let mut answers = self.apply(&ops);
-        let inner = answers.pop().and_then(|answer| match answer {
+        let mut responses = self.apply(&ops);
+        let inner = responses.pop().and_then(|response| match response {
             Value::Object(map) => map.into_iter().next().map(|(_, inner)| inner),
             _ => None,
         });
@@ -145,12 +147,12 @@
 
     fn validate(&self, ops: &[RequestOp]) -> Result<(), GatewayError> {
         let mut puts = BTreeSet::new();
-        let mut bytes = 0;
+        let mut write_bytes = 0;
         for op in ops {
             let key = match op {
                 RequestOp::Put(put) => {
-                    bytes += put.key.len() + put.value.len();
-                    if put.value.len() > MAX_VALUE_BYTES || bytes > MAX_WRITE_BYTES {
+                    write_bytes += put.key.len() + put.value.len();
+                    if put.value.len() > MAX_VALUE_BYTES || write_bytes > MAX_WRITE_BYTES {
                         return Err(GatewayError::TOO_LARGE);
                     }
                     if put.lease != 0 && !self.leases.contains_key(&put.lease) {
@@ -172,16 +174,16 @@
 
     fn is_met(&self, compare: &Compare) -> bool {
         let found = self.keys.get(&compare.key);
-        let numbers = |want: Option<i64>, of: fn(&Entry) -> i64| {
-            found.map_or(0, of).cmp(&want.unwrap_or_default())
+        let compare_int = |expected: Option<i64>, field: fn(&Entry) -> i64| {
+            found.map_or(0, field).cmp(&expected.unwrap_or_default())
         };
         let order = match compare.target {
-            Target::Version => numbers(compare.version, |entry| entry.version),
-            Target::Create => numbers(compare.create_revision, |entry| entry.create_revision),
-            Target::Mod => numbers(compare.mod_revision, |entry| entry.mod_revision),
-            Target::Lease => numbers(compare.lease, |entry| entry.lease),
+            Target::Version => compare_int(compare.version, |entry| entry.version),
+            Target::Create => compare_int(compare.create_revision, |entry| entry.create_revision),
+            Target::Mod => compare_int(compare.mod_revision, |entry| entry.mod_revision),
+            Target::Lease => compare_int(compare.lease, |entry| entry.lease),
             Target::Value => {
-                // etcd: a comparison with the value of an absent key never holds.
+                // As in etcd, a comparison with the value of an absent key is never met.
                 let Some(entry) = found else { return false };
                 entry.value[..].cmp(compare.value.as_deref().unwrap_or_default())
             }
@@ -194,12 +196,12 @@
         }
     }
 
-    /// Runs `steps` as one change: all of them get the same revision.
+    /// Applies `ops` as one change: all of them get the same revision.
     fn apply(&mut self, ops: &[RequestOp]) -> Vec<Value> {
         let next = self.revision + 1;
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for op in ops {
-            answers.push(match op {
+            responses.push(match op {
                 RequestOp::Range(keys) => json!({"response_range": self.range(keys)}),
                 RequestOp::Put(put) => {
                     self.put(put, next);
@@ -218,7 +220,7 @@
                 }
             });
         }
-        answers
+        responses
     }
 
     fn put(&mut self, put: &PutRequest, revision: i64) {
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Forgets the changes up to and including `revision`, as etcd's compaction does.
+    /// Drops the changes up to and including `revision` from the history, as etcd's compaction does.
     pub(super) fn compact(&mut self, revision: i64) {
         self.compacted = self.compacted.max(revision.min(self.revision));
         while self
@@ -338,8 +340,12 @@
             return Value::Object(map);
         };
         let left = lease.expires_at.saturating_duration_since(now);
-        let whole = left.as_nanos() / self.lease_second.as_nanos().max(1);
-        insert_int(&mut map, "TTL", i64::try_from(whole).unwrap_or(i64::MAX));
+        let secs_left = left.as_nanos() / self.lease_second.as_nanos().max(1);
+        insert_int(
+            &mut map,
+            "TTL",
+            i64::try_from(secs_left).unwrap_or(i64::MAX),
+        );
         insert_int(&mut map, "grantedTTL", lease.ttl);
         Value::Object(map)
     }
@@ -352,21 +358,21 @@
         Ok(json!({"header": response_header(self.revision)}))
     }
 
-    /// Deletes the keys that went with a lease, as one change.
+    /// Deletes the keys attached to a lease, as one change.
     fn delete_leased_keys(&mut self, id: i64) {
         let next = self.revision + 1;
-        let held: Vec<Base64Bytes> = self
+        let attached: Vec<Base64Bytes> = self
             .keys
             .iter()
             .filter(|(_, entry)| entry.lease == id)
             .map(|(key, _)| key.clone())
             .collect();
-        for key in &held {
+        for key in &attached {
             self.remove(key, next);
         }
     }
 
-    /// Ends the leases whose time is over.
+    /// Removes expired leases together with their keys.
     pub(super) fn expire_leases(&mut self, now: Instant) {
         let expired: Vec<i64> = self
             .leases
@@ -380,7 +386,7 @@
         }
     }
 
-    /// Gives each lease its full life again, as a newly elected leader does.
+    /// Restarts each lease with its full TTL, as a newly elected leader of etcd does.
     pub(super) fn renew_leases(&mut self, now: Instant) {
         let lease_second = self.lease_second;
         for lease in self.leases.values_mut() {
--- a/src/standin/kv/tests.rs
+++ b/src/standin/kv/tests.rs
@@ -1,4 +1,4 @@
-//! Rules of the stand-in that depend on time, at times given by the test.
+//! Leases, lag of the list and conditions of transactions, at times that the test sets.
 
 use assert_matches::assert_matches;
 use serde_json::json;
@@ -47,9 +47,9 @@
     for down in [json!(true), json!("hang")] {
         state.set_faults_at(json!({"down": down}), start + 9 * SECOND);
         state.set_faults_at(json!({"down": false}), start + 100 * SECOND);
-        let left = json!({"ID": lease});
-        let left = state.execute_at(CallKind::TimeLeft, &left, start + 100 * SECOND);
-        assert_eq!(left.unwrap()["TTL"], "10");
+        let request = json!({"ID": lease});
+        let answer = state.execute_at(CallKind::TimeLeft, &request, start + 100 * SECOND);
+        assert_eq!(answer.unwrap()["TTL"], "10");
     }
     let found = state
         .execute_at(CallKind::Range, &key, start + 109 * SECOND)
@@ -99,7 +99,7 @@
         let put = json!({"key": "YQ==", "value": value});
         state.execute_at(CallKind::Put, &put, now).unwrap();
     }
-    // The key "a" was created at 2 and now holds "c" at 3; "x" is absent.
+    // Key "a" has create revision 2, mod revision 3 and value "c"; key "x" is absent.
     let cases = [
         (
             json!({"key": "YQ==", "target": "MOD", "mod_revision": "3"}),
@@ -142,35 +142,35 @@
             false,
         ),
     ];
-    for (compare, want) in cases {
+    for (compare, expected) in cases {
         let answer = state.execute_at(CallKind::Txn, &json!({"compare": [compare]}), now);
-        let won = answer.unwrap().get("succeeded").is_some();
-        assert_eq!(won, want, "{compare}");
+        let succeeded = answer.unwrap().get("succeeded").is_some();
+        assert_eq!(succeeded, expected, "{compare}");
     }
-    let both = json!({"success": [
+    let duplicate = json!({"success": [
         {"requestPut": {"key": "YQ=="}}, {"request_put": {"key": "YQ=="}},
     ]});
     assert_matches!(
-        state.execute_at(CallKind::Txn, &both, now),
+        state.execute_at(CallKind::Txn, &duplicate, now),
         Err(GatewayError::DUPLICATE_KEY)
     );
-    let many = json!({"success": vec![json!({"requestRange": {"key": "YQ=="}}); 129]});
+    let too_many = json!({"success": vec![json!({"requestRange": {"key": "YQ=="}}); 129]});
     assert_matches!(
-        state.execute_at(CallKind::Txn, &many, now),
+        state.execute_at(CallKind::Txn, &too_many, now),
         Err(GatewayError::TOO_MANY_OPS)
     );
-    let long = "A".repeat(1024 * 1024);
-    let large = json!({"success": [
-        {"requestPut": {"key": "YQ==", "value": long}},
-        {"requestPut": {"key": "Yg==", "value": long}},
+    let value = "A".repeat(1024 * 1024);
+    let too_large = json!({"success": [
+        {"requestPut": {"key": "YQ==", "value": value}},
+        {"requestPut": {"key": "Yg==", "value": value}},
     ]});
     assert_matches!(
-        state.execute_at(CallKind::Txn, &large, now),
+        state.execute_at(CallKind::Txn, &too_large, now),
         Err(GatewayError::TOO_LARGE)
     );
-    let odd = json!({"key": "YQ==", "serializable": true});
+    let unknown_field = json!({"key": "YQ==", "serializable": true});
     assert_matches!(
-        state.execute_at(CallKind::Range, &odd, now),
+        state.execute_at(CallKind::Range, &unknown_field, now),
         Err(GatewayError::INVALID_REQUEST)
     );
 }
--- a/src/standin/kv/watches.rs
+++ b/src/standin/kv/watches.rs
@@ -1,4 +1,4 @@
-//! Open watches of the stand-in.
+//! Open watches of the stand-in, and the streams of events to their clients.
 
 use std::io;
 use std::task::Poll;
@@ -15,17 +15,18 @@
 struct OpenWatch {
     keys: KeyRange,
     sender: mpsc::UnboundedSender<Bytes>,
-    /// Next revision to tell.
+    /// Lowest revision that is still to be sent.
     next_revision: i64,
     progress_notify: bool,
+    /// Whether the watch stays open and sends nothing more.
     frozen: bool,
 }
 
-/// Hands `result` to a watch; one whose reader is gone is pruned later.
+/// Sends `result` to a watch; a watch whose client is gone is removed later by `prune`.
 fn send_result(sender: &mpsc::UnboundedSender<Bytes>, result: &Value) {
     let line = format!("{}\n", json!({"result": result}));
     if sender.send(Bytes::from(line)).is_err() {
-        log::trace!("a watch is gone");
+        log::trace!("cannot send to a watch: its client has disconnected");
     }
 }
 
@@ -34,7 +35,7 @@
 pub(super) struct Watches(Vec<OpenWatch>);
 
 impl Watches {
-    /// Opens a watch; the stream ends when the watch is closed here.
+    /// Opens a watch and returns the stream of its events, which ends when the watch is closed.
     pub(super) fn open(
         &mut self,
         call: WatchCreateRequest,
@@ -73,12 +74,12 @@
             self.deliver(store);
         }
         futures_util::stream::poll_fn(move |cx| match receiver.poll_recv(cx) {
-            Poll::Ready(part) => Poll::Ready(part.map(Ok)),
+            Poll::Ready(line) => Poll::Ready(line.map(Ok)),
             Poll::Pending => Poll::Pending,
         })
     }
 
-    /// Sends what is new, one message a revision.
+    /// Sends new changes to each watch, one message per revision.
     pub(super) fn deliver(&mut self, store: &MvccStore) {
         for watch in &mut self.0 {
             let from = watch.next_revision;
@@ -91,18 +92,18 @@
                 .filter(|event| watch.keys.contains(&event.key))
                 .collect();
             for changes in events.chunk_by(|a, b| a.entry.mod_revision == b.entry.mod_revision) {
-                let all: Vec<Value> = changes.iter().map(|event| event.to_json()).collect();
+                let events: Vec<Value> = changes.iter().map(|event| event.to_json()).collect();
                 let revision = changes.first().map_or(0, |event| event.entry.mod_revision);
                 send_result(
                     &watch.sender,
-                    &json!({"header": response_header(revision), "events": all}),
+                    &json!({"header": response_header(revision), "events": events}),
                 );
             }
         }
         self.prune();
     }
 
-    /// Sends a progress notification to each watch that asked for them.
+    /// Sends a progress notification to each watch that requested them and has no change pending.
     pub(super) fn send_progress(&mut self, store: &MvccStore) {
         let result = json!({"header": response_header(store.revision)});
         for watch in self.0.iter().filter(|watch| {
@@ -113,7 +114,7 @@
         self.prune();
     }
 
-    /// Makes the watches that are open now silent for good.
+    /// Makes the watches that are open now send nothing more.
     pub(super) fn freeze(&mut self) {
         for watch in &mut self.0 {
             watch.frozen = true;
@@ -125,7 +126,7 @@
         self.0.clear();
     }
 
-    /// Returns the number of watches that wait.
+    /// Returns the number of open watches.
     pub(super) fn open_count(&mut self) -> usize {
         self.prune();
         self.0.len()
--- a/src/standin/kv/wire.rs
+++ b/src/standin/kv/wire.rs
@@ -1,4 +1,5 @@
-//! JSON forms of etcd's v3 gateway: base64 bytes, 64-bit integers as strings, defaults left out.
+//! JSON encoding of etcd's v3 gateway: bytes in base64, 64-bit integers as strings, default values
+//! omitted.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -8,17 +9,17 @@
 
 use super::mvcc::Entry;
 
-/// Bytes that travel as base64.
+/// Bytes that are encoded as base64 in JSON.
 pub(super) type Base64Bytes = Vec<u8>;
 
-/// A refusal in the gateway's form.
+/// An error answer of the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct GatewayError {
     /// HTTP status.
     pub status: StatusCode,
-    /// gRPC code the status stands for.
+    /// gRPC code that the status is mapped from.
     pub code: u8,
-    /// Text as etcd words it.
+    /// Message, in etcd's words where etcd has one.
     pub message: &'static str,
 }
 
@@ -108,7 +109,7 @@
 }
 
 impl KeyRange {
-    /// Tells whether `key` is among the keys meant; an end of one zero byte means no end.
+    /// Returns whether `key` is in the range; a `range_end` of one zero byte means no upper bound.
     pub(super) fn contains(&self, key: &[u8]) -> bool {
         match &*self.range_end {
             [] => *key == *self.key,
@@ -236,14 +237,14 @@
     pub revision: i64,
 }
 
-/// Writes `n` as the gateway does: as text, and not at all when zero.
+/// Inserts `n` as the gateway encodes it: as a string, and omitted if zero.
 pub(super) fn insert_int(map: &mut Map<String, Value>, name: &str, n: i64) {
     if n != 0 {
         map.insert(name.into(), Value::String(n.to_string()));
     }
 }
 
-/// The header every answer carries.
+/// Returns the header of every response.
 pub(super) fn response_header(revision: i64) -> Value {
     json!({
         "cluster_id": "1",
@@ -253,7 +254,7 @@
     })
 }
 
-/// One key and its value.
+/// Returns the JSON of one key and its value.
 pub(super) fn key_value(key: &[u8], entry: &Entry) -> Value {
     let mut map = Map::new();
     map.insert("key".into(), STANDARD.encode(key).into());
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for outside systems, for tests, demonstrations and load trials.
+//! Stand-ins for external systems, for tests, demonstrations and load trials.
 
 pub mod engine;
 pub mod hop;
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -13,17 +13,17 @@
 
 use crate::web;
 
-/// Most bytes of a call's body.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// Time a caller has to send a body.
+/// Time limit for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Header that names a call which may not repeat.
+/// Header that carries the idempotency key of a call.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// What a stand-in service is told at its start.
+/// Start options of a stand-in service.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Name, shown in its answers.
+    /// Name, returned in each answer.
     pub name: Box<str>,
 }
 
@@ -31,11 +31,11 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Faults {
-    /// Time before each answer, in milliseconds.
+    /// Delay of each answer, in milliseconds.
     slow_ms: Option<u64>,
-    /// Calls still to be answered with 503 and not counted.
+    /// Number of next calls that are answered with 503 and not counted.
     fail_next: Option<u64>,
-    /// Calls still to be counted and then closed without an answer.
+    /// Number of next calls that are counted and whose connection is closed without an answer.
     lose_answers: Option<u64>,
     /// Whether calls are counted and answered with a redirect to the same path.
     redirect: Option<bool>,
@@ -50,7 +50,7 @@
     }
 }
 
-/// What is done with one call after its faults are looked up.
+/// How one call is answered under the current faults.
 enum Outcome {
     Answer,
     Fail,
@@ -61,7 +61,7 @@
 struct State {
     name: Box<str>,
     faults: Faults,
-    /// Calls by method, path and idempotency key, parted by spaces; a missing key is `-`.
+    /// Calls by method, path and idempotency key, separated by spaces; a missing key is `-`.
     counts: BTreeMap<Box<str>, u64>,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// Takes one from a number of calls that is not yet used up.
+/// Decrements the number of calls that a fault still applies to; returns whether one was left.
 fn consume_one(remaining: &mut Option<u64>) -> bool {
     match remaining {
         Some(n) if *n > 0 => {
@@ -90,10 +90,10 @@
     }
 }
 
-/// Serves until dropped; must run inside an ntex system.
+/// Serves until the future is dropped; must run inside an ntex system.
 ///
-/// `GET /counts` gives the number of calls by `METHOD PATH KEY`; `POST /fault` sets faults; all
-/// else is counted and answered with an echo.
+/// `GET /counts` returns the number of calls by `METHOD PATH KEY`, and `POST /fault` sets faults.
+/// Every other request is counted and answered with an echo.
 pub async fn run(listener: TcpListener, opts: Options) {
     let state = Rc::new(RefCell::new(State {
         name: opts.name,
