--- a/src/standin/engine/answer.rs
+++ b/src/standin/engine/answer.rs
@@ -1,18 +1,18 @@
-//! Answers as a pure function of model and prompt, so that any caller can check them.
+//! Deterministic answers: a pure function of model and prompt, so that any caller can check them.
 
 /// Bytes of prompt that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Words an answer is made of; a power of two many.
+/// Vocabulary of the answers; its size is a power of two.
 const WORDS: [&str; 32] = [
     "amber", "birch", "cedar", "delta", "ember", "fjord", "glade", "heath", "inlet", "juniper",
     "knoll", "larch", "marsh", "north", "ocean", "pine", "quartz", "ridge", "spruce", "tundra",
     "upland", "vale", "willow", "yarrow", "zenith", "brook", "cliff", "dune", "grove", "harbor",
     "isle", "lagoon",
 ];
-/// Odd constant of the `SplitMix64` generator.
+/// Increment of the `SplitMix64` generator; it is odd.
 const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Start of an answer: a hash of model and prompt.
+/// Seed of an answer: a hash of model and prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Seed(u64);
 
@@ -40,7 +40,7 @@
     WORDS[usize::try_from(index).unwrap_or(0)]
 }
 
-/// Appends tokens `from..to` to `text`; each but token 0 begins with a space.
+/// Appends tokens `from..to` to `text`; each except token 0 begins with a space.
 pub fn write_tokens(text: &mut String, seed: Seed, from: u64, to: u64) {
     for i in from..to {
         if i > 0 {
@@ -58,29 +58,30 @@
     text
 }
 
-/// Returns the number of tokens of a prompt: one for every four bytes begun.
+/// Returns the number of tokens of a prompt: one per four bytes, rounded up.
 #[must_use]
 pub fn prompt_tokens(prompt: &str) -> u64 {
     (prompt.len() as u64).div_ceil(BYTES_PER_TOKEN)
 }
 
-/// Returns the hashes of a prompt's whole pieces of `size` tokens, in hexadecimal.
+/// Returns the hashes of a prompt's full blocks of `block_tokens` tokens, in hexadecimal.
 ///
-/// Each is the first 16 bytes of the BLAKE3 hash of the hash before it (the model's name for the
-/// first) and the piece's bytes, so that equal hashes mean equal prompts up to that piece.
+/// Each is the first 16 bytes of the BLAKE3 hash of the previous hash (the model's name for the
+/// first block), a zero byte and the block's bytes, so that equal hashes mean equal prompts up to
+/// the end of that block.
 #[must_use]
 pub fn block_hashes(model: &str, prompt: &str, block_tokens: u64) -> Vec<Box<str>> {
     const HASH_CHARS: usize = 32;
     let block_bytes = usize::try_from(block_tokens.max(1) * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
     let mut previous: Box<str> = model.into();
-    let mut hashes = Vec::new();
+    let mut chain = Vec::new();
     for block in prompt.as_bytes().chunks_exact(block_bytes) {
         let mut hasher = blake3::Hasher::new();
         hasher.update(previous.as_bytes());
         hasher.update(&[0]);
         hasher.update(block);
         previous = hasher.finalize().to_hex()[..HASH_CHARS].into();
-        hashes.push(previous.clone());
+        chain.push(previous.clone());
     }
-    hashes
+    chain
 }
--- a/src/standin/engine/batch.rs
+++ b/src/standin/engine/batch.rs
@@ -1,4 +1,5 @@
-//! Continuous batching: which requests share a step, what it costs and what it yields.
+//! Continuous batching: which attempts share a step, how long it takes and which tokens it
+//! generates.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -14,11 +15,12 @@
 use super::cache::PrefixCache;
 use super::options::{Faults, Timing};
 
-/// Prompt tokens worked through in one step at most, so that long prompts do not hold up answers.
+/// Maximum number of prompt tokens prefilled in one step, so that long prompts do not delay the
+/// decoding of running answers.
 const MAX_STEP_PREFILL_TOKENS: u64 = 2048;
 
 new_key_type! {
-    /// Names one attempt in the engine.
+    /// Key of one attempt in the engine.
     pub(super) struct AttemptKey;
 }
 
@@ -26,17 +28,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum EndReason {
-    /// It has all its tokens.
+    /// All its tokens were generated.
     Done,
-    /// Its caller left.
+    /// It was without a reader for the grace time.
     Cancelled,
-    /// A change of the engine cut it.
+    /// A change of the engine's role, model, adapter or version cut it off.
     Cut,
     /// The engine crashed.
     Crashed,
 }
 
-/// One attempt.
+/// One attempt to answer a request.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub id: Rc<str>,
@@ -45,28 +47,29 @@
     pub prompt_hash: Box<str>,
     pub seed: Seed,
     pub block_hashes: Vec<Box<str>>,
-    /// Tokens of the prompt, and of an answer continued.
+    /// Tokens of the prompt and of the part of the answer that is continued.
     pub prompt_tokens: u64,
-    /// Prompt tokens not yet worked through.
+    /// Prompt tokens that are not prefilled yet.
     pub prefill_left: u64,
     pub priority: i64,
-    /// Offset the attempt began at.
+    /// Offset of the attempt's first token in the answer.
     pub start_offset: u64,
-    /// Offset of the next token to be made.
+    /// Offset of the next token to generate.
     pub next_offset: u64,
-    /// Offset at which the answer is whole.
+    /// Offset after the last token of the answer.
     pub end_offset: u64,
     pub end: Option<EndReason>,
     pub readers: usize,
-    /// Grows with each reader, so that a grace period begun before it lapses without effect.
+    /// Number of readers ever opened; a grace time that began before the newest reader has no
+    /// effect.
     pub open_count: u64,
-    /// Woken at each new token and at the end.
+    /// Notified at each new token and at the end.
     pub progress: Rc<Notify>,
-    /// Place in the log.
+    /// Index in the log of attempts.
     pub log_index: usize,
 }
 
-/// Numbers for `GET /stats`.
+/// Counters returned by `GET /stats`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(super) struct Stats {
     pub started: u64,
@@ -88,18 +91,22 @@
     pub connections: u64,
 }
 
-/// One step before its time has passed.
+/// A planned step, applied when its duration has passed.
 #[derive(Debug)]
 pub(super) struct Step {
+    /// Prompt tokens to prefill, by attempt.
     prefill: Vec<(AttemptKey, u64)>,
     pub duration: Duration,
 }
 
-/// What comes of looking for work.
+/// Result of planning a step.
 #[derive(Debug)]
 pub(super) enum NextStep {
+    /// There is no work.
     Idle,
+    /// The step to run.
     Step(Step),
+    /// An attempt that joined the batch crashes the engine.
     Crash,
 }
 
@@ -107,13 +114,14 @@
 #[derive(Debug, Default)]
 pub(super) struct Batch {
     pub attempts: SlotMap<AttemptKey, Attempt>,
+    /// Queue by descending priority, then by arrival.
     pub waiting: BTreeSet<(Reverse<i64>, u64, AttemptKey)>,
     pub running: Vec<AttemptKey>,
     arrivals: u64,
 }
 
 impl Batch {
-    /// Takes in an attempt at the end of its priority's queue.
+    /// Queues an attempt behind those of the same priority.
     pub fn add(&mut self, attempt: Attempt) -> AttemptKey {
         let priority = Reverse(attempt.priority);
         let key = self.attempts.insert(attempt);
@@ -122,7 +130,7 @@
         key
     }
 
-    /// Ends an attempt; tokens already made can still be read.
+    /// Ends an attempt; tokens already generated can still be read.
     pub fn end_attempt(&mut self, key: AttemptKey, end: EndReason, stats: &mut Stats) {
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
@@ -131,7 +139,7 @@
             return;
         }
         attempt.end = Some(end);
-        // What can still be read of the attempt needs neither, and long prompts add up.
+        // Readers of an ended attempt need neither, and long prompts would add up in memory.
         attempt.prompt = Box::default();
         attempt.block_hashes = Vec::new();
         attempt.progress.notify_waiters();
@@ -145,7 +153,7 @@
         } += 1;
     }
 
-    /// Returns the prompt tokens still to be worked through.
+    /// Returns the number of prompt tokens still to be prefilled.
     pub fn prefill_backlog(&self) -> u64 {
         let waiting = self.waiting.iter().map(|(_, _, key)| key);
         waiting
@@ -155,7 +163,7 @@
             .sum()
     }
 
-    /// Fills the batch from the queue and lays out the next step.
+    /// Fills the batch from the queue and plans the next step.
     pub fn next_step(
         &mut self,
         slots: usize,
@@ -200,7 +208,7 @@
         NextStep::Step(Step { prefill, duration })
     }
 
-    /// Applies a step whose time has passed; returns the attempts that are whole now.
+    /// Applies a step whose duration has passed; returns the attempts that it completed.
     pub fn apply(
         &mut self,
         step: &Step,
@@ -245,7 +253,7 @@
         finished
     }
 
-    /// Shares out prompt tokens in the order the attempts joined the batch.
+    /// Distributes a budget of prompt tokens in the order in which the attempts joined the batch.
     fn allot_prefill(&self, mut budget: u64) -> Vec<(AttemptKey, u64)> {
         let mut prefill = Vec::new();
         for key in &self.running {
@@ -258,6 +266,7 @@
         prefill
     }
 
+    /// Returns the number of running attempts whose prompt is prefilled.
     fn decoding_count(&self) -> usize {
         let is_decoding = |key: &&AttemptKey| self.attempts[**key].prefill_left == 0;
         self.running.iter().filter(is_decoding).count()
--- a/src/standin/engine/cache.rs
+++ b/src/standin/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache in pieces, with its late and gappy events.
+//! Prefix cache in blocks, whose events are published late and with gaps.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,19 +7,19 @@
 
 use crate::backend::{CacheEvent, CacheOp};
 
-/// Published events that are kept; a caller further behind finds a gap.
+/// Maximum number of events kept; a caller that is further behind finds a gap.
 const MAX_EVENTS: usize = 10_000;
 
 /// Size and faults of a prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheOptions {
-    /// Tokens of one piece.
+    /// Tokens of one block.
     pub block_tokens: u64,
-    /// Pieces held at most.
+    /// Maximum number of cached blocks.
     pub max_blocks: usize,
-    /// Time after which an event is published.
+    /// Delay of the publication of an event.
     pub event_lag: Duration,
-    /// Every nth event is never published; 0 for none.
+    /// Every nth event is never published; 0 publishes all.
     pub drop_nth: u64,
 }
 
@@ -34,14 +34,15 @@
     }
 }
 
-/// Pieces held, by hash, and the events of their coming and going.
+/// LRU cache of blocks, by hash, and the events of their storing and eviction.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     opts: CacheOptions,
-    /// Hash to time of last use.
+    /// Value of the use counter at each block's last use, by hash.
     last_used: BTreeMap<Box<str>, u64>,
-    /// Time of last use to hash.
+    /// Hashes by last use, oldest first.
     by_last_use: BTreeMap<u64, Box<str>>,
+    /// Logical clock that advances with each use of a block.
     use_counter: u64,
     last_seq: u64,
     events: VecDeque<(Instant, CacheEvent)>,
@@ -59,12 +60,13 @@
         }
     }
 
-    /// Returns the number of pieces held.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
         self.last_used.len()
     }
 
-    /// Returns the tokens that the leading pieces of a prompt save, and marks them as used.
+    /// Returns the tokens of the leading blocks of a prompt that are cached, and marks these blocks
+    /// as used.
     pub fn match_prefix(&mut self, blocks: &[Box<str>]) -> u64 {
         let mut count = 0;
         for block in blocks {
@@ -77,7 +79,7 @@
         count * self.opts.block_tokens
     }
 
-    /// Holds all pieces of a prompt, evicting those not used for longest.
+    /// Stores the blocks of a prompt, evicting the least recently used ones.
     pub fn insert(&mut self, blocks: &[Box<str>], now: Instant) {
         for block in blocks.iter().take(self.opts.max_blocks) {
             if self.last_used.contains_key(block) {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Evicts everything.
+    /// Evicts all blocks.
     pub fn clear(&mut self, now: Instant) {
         self.last_used.clear();
         while let Some((_, evicted)) = self.by_last_use.pop_first() {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Returns the events numbered above `after` that are old enough to be public.
+    /// Returns the events with a number above `after` that are at least `event_lag` old.
     pub fn events(&self, after: u64, now: Instant) -> Vec<&CacheEvent> {
         self.events
             .iter()
@@ -116,8 +118,8 @@
 
     fn touch(&mut self, block: &str) {
         self.use_counter += 1;
-        if let Some(before) = self.last_used.insert(block.into(), self.use_counter) {
-            self.by_last_use.remove(&before);
+        if let Some(previous) = self.last_used.insert(block.into(), self.use_counter) {
+            self.by_last_use.remove(&previous);
         }
         self.by_last_use.insert(self.use_counter, block.into());
     }
--- a/src/standin/engine/mod.rs
+++ b/src/standin/engine/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-in for a model engine.
 //!
-//! It speaks the completions protocol with streamed, resumable answers, batches continuously,
-//! caches prompt prefixes, exports and imports prompts, takes orders, and fails on demand.
+//! Implements the completions protocol with streamed, resumable answers, continuous batching, a
+//! prefix cache, export and import of prefilled prompts, fenced orders, and faults set by request.
 
 mod answer;
 mod batch;
@@ -33,23 +33,23 @@
 use crate::backend::Client;
 use crate::web;
 
-/// Time by which the batch may be behind its clock and still catch up.
+/// Maximum delay of the batch behind its schedule that later steps make up for.
 const MAX_CATCH_UP: Duration = Duration::from_millis(5);
-/// Connections the kernel holds for the listener after a crash.
+/// Backlog of the listener that is opened after a crash.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// What the engine's tasks share.
+/// State shared by the engine's tasks.
 struct Shared {
     state: RefCell<State>,
-    /// Woken when work arrives.
+    /// Notified when an attempt is queued.
     work_added: Notify,
-    /// Woken when a timer is set.
+    /// Notified when a timer is set.
     timer_set: Notify,
     client: Client,
 }
 
 impl Shared {
-    /// Ends the process, or forgets everything and has the listener closed for a while.
+    /// Exits the process, or resets the engine, whose listener [`run`] then closes and reopens.
     fn crash(&self) {
         if self.state.borrow().opts.crash == Crash::Exit {
             std::process::exit(1);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Closes all connections when the engine's future is dropped, as the end of a process would.
+/// Closes all connections when the engine's future is dropped, as the exit of a process would.
 struct CloseOnDrop(Rc<Shared>);
 
 impl Drop for CloseOnDrop {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Serves until dropped; must run inside an ntex system.
+/// Serves until the future is dropped; must run inside an ntex system.
 pub async fn run(listener: TcpListener, opts: Options) {
     let Ok(addr) = listener.local_addr() else {
         return;
@@ -98,20 +98,21 @@
         listener = match listen_again(addr, crash).await {
             Ok(listener) => listener,
             Err(err) => {
-                log::error!("the stand-in cannot listen again: {err}");
+                log::error!("cannot listen on {addr} after a crash: {err}");
                 return;
             }
         };
     }
 }
 
-/// Refuses connections for a while, keeping the port, and listens again.
+/// Listens on `addr` again; until the restart time has passed, the port is bound and connections
+/// are refused.
 async fn listen_again(addr: SocketAddr, crash: Crash) -> io::Result<TcpListener> {
     let socket = match addr {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // Connections closed a moment ago still hold the port otherwise.
+    // Without it, connections closed a moment ago still occupy the port and the bind fails.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
     if let Crash::Restart(time) = crash {
--- a/src/standin/engine/options.rs
+++ b/src/standin/engine/options.rs
@@ -1,4 +1,4 @@
-//! What a stand-in engine is told at its start, and the faults it is told later.
+//! Start options of a stand-in engine, and the faults that can be set while it runs.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 
 use super::cache::CacheOptions;
 
-/// Part of the work an engine takes.
+/// Phases of inference that an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Prompts and answers.
+    /// Prefill and decode.
     Both,
-    /// Prompts only, for export.
+    /// Prefill only; the prompts are exported.
     Prefill,
-    /// Answers to imported prompts only.
+    /// Decode only, of imported prompts.
     Decode,
 }
 
@@ -38,36 +38,36 @@
     }
 }
 
-/// How long work takes.
+/// Model of the time that work takes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Timing {
-    /// No time at all.
+    /// Work takes no time.
     Instant,
-    /// Steps of a batch.
+    /// Work is done in steps of a batch, at these costs.
     Steps(StepCosts),
 }
 
-/// Time of the parts of one step of a batch.
+/// Costs of one step of a batch, and of an import.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StepCosts {
-    /// Each step.
+    /// Fixed time of each step.
     pub base: Duration,
-    /// Each prompt token worked through in the step.
+    /// Time per prompt token prefilled in the step.
     pub prefill: Duration,
-    /// Each running answer, which gains one token in the step.
+    /// Time per running answer, which gains one token in the step.
     pub decode: Duration,
-    /// Each imported prompt token, before the request joins the queue.
+    /// Time per imported prompt token, before the request joins the queue.
     pub import: Duration,
-    /// Divides all times.
+    /// Speed factor; divides all times.
     pub speed: f64,
 }
 
-/// What an engine does with orders that carry an old fencing number.
+/// How an engine handles orders that carry an old fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fencing {
-    /// Refuses them.
+    /// It refuses them.
     Checks,
-    /// Carries out every order.
+    /// It executes every order.
     Ignores,
 }
 
@@ -80,45 +80,45 @@
     Diverge,
 }
 
-/// What a crash does.
+/// Effect of a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Crash {
     /// Ends the process with code 1.
     Exit,
-    /// Closes all connections, forgets everything, and listens again after this time.
+    /// Closes all connections, drops the engine's state, and listens again after this time.
     Restart(Duration),
 }
 
-/// What a stand-in engine is told at its start.
+/// Start options of a stand-in engine.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Name, shown in answers.
+    /// Name, returned as `owned_by` and part of handles and of generated attempt ids.
     pub name: Box<str>,
     /// Model loaded at the start.
     pub model: Box<str>,
     /// Role at the start.
     pub role: Role,
-    /// How long work takes.
+    /// Model of the time that work takes.
     pub timing: Timing,
-    /// Requests in the batch at most.
+    /// Maximum number of requests in the batch.
     pub slots: usize,
-    /// Requests waiting at most; more get 503.
+    /// Maximum number of waiting requests; further ones get 503.
     pub max_queue: usize,
     /// Prefix cache.
     pub cache: CacheOptions,
     /// Age of load reports.
     pub load_lag: Duration,
-    /// Time a change of role, model, adapter or version takes.
+    /// Duration of a change of role, model, adapter or version.
     pub change_duration: Duration,
-    /// Time an attempt without a reader goes on.
+    /// Time that an attempt runs on without a reader.
     pub reader_grace: Duration,
-    /// Time a finished attempt can still be resumed.
+    /// Time that an ended attempt can still be resumed.
     pub retention: Duration,
-    /// Orders with old fencing numbers.
+    /// Handling of orders with old fencing numbers.
     pub fencing: Fencing,
     /// What answers depend on.
     pub answers: Answers,
-    /// What a crash does.
+    /// Effect of a crash.
     pub crash: Crash,
 }
 
@@ -147,13 +147,13 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct Faults {
-    /// The engine crashes when a prompt with this text joins the batch; empty for none.
+    /// The engine crashes when a prompt that contains this text joins the batch; empty for none.
     pub crash_on: Option<Box<str>>,
     /// The engine crashes halfway through its next change.
     pub crash_mid_change: Option<bool>,
-    /// Connections open now go silent for good.
+    /// The connections that are open now stay open but carry no more answers.
     pub silent: Option<bool>,
-    /// Divides all times, in place of the option.
+    /// Speed factor, in place of [`StepCosts::speed`].
     pub speed: Option<f64>,
     /// New work is refused with 503.
     pub refuse: Option<bool>,
--- a/src/standin/engine/orders.rs
+++ b/src/standin/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders and their fencing.
+//! Orders, and their fencing by number.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use super::options::Fencing;
 use crate::backend::Action;
 
-/// Orders that are remembered so that a repeat is known as one.
+/// Maximum number of orders kept to recognise repeated ones.
 const MAX_ORDERS: usize = 1000;
 
-/// One order as it comes in.
+/// An order as received.
 #[derive(Debug, Clone, Deserialize)]
 pub(super) struct Order {
     pub fence: u64,
@@ -20,19 +20,19 @@
     pub action: Action,
 }
 
-/// What is done with an order.
+/// Result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum OrderResult {
-    /// It is carried out.
+    /// It is executed.
     Applied,
-    /// It was carried out before.
+    /// It was executed before.
     Repeat,
-    /// It is older than another the engine has seen.
+    /// It is not newer than the newest order seen.
     Refused,
 }
 
-/// One line of the log of orders.
+/// Entry of the log of orders.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct OrderLogEntry {
     pub at_ms: u64,
@@ -55,7 +55,7 @@
         self.seen.last_key_value().map_or((0, 0), |(key, _)| *key)
     }
 
-    /// Decides about an order and remembers it unless it is refused.
+    /// Decides whether an order is executed, and keeps it unless it is refused.
     pub fn decide(&mut self, order: &Order, fencing: Fencing) -> OrderResult {
         let key = (order.fence, order.number);
         if fencing == Fencing::Checks {
--- a/src/standin/engine/reader.rs
+++ b/src/standin/engine/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the tokens of one attempt as they are made, with the faults of a stream.
+//! Reads the tokens of one attempt as they are generated, and applies the faults of streams.
 
 use std::future::pending;
 use std::rc::Rc;
@@ -16,26 +16,31 @@
 
 /// The attempt ended without its last token; the connection is closed.
 #[derive(Debug, Snafu)]
-#[snafu(display("the attempt was cut"))]
+#[snafu(display("the attempt ended before its last token"))]
 pub(super) struct AttemptCut;
 
-/// What can be read at one moment.
+/// Events that can be read now.
 enum ReadOutcome {
+    /// None; the reader waits for progress.
     Wait,
+    /// Events of tokens.
     Events(String),
+    /// The events that end the stream.
     Last(String),
+    /// None; the connection is closed.
     Cut,
 }
 
-/// One reader; the attempt is cancelled a while after its last reader is gone.
+/// One reader of an attempt, which is cancelled after the grace time once no reader is left.
 pub(super) struct Reader {
     shared: Rc<Shared>,
     key: AttemptKey,
     template: ChunkTemplate,
+    /// Template of chunks of another attempt, for the fault `wrong_attempt`.
     foreign_template: ChunkTemplate,
     start_offset: u64,
     offset: u64,
-    /// Value of [`State::silent`] when the stream was opened.
+    /// Value of [`State::silence_epoch`] when the stream was opened.
     epoch: u64,
     progress: Rc<Notify>,
     phase: Phase,
@@ -49,7 +54,7 @@
 }
 
 impl Reader {
-    /// Opens an attempt at `offset`, or at its beginning.
+    /// Opens an attempt at `offset`, or at its first token.
     pub fn new(
         shared: &Rc<Shared>,
         key: AttemptKey,
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Waits for the end and returns the text from the reader's offset on, with its counts.
+    /// Waits for the end and returns the text from the reader's offset on, with the token counts.
     pub async fn read_to_end(&mut self) -> Result<(String, TokenUsage), AttemptCut> {
         loop {
             let progress = Rc::clone(&self.progress);
@@ -133,27 +138,28 @@
         }
     }
 
+    /// Returns the events that can be read now, and applies the fault `drop_after`.
     fn poll_events(&mut self) -> ReadOutcome {
         let shared = Rc::clone(&self.shared);
         let mut state = shared.state.borrow_mut();
         let Some(attempt) = state.batch.attempts.get(self.key) else {
             return ReadOutcome::Cut;
         };
-        let (mut until, end) = (attempt.next_offset, attempt.end);
+        let (mut end_offset, end) = (attempt.next_offset, attempt.end);
         if let Some(n) = state.faults.drop_after.filter(|n| *n > 0) {
             if self.offset >= self.start_offset + n {
                 state.faults.drop_after = None;
                 return ReadOutcome::Cut;
             }
-            until = until.min(self.start_offset + n);
+            end_offset = end_offset.min(self.start_offset + n);
         }
         let reorder = state.faults.reorder_chunks == Some(true);
-        if until > self.offset {
-            // A single chunk has no other to change places with.
-            if reorder && until == self.offset + 1 && end.is_none() {
+        if end_offset > self.offset {
+            // A single chunk cannot be swapped yet: wait for the next one.
+            if reorder && end_offset == self.offset + 1 && end.is_none() {
                 return ReadOutcome::Wait;
             }
-            return ReadOutcome::Events(self.write_events(&state, until));
+            return ReadOutcome::Events(self.write_events(&state, end_offset));
         }
         match end {
             None => ReadOutcome::Wait,
@@ -163,15 +169,15 @@
                     completion: attempt.next_offset - attempt.start_offset,
                 };
                 let mut text = String::new();
-                self.template.write_end(&mut text, until, usage);
+                self.template.write_end(&mut text, end_offset, usage);
                 ReadOutcome::Last(text)
             }
             Some(_) => ReadOutcome::Cut,
         }
     }
 
-    /// Returns the events up to an offset, in the order the faults give.
-    fn write_events(&mut self, state: &State, until: u64) -> String {
+    /// Returns the events up to `end_offset`, with chunks added, repeated or reordered by faults.
+    fn write_events(&mut self, state: &State, end_offset: u64) -> String {
         let seed = state.batch.attempts[self.key].seed;
         let mut events = Vec::new();
         let foreign = self.phase == Phase::First && state.faults.wrong_attempt == Some(true);
@@ -181,7 +187,7 @@
                 .write_token(&mut event, self.offset + 1, " stray");
             events.push(event);
         }
-        for i in self.offset..until {
+        for i in self.offset..end_offset {
             let (mut word, mut event) = (String::new(), String::new());
             write_tokens(&mut word, seed, i, i + 1);
             self.template.write_token(&mut event, i + 1, &word);
@@ -195,7 +201,7 @@
             own_events.chunks_exact_mut(2).for_each(<[String]>::reverse);
         }
         self.phase = Phase::Open;
-        self.offset = until;
+        self.offset = end_offset;
         events.concat()
     }
 }
--- a/src/standin/engine/routes.rs
+++ b/src/standin/engine/routes.rs
@@ -21,14 +21,14 @@
 use crate::backend::{Action, Call};
 use crate::web;
 
-/// Most bytes of a request's body.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Time a caller has to send a body.
+/// Time limit for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Paths for tests, which answer on silent connections too.
+/// Paths for tests, which are answered on silenced connections too.
 const TEST_PATHS: [&str; 3] = ["/fault", "/log", "/stats"];
 
-/// Answers one request.
+/// Handles one request.
 pub(super) async fn handle(shared: Rc<Shared>, mut req: Request) -> Response {
     if is_silent(&shared, &req) && !TEST_PATHS.contains(&req.path()) {
         return std::future::pending().await;
@@ -57,7 +57,7 @@
     }
 }
 
-/// Notes the connection of a request; returns whether it has gone silent.
+/// Registers the connection of a request; returns whether the fault `silent` has silenced it.
 fn is_silent(shared: &Shared, req: &Request) -> bool {
     let Some(io) = req.io() else {
         return false;
@@ -81,9 +81,9 @@
     body: &[u8],
     format: AnswerFormat,
 ) -> Response {
-    let resume = header(req, "last-event-id").map(str::parse);
-    if let (Some(attempt), Some(offset)) = (header(req, "x-attempt-id"), resume) {
-        let key = shared.state.borrow().attempt_keys.get(attempt).copied();
+    let resume_offset = header(req, "last-event-id").map(str::parse);
+    if let (Some(attempt_id), Some(offset)) = (header(req, "x-attempt-id"), resume_offset) {
+        let key = shared.state.borrow().attempt_keys.get(attempt_id).copied();
         let reader = key.and_then(|key| Reader::new(shared, key, format, offset.ok()));
         return match reader {
             Some(reader) => stream_response(reader),
@@ -144,7 +144,7 @@
     Response::Ok().json(&json!({"kv": handle, "prompt_tokens": usage.prompt}))
 }
 
-/// Understands a request for work and takes it in, or returns the answer that refuses it.
+/// Parses, validates and queues a request for work, or returns the answer that refuses it.
 async fn admit_request(
     shared: &Rc<Shared>,
     req: &Request,
@@ -186,7 +186,7 @@
     Ok(key)
 }
 
-/// Checks all that can be checked before a prompt is imported; returns the attempt's name.
+/// Checks what can be checked before a prompt is imported; returns the attempt's id.
 fn validate(
     shared: &Shared,
     req: &Request,
@@ -202,16 +202,16 @@
         return Err(not_run_response(status, error));
     }
     match header(req, "x-attempt-id") {
-        // The attempt is there already: starting it again would run the request twice.
-        Some(name) if state.attempt_keys.contains_key(name) => {
+        // The attempt exists already: a second start would run the request twice.
+        Some(id) if state.attempt_keys.contains_key(id) => {
             Err(error_response(StatusCode::CONFLICT, "attempt"))
         }
-        Some(name) => Ok(name.into()),
+        Some(id) => Ok(id.into()),
         None => Ok(format!("{}-{}", state.opts.name, state.attempt_log.len())),
     }
 }
 
-/// Fetches a prompt's state from the engine that worked through it.
+/// Imports a prompt's KV cache from the engine that prefilled it.
 async fn import_prompt(
     shared: &Shared,
     transfer: &KvTransfer,
@@ -230,15 +230,17 @@
         body: Bytes::new(),
     };
     let answer = shared.client.call(call).await;
-    let found = answer
+    let exported = answer
         .ok()
         .filter(|answer| answer.status == 200)
         .and_then(|answer| serde_json::from_slice::<Exported>(&answer.body).ok())
-        .filter(|found| *found.prompt_hash == *blake3::hash(prompt.as_bytes()).to_hex().as_str());
-    let Some(found) = found else {
+        .filter(|exported| {
+            *exported.prompt_hash == *blake3::hash(prompt.as_bytes()).to_hex().as_str()
+        });
+    let Some(exported) = exported else {
         return Err(not_run_response(424, "kv"));
     };
-    let time = shared.state.borrow().import_time(found.prompt_tokens);
+    let time = shared.state.borrow().import_time(exported.prompt_tokens);
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
@@ -280,12 +282,12 @@
     let runs: Vec<Value> = state
         .attempt_log
         .iter()
-        .map(|line| {
-            let mut line = json!(line);
-            if line["end"].is_null() {
-                line["end"] = "running".into();
+        .map(|entry| {
+            let mut entry = json!(entry);
+            if entry["end"].is_null() {
+                entry["end"] = "running".into();
             }
-            line
+            entry
         })
         .collect();
     Response::Ok().json(&json!({"orders": state.order_log, "runs": runs}))
@@ -295,12 +297,12 @@
     let Ok(order) = serde_json::from_slice::<Order>(body) else {
         return error_response(StatusCode::BAD_REQUEST, "order");
     };
-    let known = match &order.action {
+    let is_known = match &order.action {
         Action::Role { role } => Role::parse(role).is_some(),
         Action::Load { what, .. } => ["model", "adapter", "version"].contains(&&**what),
         Action::Drain | Action::Resume => true,
     };
-    if !known {
+    if !is_known {
         return error_response(StatusCode::BAD_REQUEST, "action");
     }
     let (result, fence) = shared.state.borrow_mut().handle_order(order);
@@ -339,7 +341,7 @@
         .streaming(events)
 }
 
-/// Closes the connection of a request that ended without its answer.
+/// Closes the connection of a request whose attempt ended early.
 fn close_connection(req: &Request) -> Response {
     if let Some(io) = req.io() {
         io.terminate();
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -1,4 +1,4 @@
-//! Everything an engine knows.
+//! State of an engine: attempts, orders, changes, load reports and timers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -17,10 +17,10 @@
 use super::wire::Continuation;
 use crate::backend::{Action, Load};
 
-/// Lines kept of each log; later ones are counted only.
+/// Maximum number of entries of each log; later attempts and orders are not logged.
 const MAX_LOG_ENTRIES: usize = 200_000;
 
-/// One line of the log of attempts.
+/// Entry of the log of attempts.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct AttemptLogEntry {
     pub at_ms: u64,
@@ -32,7 +32,7 @@
     pub end: Option<EndReason>,
 }
 
-/// A request for work that was understood.
+/// A parsed and validated request for work.
 #[derive(Debug)]
 pub(super) struct Job {
     pub id: Rc<str>,
@@ -44,32 +44,32 @@
     pub kind: JobKind,
 }
 
-/// Which part of the work a job is.
+/// Phases of inference that a job needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum JobKind {
-    /// Prompt and answer.
+    /// Prefill and decode.
     Full,
-    /// Prompt only.
+    /// Prefill only.
     Prefill,
-    /// Answer to an imported prompt.
+    /// Decode of an imported prompt.
     Imported,
 }
 
-/// Why work is refused; none of it has run.
+/// Why a job is refused; no part of it has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Refusal {
     pub status: u16,
     pub error: &'static str,
 }
 
-/// Something that happens at a set time.
+/// Action due at a set time.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Timer {
-    /// An attempt's grace without a reader ends, unless it was opened again.
+    /// Ends an attempt that has had no reader since its open count had this value.
     ReaderGrace(AttemptKey, u64),
-    /// The change with this number is halfway.
+    /// The change with this number is half done.
     ChangeHalfway(u64),
-    /// The change with this number is over.
+    /// The change with this number is complete.
     ChangeDone(u64),
 }
 
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub(super) struct Connection {
     pub io: IoRef,
-    /// Value of [`State::silent`] at its first request.
+    /// Value of [`State::silence_epoch`] at its first request.
     pub epoch: u64,
 }
 
@@ -96,18 +96,22 @@
     pub attempt_log: Vec<AttemptLogEntry>,
     /// Prompt hash and tokens by handle.
     pub kv_handles: BTreeMap<Box<str>, (Box<str>, u64)>,
+    /// Key by attempt id.
     pub attempt_keys: BTreeMap<Rc<str>, AttemptKey>,
+    /// Ended attempts with the time of their end, oldest first.
     finished: VecDeque<(Instant, AttemptKey)>,
-    /// The change under way and its number.
+    /// The change in progress and its number.
     current_change: Option<(u64, Action)>,
     change_count: u64,
     pub draining: bool,
     pub stats: Stats,
+    /// Loads with the time at which they were recorded, oldest first.
     load_reports: VecDeque<(Instant, Load)>,
     started: Instant,
     pub connections: BTreeMap<ntex::io::Id, Connection>,
-    /// Grows each time the connections open then go silent.
+    /// Incremented each time the fault `silent` silences the open connections.
     pub silence_epoch: u64,
+    /// Timers by due time and id.
     pub timers: BTreeMap<(Instant, u64), Timer>,
     last_timer_id: u64,
 }
@@ -144,7 +148,8 @@
         state
     }
 
-    /// Forgets everything but what it was started with, its faults, and the logs tests read.
+    /// Closes all connections and resets everything except the start options, the faults, and the
+    /// logs and counters that tests read.
     pub fn reset(&mut self) {
         let keys: Vec<AttemptKey> = self.batch.attempts.keys().collect();
         for key in keys {
@@ -155,7 +160,8 @@
         }
         let fresh = Self::new(self.opts.clone());
         let old = std::mem::replace(self, fresh);
-        // Cleared, not new: a reader's key from before must not find an attempt from after.
+        // The slot map is cleared and not replaced, so that a reader's key from before the reset
+        // cannot match an attempt added after it.
         self.batch.attempts = old.batch.attempts;
         self.batch.attempts.clear();
         self.faults = old.faults;
@@ -167,7 +173,7 @@
         self.stats.crashes += 1;
     }
 
-    /// Returns why new work of this kind is refused now, if it is.
+    /// Returns why a new job of this kind would be refused now, if so.
     pub fn refusal(&self, kind: JobKind) -> Option<Refusal> {
         let refuse = |status, error| Some(Refusal { status, error });
         if self.current_change.is_some() {
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Takes in a job.
+    /// Queues a job as a new attempt, or refuses it.
     pub fn admit(&mut self, job: Job) -> Result<AttemptKey, Refusal> {
         self.remove_expired();
         if let Some(refusal) = self.refusal(job.kind) {
@@ -202,15 +208,15 @@
         };
         let hash = blake3::hash(job.prompt.as_bytes()).to_hex();
         let (mut prompt, mut token_count, mut start_offset) = (job.prompt, 0, 0);
-        if let Some(done) = &job.continuation {
-            if *done.text != expected(&self.model, &prompt, done.tokens) {
+        if let Some(delivered) = &job.continuation {
+            if *delivered.text != expected(&self.model, &prompt, delivered.tokens) {
                 self.stats.continue_mismatch += 1;
             }
-            (token_count, start_offset) = (done.tokens, done.tokens);
+            (token_count, start_offset) = (delivered.tokens, delivered.tokens);
         }
         token_count += prompt_tokens(&prompt);
-        if let Some(done) = &job.continuation {
-            prompt.push_str(&done.text);
+        if let Some(delivered) = &job.continuation {
+            prompt.push_str(&delivered.text);
         }
         self.stats.started += 1;
         let log_index = self.attempt_log.len();
@@ -252,7 +258,7 @@
         Ok(key)
     }
 
-    /// Lays out the next step of the batch.
+    /// Plans the next step of the batch.
     pub fn next_step(&mut self) -> NextStep {
         let timing = self.opts.timing;
         let Self {
@@ -267,7 +273,7 @@
         next
     }
 
-    /// Applies a step whose time has passed.
+    /// Applies a step whose duration has passed.
     pub fn apply(&mut self, step: &Step) {
         let timing = self.opts.timing;
         let Self {
@@ -282,7 +288,7 @@
         self.record_load();
     }
 
-    /// Ends an attempt and notes it in the log.
+    /// Ends an attempt and records its end in the log.
     pub fn end_attempt(&mut self, key: AttemptKey, end: EndReason) {
         let Some(attempt) = self
             .batch
@@ -292,16 +298,16 @@
         else {
             return;
         };
-        if let Some(line) = self.attempt_log.get_mut(attempt.log_index) {
-            line.tokens = attempt.next_offset - attempt.start_offset;
-            line.end = Some(end);
+        if let Some(entry) = self.attempt_log.get_mut(attempt.log_index) {
+            entry.tokens = attempt.next_offset - attempt.start_offset;
+            entry.end = Some(end);
         }
         self.batch.end_attempt(key, end, &mut self.stats);
         self.finished.push_back((Instant::now(), key));
         self.record_load();
     }
 
-    /// Carries out or refuses an order; returns the verdict and the highest fencing number.
+    /// Executes or refuses an order; returns the result and the highest fencing number seen.
     pub fn handle_order(&mut self, order: Order) -> (OrderResult, u64) {
         let result = self.orders.decide(&order, self.opts.fencing);
         if result == OrderResult::Refused {
@@ -324,7 +330,10 @@
         (result, self.orders.highest().0)
     }
 
-    /// Begins an action; changes cut what is running and last for a while.
+    /// Starts an action.
+    ///
+    /// A change of role, model, adapter or version cuts off all attempts and completes after
+    /// `change_duration`. An order for the present role calls off a change in progress.
     fn start_action(&mut self, action: Action) {
         match &action {
             Action::Drain => self.draining = true,
@@ -350,14 +359,14 @@
         }
     }
 
-    /// Returns whether a change with this number is under way.
+    /// Returns whether the change with this number is in progress.
     pub fn is_changing(&self, number: u64) -> bool {
         self.current_change
             .as_ref()
             .is_some_and(|(n, _)| *n == number)
     }
 
-    /// Puts the change under way into force.
+    /// Completes the change in progress.
     pub fn finish_change(&mut self) {
         match self.current_change.take() {
             Some((_, Action::Role { role })) => self.role = Role::parse(&role).unwrap_or(self.role),
@@ -379,7 +388,7 @@
         self.timers.insert((at, self.last_timer_id), timer);
     }
 
-    /// Returns the newest report that is old enough to be seen.
+    /// Returns the newest load that is at least `load_lag` old, or else the oldest one.
     pub fn visible_load(&mut self) -> Load {
         let now = Instant::now();
         let lag = self.opts.load_lag;
@@ -399,7 +408,7 @@
         load
     }
 
-    /// Notes the load as it is now.
+    /// Records the current load, unless loads are reported without a lag.
     pub fn record_load(&mut self) {
         let (now, lag) = (Instant::now(), self.opts.load_lag);
         if lag.is_zero() {
@@ -439,7 +448,7 @@
         }
     }
 
-    /// Forgets attempts that ended too long ago to be resumed.
+    /// Removes the attempts whose retention time has passed.
     fn remove_expired(&mut self) {
         let now = Instant::now();
         while let Some((at, key)) = self.finished.front() {
@@ -454,14 +463,14 @@
     }
 }
 
-/// Returns milliseconds since 1970.
+/// Returns the Unix time in milliseconds.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
 impl State {
-    /// Returns how long the import of a prompt takes.
+    /// Returns the duration of the import of a prompt.
     pub fn import_time(&self, tokens: u64) -> Duration {
         match self.opts.timing {
             Timing::Instant => Duration::ZERO,
--- a/src/standin/engine/wire.rs
+++ b/src/standin/engine/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies and chunks of the completions protocol.
+//! Request bodies, answers and stream chunks of the completions protocol.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Tokens of an answer when the request names none.
+/// Number of tokens of an answer if the request sets none.
 const DEFAULT_MAX_TOKENS: u64 = 64;
-/// Tokens of an answer at most.
+/// Maximum number of tokens of an answer.
 pub(super) const MAX_ANSWER_TOKENS: u64 = 100_000;
 
-/// Body of a request for an answer or a prefill.
+/// Body of a request for a completion or a prefill.
 #[derive(Debug, Deserialize)]
 pub(super) struct RequestBody {
     pub model: Option<Box<str>>,
@@ -33,14 +33,14 @@
     pub content: Box<str>,
 }
 
-/// The part of an answer that was delivered before.
+/// The part of an answer that was already delivered, to be continued.
 #[derive(Debug, Deserialize)]
 pub(super) struct Continuation {
     pub text: Box<str>,
     pub tokens: u64,
 }
 
-/// Where a prompt was worked through.
+/// The engine that prefilled a prompt, and the handle of its KV cache there.
 #[derive(Debug, Deserialize)]
 pub(super) struct KvTransfer {
     pub source: SocketAddr,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns the prompt that a chat's messages, as role and content, amount to.
+/// Returns the prompt of a chat, given its messages as role and content.
 #[must_use]
 pub fn chat_prompt<'a>(messages: impl Iterator<Item = (&'a str, &'a str)>) -> String {
     let mut prompt = String::new();
@@ -79,66 +79,67 @@
     prompt
 }
 
-/// Form of an answer.
+/// Format of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnswerFormat {
     Text,
     Chat,
 }
 
-/// Counts of one answer.
+/// Token counts of one answer.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TokenUsage {
     pub prompt: u64,
     pub completion: u64,
 }
 
-/// The parts of a stream's chunks that stay the same, ready to be written.
+/// Encoded text before and after the word of a chunk, the same for all chunks of a stream.
 #[derive(Debug)]
 pub(super) struct ChunkTemplate {
-    before: Box<str>,
-    after: &'static str,
+    prefix: Box<str>,
+    suffix: &'static str,
 }
 
 impl ChunkTemplate {
     pub fn new(format: AnswerFormat, attempt: &str, model: &str) -> Self {
         let (attempt, model) = (json!(attempt), json!(model));
-        let (object, field, after) = match format {
+        let (object, field, suffix) = match format {
             AnswerFormat::Text => ("text_completion", r#""text":"#, ""),
             AnswerFormat::Chat => ("chat.completion.chunk", r#""delta":{"content":"#, "}"),
         };
-        let before = format!(
+        let prefix = format!(
             r#"{{"id":{attempt},"object":"{object}","model":{model},"choices":[{{"index":0,{field}"#
         );
         Self {
-            before: before.into(),
-            after,
+            prefix: prefix.into(),
+            suffix,
         }
     }
 
-    /// Appends the event of one token, a plain word; `id` is the offset of the token after it.
+    /// Appends the event of one token, a word that needs no JSON escapes; `id` is the offset of the
+    /// token after it.
     pub fn write_token(&self, text: &mut String, id: u64, word: &str) {
-        let Self { before, after } = self;
-        // Writing to a string does not fail.
+        let Self { prefix, suffix } = self;
+        // Writing to a `String` cannot fail.
         let _ = write!(
             text,
-            "id: {id}\ndata: {before}\"{word}\"{after},\"finish_reason\":null}}]}}\n\n"
+            "id: {id}\ndata: {prefix}\"{word}\"{suffix},\"finish_reason\":null}}]}}\n\n"
         );
     }
 
-    /// Appends the events that end a stream: finish reason with usage, and the end mark.
+    /// Appends the events that end a stream: the finish reason with the usage, and `[DONE]`.
     pub fn write_end(&self, text: &mut String, id: u64, usage: TokenUsage) {
-        let Self { before, after } = self;
+        let Self { prefix, suffix } = self;
         let usage = usage_json(usage);
         let _ = write!(
             text,
-            "id: {id}\ndata: {before}\"\"{after},\"finish_reason\":\"length\"}}],\"usage\":{usage}}}\n\n\
+            "id: {id}\ndata: {prefix}\"\"{suffix},\"finish_reason\":\"length\"}}],\"usage\":{usage}}}\n\n\
              data: [DONE]\n\n"
         );
     }
 }
 
-/// Returns a whole answer.
+/// Returns the body of an answer that is not streamed.
 pub(super) fn completion_json(
     format: AnswerFormat,
     attempt: &str,
--- a/src/standin/kv/mvcc.rs
+++ b/src/standin/kv/mvcc.rs
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Drops the changes up to and including `revision` from the history, as etcd's compaction does.
+    /// Drops the changes up to and including `revision`, as etcd's compaction does.
     pub(super) fn compact(&mut self, revision: i64) {
         self.compacted = self.compacted.max(revision.min(self.revision));
         while self
