--- a/src/run.rs
+++ b/src/run.rs
@@ -332,8 +332,8 @@
 
 fn engine_options(options: StandinOptions) -> engine::Options {
     let pace = match options.pace {
-        Pace::Instant => engine::Pace::Instant,
-        Pace::Modelled => engine::Pace::Steps(engine::Costs {
+        Pace::Instant => engine::Timing::Instant,
+        Pace::Modelled => engine::Timing::Steps(engine::StepCosts {
             base: ENGINE_STEP_TIME,
             prefill: options.prefill_cost,
             // The option is the cost of a full batch; the stand-in takes the cost per stream.
@@ -345,9 +345,9 @@
     let mut engine = engine::Options {
         name: options.name,
         model: options.model,
-        pace,
+        timing: pace,
         slots: options.slots,
-        lag: options.lag,
+        load_lag: options.lag,
         fencing: match options.fencing {
             Fencing::Checks => engine::Fencing::Checks,
             Fencing::Ignores => engine::Fencing::Ignores,
@@ -355,7 +355,7 @@
         crash: engine::Crash::Exit,
         ..engine::Options::default()
     };
-    engine.cache.piece = options.block_tokens as u64;
+    engine.cache.block_tokens = options.block_tokens as u64;
     engine
 }
 
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::host::{self, Listeners};
 use crate::settings::{Fencing, Settings};
-use crate::standin::kv::{HostEntry, HostKind, HostState};
+use crate::standin::kv::{ListEntry, ListEntryKind, ListEntryState};
 use crate::standin::{engine, kv, service};
 
 /// Key of the operators of a small deployment.
@@ -105,7 +105,7 @@
     /// Where the instances of the service listen.
     pub services: Vec<SocketAddr>,
     options: Options,
-    list: Vec<HostEntry>,
+    list: Vec<ListEntry>,
 }
 
 /// Opens a listener on loopback, on a port that the kernel chooses.
@@ -184,7 +184,7 @@
         };
         spawn(&name, move || engine::run(into_tokio(listener), opts));
         self.list
-            .push(list_entry(&name, HostKind::Engine, MODEL, addr, index));
+            .push(list_entry(&name, ListEntryKind::Engine, MODEL, addr, index));
         self.engines.push(addr);
     }
 
@@ -196,7 +196,7 @@
         };
         spawn(&name, move || service::run(into_tokio(listener), opts));
         self.list
-            .push(list_entry(&name, HostKind::Service, SERVICE, addr, index));
+            .push(list_entry(&name, ListEntryKind::Service, SERVICE, addr, index));
         self.services.push(addr);
     }
 
@@ -239,7 +239,7 @@
 
     /// Returns the platform's list of backend servers at the start.
     #[must_use]
-    pub fn list(&self) -> &[HostEntry] {
+    pub fn list(&self) -> &[ListEntry] {
         &self.list
     }
 }
@@ -248,14 +248,14 @@
     ["dk-east-a", "dk-east-b", "dk-east-c"][index % 3]
 }
 
-fn list_entry(name: &str, kind: HostKind, pool: &str, addr: SocketAddr, index: usize) -> HostEntry {
-    HostEntry {
+fn list_entry(name: &str, kind: ListEntryKind, pool: &str, addr: SocketAddr, index: usize) -> ListEntry {
+    ListEntry {
         name: name.into(),
         kind,
         pool: pool.into(),
         addr,
         domain: domain(index).into(),
-        state: HostState::Live,
+        state: ListEntryState::Live,
     }
 }
 
--- a/src/standin/engine/wire.rs
+++ b/src/standin/engine/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies and chunks of the completions protocol.
+//! Request bodies, answers and stream chunks of the completions protocol.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -6,14 +6,14 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Tokens of an answer when the request names none.
-const DEFAULT_TOKENS: u64 = 64;
-/// Tokens of an answer at most.
-pub(super) const MAX_TOKENS: u64 = 100_000;
+/// Number of tokens of an answer if the request sets none.
+const DEFAULT_MAX_TOKENS: u64 = 64;
+/// Maximum number of tokens of an answer.
+pub(super) const MAX_ANSWER_TOKENS: u64 = 100_000;
 
-/// Body of a request for an answer or a prefill.
+/// Body of a request for a completion or a prefill.
 #[derive(Debug, Deserialize)]
-pub(super) struct Body {
+pub(super) struct RequestBody {
     pub model: Option<Box<str>>,
     pub prompt: Option<Box<str>>,
     pub messages: Option<Vec<Message>>,
@@ -22,8 +22,8 @@
     pub max_tokens: Option<u64>,
     #[serde(default)]
     pub priority: i64,
-    pub continue_from: Option<Continue>,
-    pub kv_transfer: Option<Transfer>,
+    pub continue_from: Option<Continuation>,
+    pub kv_transfer: Option<KvTransfer>,
 }
 
 /// One message of a chat.
@@ -33,21 +33,21 @@
     pub content: Box<str>,
 }
 
-/// The part of an answer that was delivered before.
+/// The part of an answer that was already delivered, to be continued.
 #[derive(Debug, Deserialize)]
-pub(super) struct Continue {
+pub(super) struct Continuation {
     pub text: Box<str>,
     pub tokens: u64,
 }
 
-/// Where a prompt was worked through.
+/// The engine that prefilled a prompt, and the handle of its KV cache there.
 #[derive(Debug, Deserialize)]
-pub(super) struct Transfer {
+pub(super) struct KvTransfer {
     pub source: SocketAddr,
     pub handle: Box<str>,
 }
 
-impl Body {
+impl RequestBody {
     /// Returns the prompt, or for a chat its messages, each as `role: content` and a line feed.
     pub fn prompt(&self) -> Option<String> {
         if let Some(prompt) = &self.prompt {
@@ -60,11 +60,13 @@
     }
 
     pub fn max_tokens(&self) -> u64 {
-        self.max_tokens.unwrap_or(DEFAULT_TOKENS).min(MAX_TOKENS)
+        self.max_tokens
+            .unwrap_or(DEFAULT_MAX_TOKENS)
+            .min(MAX_ANSWER_TOKENS)
     }
 }
 
-/// Returns the prompt that a chat's messages, as role and content, amount to.
+/// Returns the prompt of a chat, given its messages as role and content.
 #[must_use]
 pub fn chat_prompt<'a>(messages: impl Iterator<Item = (&'a str, &'a str)>) -> String {
     let mut prompt = String::new();
@@ -77,73 +79,80 @@
     prompt
 }
 
-/// Form of an answer.
+/// Format of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Form {
+pub(super) enum AnswerFormat {
     Text,
     Chat,
 }
 
-/// Counts of one answer.
+/// Token counts of one answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Usage {
+pub(super) struct TokenUsage {
     pub prompt: u64,
     pub completion: u64,
 }
 
-/// The parts of a stream's chunks that stay the same, ready to be written.
+/// Encoded text before and after the word of a chunk, the same for all chunks of a stream.
 #[derive(Debug)]
-pub(super) struct Frame {
-    before: Box<str>,
-    after: &'static str,
+pub(super) struct ChunkTemplate {
+    prefix: Box<str>,
+    suffix: &'static str,
 }
 
-impl Frame {
-    pub fn new(form: Form, attempt: &str, model: &str) -> Self {
+impl ChunkTemplate {
+    pub fn new(format: AnswerFormat, attempt: &str, model: &str) -> Self {
         let (attempt, model) = (json!(attempt), json!(model));
-        let (object, field, after) = match form {
-            Form::Text => ("text_completion", r#""text":"#, ""),
-            Form::Chat => ("chat.completion.chunk", r#""delta":{"content":"#, "}"),
+        let (object, field, suffix) = match format {
+            AnswerFormat::Text => ("text_completion", r#""text":"#, ""),
+            AnswerFormat::Chat => ("chat.completion.chunk", r#""delta":{"content":"#, "}"),
         };
-        let before = format!(
+        let prefix = format!(
             r#"{{"id":{attempt},"object":"{object}","model":{model},"choices":[{{"index":0,{field}"#
         );
         Self {
-            before: before.into(),
-            after,
+            prefix: prefix.into(),
+            suffix,
         }
     }
 
-    /// Appends the event of one token, a plain word; `id` is the offset of the token after it.
-    pub fn token(&self, text: &mut String, id: u64, word: &str) {
-        let Self { before, after } = self;
-        // Writing to a string does not fail.
+    /// Appends the event of one token, a word that needs no JSON escapes; `id` is the offset of the
+    /// token after it.
+    pub fn write_token(&self, text: &mut String, id: u64, word: &str) {
+        let Self { prefix, suffix } = self;
+        // Writing to a `String` cannot fail.
         let _ = write!(
             text,
-            "id: {id}\ndata: {before}\"{word}\"{after},\"finish_reason\":null}}]}}\n\n"
+            "id: {id}\ndata: {prefix}\"{word}\"{suffix},\"finish_reason\":null}}]}}\n\n"
         );
     }
 
-    /// Appends the events that end a stream: finish reason with usage, and the end mark.
-    pub fn last(&self, text: &mut String, id: u64, usage: Usage) {
-        let Self { before, after } = self;
+    /// Appends the events that end a stream: the finish reason with the usage, and `[DONE]`.
+    pub fn write_end(&self, text: &mut String, id: u64, usage: TokenUsage) {
+        let Self { prefix, suffix } = self;
         let usage = usage_json(usage);
         let _ = write!(
             text,
-            "id: {id}\ndata: {before}\"\"{after},\"finish_reason\":\"length\"}}],\"usage\":{usage}}}\n\n\
+            "id: {id}\ndata: {prefix}\"\"{suffix},\"finish_reason\":\"length\"}}],\"usage\":{usage}}}\n\n\
              data: [DONE]\n\n"
         );
     }
 }
 
-/// Returns a whole answer.
-pub(super) fn whole(form: Form, attempt: &str, model: &str, text: &str, usage: Usage) -> Value {
-    let (object, choice) = match form {
-        Form::Text => (
+/// Returns the body of an answer that is not streamed.
+pub(super) fn completion_json(
+    format: AnswerFormat,
+    attempt: &str,
+    model: &str,
+    text: &str,
+    usage: TokenUsage,
+) -> Value {
+    let (object, choice) = match format {
+        AnswerFormat::Text => (
             "text_completion",
             json!({"index": 0, "text": text, "finish_reason": "length"}),
         ),
-        Form::Chat => (
+        AnswerFormat::Chat => (
             "chat.completion",
             json!({
                 "index": 0, "message": {"role": "assistant", "content": text},
@@ -157,7 +166,7 @@
     })
 }
 
-fn usage_json(usage: Usage) -> Value {
+fn usage_json(usage: TokenUsage) -> Value {
     json!({
         "prompt_tokens": usage.prompt,
         "completion_tokens": usage.completion,
--- a/src/standin/kv/hosts.rs
+++ b/src/standin/kv/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts and backend servers, shown late.
+//! The platform's list of live and leaving hosts and backend servers, served with a lag.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 /// One entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
-    /// Name, one of its kind.
+pub struct ListEntry {
+    /// Unique name.
     pub name: Box<str>,
     /// `host`, `engine` or `service`.
-    pub kind: Kind,
+    pub kind: ListEntryKind,
     /// Model pool or service that the entry serves; empty for hosts.
     #[serde(default)]
     pub pool: Box<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain.
     pub domain: Box<str>,
-    /// Whether it stays.
-    pub state: State,
+    /// Whether it is live or leaving.
+    pub state: ListEntryState,
 }
 
-/// What an entry is.
+/// Kind of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum ListEntryKind {
     /// One of this program's hosts.
     Host,
     /// A model engine.
@@ -37,27 +37,27 @@
     Service,
 }
 
-/// Whether an entry stays.
+/// State of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
-    /// It takes work.
+pub enum ListEntryState {
+    /// It accepts work.
     Live,
-    /// It is about to go.
+    /// It is about to be removed.
     Leaving,
 }
 
-/// The true lists of the past, oldest first.
+/// All versions of the list, oldest first, each with the time at which it was set.
 #[derive(Debug, Default)]
-pub(super) struct Hosts(Vec<(Instant, Vec<Entry>)>);
+pub(super) struct ListHistory(Vec<(Instant, Vec<ListEntry>)>);
 
-impl Hosts {
-    pub(super) fn set(&mut self, list: Vec<Entry>, now: Instant) {
+impl ListHistory {
+    pub(super) fn set(&mut self, list: Vec<ListEntry>, now: Instant) {
         self.0.push((now, list));
     }
 
-    /// Adds an entry, in place of one with its name.
-    pub(super) fn add(&mut self, entry: Entry, now: Instant) {
+    /// Adds an entry, or replaces the entry of the same name.
+    pub(super) fn add(&mut self, entry: ListEntry, now: Instant) {
         let newest = self.0.last();
         let mut list = newest.map_or_else(Vec::new, |(_, list)| list.clone());
         list.retain(|other| other.name != entry.name);
@@ -65,8 +65,8 @@
         self.set(list, now);
     }
 
-    /// Returns the list as it was `lag` ago.
-    pub(super) fn shown(&self, lag: Duration, now: Instant) -> &[Entry] {
+    /// Returns the list as it was `lag` ago; empty if none was set by then.
+    pub(super) fn delayed_by(&self, lag: Duration, now: Instant) -> &[ListEntry] {
         self.0
             .iter()
             .rev()
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -13,17 +13,17 @@
 
 use crate::web;
 
-/// Most bytes of a call's body.
-const BODY_LIMIT: usize = 1024 * 1024;
-/// Time a caller has to send a body.
-const BODY_TIME: Duration = Duration::from_secs(10);
-/// Header that names a call which may not repeat.
-const KEY_HEADER: &str = "idempotency-key";
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
+/// Time limit for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Header that carries the idempotency key of a call.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// What a stand-in service is told at its start.
+/// Start options of a stand-in service.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Name, shown in its answers.
+    /// Name, returned in each answer.
     pub name: Box<str>,
 }
 
@@ -31,11 +31,11 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Faults {
-    /// Time before each answer, in milliseconds.
+    /// Delay of each answer, in milliseconds.
     slow_ms: Option<u64>,
-    /// Calls still to be answered with 503 and not counted.
+    /// Number of next calls that are answered with 503 and not counted.
     fail_next: Option<u64>,
-    /// Calls still to be counted and then closed without an answer.
+    /// Number of next calls that are counted and whose connection is closed without an answer.
     lose_answers: Option<u64>,
     /// Whether calls are counted and answered with a redirect to the same path.
     redirect: Option<bool>,
@@ -50,38 +50,38 @@
     }
 }
 
-/// What is done with one call after its faults are looked up.
-enum Fate {
+/// How one call is answered under the current faults.
+enum Outcome {
     Answer,
     Fail,
-    Lose,
+    LoseAnswer,
     Redirect,
 }
 
 struct State {
     name: Box<str>,
     faults: Faults,
-    /// Calls by method, path and idempotency key, parted by spaces; a missing key is `-`.
+    /// Calls by method, path and idempotency key, separated by spaces; a missing key is `-`.
     counts: BTreeMap<Box<str>, u64>,
 }
 
 impl State {
-    fn fate(&mut self) -> Fate {
-        if take(&mut self.faults.fail_next) {
-            Fate::Fail
-        } else if take(&mut self.faults.lose_answers) {
-            Fate::Lose
+    fn next_outcome(&mut self) -> Outcome {
+        if consume_one(&mut self.faults.fail_next) {
+            Outcome::Fail
+        } else if consume_one(&mut self.faults.lose_answers) {
+            Outcome::LoseAnswer
         } else if self.faults.redirect == Some(true) {
-            Fate::Redirect
+            Outcome::Redirect
         } else {
-            Fate::Answer
+            Outcome::Answer
         }
     }
 }
 
-/// Takes one from a number of calls that is not yet used up.
-fn take(left: &mut Option<u64>) -> bool {
-    match left {
+/// Decrements the number of calls that a fault still applies to; returns whether one was left.
+fn consume_one(remaining: &mut Option<u64>) -> bool {
+    match remaining {
         Some(n) if *n > 0 => {
             *n -= 1;
             true
@@ -90,10 +90,10 @@
     }
 }
 
-/// Serves until dropped; must run inside an ntex system.
+/// Serves until the future is dropped; must run inside an ntex system.
 ///
-/// `GET /counts` gives the number of calls by `METHOD PATH KEY`; `POST /fault` sets faults; all
-/// else is counted and answered with an echo.
+/// `GET /counts` returns the number of calls by `METHOD PATH KEY`, and `POST /fault` sets faults.
+/// Every other request is counted and answered with an echo.
 pub async fn run(listener: TcpListener, opts: Options) {
     let state = Rc::new(RefCell::new(State {
         name: opts.name,
@@ -108,7 +108,7 @@
 }
 
 async fn handle(state: Rc<RefCell<State>>, mut req: Request) -> Response {
-    let body = match web::read_body(&mut req, BODY_LIMIT, BODY_TIME).await {
+    let body = match web::read_body(&mut req, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(status) => return Response::new(status),
     };
@@ -121,22 +121,25 @@
             }
             Err(err) => Response::BadRequest().json(&json!({"error": err.to_string()})),
         },
-        _ => call(&state, &req, &body).await,
+        _ => handle_call(&state, &req, &body).await,
     }
 }
 
-async fn call(state: &RefCell<State>, req: &Request, body: &[u8]) -> Response {
+async fn handle_call(state: &RefCell<State>, req: &Request, body: &[u8]) -> Response {
     let (method, path) = (req.method().as_str(), req.path());
-    let key = req.headers().get(KEY_HEADER).and_then(|v| v.to_str().ok());
-    let (fate, slow) = {
+    let key = req
+        .headers()
+        .get(IDEMPOTENCY_KEY_HEADER)
+        .and_then(|v| v.to_str().ok());
+    let (outcome, delay) = {
         let mut state = state.borrow_mut();
-        let slow = state.faults.slow_ms.unwrap_or(0);
-        (state.fate(), Duration::from_millis(slow))
+        let delay_ms = state.faults.slow_ms.unwrap_or(0);
+        (state.next_outcome(), Duration::from_millis(delay_ms))
     };
-    if !slow.is_zero() {
-        tokio::time::sleep(slow).await;
+    if !delay.is_zero() {
+        tokio::time::sleep(delay).await;
     }
-    if matches!(fate, Fate::Fail) {
+    if matches!(outcome, Outcome::Fail) {
         return Response::build(StatusCode::SERVICE_UNAVAILABLE)
             .header("x-ran", "no")
             .json(&json!({"error": "unavailable"}));
@@ -148,17 +151,17 @@
         *count += 1;
         *count
     };
-    match fate {
-        Fate::Lose => {
+    match outcome {
+        Outcome::LoseAnswer => {
             if let Some(io) = req.io() {
                 io.terminate();
             }
             Response::InternalServerError().finish()
         }
-        Fate::Redirect => Response::build(StatusCode::TEMPORARY_REDIRECT)
+        Outcome::Redirect => Response::build(StatusCode::TEMPORARY_REDIRECT)
             .header("location", path)
             .finish(),
-        Fate::Answer | Fate::Fail => Response::Ok().json(&json!({
+        Outcome::Answer | Outcome::Fail => Response::Ok().json(&json!({
             "service": state.borrow().name, "method": method, "path": path, "key": key,
             "count": count, "body_hash": blake3::hash(body).to_hex().as_str(),
         })),
