--- a/src/backend/client.rs
+++ b/src/backend/client.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use super::fresh::{self, Fresh};
+use super::single_use::{self, SingleUse};
 use crate::error::Ran;
 use crate::web::CLIENT_IDLE;
 
@@ -28,23 +28,23 @@
 pub(super) const RAN_HEADER: &str = "x-ran";
 /// Connections in all. With the library's 0, no limit, a caller that comes while a connection to
 /// the same back end is being made is never woken.
-const CONNECTIONS: usize = 65_536;
+const MAX_CONNECTIONS: usize = 65_536;
 /// Most bytes kept of the body of an answer other than 200 to a streamed call.
-const REFUSAL_LIMIT: usize = 64 * 1024;
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
 /// Times and limits of a [`Client`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
     /// Time to get a connection, pooled or new.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Time from the request's first byte to the answer's head.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Time from the answer's head to the end of a collected body.
-    pub body: Duration,
+    pub body_timeout: Duration,
     /// Age at which a connection is no longer reused; whole seconds, at least 1.
-    pub age: Duration,
+    pub max_age: Duration,
     /// Most bytes of a collected body.
-    pub limit: usize,
+    pub max_body_bytes: usize,
     /// Whether connections are kept for further calls.
     pub reuse: Reuse,
 }
@@ -61,11 +61,11 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            connect: Duration::from_secs(1),
-            head: Duration::from_secs(30),
-            body: Duration::from_secs(30),
-            age: Duration::from_mins(1),
-            limit: 8 * 1024 * 1024,
+            connect_timeout: Duration::from_secs(1),
+            head_timeout: Duration::from_secs(30),
+            body_timeout: Duration::from_secs(30),
+            max_age: Duration::from_mins(1),
+            max_body_bytes: 8 * 1024 * 1024,
             reuse: Reuse::Pooled,
         }
     }
@@ -73,7 +73,7 @@
 
 /// Why a call has no answer that can be used.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum OpenError {
+pub enum CallError {
     /// The address, path or a header cannot be written as HTTP.
     #[snafu(display("the request cannot be written as HTTP"))]
     Invalid,
@@ -85,7 +85,7 @@
     Lost,
     /// No whole answer came in time.
     #[snafu(display("no answer came in time"))]
-    Late,
+    Timeout,
     /// The answer is longer than the client takes, or not in the form of the protocol.
     #[snafu(display("the answer cannot be read"))]
     Unreadable,
@@ -97,19 +97,19 @@
         /// [`Ran::No`] if the back end said so.
         ran: Ran,
         /// When the back end asks to come back.
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
         /// Body, cut at 64 KiB.
         body: Bytes,
     },
 }
 
-impl OpenError {
+impl CallError {
     /// Returns whether the request ran, as far as this side can know.
     #[must_use]
     pub fn ran(&self) -> Ran {
         match self {
             Self::Invalid | Self::Connect => Ran::No,
-            Self::Lost | Self::Late => Ran::Unknown,
+            Self::Lost | Self::Timeout => Ran::Unknown,
             Self::Unreadable => Ran::Yes,
             Self::Status { ran, .. } => *ran,
         }
@@ -167,9 +167,9 @@
     ///
     /// Returns the library's error if the connector cannot be made.
     pub async fn new(opts: Options) -> Result<Self, ntex::client::error::ClientBuilderError> {
-        let age = u16::try_from(opts.age.as_secs().max(1)).unwrap_or(u16::MAX);
+        let age = u16::try_from(opts.max_age.as_secs().max(1)).unwrap_or(u16::MAX);
         let connector = Connector::new()
-            .limit(CONNECTIONS)
+            .limit(MAX_CONNECTIONS)
             .keep_alive(CLIENT_IDLE)
             .lifetime(Seconds(age));
         Self::with(opts, connector).await
@@ -180,25 +180,29 @@
     /// # Errors
     ///
     /// Returns the library's error if the connector cannot be made.
-    pub async fn fresh(
+    pub async fn single_use(
         opts: Options,
-        fresh: Fresh,
+        single_use: SingleUse,
     ) -> Result<Self, ntex::client::error::ClientBuilderError> {
-        Self::with(opts, fresh::connector(fresh, opts.connect)).await
+        Self::with(
+            opts,
+            single_use::connector(single_use, opts.connect_timeout),
+        )
+        .await
     }
 
     async fn with(
         opts: Options,
         connector: Connector,
     ) -> Result<Self, ntex::client::error::ClientBuilderError> {
-        let io = IoConfig::new().set_connect_timeout(millis(opts.connect));
+        let io = IoConfig::new().set_connect_timeout(millis(opts.connect_timeout));
         let http = ntex::client::Client::builder()
             .connector::<()>(connector)
             .disable_redirects()
             .no_default_headers()
             // Times are kept here, on timers finer than the library's.
             .disable_timeout()
-            .response_payload_limit(opts.limit)
+            .response_payload_limit(opts.max_body_bytes)
             .response_payload_timeout(Millis::ZERO)
             .build(SharedCfg::new("backend").add(io).build())
             .await?;
@@ -210,7 +214,7 @@
     /// # Errors
     ///
     /// Returns why there is no whole answer.
-    pub async fn call(&self, call: Call<'_>) -> Result<Answer, OpenError> {
+    pub async fn call(&self, call: Call<'_>) -> Result<Answer, CallError> {
         let response = self.send(call).await?;
         let headers = response
             .headers()
@@ -218,9 +222,9 @@
             .filter_map(|(name, value)| Some((name.as_str().into(), value.to_str().ok()?.into())))
             .collect();
         let (status, ran) = (response.status().as_u16(), ran(&response));
-        let body = collect(response, self.opts.limit);
-        let body = timeout(self.opts.body, body).await;
-        let body = body.unwrap_or(Err(OpenError::Late))?;
+        let body = collect(response, self.opts.max_body_bytes);
+        let body = timeout(self.opts.body_timeout, body).await;
+        let body = body.unwrap_or(Err(CallError::Timeout))?;
         Ok(Answer {
             status,
             headers,
@@ -230,9 +234,9 @@
     }
 
     /// Sends a call and returns the answer's head with the body still to be read.
-    pub(super) async fn send(&self, call: Call<'_>) -> Result<ClientResponse, OpenError> {
+    pub(super) async fn send(&self, call: Call<'_>) -> Result<ClientResponse, CallError> {
         let Ok(method) = Method::from_bytes(call.method.as_bytes()) else {
-            return Err(OpenError::Invalid);
+            return Err(CallError::Invalid);
         };
         let url = format!("http://{}{}", call.addr, call.path);
         let mut request = self.http.request(method, url).address(call.addr);
@@ -242,10 +246,10 @@
         for (name, value) in call.headers {
             request = request.header(*name, *value);
         }
-        let handed = Rc::new(Notify::new());
-        let body = Watched {
+        let dispatched = Rc::new(Notify::new());
+        let body = TrackedBody {
             body: call.body,
-            handed: Rc::clone(&handed),
+            dispatched: Rc::clone(&dispatched),
         };
         let send = request.send_body(Body::from_message(body));
         tokio::pin!(send);
@@ -254,17 +258,17 @@
             // Answered or failed at once; a failure before the hand-over is one to connect.
             result = send.as_mut() => match result {
                 Ok(response) => return Ok(response),
-                Err(_) if handed.notified().now_or_never().is_some() => return Err(OpenError::Lost),
-                Err(ClientError::Connect(_)) => return Err(OpenError::Connect),
-                Err(_) => return Err(OpenError::Invalid),
+                Err(_) if dispatched.notified().now_or_never().is_some() => return Err(CallError::Lost),
+                Err(ClientError::Connect(_)) => return Err(CallError::Connect),
+                Err(_) => return Err(CallError::Invalid),
             },
-            () = handed.notified() => {}
-            () = sleep(self.opts.connect) => return Err(OpenError::Connect),
+            () = dispatched.notified() => {}
+            () = sleep(self.opts.connect_timeout) => return Err(CallError::Connect),
         }
-        match timeout(self.opts.head, send).await {
+        match timeout(self.opts.head_timeout, send).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(_broken)) => Err(OpenError::Lost),
-            Err(_late) => Err(OpenError::Late),
+            Ok(Err(_broken)) => Err(CallError::Lost),
+            Err(_late) => Err(CallError::Timeout),
         }
     }
 
@@ -281,14 +285,14 @@
 /// never made; taken at its word, a request that ran would be called "not run". It asks a body
 /// for its size only once it holds a connection and before it writes the first byte, so that a
 /// body never asked belongs to a request of which no byte was written.
-struct Watched {
+struct TrackedBody {
     body: Bytes,
-    handed: Rc<Notify>,
+    dispatched: Rc<Notify>,
 }
 
-impl MessageBody for Watched {
+impl MessageBody for TrackedBody {
     fn size(&self) -> BodySize {
-        self.handed.notify_one();
+        self.dispatched.notify_one();
         if self.body.is_empty() {
             BodySize::Empty
         } else {
@@ -318,28 +322,28 @@
 }
 
 /// Turns an answer that opens no stream into an error.
-pub(super) async fn refusal(response: ClientResponse, time: Duration) -> OpenError {
+pub(super) async fn status_error(response: ClientResponse, time: Duration) -> CallError {
     let status = response.status().as_u16();
     let ran = ran(&response);
-    let retry = response
+    let retry_after = response
         .header(RETRY_AFTER)
         .and_then(|value| value.to_str().ok()?.parse().ok())
         .map(Duration::from_secs);
-    let body = timeout(time, collect(response, REFUSAL_LIMIT)).await;
-    OpenError::Status {
+    let body = timeout(time, collect(response, MAX_REFUSAL_BYTES)).await;
+    CallError::Status {
         status,
         ran,
-        retry,
+        retry_after,
         body: body.map_or(Bytes::new(), Result::unwrap_or_default),
     }
 }
 
-async fn collect(mut response: ClientResponse, limit: usize) -> Result<Bytes, OpenError> {
+async fn collect(mut response: ClientResponse, limit: usize) -> Result<Bytes, CallError> {
     let mut body = BytesMut::new();
     while let Some(part) = ntex::util::stream_recv(&mut response).await {
-        let part = part.map_err(|_broken| OpenError::Lost)?;
+        let part = part.map_err(|_broken| CallError::Lost)?;
         if body.len() + part.len() > limit {
-            return Err(OpenError::Unreadable);
+            return Err(CallError::Unreadable);
         }
         body.extend_from_slice(&part);
     }
--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -7,13 +7,13 @@
 use serde_json::json;
 use snafu::Snafu;
 
-use super::client::{Answer, Call, Client, OpenError};
+use super::client::{Answer, Call, CallError, Client};
 use super::stream::ATTEMPT_HEADER;
 use crate::error::Ran;
 
 /// An engine's report of its load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
+pub struct EngineLoad {
     /// Requests in the batch.
     pub running: u64,
     /// Requests not yet in the batch.
@@ -94,13 +94,13 @@
     #[snafu(display("{source}"))]
     Call {
         /// Why.
-        source: OpenError,
+        source: CallError,
     },
 }
 
 /// A prompt worked through and kept for another engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Prefilled {
+pub struct PrefillResult {
     /// Name under which the engine keeps the result.
     pub kv: Box<str>,
     /// Tokens of the prompt.
@@ -112,7 +112,7 @@
 /// # Errors
 ///
 /// Returns why there is no report.
-pub async fn load(client: &Client, addr: SocketAddr) -> Result<Load, OpenError> {
+pub async fn fetch_load(client: &Client, addr: SocketAddr) -> Result<EngineLoad, CallError> {
     parse(&get(client, addr, "/load").await?)
 }
 
@@ -121,11 +121,11 @@
 /// # Errors
 ///
 /// Returns why there is no list.
-pub async fn events(
+pub async fn fetch_cache_events(
     client: &Client,
     addr: SocketAddr,
     after: u64,
-) -> Result<Vec<CacheEvent>, OpenError> {
+) -> Result<Vec<CacheEvent>, CallError> {
     parse(&get(client, addr, &format!("/events?after={after}")).await?)
 }
 
@@ -134,7 +134,7 @@
 /// # Errors
 ///
 /// Returns why the order is not known to be in force.
-pub async fn order(
+pub async fn send_order(
     client: &Client,
     addr: SocketAddr,
     fence: u64,
@@ -143,7 +143,7 @@
     action: &Action,
 ) -> Result<(), OrderError> {
     #[derive(Deserialize)]
-    struct Seen {
+    struct FencedBody {
         fence: u64,
     }
     let body = json!({"fence": fence, "order": number, "holder": holder, "action": action});
@@ -156,11 +156,14 @@
     };
     let answer = client.call(call).await;
     let answer = answer.map_err(|source| OrderError::Call { source })?;
-    match (answer.status, serde_json::from_slice::<Seen>(&answer.body)) {
+    match (
+        answer.status,
+        serde_json::from_slice::<FencedBody>(&answer.body),
+    ) {
         (200, _) => Ok(()),
         (409, Ok(seen)) => Err(OrderError::Fenced { fence: seen.fence }),
         _ => Err(OrderError::Call {
-            source: status(answer),
+            source: status_error(answer),
         }),
     }
 }
@@ -175,7 +178,7 @@
     addr: SocketAddr,
     body: Bytes,
     attempt: &str,
-) -> Result<Prefilled, OpenError> {
+) -> Result<PrefillResult, CallError> {
     let call = Call {
         method: "POST",
         addr,
@@ -189,7 +192,7 @@
     parse(&client.call(call).await?)
 }
 
-async fn get(client: &Client, addr: SocketAddr, path: &str) -> Result<Answer, OpenError> {
+async fn get(client: &Client, addr: SocketAddr, path: &str) -> Result<Answer, CallError> {
     let call = Call {
         method: "GET",
         addr,
@@ -200,22 +203,22 @@
     client.call(call).await
 }
 
-fn parse<T: for<'de> Deserialize<'de>>(answer: &Answer) -> Result<T, OpenError> {
+fn parse<T: for<'de> Deserialize<'de>>(answer: &Answer) -> Result<T, CallError> {
     if answer.status != 200 {
-        return Err(status(answer.clone()));
+        return Err(status_error(answer.clone()));
     }
-    serde_json::from_slice(&answer.body).map_err(|_bad| OpenError::Unreadable)
+    serde_json::from_slice(&answer.body).map_err(|_bad| CallError::Unreadable)
 }
 
-fn status(answer: Answer) -> OpenError {
+fn status_error(answer: Answer) -> CallError {
     let ran = match answer.ran {
         Ran::No => Ran::No,
         Ran::Yes | Ran::Unknown => Ran::Unknown,
     };
-    OpenError::Status {
+    CallError::Status {
         status: answer.status,
         ran,
-        retry: None,
+        retry_after: None,
         body: answer.body,
     }
 }
--- a/src/backend/channel.rs
+++ b/src/backend/pool.rs
@@ -30,20 +30,20 @@
 ///
 /// A host without power or behind a partition answers nothing; without this a request waits there
 /// for its whole deadline. Four times the probes' interval.
-const UNACKED: Duration = Duration::from_secs(4);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time between two probes of a connection on which nothing happens.
 ///
 /// Something between the two ends may lose track of a connection, which then stays silent for
 /// good; the probes end it within a few seconds.
-const PROBE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time a connection may take to be ready for its next request once an answer is whole.
-const SETTLE: Duration = Duration::from_millis(2);
+const READY_TIMEOUT: Duration = Duration::from_millis(2);
 /// Most headers of an answer.
-const HEADERS: usize = 128;
+const MAX_HEADERS: usize = 128;
 
 /// Why there is no answer, or no whole one.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum ChannelError {
+pub enum PoolError {
     /// No connection was made; no byte was handed over.
     #[snafu(display("no connection was made: {reason}"))]
     Connect {
@@ -58,13 +58,13 @@
     },
     /// No answer came in time.
     #[snafu(display("no answer came in time"))]
-    Late,
+    Timeout,
     /// The answer is longer than is taken.
     #[snafu(display("the answer is too long"))]
-    Long,
+    TooLong,
 }
 
-impl ChannelError {
+impl PoolError {
     /// Tells whether the other side may have run the call.
     #[must_use]
     pub fn ran(&self) -> Ran {
@@ -76,21 +76,21 @@
 }
 
 /// An idle connection.
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     guard: oneshot::Sender<Infallible>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Connections to many addresses; clones share them.
 #[derive(Clone, Default)]
-pub struct Channels {
-    idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<Idle>>>>,
+pub struct ConnectionPool {
+    idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
 }
 
-impl std::fmt::Debug for Channels {
+impl std::fmt::Debug for ConnectionPool {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Channels").finish_non_exhaustive()
+        f.debug_struct("ConnectionPool").finish_non_exhaustive()
     }
 }
 
@@ -113,7 +113,7 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Whole {
+pub struct FullAnswer {
     /// HTTP status.
     pub status: u16,
     /// Its headers.
@@ -139,7 +139,7 @@
 
 impl Call {
     /// Returns the request as the library takes it.
-    fn request(&self) -> Result<Request<Full<Bytes>>, ChannelError> {
+    fn request(&self) -> Result<Request<Full<Bytes>>, PoolError> {
         let mut builder = Request::builder().method(&self.method).uri(&*self.path);
         let mut named = false;
         for (name, value) in &self.headers {
@@ -151,25 +151,25 @@
         }
         builder
             .body(Full::new(self.body.clone()))
-            .map_err(|err| ChannelError::Connect {
+            .map_err(|err| PoolError::Connect {
                 reason: format!("the request cannot be written as HTTP: {err}").into(),
             })
     }
 }
 
-impl Channels {
+impl ConnectionPool {
     /// Sends a call and returns the head of its answer.
     ///
-    /// `connect` bounds the making of a connection; the caller bounds the rest by dropping the
+    /// `connect_timeout` bounds the making of a connection; the caller bounds the rest by dropping the
     /// future, which closes the connection.
     ///
     /// # Errors
     ///
     /// Returns [`ChannelError::Connect`] where no byte of the call was handed to a connection.
-    pub async fn send(&self, call: &Call, connect: Duration) -> Result<Answer, ChannelError> {
+    pub async fn send(&self, call: &Call, connect_timeout: Duration) -> Result<Answer, PoolError> {
         let mut request = call.request()?;
         // A kept connection that turns out to be closed hands the request back untouched.
-        while let Some(mut idle) = self.take(call.addr) {
+        while let Some(mut idle) = self.take_idle(call.addr) {
             match idle.sender.try_send_request(request).await {
                 Ok(response) => {
                     return Ok(Answer {
@@ -181,18 +181,17 @@
                 }
                 Err(mut err) => match err.take_message() {
                     Some(back) => request = back,
-                    None => return Err(broken(&err.into_error())),
+                    None => return Err(connection_broken(&err.into_error())),
                 },
             }
         }
-        let (mut sender, guard) =
-            timeout(connect, open(call.addr))
-                .await
-                .unwrap_or_else(|_late| {
-                    Err(ChannelError::Connect {
-                        reason: "the other side does not answer".into(),
-                    })
-                })?;
+        let (mut sender, guard) = timeout(connect_timeout, connect(call.addr))
+            .await
+            .unwrap_or_else(|_late| {
+                Err(PoolError::Connect {
+                    reason: "the other side does not answer".into(),
+                })
+            })?;
         match sender.try_send_request(request).await {
             Ok(response) => Ok(Answer {
                 response,
@@ -201,11 +200,11 @@
                 addr: call.addr,
             }),
             Err(mut err) => Err(if err.take_message().is_some() {
-                ChannelError::Connect {
+                PoolError::Connect {
                     reason: "the connection closed before the request was handed to it".into(),
                 }
             } else {
-                broken(&err.into_error())
+                connection_broken(&err.into_error())
             }),
         }
     }
@@ -220,31 +219,32 @@
         call: &Call,
         time: Duration,
         limit: usize,
-    ) -> Result<Whole, ChannelError> {
+    ) -> Result<FullAnswer, PoolError> {
         let end = Instant::now() + time;
         let answer = self.send(call, time / 2);
         let answer = timeout_at(end, answer).await;
-        let mut answer = answer.unwrap_or(Err(ChannelError::Late))?;
+        let mut answer = answer.unwrap_or(Err(PoolError::Timeout))?;
         let status = answer.response.status().as_u16();
         let headers = std::mem::take(answer.response.headers_mut());
         let body = timeout_at(end, collect(&mut answer, limit)).await;
-        let body = body.unwrap_or(Err(ChannelError::Late))?;
-        self.keep(answer, CALL_IDLE, CALL_KEPT).await;
-        Ok(Whole {
+        let body = body.unwrap_or(Err(PoolError::Timeout))?;
+        self.put_back(answer, CALL_IDLE_TIMEOUT, MAX_IDLE_CALL_CONNECTIONS)
+            .await;
+        Ok(FullAnswer {
             status,
             headers,
             body,
         })
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<Idle> {
+    fn take_idle(&self, addr: SocketAddr) -> Option<IdleConnection> {
         let mut all = self.idle.borrow_mut();
         let list = all.get_mut(&addr)?;
         let now = Instant::now();
         let mut found = None;
         // The one used last is the one least likely to be closed by now.
         while let Some(idle) = list.pop() {
-            if idle.until > now && idle.sender.is_ready() {
+            if idle.expires_at > now && idle.sender.is_ready() {
                 found = Some(idle);
                 break;
             }
@@ -257,7 +257,7 @@
 
     /// Keeps the connection of an answer that was read to its end, for `idle` and among at most
     /// `most` to the same address.
-    pub async fn keep(&self, answer: Answer, idle: Duration, most: usize) {
+    pub async fn put_back(&self, answer: Answer, idle: Duration, most: usize) {
         let Answer {
             mut sender,
             guard,
@@ -265,33 +265,33 @@
             ..
         } = answer;
         // Bytes after the answer end the connection here: they belong to no request.
-        let ready = timeout(SETTLE, sender.ready()).await;
+        let ready = timeout(READY_TIMEOUT, sender.ready()).await;
         if !matches!(ready, Ok(Ok(()))) {
             return;
         }
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
         let list = all.entry(addr).or_default();
-        list.retain(|idle| idle.until > now && !idle.sender.is_closed());
+        list.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
         if list.len() < most {
-            list.push(Idle {
+            list.push(IdleConnection {
                 sender,
                 guard,
-                until: now + idle,
+                expires_at: now + idle,
             });
         }
     }
 
     /// Closes every idle connection.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
     /// Closes idle connections that are past their time.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, list| {
-            list.retain(|idle| idle.until > now && !idle.sender.is_closed());
+            list.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
             !list.is_empty()
         });
     }
@@ -301,9 +301,9 @@
 ///
 /// The store and the engines' own interfaces keep theirs for longer; the store is called at least
 /// this often while its leases are renewed.
-const CALL_IDLE: Duration = Duration::from_secs(4);
+const CALL_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Connections of [`Channels::call`] kept to one address.
-const CALL_KEPT: usize = 4;
+const MAX_IDLE_CALL_CONNECTIONS: usize = 4;
 
 /// Collects the rest of an answer's body.
 ///
@@ -311,12 +311,12 @@
 ///
 /// Returns [`ChannelError::Broken`] for a body that was cut and [`ChannelError::Long`] past
 /// `limit` bytes.
-pub async fn collect(answer: &mut Answer, limit: usize) -> Result<Bytes, ChannelError> {
+pub async fn collect(answer: &mut Answer, limit: usize) -> Result<Bytes, PoolError> {
     let mut body = bytes::BytesMut::new();
-    while let Some(part) = next(answer).await {
+    while let Some(part) = next_chunk(answer).await {
         let part = part?;
         if body.len() + part.len() > limit {
-            return Err(ChannelError::Long);
+            return Err(PoolError::TooLong);
         }
         body.extend_from_slice(&part);
     }
@@ -324,7 +324,7 @@
 }
 
 /// Returns the next part of an answer's body; `None` at its proper end.
-pub async fn next(answer: &mut Answer) -> Option<Result<Bytes, ChannelError>> {
+pub async fn next_chunk(answer: &mut Answer) -> Option<Result<Bytes, PoolError>> {
     loop {
         match answer.response.body_mut().frame().await? {
             Ok(frame) => {
@@ -332,38 +332,40 @@
                     return Some(Ok(data));
                 }
             }
-            Err(err) => return Some(Err(broken(&err))),
+            Err(err) => return Some(Err(connection_broken(&err))),
         }
     }
 }
 
-fn broken(err: &hyper::Error) -> ChannelError {
-    ChannelError::Broken {
+fn connection_broken(err: &hyper::Error) -> PoolError {
+    PoolError::Broken {
         reason: err.to_string().into(),
     }
 }
 
-type Opened = (SendRequest<Full<Bytes>>, oneshot::Sender<Infallible>);
+type OpenConnection = (SendRequest<Full<Bytes>>, oneshot::Sender<Infallible>);
 
 /// Opens a connection; it is closed when the returned guard is dropped.
-async fn open(addr: SocketAddr) -> Result<Opened, ChannelError> {
-    let failed = |err: std::io::Error| ChannelError::Connect {
+async fn connect(addr: SocketAddr) -> Result<OpenConnection, PoolError> {
+    let failed = |err: std::io::Error| PoolError::Connect {
         reason: err.to_string().into(),
     };
     let stream = TcpStream::connect(addr).await.map_err(failed)?;
     stream.set_nodelay(true).map_err(failed)?;
     let socket = SockRef::from(&stream);
     let probes = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
     socket.set_tcp_keepalive(&probes).map_err(failed)?;
-    socket.set_tcp_user_timeout(Some(UNACKED)).map_err(failed)?;
+    socket
+        .set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
+        .map_err(failed)?;
     let (sender, connection) = http1::Builder::new()
-        .max_headers(HEADERS)
+        .max_headers(MAX_HEADERS)
         .handshake(TokioIo::new(stream))
         .await
-        .map_err(|err| ChannelError::Connect {
+        .map_err(|err| PoolError::Connect {
             reason: err.to_string().into(),
         })?;
     let (guard, closed) = oneshot::channel();
--- a/src/backend/fresh.rs
+++ b/src/backend/single_use.rs
@@ -21,24 +21,24 @@
 use tokio::time::timeout;
 
 /// Decides, once a connection is there, whether it may still be used.
-pub type Gate = fn(u64) -> bool;
+pub type SendCheck = fn(u64) -> bool;
 
 /// A [`Gate`] and the value that it decides by.
 #[derive(Debug, Clone, Copy)]
-pub struct Fresh {
+pub struct SingleUse {
     /// Time the kernel goes on trying to deliver what was written.
-    pub life: Duration,
+    pub unacked_timeout: Duration,
     /// Asked after the connection is made and before the first byte is written.
-    pub gate: Gate,
+    pub may_send: SendCheck,
     /// What the gate is asked about.
-    pub until: u64,
+    pub check_value: u64,
 }
 
 /// Returns a connector that asks the gate and bounds the life of what is written.
-pub(super) fn connector(fresh: Fresh, time: Duration) -> Connector {
+pub(super) fn connector(single_use: SingleUse, time: Duration) -> Connector {
     let factory = fn_factory_with_config(async move |cfg: SharedCfg| {
         Ok::<_, io::Error>(fn_service(async move |request: Connect<Uri>| {
-            connect(&request, fresh, time, cfg.clone()).await
+            connect(&request, single_use, time, cfg.clone()).await
         }))
     });
     Connector::new().connector(factory)
@@ -46,15 +46,15 @@
 
 async fn connect(
     request: &Connect<Uri>,
-    fresh: Fresh,
+    single_use: SingleUse,
     time: Duration,
     cfg: SharedCfg,
 ) -> Result<Io, ConnectError> {
     let addr: SocketAddr = request.addrs().next().ok_or(ConnectError::Unresolved)?;
     let stream = timeout(time, TcpStream::connect(addr)).await;
     let stream = stream.map_err(|_late| io::Error::from(io::ErrorKind::TimedOut))??;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(fresh.life))?;
-    if !(fresh.gate)(fresh.until) {
+    SockRef::from(&stream).set_tcp_user_timeout(Some(single_use.unacked_timeout))?;
+    if !(single_use.may_send)(single_use.check_value) {
         return Err(io::Error::from(io::ErrorKind::Interrupted).into());
     }
     Ok(from_tcp_stream(stream.into_std()?, cfg)?)
--- a/src/backend/sse.rs
+++ b/src/backend/sse.rs
@@ -6,9 +6,9 @@
 use snafu::Snafu;
 
 /// Most bytes of one line; an engine's chunk is well below 1 KiB.
-const LINE_LIMIT: usize = 64 * 1024;
+const MAX_LINE_BYTES: usize = 64 * 1024;
 /// Most bytes of all data lines of one event.
-const EVENT_LIMIT: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 /// Mark that a stream may begin with; ignored.
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
@@ -17,13 +17,13 @@
 pub enum SseError {
     /// A line is longer than the parser takes.
     #[snafu(display("a line of the event stream is too long"))]
-    LongLine,
+    LineTooLong,
     /// The data of one event is longer than the parser takes.
     #[snafu(display("an event of the stream is too long"))]
-    LongEvent,
+    EventTooLong,
     /// An event id is not a decimal number.
     #[snafu(display("an event id is not a number"))]
-    BadId,
+    InvalidId,
 }
 
 /// One event that carries data.
@@ -47,7 +47,7 @@
     /// The last byte was a carriage return, so that a line feed next belongs to it.
     after_cr: bool,
     /// The first line has been read.
-    begun: bool,
+    started: bool,
 }
 
 impl Parser {
@@ -69,8 +69,8 @@
         }
         while let Some(end) = part.iter().position(|b| matches!(b, b'\n' | b'\r')) {
             let (line, rest) = (&part[..end], &part[end + 1..]);
-            if self.line.len() + line.len() > LINE_LIMIT {
-                return Err(SseError::LongLine);
+            if self.line.len() + line.len() > MAX_LINE_BYTES {
+                return Err(SseError::LineTooLong);
             }
             if self.line.is_empty() {
                 self.end_line(line)?;
@@ -87,8 +87,8 @@
                 rest
             };
         }
-        if self.line.len() + part.len() > LINE_LIMIT {
-            return Err(SseError::LongLine);
+        if self.line.len() + part.len() > MAX_LINE_BYTES {
+            return Err(SseError::LineTooLong);
         }
         self.line.extend_from_slice(part);
         Ok(())
@@ -100,8 +100,8 @@
     }
 
     fn end_line(&mut self, mut line: &[u8]) -> Result<(), SseError> {
-        if !self.begun {
-            self.begun = true;
+        if !self.started {
+            self.started = true;
             line = line.strip_prefix(BYTE_ORDER_MARK).unwrap_or(line);
         }
         if line.is_empty() {
@@ -115,13 +115,13 @@
         let value = value.strip_prefix(b" ").unwrap_or(value);
         match field {
             b"data" => {
-                if self.data.len() + value.len() > EVENT_LIMIT {
-                    return Err(SseError::LongEvent);
+                if self.data.len() + value.len() > MAX_EVENT_BYTES {
+                    return Err(SseError::EventTooLong);
                 }
                 self.data.extend_from_slice(value);
                 self.data.extend_from_slice(b"\n");
             }
-            b"id" => self.id = Some(number(value).ok_or(SseError::BadId)?),
+            b"id" => self.id = Some(parse_id(value).ok_or(SseError::InvalidId)?),
             // Comments (an empty field name), "event" and "retry" carry nothing for this program.
             _ => {}
         }
@@ -139,7 +139,7 @@
     }
 }
 
-fn number(text: &[u8]) -> Option<u64> {
+fn parse_id(text: &[u8]) -> Option<u64> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return None;
     }
--- a/src/backend/stream.rs
+++ b/src/backend/stream.rs
@@ -12,7 +12,7 @@
 use snafu::{ResultExt, Snafu};
 use tokio::time::timeout;
 
-use super::client::{Call, Client, OpenError, refusal};
+use super::client::{Call, CallError, Client, status_error};
 use super::sse::{Event, Parser, SseError};
 
 /// Header that names the attempt.
@@ -22,7 +22,7 @@
 /// Header that names the priority; it outranks the field of the same name in the body.
 const PRIORITY_HEADER: &str = "x-priority";
 /// Time a back end has to end the body after the event that ends the stream.
-const END_TIME: Duration = Duration::from_secs(1);
+const END_TIMEOUT: Duration = Duration::from_secs(1);
 /// Data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
@@ -34,16 +34,16 @@
     Lost,
     /// The answer ended without the event that ends a stream.
     #[snafu(display("the stream ended early"))]
-    Short,
+    Truncated,
     /// The stream is not made of events.
     #[snafu(display("the stream cannot be read: {source}"))]
-    Broken {
+    Malformed {
         /// What is wrong with it.
         source: SseError,
     },
     /// The data of an event is not a chunk of an answer.
     #[snafu(display("an event of the stream is no chunk"))]
-    BadChunk,
+    InvalidChunk,
 }
 
 /// One chunk of an answer.
@@ -54,7 +54,7 @@
     /// The event's data: the chunk as JSON.
     pub data: Bytes,
     /// Whether the chunk carries the finish reason.
-    pub end: bool,
+    pub is_last: bool,
 }
 
 /// A streamed answer; dropping it closes its connection, which cancels the attempt.
@@ -63,12 +63,12 @@
     response: Option<ClientResponse>,
     parser: Parser,
     attempt: Box<str>,
-    foreign: u64,
+    foreign_chunks: u64,
 }
 
 /// The fields of a chunk that this side reads.
 #[derive(Deserialize)]
-struct Head<'a> {
+struct ChunkHead<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
     #[serde(borrow, default)]
@@ -97,7 +97,7 @@
     attempt: &str,
     resume: Option<u64>,
     priority: i64,
-) -> Result<Stream, OpenError> {
+) -> Result<Stream, CallError> {
     let priority = priority.to_string();
     let resume = resume.map(|offset| offset.to_string());
     let mut headers = vec![
@@ -118,13 +118,13 @@
     };
     let response = client.send(call).await?;
     if response.status() != ntex::http::StatusCode::OK {
-        return Err(refusal(response, client.options().body).await);
+        return Err(status_error(response, client.options().body_timeout).await);
     }
     Ok(Stream {
         response: Some(response),
         parser: Parser::new(),
         attempt: attempt.into(),
-        foreign: 0,
+        foreign_chunks: 0,
     })
 }
 
@@ -144,7 +144,7 @@
                     self.finish();
                     return Ok(None);
                 }
-                if let Some(chunk) = self.chunk(event)? {
+                if let Some(chunk) = self.decode_chunk(event)? {
                     return Ok(Some(chunk));
                 }
             }
@@ -152,33 +152,37 @@
                 return Ok(None);
             };
             match ntex::util::stream_recv(response).await {
-                Some(Ok(part)) => self.parser.push(&part).context(BrokenSnafu)?,
+                Some(Ok(part)) => self.parser.push(&part).context(MalformedSnafu)?,
                 Some(Err(_broken)) => return Err(ReadError::Lost),
-                None => return Err(ReadError::Short),
+                None => return Err(ReadError::Truncated),
             }
         }
     }
 
     /// Returns the number of chunks of other attempts that were left out.
     #[must_use]
-    pub fn foreign(&self) -> u64 {
-        self.foreign
+    pub fn foreign_chunks(&self) -> u64 {
+        self.foreign_chunks
     }
 
-    fn chunk(&mut self, event: Event) -> Result<Option<Chunk>, ReadError> {
-        let Ok(head) = serde_json::from_slice::<Head<'_>>(&event.data) else {
-            return Err(ReadError::BadChunk);
+    fn decode_chunk(&mut self, event: Event) -> Result<Option<Chunk>, ReadError> {
+        let Ok(head) = serde_json::from_slice::<ChunkHead<'_>>(&event.data) else {
+            return Err(ReadError::InvalidChunk);
         };
         // A chunk of another attempt inside this stream would end up in the wrong caller's
         // answer; the caller would see words that do not belong to its request.
         if *head.id != *self.attempt {
-            self.foreign += 1;
+            self.foreign_chunks += 1;
             return Ok(None);
         }
         let end = head.choices.iter().any(|c| c.finish_reason.is_some());
-        let offset = event.id.ok_or(ReadError::BadChunk)?;
+        let offset = event.id.ok_or(ReadError::InvalidChunk)?;
         let data = event.data;
-        Ok(Some(Chunk { offset, data, end }))
+        Ok(Some(Chunk {
+            offset,
+            data,
+            is_last: end,
+        }))
     }
 
     /// Reads the end of the body, so that the connection goes back to the pool.
@@ -191,7 +195,7 @@
             // The end of the body is not here yet. Its reader need not wait for it.
             ntex::rt::spawn(async move {
                 let rest = ntex::util::stream_recv(&mut response);
-                if let Ok(Some(_)) = timeout(END_TIME, rest).await {
+                if let Ok(Some(_)) = timeout(END_TIMEOUT, rest).await {
                     log::debug!("data after the end of a stream");
                 }
             });
@@ -203,7 +207,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Stream")
             .field("attempt", &self.attempt)
-            .field("foreign", &self.foreign)
+            .field("foreign", &self.foreign_chunks)
             .finish_non_exhaustive()
     }
 }
--- a/src/backend/tests.rs
+++ b/src/backend/tests.rs
@@ -14,9 +14,9 @@
     Ok(events)
 }
 
-type Owned = Result<Vec<(Option<u64>, String)>, SseError>;
+type OwnedEvents = Result<Vec<(Option<u64>, String)>, SseError>;
 
-fn owned(want: Result<Vec<(Option<u64>, &str)>, SseError>) -> Owned {
+fn owned(want: Result<Vec<(Option<u64>, &str)>, SseError>) -> OwnedEvents {
     Ok(want?
         .into_iter()
         .map(|(id, data)| (id, data.to_owned()))
@@ -51,13 +51,13 @@
     only_one_space_goes: "data:  a \n\n" => Ok(vec![(None, " a ")]);
     byte_order_mark: "\u{feff}data: a\n\n" => Ok(vec![(None, "a")]);
     cut_short: "data: a\n\ndata: b\n" => Ok(vec![(None, "a")]);
-    bad_id: "id: x1\n" => Err(SseError::BadId);
-    signed_id: "id: +1\n" => Err(SseError::BadId);
-    huge_id: "id: 18446744073709551616\n" => Err(SseError::BadId);
+    bad_id: "id: x1\n" => Err(SseError::InvalidId);
+    signed_id: "id: +1\n" => Err(SseError::InvalidId);
+    huge_id: "id: 18446744073709551616\n" => Err(SseError::InvalidId);
     longest_line: format!("data:{}\n\n", "a".repeat(65_531)) => Ok(vec![(None, &*"a".repeat(65_531))]);
-    line_too_long: format!("data:{}\n\n", "a".repeat(65_532)) => Err(SseError::LongLine);
-    unended_line_too_long: "a".repeat(65_537) => Err(SseError::LongLine);
-    event_too_long: format!("data:{}\n", "a".repeat(60_000)).repeat(5) => Err(SseError::LongEvent);
+    line_too_long: format!("data:{}\n\n", "a".repeat(65_532)) => Err(SseError::LineTooLong);
+    unended_line_too_long: "a".repeat(65_537) => Err(SseError::LineTooLong);
+    event_too_long: format!("data:{}\n", "a".repeat(60_000)).repeat(5) => Err(SseError::EventTooLong);
 }
 
 proptest! {
--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -10,7 +10,7 @@
 
 use super::node::{Node, Prepared};
 use super::timer;
-use crate::backend::{self, Chunk, OpenError, OrderError};
+use crate::backend::{self, CallError, Chunk, OrderError};
 use crate::core::effect::{self, Open};
 use crate::core::event::{
     Break, Entry, EntryKind, FleetEvent, Ordered, Probe, Report, RequestEvent, Role, Stored,
@@ -32,11 +32,11 @@
 const ORDER_LIFE: Duration = Duration::from_secs(2);
 /// Times and limits of an order's call.
 const ORDER_OPTIONS: backend::Options = backend::Options {
-    connect: Duration::from_millis(500),
-    head: Duration::from_secs(2),
-    body: Duration::from_secs(2),
-    age: Duration::from_secs(1),
-    limit: 64 * 1024,
+    connect_timeout: Duration::from_millis(500),
+    head_timeout: Duration::from_secs(2),
+    body_timeout: Duration::from_secs(2),
+    max_age: Duration::from_secs(1),
+    max_body_bytes: 64 * 1024,
     reuse: backend::Reuse::Never,
 };
 /// Time a try to connect may take.
@@ -106,7 +106,7 @@
                     return broke(attempt, Ran::Yes, Break::Cut, &detail);
                 }
                 while let Some((offset, chunk)) = order.pop() {
-                    let tokens = u32::from(!chunk.end);
+                    let tokens = u32::from(!chunk.is_last);
                     node.chunk(attempt, offset, tokens, chunk.data);
                 }
                 if let Some(event) = room(node, open).await {
@@ -165,7 +165,7 @@
         let start = start(&chunk);
         if start >= self.next {
             // The end marker starts where the token after it would.
-            let place = start * 2 + u64::from(chunk.end);
+            let place = start * 2 + u64::from(chunk.is_last);
             self.ahead.entry(place).or_insert(chunk);
         }
         self.ahead.len() <= AHEAD || start == self.next
@@ -179,7 +179,7 @@
             return None;
         }
         let chunk = entry.remove();
-        self.ended = chunk.end;
+        self.ended = chunk.is_last;
         self.next = chunk.offset;
         Some((offset, chunk))
     }
@@ -189,7 +189,7 @@
 ///
 /// An event's id is the offset of the token after it; the last event has none.
 fn start(chunk: &Chunk) -> u64 {
-    chunk.offset.saturating_sub(u64::from(!chunk.end))
+    chunk.offset.saturating_sub(u64::from(!chunk.is_last))
 }
 
 fn broke(attempt: AttemptKey, ran: Ran, end: Break, detail: &str) -> RequestEvent {
@@ -201,7 +201,7 @@
     }
 }
 
-fn unopened(attempt: AttemptKey, err: &OpenError, resume: Option<u64>) -> RequestEvent {
+fn unopened(attempt: AttemptKey, err: &CallError, resume: Option<u64>) -> RequestEvent {
     let ran = err.ran();
     let end = match (err, err.status()) {
         (_, Some(404)) if resume.is_some() => Break::Forgotten,
@@ -210,8 +210,8 @@
         (_, Some(400 | 413 | 422)) => Break::Rejected,
         (_, Some(status)) if (400..500).contains(&status) && ran != Ran::No => Break::Rejected,
         _ if ran == Ran::No && err.status().is_some() => Break::Refused,
-        (OpenError::Connect | OpenError::Invalid, _) => Break::Unreachable,
-        (OpenError::Late, _) => Break::Silent,
+        (CallError::Connect | CallError::Invalid, _) => Break::Unreachable,
+        (CallError::Timeout, _) => Break::Silent,
         _ => Break::Cut,
     };
     broke(attempt, ran, end, &err.to_string())
@@ -274,7 +274,7 @@
     RequestEvent::Answered { attempt, result }
 }
 
-fn service_broke(attempt: AttemptKey, err: &OpenError) -> RequestEvent {
+fn service_broke(attempt: AttemptKey, err: &CallError) -> RequestEvent {
     let end = match err.ran() {
         Ran::No => Break::Unreachable,
         Ran::Yes | Ran::Unknown => Break::Cut,
@@ -308,7 +308,7 @@
 
 /// Reads an engine's load report.
 pub async fn load(node: Rc<Node>, name: Box<str>, addr: SocketAddr) {
-    let read = timeout(LOAD_TIME, backend::load(&node.backends, addr)).await;
+    let read = timeout(LOAD_TIME, backend::fetch_load(&node.backends, addr)).await;
     let report = match read {
         Ok(Ok(load)) => Some(Report {
             running: small(load.running),
@@ -341,12 +341,12 @@
 
 /// Gives an order, unless the right to give it has ended.
 pub async fn order(node: Rc<Node>, order: effect::Order) {
-    let fresh = backend::Fresh {
-        life: ORDER_LIFE,
-        gate: |until| timer::now() < Time::from_micros(until),
-        until: order.until.micros(),
+    let fresh = backend::SingleUse {
+        unacked_timeout: ORDER_LIFE,
+        may_send: |until| timer::now() < Time::from_micros(until),
+        check_value: order.until.micros(),
     };
-    let result = if let Ok(client) = backend::Client::fresh(ORDER_OPTIONS, fresh).await {
+    let result = if let Ok(client) = backend::Client::single_use(ORDER_OPTIONS, fresh).await {
         let action = match &order.action {
             effect::Action::Role(role) => backend::Action::Role {
                 role: role.word().into(),
@@ -355,7 +355,7 @@
             effect::Action::Adapter(name) => load_action("adapter", name),
             effect::Action::Version(name) => load_action("version", name),
         };
-        let sent = backend::order(
+        let sent = backend::send_order(
             &client,
             order.addr,
             order.fence,
--- a/src/host/relay/backends.rs
+++ b/src/host/relay/backends.rs
@@ -9,7 +9,7 @@
 
 use super::events::Splitter;
 use super::{Hand, Head, Prepared, tell, tell_with};
-use crate::backend::channel::{self, Answer, Call, ChannelError};
+use crate::backend::pool::{self, Answer, Call, PoolError};
 use crate::core::event::Break;
 use crate::core::key::AttemptKey;
 use crate::core::relay::event::{OrderResult, Outgoing, RelayEvent, StageOrder, Task};
@@ -49,12 +49,12 @@
     }
 }
 
-impl From<ChannelError> for Lost {
-    fn from(err: ChannelError) -> Self {
+impl From<PoolError> for Lost {
+    fn from(err: PoolError) -> Self {
         let end = match err {
-            ChannelError::Connect { .. } => Break::Unreachable,
-            ChannelError::Late => Break::Silent,
-            ChannelError::Broken { .. } | ChannelError::Long => Break::Cut,
+            PoolError::Connect { .. } => Break::Unreachable,
+            PoolError::Timeout => Break::Silent,
+            PoolError::Broken { .. } | PoolError::TooLong => Break::Cut,
         };
         Self::new(err.ran(), end, err.to_string())
     }
@@ -155,7 +155,7 @@
 
 /// Keeps the connection of an answer that was read to its end.
 async fn keep(node: &Rc<Node>, mut answer: Answer, out: &Outgoing, idle: Option<Duration>) {
-    if channel::collect(&mut answer, PREFILLED).await.is_ok() {
+    if pool::collect(&mut answer, PREFILLED).await.is_ok() {
         release(node, answer, out, idle).await;
     }
 }
@@ -165,7 +165,10 @@
     if idle.is_zero() {
         return;
     }
-    node.relay.channels.keep(answer, idle, out.max_idle).await;
+    node.relay
+        .channels
+        .put_back(answer, idle, out.max_idle)
+        .await;
 }
 
 async fn prefilled(
@@ -175,7 +178,7 @@
     status: u16,
     idle: Option<Duration>,
 ) -> Result<(), Lost> {
-    let body = channel::collect(&mut answer, PREFILLED).await?;
+    let body = pool::collect(&mut answer, PREFILLED).await?;
     let handle = engine::prefilled(&body).filter(|_| status == 200);
     let Some(handle) = handle else {
         let detail = format!("answered {status} to a prefill");
@@ -199,7 +202,7 @@
     head: Head,
     idle: Option<Duration>,
 ) -> Result<(), Lost> {
-    let body = channel::collect(&mut answer, ANSWER).await?;
+    let body = pool::collect(&mut answer, ANSWER).await?;
     let status = head.status;
     tell_with(
         node,
@@ -221,7 +224,7 @@
     idle: Option<Duration>,
 ) -> Result<(), Lost> {
     let mut splitter = Splitter::default();
-    while let Some(part) = channel::next(&mut answer).await {
+    while let Some(part) = pool::next_chunk(&mut answer).await {
         let part = part?;
         if splitter.push(&part).is_none() {
             return Err(Lost::new(Ran::Yes, Break::Cut, "an event is too long"));
--- a/src/host/relay/keeper.rs
+++ b/src/host/relay/keeper.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{journal, tell};
-use crate::backend::channel::{Call, ChannelError};
+use crate::backend::pool::{Call, PoolError};
 use crate::core::effect::Note;
 use crate::core::event::{Job, StoreEvent, StoreReply, StoreResult};
 use crate::core::relay::event::{Changes, RelayEvent, StoreAnswer, StoreCall, StoreChange};
@@ -32,7 +32,7 @@
     #[snafu(transparent)]
     Channel {
         /// Why.
-        source: ChannelError,
+        source: PoolError,
     },
     /// The store answered with another status.
     #[snafu(display("the store answered {status}"))]
@@ -223,7 +223,7 @@
     node.relay.asks.borrow_mut().remove(&number);
     let answer = answer.unwrap_or_else(|trouble| {
         // What is idle may have broken with it.
-        node.relay.store.clear();
+        node.relay.store.close_idle();
         StoreAnswer::Failed {
             refused: trouble.ran() == Ran::No,
         }
--- a/src/host/relay/mod.rs
+++ b/src/host/relay/mod.rs
@@ -21,7 +21,7 @@
 
 use super::node::Node;
 use super::queue::{self, Parts, Queue};
-use crate::backend::channel::Channels;
+use crate::backend::pool::ConnectionPool;
 use crate::core::Event;
 use crate::core::effect::Refusal;
 use crate::core::key::{AttemptKey, CallKey};
@@ -95,9 +95,9 @@
 #[derive(Debug, Default)]
 pub struct Ports {
     /// Connections to backend servers.
-    pub channels: Channels,
+    pub channels: ConnectionPool,
     /// Connections to the store.
-    pub store: Channels,
+    pub store: ConnectionPool,
     /// Calls by which the core follows the store, by number.
     asks: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
     /// Calls of the store made so far.
--- a/src/host/tests.rs
+++ b/src/host/tests.rs
@@ -89,7 +89,7 @@
         count in 0_u64..40,
         shuffle in prop::collection::vec(any::<(u8, bool)>(), 46),
     ) {
-        let chunk = |offset, end| Chunk { offset, data: Bytes::new(), end };
+        let chunk = |offset, end| Chunk { offset, data: Bytes::new(), is_last: end };
         let mut sent: Vec<(u8, Chunk)> = Vec::new();
         for token in 0..first + count {
             let (place, twice) = shuffle[usize::try_from(token).unwrap_or(0)];
@@ -105,7 +105,7 @@
         for (_, chunk) in sent {
             prop_assert!(order.put(chunk));
             while let Some((offset, chunk)) = order.pop() {
-                passed.push((offset, chunk.end));
+                passed.push((offset, chunk.is_last));
             }
         }
         let mut wanted: Vec<_> = (first..first + count).map(|token| (token, false)).collect();
@@ -122,7 +122,7 @@
         order.put(Chunk {
             offset,
             data: Bytes::new(),
-            end: false,
+            is_last: false,
         })
     });
     assert!(taken.count() < 100);
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -15,7 +15,7 @@
 use super::options::{Answers, Faults, Options, Pace, Role};
 use super::orders::{Order, OrderLine, Orders, Verdict};
 use super::wire::Continue;
-use crate::backend::{Action, Load};
+use crate::backend::{Action, EngineLoad};
 
 /// Lines kept of each log; later ones are counted only.
 const LOG_LIMIT: usize = 200_000;
@@ -103,7 +103,7 @@
     changes: u64,
     pub draining: bool,
     pub stats: Stats,
-    reports: VecDeque<(Instant, Load)>,
+    reports: VecDeque<(Instant, EngineLoad)>,
     started: Instant,
     pub conns: BTreeMap<ntex::io::Id, Conn>,
     /// Grows each time the connections open then go silent.
@@ -368,7 +368,7 @@
     }
 
     /// Returns the newest report that is old enough to be seen.
-    pub fn load(&mut self) -> Load {
+    pub fn load(&mut self) -> EngineLoad {
         let now = Instant::now();
         let lag = self.opts.lag;
         while self.reports.get(1).is_some_and(|(at, _)| *at + lag <= now) {
@@ -398,9 +398,9 @@
         }
     }
 
-    fn snapshot(&self) -> Load {
+    fn snapshot(&self) -> EngineLoad {
         let (fence_seen, order_seen) = self.orders.highest();
-        Load {
+        EngineLoad {
             running: self.batch.running.len() as u64,
             waiting: self.batch.waiting.len() as u64,
             prefill_tokens: self.batch.prefill_left(),
--- a/src/trial.rs
+++ b/src/trial.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-use crate::backend::{self, Answer, Call, Client, OpenError, Parser};
+use crate::backend::{self, Answer, Call, CallError, Client, Parser};
 use crate::cli::TryOptions;
 use crate::output;
 use crate::site::{self, CUSTOMER_KEY, MODEL, OPERATOR_KEY, SERVICE, Site};
@@ -33,7 +33,7 @@
         /// What was asked.
         what: Box<str>,
         /// Why there is no answer.
-        source: OpenError,
+        source: CallError,
     },
     /// A call got an answer that it should not get.
     #[snafu(display("{what} was answered with {status}: {body}"))]
--- a/tests/engine/answers.rs
+++ b/tests/engine/answers.rs
@@ -5,7 +5,8 @@
 use assert_matches::assert_matches;
 use bytes::Bytes;
 use chiveway::backend::{
-    Action, OpenError, OrderError, ReadError, events, load, open, order, prefill,
+    Action, CallError, OrderError, ReadError, fetch_cache_events, fetch_load, open, prefill,
+    send_order,
 };
 use chiveway::error::Ran;
 use chiveway::standin::engine::{
@@ -55,7 +56,7 @@
         assert_eq!((text + &rest, done), (expected("model", "a draft", 30), true));
         assert_eq!(get(c, e.addr, "/stats").await["started"], 1);
         let unknown = open(c, e.addr, TEXT, Bytes::new(), "a2", Some(3), 0).await;
-        assert_matches!(unknown, Err(OpenError::Status { status: 404, .. }));
+        assert_matches!(unknown, Err(CallError::Status { status: 404, .. }));
     }
 
     /// An engine dies with an answer half delivered. Another engine goes on at the next token, so
@@ -98,18 +99,18 @@
         let (drain, resume) = (Action::Drain, Action::Resume);
         for (fencing, obeyed) in [(Fencing::Checks, false), (Fencing::Ignores, true)] {
             let e = engine(Options { fencing, ..Options::default() });
-            order(c, e.addr, 6, 1, "h2", &drain).await.expect("order");
-            order(c, e.addr, 7, 1, "h1", &resume).await.expect("order");
-            order(c, e.addr, 7, 1, "h1", &resume).await.expect("repeat");
+            send_order(c, e.addr, 6, 1, "h2", &drain).await.expect("order");
+            send_order(c, e.addr, 7, 1, "h1", &resume).await.expect("order");
+            send_order(c, e.addr, 7, 1, "h1", &resume).await.expect("repeat");
             for (fence, number) in [(6, 1), (6, 9), (7, 1)] {
-                let late = order(c, e.addr, fence, number, "h2", &drain).await;
+                let late = send_order(c, e.addr, fence, number, "h2", &drain).await;
                 if obeyed {
                     assert_eq!(late, Ok(()));
                 } else {
                     assert_eq!(late, Err(OrderError::Fenced { fence: 7 }));
                 }
             }
-            let load = load(c, e.addr).await.expect("load");
+            let load = fetch_load(c, e.addr).await.expect("load");
             assert_eq!((load.draining, load.fence_seen), (obeyed, 7));
             let log = get(c, e.addr, "/log").await;
             assert_eq!(log["orders"].as_array().map(Vec::len), Some(6));
@@ -122,13 +123,13 @@
         let e = engine(Options { change: Duration::from_millis(300), ..slow() });
         let mut s = begin(c, e.addr, "a draft", MANY, "a1").await;
         let role = Action::Role { role: "decode".into() };
-        order(c, e.addr, 1, 1, "h1", &role).await.expect("order");
+        send_order(c, e.addr, 1, 1, "h1", &role).await.expect("order");
         let refused = open(c, e.addr, TEXT, ask("more", 1), "a2", None, 0).await;
-        assert_matches!(refused, Err(OpenError::Status { status: 503, ran: Ran::No, .. }));
+        assert_matches!(refused, Err(CallError::Status { status: 503, ran: Ran::No, .. }));
         assert_matches!(read(&mut s, usize::MAX).await, Err(ReadError::Lost));
         until(c, e.addr, "/load", "/role", "decode".into()).await;
         let refused = open(c, e.addr, TEXT, ask("more", 1), "a2", None, 0).await;
-        assert_matches!(refused, Err(OpenError::Status { status: 409, ran: Ran::No, .. }));
+        assert_matches!(refused, Err(CallError::Status { status: 409, ran: Ran::No, .. }));
         assert_eq!(get(c, e.addr, "/stats").await["cut"], 1);
     }
 
@@ -145,7 +146,7 @@
         }
         // 8,000 tokens at 2,048 a step; the second time all four pieces are held.
         assert_eq!(steps, [0, 4, 4]);
-        let list = events(c, e.addr, 0).await.expect("events");
+        let list = fetch_cache_events(c, e.addr, 0).await.expect("events");
         assert_eq!(list.iter().map(|event| event.seq).collect::<Vec<_>>(), [1, 3]);
         let names = pieces("model", &long, 2000);
         assert_eq!((&list[0].piece, &list[1].piece), (&names[0], &names[2]));
@@ -166,7 +167,7 @@
         let stats = get(c, d.addr, "/stats").await;
         assert_eq!((&stats["imports"], &stats["prefill_tokens"]), (&json!(1), &json!(0)));
         let unknown = open(c, d.addr, TEXT, body("kv-none"), "a3", None, 0).await;
-        assert_matches!(unknown, Err(OpenError::Status { status: 424, ran: Ran::No, .. }));
+        assert_matches!(unknown, Err(CallError::Status { status: 424, ran: Ran::No, .. }));
     }
 
     /// One request crashes each engine that runs it. Its stream breaks with those of all others
@@ -175,7 +176,7 @@
         let crash = Crash::Restart(Duration::from_millis(200));
         let e = engine(Options { crash, ..slow() });
         fault(c, e.addr, json!({"crash_on": "poison"})).await;
-        order(c, e.addr, 7, 1, "h1", &Action::Resume).await.expect("order");
+        send_order(c, e.addr, 7, 1, "h1", &Action::Resume).await.expect("order");
         let mut other = begin(c, e.addr, "a draft", MANY, "a1").await;
         // The engine may break the connection before or after the head of its answer.
         if let Ok(mut s) = open(c, e.addr, TEXT, ask("poison", 9), "a2", None, 0).await {
@@ -183,14 +184,14 @@
         }
         assert_matches!(read(&mut other, usize::MAX).await, Err(ReadError::Lost));
         let back = async {
-            while load(c, e.addr).await.is_err() {
+            while fetch_load(c, e.addr).await.is_err() {
                 sleep(Duration::from_millis(5)).await;
             }
         };
         timeout(LIMIT, back).await.expect("back in time");
-        assert_eq!(load(c, e.addr).await.expect("load").fence_seen, 0);
+        assert_eq!(fetch_load(c, e.addr).await.expect("load").fence_seen, 0);
         let lost = open(c, e.addr, TEXT, Bytes::new(), "a1", Some(0), 0).await;
-        assert_matches!(lost, Err(OpenError::Status { status: 404, .. }));
+        assert_matches!(lost, Err(CallError::Status { status: 404, .. }));
         assert_eq!(get(c, e.addr, "/log").await["runs"][0]["end"], "crashed");
     }
 
@@ -202,14 +203,14 @@
         let e = engine(Options { crash, change, ..Options::default() });
         fault(c, e.addr, json!({"crash_mid_change": true})).await;
         let role = Action::Role { role: "decode".into() };
-        order(c, e.addr, 1, 1, "h1", &role).await.expect("order");
+        send_order(c, e.addr, 1, 1, "h1", &role).await.expect("order");
         let crashed = async {
-            while !load(c, e.addr).await.is_ok_and(|load| load.fence_seen == 0) {
+            while !fetch_load(c, e.addr).await.is_ok_and(|load| load.fence_seen == 0) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
         timeout(LIMIT, crashed).await.expect("back in time");
-        let load = load(c, e.addr).await.expect("load");
+        let load = fetch_load(c, e.addr).await.expect("load");
         assert_eq!((&*load.role, load.changing), ("both", false));
         assert_eq!(get(c, e.addr, "/stats").await["crashes"], 1);
     }
@@ -220,9 +221,9 @@
         let e = engine(Options { lag: LIMIT, cache, ..slow() });
         let mut s = begin(c, e.addr, &"x".repeat(8000), MANY, "a1").await;
         read(&mut s, 1).await.expect("read");
-        let load = load(c, e.addr).await.expect("load");
+        let load = fetch_load(c, e.addr).await.expect("load");
         assert_eq!((load.running, load.pieces_used), (0, 0));
-        assert_eq!(events(c, e.addr, 0).await, Ok(vec![]));
+        assert_eq!(fetch_cache_events(c, e.addr, 0).await, Ok(vec![]));
     }
 
     /// Something between the two ends loses track of the open connections. They bring nothing
@@ -256,7 +257,7 @@
             assert!(!chunk.data.windows(5).any(|part| part == b"stray"));
             offsets.push(chunk.offset);
         }
-        assert_eq!(s.foreign(), 1);
+        assert_eq!(s.foreign_chunks(), 1);
         offsets.sort_unstable();
         assert_eq!(offsets, [1, 1, 2, 2, 3, 3, 4, 4, 5, 5, 6, 6, 6]);
     }
--- a/tests/engine/calls.rs
+++ b/tests/engine/calls.rs
@@ -4,7 +4,8 @@
 
 use bytes::Bytes;
 use chiveway::backend::{
-    Action, Call, Client, Fresh, OpenError, Options as Settings, OrderError, load, open, order,
+    Action, Call, CallError, Client, Options as Settings, OrderError, SingleUse, fetch_load, open,
+    send_order,
 };
 use chiveway::error::Ran;
 use chiveway::standin::engine::Options;
@@ -42,7 +43,7 @@
             let (addr, body) = (s.addr, Bytes::from_static(b"{}"));
             let call = Call { method: "POST", addr, path: "/charge", headers: &[], body };
             let lost = c.call(call).await.expect_err("no answer");
-            assert_eq!((&lost, lost.ran()), (&OpenError::Lost, Ran::Unknown));
+            assert_eq!((&lost, lost.ran()), (&CallError::Lost, Ran::Unknown));
             let counts = get(c, s.addr, "/counts").await;
             assert_eq!(counts, json!({"POST /charge -": count}));
         }
@@ -52,11 +53,11 @@
     /// the next order, given in time, arrives.
     an_order_past_its_time_is_not_written: |c| {
         let e = engine(Options::default());
-        for (until, wanted) in [(0, Err(OpenError::Connect)), (1, Ok(()))] {
-            let fresh = Fresh { life: LIMIT, gate: |until| until > 0, until };
-            let once = Client::fresh(Settings::default(), fresh).await.expect("a client");
+        for (until, wanted) in [(0, Err(CallError::Connect)), (1, Ok(()))] {
+            let fresh = SingleUse { unacked_timeout: LIMIT, may_send: |until| until > 0, check_value: until };
+            let once = Client::single_use(Settings::default(), fresh).await.expect("a client");
             let action = Action::Role { role: "decode".into() };
-            let sent = order(&once, e.addr, 3, until + 1, "host-1", &action).await;
+            let sent = send_order(&once, e.addr, 3, until + 1, "host-1", &action).await;
             let wanted = wanted.map_err(|source| OrderError::Call { source });
             assert_eq!(sent, wanted);
         }
@@ -82,26 +83,26 @@
         let addr = socket.local_addr().expect("address");
         let refused = open(c, addr, TEXT, ask("a", 1), "a1", None, 0).await;
         let refused = refused.expect_err("no stream");
-        assert_eq!((&refused, refused.ran()), (&OpenError::Connect, Ran::No));
+        assert_eq!((&refused, refused.ran()), (&CallError::Connect, Ran::No));
     }
 
     /// A back end takes a request and falls silent before the head of its answer. The request may
     /// have run, so the caller must not be told otherwise.
     a_late_head_may_have_run: |_c| {
         let head = Duration::from_millis(50);
-        let settings = Settings { connect: LIMIT, head, ..Settings::default() };
+        let settings = Settings { connect_timeout: LIMIT, head_timeout: head, ..Settings::default() };
         let c = &Client::new(settings).await.expect("client");
         let listener = web::listen(([127, 0, 0, 1], 0).into()).await.expect("listen");
         let addr = listener.local_addr().expect("address");
         let late = open(c, addr, TEXT, ask("a", 1), "a1", None, 0).await.expect_err("late");
-        assert_eq!((&late, late.ran()), (&OpenError::Late, Ran::Unknown));
+        assert_eq!((&late, late.ran()), (&CallError::Timeout, Ran::Unknown));
     }
 
     /// A connection older than the setting is not used again, so that a fault between the two
     /// ends that kills old connections meets few of them.
     old_connections_are_retired: |c| {
         let age = Duration::from_secs(1);
-        let young = &Client::new(Settings { age, ..Settings::default() }).await.expect("client");
+        let young = &Client::new(Settings { max_age: age, ..Settings::default() }).await.expect("client");
         let e = engine(Options::default());
         for (client, count) in [(c, 1), (young, 2)] {
             assert_eq!(get(client, e.addr, "/stats").await["connections"], count);
@@ -121,7 +122,7 @@
             for _ in 0..turn {
                 tokio::task::yield_now().await;
             }
-            load(c, e.addr).await
+            fetch_load(c, e.addr).await
         });
         let all = timeout(LIMIT, futures_util::future::join_all(calls));
         let all = all.await.expect("all answers in time");
--- a/tests/engine/main.rs
+++ b/tests/engine/main.rs
@@ -156,7 +156,10 @@
         let choice = &data["choices"][0];
         let part = choice.get("text").or(choice.pointer("/delta/content"));
         text.push_str(part.and_then(Value::as_str).expect("text"));
-        assert_eq!(chunk.end, data["choices"][0]["finish_reason"] == "length");
+        assert_eq!(
+            chunk.is_last,
+            data["choices"][0]["finish_reason"] == "length"
+        );
         last = chunk.offset;
         count += 1;
     }
