--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -9,7 +9,7 @@
 use crate::core::key::AskKey;
 use crate::core::{Core, Effects};
 use crate::lists::{self, Chunk, Lists, Uses};
-use crate::store::{Compare, Op, Pair, Reply, Span, Txn, TxnReply};
+use crate::store::{Compare, Op, OpReply, Pair, Span, Txn, TxnReply};
 
 /// Edits whose tokens a head remembers: more than come while a lost answer is settled.
 const MAX_PRIOR_EDITS: usize = 8;
@@ -172,7 +172,7 @@
         },
         modified => Compare::Modified {
             key: HEAD_KEY.into(),
-            at: modified,
+            revision: modified,
         },
     };
     let mut then = vec![Op::Put {
@@ -201,8 +201,8 @@
             write_next(core, ask, out);
         }
         StoreResult::Txn(txn) => {
-            let theirs =
-                read_pairs(txn).find_map(|pair| Some((parse_head(&pair.value)?, pair.modified)));
+            let theirs = read_pairs(txn)
+                .find_map(|pair| Some((parse_head(&pair.value)?, pair.mod_revision)));
             if txn.succeeded {
                 finish(core, ask, Some(txn.revision), out);
             } else {
@@ -261,8 +261,8 @@
     txn.replies
         .iter()
         .filter_map(|reply| match reply {
-            Reply::Got(pairs) => Some(pairs),
-            Reply::Put | Reply::Deleted(_) => None,
+            OpReply::Got(pairs) => Some(pairs),
+            OpReply::Put | OpReply::Deleted(_) => None,
         })
         .flatten()
 }
--- a/src/core/once/owner.rs
+++ b/src/core/once/owner.rs
@@ -235,7 +235,7 @@
         0 => Compare::Absent { key: at.clone() },
         modified => Compare::Modified {
             key: at.clone(),
-            at: modified,
+            revision: modified,
         },
     };
     let put = Op::Put {
@@ -305,7 +305,7 @@
         refuse_begins(core, key, &BeginState::StoreDown, out);
         return;
     };
-    shard.revision = Some(pair.map_or(0, |pair| pair.modified));
+    shard.revision = Some(pair.map_or(0, |pair| pair.mod_revision));
     shard.last_confirmed = core.now;
     shard.bytes = pair.map_or(0, |pair| pair.value.len());
     shard.calls = calls;
--- a/src/core/order/authority.rs
+++ b/src/core/order/authority.rs
@@ -18,7 +18,7 @@
 use crate::core::event::{Health, Job, Ordered, StoreResult, Watched};
 use crate::core::key::PoolKey;
 use crate::core::{Core, Effects, Time};
-use crate::store::{Compare, Op, Range, Reply, Span, Txn, TxnReply};
+use crate::store::{Compare, Op, OpReply, Range, Span, Txn, TxnReply};
 
 /// Fraction of the lease's life that the holder uses.
 ///
@@ -287,7 +287,7 @@
             },
             Compare::Modified {
                 key: fence_key(&name),
-                at: authority.record_revision,
+                revision: authority.record_revision,
             },
         ],
         then: vec![
@@ -313,7 +313,7 @@
     let ours =
         read_pairs(txn).find(|pair| pair.key == holder_key(&name) && pair.value == authority.value);
     if let Some(pair) = ours {
-        taken_over(core, pool, pair.modified, out);
+        taken_over(core, pool, pair.mod_revision, out);
         return;
     }
     let other = read_pairs(txn).any(|pair| pair.key == holder_key(&name));
@@ -397,7 +397,7 @@
     let txn = Txn {
         compare: vec![Compare::Value {
             key: holder_key(&pool_name),
-            is: authority.value.clone(),
+            value: authority.value.clone(),
         }],
         then: vec![put_record(&pool_name, &authority.record)],
         otherwise: Vec::new(),
@@ -411,7 +411,7 @@
     let name = name(core, pool);
     let own = Process::own(core);
     let authority = &mut core.orders.pool_mut(pool).authority;
-    let written = txn.succeeded && txn.replies.contains(&Reply::Put);
+    let written = txn.succeeded && txn.replies.contains(&OpReply::Put);
     let named = record_in(txn, &name).filter(|(record, _)| record.processes.contains(&own));
     let Some((mut record, modified)) = named.filter(|_| !written) else {
         // A failed write has no replies and so looks like a record without this process; only a
@@ -424,7 +424,7 @@
     let txn = Txn {
         compare: vec![Compare::Modified {
             key: fence_key(&name),
-            at: modified,
+            revision: modified,
         }],
         then: vec![put_record(&name, &record)],
         otherwise: Vec::new(),
@@ -496,7 +496,7 @@
     let txn = Txn {
         compare: vec![Compare::Value {
             key: holder_key(&pool_name),
-            is: authority.value.clone(),
+            value: authority.value.clone(),
         }],
         then: vec![
             Op::Delete(Span::Key(holder_key(&pool_name))),
--- a/src/core/order/intent.rs
+++ b/src/core/order/intent.rs
@@ -81,11 +81,11 @@
         compare: vec![
             Compare::Value {
                 key: record::holder_key(&pool_name),
-                is: state.authority.value.clone(),
+                value: state.authority.value.clone(),
             },
             Compare::Modified {
                 key: key(&pool_name, engine),
-                at: stored.map_or(0, |(_, modified)| *modified),
+                revision: stored.map_or(0, |(_, modified)| *modified),
             },
         ],
         then: vec![op],
@@ -128,7 +128,7 @@
 fn parse_pair(folder: &str, pair: &Pair) -> Option<(Box<str>, (Intent, i64))> {
     let engine = pair.key.strip_prefix(folder)?;
     let intent = Intent::parse(&pair.value)?;
-    Some((engine.into(), (intent, pair.modified)))
+    Some((engine.into(), (intent, pair.mod_revision)))
 }
 
 impl Intent {
--- a/src/core/order/record.rs
+++ b/src/core/order/record.rs
@@ -6,7 +6,7 @@
 
 use super::HOLDER;
 use super::suspect::Process;
-use crate::store::{Op, Pair, Reply, Span, TxnReply};
+use crate::store::{Op, OpReply, Pair, Span, TxnReply};
 
 /// Value of the key without a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -81,8 +81,8 @@
 /// Returns the pairs that a transaction read.
 pub(super) fn read_pairs(txn: &TxnReply) -> impl Iterator<Item = &Pair> {
     let got = txn.replies.iter().filter_map(|reply| match reply {
-        Reply::Got(pairs) => Some(pairs),
-        Reply::Put | Reply::Deleted(_) => None,
+        OpReply::Got(pairs) => Some(pairs),
+        OpReply::Put | OpReply::Deleted(_) => None,
     });
     got.flatten()
 }
@@ -90,7 +90,7 @@
 /// Returns the record and its revision; `None` if it cannot be parsed.
 pub(super) fn record_in(txn: &TxnReply, name: &str) -> Option<(Record, i64)> {
     match read_pairs(txn).find(|pair| pair.key == fence_key(name)) {
-        Some(pair) => Some((Record::parse(&pair.value)?, pair.modified)),
+        Some(pair) => Some((Record::parse(&pair.value)?, pair.mod_revision)),
         None => Some((Record::default(), 0)),
     }
 }
--- a/src/core/order/route.rs
+++ b/src/core/order/route.rs
@@ -155,11 +155,11 @@
         compare: vec![
             Compare::Value {
                 key: record::holder_key(&pool_name),
-                is: orders.authority.value.clone(),
+                value: orders.authority.value.clone(),
             },
             Compare::Modified {
                 key: key(&pool_name),
-                at: modified,
+                revision: modified,
             },
         ],
         then: vec![Op::Put {
@@ -185,7 +185,7 @@
         (Some(Call::Read), StoreResult::Read(range)) => {
             let pair = range.pairs.first();
             let route = pair.map_or(Some(Route::default()), |pair| Route::parse(&pair.value));
-            holder.route = route.map(|route| (route, pair.map_or(0, |pair| pair.modified)));
+            holder.route = route.map(|route| (route, pair.map_or(0, |pair| pair.mod_revision)));
         }
         (Some(Call::Write(route)), StoreResult::Txn(txn)) if txn.succeeded => {
             holder.route = Some((route, txn.revision));
--- a/src/core/tests/store.rs
+++ b/src/core/tests/store.rs
@@ -7,7 +7,7 @@
 
 use crate::core::event::{Job, StoreReply, StoreResult, Watched};
 use crate::core::{Effect, Time};
-use crate::store::{Compare, Op, Pair, Range, Reply, Span, Txn, TxnReply};
+use crate::store::{Compare, Op, OpReply, Pair, Range, Span, Txn, TxnReply};
 
 const FOLDER: &str = "w/";
 
@@ -155,8 +155,8 @@
                 .map(|(key, value)| Pair {
                     key: key.clone(),
                     value: value.bytes.clone(),
-                    modified: value.modified,
-                    created: value.modified,
+                    mod_revision: value.modified,
+                    create_revision: value.modified,
                     lease: value.lease,
                 })
                 .collect(),
@@ -165,11 +165,11 @@
 
     fn txn(&mut self, txn: Txn) -> TxnReply {
         let succeeded = txn.compare.iter().all(|compare| match compare {
-            Compare::Modified { key, at } => {
-                self.values.get(key).map_or(0, |value| value.modified) == *at
+            Compare::Modified { key, revision } => {
+                self.values.get(key).map_or(0, |value| value.modified) == *revision
             }
             Compare::Absent { key } => !self.values.contains_key(key),
-            Compare::Value { key, is } => self.get(key) == Some(is),
+            Compare::Value { key, value } => self.get(key) == Some(value),
         });
         let ops = if succeeded { txn.then } else { txn.otherwise };
         if ops.iter().any(|op| matches!(op, Op::Put { .. })) {
@@ -183,7 +183,7 @@
         }
     }
 
-    fn op(&mut self, op: Op) -> Reply {
+    fn op(&mut self, op: Op) -> OpReply {
         match op {
             Op::Put { key, value, lease } => {
                 *self.writes.entry(key.clone()).or_default() += 1;
@@ -195,16 +195,16 @@
                 self.changed
                     .extend(watched(&key, Some(&value), self.revision));
                 self.values.insert(key, value);
-                Reply::Put
+                OpReply::Put
             }
             Op::Delete(span) => {
                 let keys: Vec<_> = self.range(&span).pairs;
                 for pair in &keys {
                     self.delete(&pair.key);
                 }
-                Reply::Deleted(i64::try_from(keys.len()).expect("few keys"))
+                OpReply::Deleted(i64::try_from(keys.len()).expect("few keys"))
             }
-            Op::Get(span) => Reply::Got(self.range(&span).pairs),
+            Op::Get(span) => OpReply::Got(self.range(&span).pairs),
         }
     }
 }
--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -18,7 +18,7 @@
 use crate::core::key::{AttemptKey, RequestKey};
 use crate::core::{Event, Time};
 use crate::error::Ran;
-use crate::store::{ListedKind, ListedState};
+use crate::store::{ListEntryKind, ListEntryState};
 
 /// Time a load report may take.
 const LOAD_TIME: Duration = Duration::from_secs(2);
@@ -290,14 +290,14 @@
             let entries = listed.into_iter().map(|entry| Entry {
                 name: entry.name,
                 kind: match entry.kind {
-                    ListedKind::Host => EntryKind::Host,
-                    ListedKind::Engine => EntryKind::Engine,
-                    ListedKind::Service => EntryKind::Service,
+                    ListEntryKind::Host => EntryKind::Host,
+                    ListEntryKind::Engine => EntryKind::Engine,
+                    ListEntryKind::Service => EntryKind::Service,
                 },
                 pool: entry.pool,
                 addr: entry.addr,
                 domain: entry.domain,
-                leaving: entry.state == ListedState::Leaving,
+                leaving: entry.state == ListEntryState::Leaving,
             });
             let entries = entries.collect();
             node.apply(Event::Fleet(FleetEvent::Listed(entries)));
--- a/src/host/keeper.rs
+++ b/src/host/keeper.rs
@@ -8,7 +8,7 @@
 use crate::core::event::{Health, Job, StoreEvent, StoreReply, StoreResult, Watched};
 use crate::core::{Effect, Event};
 use crate::error::Ran;
-use crate::store::{Batch, Compare, Op, Range, Reply, Span, StoreError, Txn};
+use crate::store::{Batch, Compare, Op, OpReply, Range, Span, StoreError, Txn};
 
 /// Folder of the watched keys, below the deployment's prefix.
 const FOLDER: &str = "w/";
@@ -44,7 +44,7 @@
             let done = node.store.txn(full_txn(&prefix, txn)).await;
             let done = done.map(|mut reply| {
                 for step in &mut reply.replies {
-                    if let Reply::Got(pairs) = step {
+                    if let OpReply::Got(pairs) = step {
                         for pair in pairs {
                             pair.key = bare(&prefix, &pair.key);
                         }
@@ -110,16 +110,16 @@
 
 fn full_txn(prefix: &str, txn: Txn) -> Txn {
     let compare = txn.compare.into_iter().map(|compare| match compare {
-        Compare::Modified { key, at } => Compare::Modified {
+        Compare::Modified { key, revision } => Compare::Modified {
             key: full(prefix, &key),
-            at,
+            revision,
         },
         Compare::Absent { key } => Compare::Absent {
             key: full(prefix, &key),
         },
-        Compare::Value { key, is } => Compare::Value {
+        Compare::Value { key, value } => Compare::Value {
             key: full(prefix, &key),
-            is,
+            value,
         },
     });
     let ops = |ops: Vec<Op>| -> Vec<Op> {
@@ -181,7 +181,7 @@
         pairs.push(Watched {
             key,
             value: Some(pair.value.to_vec().into()),
-            modified: pair.modified,
+            modified: pair.mod_revision,
         });
     }
     // What vanished while no watch was open is told as well, or it would stay here for ever.
@@ -219,7 +219,7 @@
         Watched {
             key,
             value: change.value.map(|value| value.to_vec().into()),
-            modified: change.modified,
+            modified: change.mod_revision,
         }
     });
     let pairs = pairs.collect();
--- a/src/host/meters.rs
+++ b/src/host/meters.rs
@@ -12,7 +12,7 @@
 
 use crate::core::effect::Meter;
 use crate::settings::Settings;
-use crate::store::Calls;
+use crate::store::CallCounts;
 
 /// Customers with histograms of their own; all others share one.
 ///
@@ -46,7 +46,7 @@
     era: Gauge<u64>,
     unlisted: Gauge<u64>,
     limited: Gauge<u64>,
-    seen: Cell<Calls>,
+    seen: Cell<CallCounts>,
     customers: RefCell<BTreeMap<Box<str>, u32>>,
     named: RefCell<Vec<Box<str>>>,
 }
@@ -172,7 +172,7 @@
     }
 
     /// Takes in the counts of calls to the key-value service.
-    pub fn store(&self, now: &Calls) {
+    pub fn store(&self, now: &CallCounts) {
         let seen = self.seen.replace(*now);
         for (kind, now, seen) in [
             ("range", now.range, seen.range),
--- a/src/host/relay/keeper.rs
+++ b/src/host/relay/keeper.rs
@@ -16,7 +16,7 @@
 use crate::error::Ran;
 use crate::host::node::Node;
 use crate::platform::{self, store};
-use crate::store::{Calls, Compare, Op, Sort, Txn};
+use crate::store::{CallCounts, CallKind, Compare, Op, Txn};
 
 /// Time one call may take: far above the slowest answer of a store that is of use.
 const CALL: Duration = Duration::from_secs(3);
@@ -65,7 +65,7 @@
     call: store::Call,
     time: Duration,
 ) -> Result<(u16, bytes::Bytes), Trouble> {
-    let sort = call.sort;
+    let sort = call.kind;
     count(node, |calls| sort.count(calls));
     let sent = Instant::now();
     let result = send(node, call, time).await;
@@ -80,7 +80,7 @@
         Ran::No => calls.refused += 1,
         Ran::Yes | Ran::Unknown => calls.unknown += 1,
     });
-    if sort == Sort::Probe {
+    if sort == CallKind::Probe {
         // One a host and half a second through an outage: the counter and `store.down` say enough.
         return result;
     }
@@ -96,7 +96,7 @@
     result
 }
 
-fn count(node: &Rc<Node>, change: impl FnOnce(&mut Calls)) {
+fn count(node: &Rc<Node>, change: impl FnOnce(&mut CallCounts)) {
     let mut calls = node.relay.calls.get();
     change(&mut calls);
     node.relay.calls.set(calls);
@@ -249,7 +249,12 @@
     let page = readable(status, || store::page(&body))?;
     let mut changes = Changes::default();
     for pair in &page.range.pairs {
-        platform::sort(&mut changes, &pair.key, Some(&pair.value), pair.modified);
+        platform::sort(
+            &mut changes,
+            &pair.key,
+            Some(&pair.value),
+            pair.mod_revision,
+        );
     }
     let last = page.range.pairs.last().filter(|_| page.more);
     Ok(StoreAnswer::Page {
--- a/src/host/relay/mod.rs
+++ b/src/host/relay/mod.rs
@@ -27,7 +27,7 @@
 use crate::core::key::{AttemptKey, CallKey};
 use crate::core::relay::event::{Arrival, RelayEffect, RelayEvent};
 use crate::platform::header::Header;
-use crate::store::Calls;
+use crate::store::CallCounts;
 
 /// A request as it is to be written to backend servers.
 #[derive(Debug, Clone)]
@@ -101,7 +101,7 @@
     /// Calls by which the core follows the store, by number.
     asks: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
     /// Calls of the store made so far.
-    pub calls: Cell<Calls>,
+    pub calls: Cell<CallCounts>,
     live: RefCell<SecondaryMap<CallKey, Live>>,
     arriving: RefCell<Option<Live>>,
     arrived: Cell<Option<CallKey>>,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 
 use super::OWN;
-use crate::store::{Compare, Op, Pair, Range, Reply, Sort, Span, Txn, TxnReply};
+use crate::store::{CallKind, Compare, Op, OpReply, Pair, Range, Span, Txn, TxnReply};
 
 /// Header that counts how often the store came back from an older copy.
 const ERA: &str = "store-era";
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// What it is.
-    pub sort: Sort,
+    pub kind: CallKind,
     /// HTTP method.
     pub method: &'static str,
     /// Path with query.
@@ -52,18 +52,18 @@
     pub more: bool,
 }
 
-fn get(sort: Sort, path: String) -> Call {
+fn get(kind: CallKind, path: String) -> Call {
     Call {
-        sort,
+        kind,
         method: "GET",
         path,
         body: Vec::new(),
     }
 }
 
-fn post(sort: Sort, path: &str, body: &Value) -> Call {
+fn post(kind: CallKind, path: &str, body: &Value) -> Call {
     Call {
-        sort,
+        kind,
         method: "POST",
         path: path.to_owned(),
         body: body.to_string().into_bytes(),
@@ -81,7 +81,7 @@
         // Writing to a string does not fail.
         let _ = write!(path, "&after={}", escape(after));
     }
-    get(Sort::Range, path)
+    get(CallKind::Range, path)
 }
 
 /// Returns the call that asks for the store's newest revision, by a read of keys that nothing writes.
@@ -92,7 +92,7 @@
 pub fn probe() -> Call {
     let prefix = escape(&format!("{OWN}{NOTHING}"));
     get(
-        Sort::Probe,
+        CallKind::Probe,
         format!("/v1/kv-range?prefix={prefix}&serializable=1"),
     )
 }
@@ -103,21 +103,21 @@
     let prefix = escape(prefix);
     let wait = wait.as_millis();
     let path = format!("/v1/kv-watch?prefix={prefix}&after={after}&waitMs={wait}");
-    get(Sort::Watch, path)
+    get(CallKind::Watch, path)
 }
 
 /// Returns the call that asks for a lease.
 #[must_use]
 pub fn grant(life: Duration) -> Call {
     let millis = u64::try_from(life.as_millis()).unwrap_or(u64::MAX);
-    post(Sort::Grant, "/v1/kv-lease", &json!({ "ttlMs": millis }))
+    post(CallKind::Grant, "/v1/kv-lease", &json!({ "ttlMs": millis }))
 }
 
 /// Returns the call that renews a lease.
 #[must_use]
 pub fn keep(lease: i64) -> Call {
     Call {
-        sort: Sort::Keepalive,
+        kind: CallKind::Keepalive,
         method: "POST",
         path: format!("/v1/kv-keep/{lease}"),
         body: Vec::new(),
@@ -128,7 +128,7 @@
 #[must_use]
 pub fn end(lease: i64) -> Call {
     Call {
-        sort: Sort::Revoke,
+        kind: CallKind::Revoke,
         method: "DELETE",
         path: format!("/v1/kv-lease-end/{lease}"),
         body: Vec::new(),
@@ -140,7 +140,7 @@
 #[must_use]
 pub fn txn(txn: &Txn) -> Call {
     let expected = txn.compare.iter().filter_map(|compare| match compare {
-        Compare::Modified { key, at } => Some(json!({ "key": &**key, "revision": at })),
+        Compare::Modified { key, revision } => Some(json!({ "key": &**key, "revision": revision })),
         Compare::Absent { key } => Some(json!({ "key": &**key, "revision": 0 })),
         Compare::Value { .. } => None,
     });
@@ -161,7 +161,7 @@
         "setKeys": puts.collect::<Vec<_>>(),
         "remove": removes.collect::<Vec<_>>(),
     });
-    post(Sort::Txn, "/v1/kv-txn", &body)
+    post(CallKind::Txn, "/v1/kv-txn", &body)
 }
 
 /// Reads the answer to [`range`].
@@ -183,8 +183,8 @@
     Some(Pair {
         key: item["key"].as_str()?.into(),
         value: bytes(item)?,
-        modified: item["revision"].as_i64()?,
-        created: item["created"].as_i64().unwrap_or(0),
+        mod_revision: item["revision"].as_i64()?,
+        create_revision: item["created"].as_i64().unwrap_or(0),
         lease: item["lease"].as_i64().unwrap_or(0),
     })
 }
@@ -228,7 +228,7 @@
         200 => Some(TxnReply {
             revision: value["revision"].as_i64()?,
             succeeded: true,
-            replies: vec![Reply::Put],
+            replies: vec![OpReply::Put],
         }),
         412 => {
             let items = value["items"].as_array().cloned().unwrap_or_default();
@@ -236,7 +236,7 @@
             Some(TxnReply {
                 revision: 0,
                 succeeded: false,
-                replies: vec![Reply::Got(pairs)],
+                replies: vec![OpReply::Got(pairs)],
             })
         }
         _ => None,
--- a/src/store/link.rs
+++ b/src/store/call.rs
@@ -9,18 +9,18 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{Calls, Inner, Listed, MAX_ANSWER, Store, StoreError, wire};
+use super::{CallCounts, Inner, ListEntry, MAX_ANSWER_BYTES, Store, StoreError, wire};
 
 /// gRPC code of an answer to a revision that was compacted away.
-const OUT_OF_RANGE: i64 = 11;
+const GRPC_OUT_OF_RANGE: i64 = 11;
 /// Words of etcd's refusal when it has no leader, which it gives before it does anything.
-const NO_LEADER: &str = "no leader";
+const NO_LEADER_MESSAGE: &str = "no leader";
 /// Asks etcd, through its gateway, to refuse at once while it has no leader.
-const NEEDS_LEADER: (&str, &str) = ("grpc-metadata-hasleader", "true");
+const REQUIRE_LEADER_HEADER: (&str, &str) = ("grpc-metadata-hasleader", "true");
 
 /// Kind of call, as logs and counts name it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sort {
+pub enum CallKind {
     /// A read of keys.
     Range,
     /// A read of the newest revision.
@@ -37,7 +37,7 @@
     Watch,
 }
 
-impl Sort {
+impl CallKind {
     /// Returns its name.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -64,7 +64,7 @@
     }
 
     /// Whether the call may be made again elsewhere when its outcome is unknown.
-    fn repeats(self) -> bool {
+    fn is_retryable(self) -> bool {
         matches!(
             self,
             Self::Range | Self::Probe | Self::Watch | Self::Keepalive
@@ -72,7 +72,7 @@
     }
 
     /// Counts a call of this kind.
-    pub fn count(self, calls: &mut Calls) {
+    pub fn count(self, calls: &mut CallCounts) {
         *match self {
             Self::Range => &mut calls.range,
             Self::Probe => &mut calls.probe,
@@ -89,13 +89,13 @@
     /// Makes one call and reads its answer.
     pub(super) async fn call<T: DeserializeOwned>(
         &self,
-        sort: Sort,
+        kind: CallKind,
         body: &impl Serialize,
     ) -> Result<T, StoreError> {
         let body = encode(body)?;
         let answer = self
-            .turn(sort, async |at| {
-                let answer = post(&self.inner, at, sort, body.clone()).await?;
+            .try_endpoints(kind, async |at| {
+                let answer = post(&self.inner, at, kind, body.clone()).await?;
                 collect(&answer).await
             })
             .await?;
@@ -103,22 +103,22 @@
     }
 
     /// Tries `attempt` at one endpoint after the other as long as that is safe.
-    pub(super) async fn turn<T>(
+    pub(super) async fn try_endpoints<T>(
         &self,
-        sort: Sort,
+        kind: CallKind,
         attempt: impl AsyncFn(SocketAddr) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
         let inner = &*self.inner;
         let mut last = unsent("no endpoint is set");
         for _ in 0..inner.endpoints.len() {
-            let first = inner.first.get();
-            inner.count(|calls| sort.count(calls));
-            let done = within(inner, attempt(inner.endpoints[first])).await;
+            let first = inner.preferred.get();
+            inner.count(|calls| kind.count(calls));
+            let done = with_timeout(inner, attempt(inner.endpoints[first])).await;
             let err = match done {
                 Ok(answer) => return Ok(answer),
                 Err(err) => err,
             };
-            note(inner, &err);
+            count_failure(inner, &err);
             let faulty = match &err {
                 StoreError::Unsent { .. }
                 | StoreError::Unknown { .. }
@@ -130,10 +130,10 @@
                 return Err(err);
             }
             // Another call on this thread may have moved on meanwhile.
-            if inner.first.get() == first {
-                inner.first.set((first + 1) % inner.endpoints.len());
+            if inner.preferred.get() == first {
+                inner.preferred.set((first + 1) % inner.endpoints.len());
             }
-            if matches!(err, StoreError::Unknown { .. }) && !sort.repeats() {
+            if matches!(err, StoreError::Unknown { .. }) && !kind.is_retryable() {
                 return Err(err);
             }
             last = err;
@@ -143,18 +143,21 @@
 }
 
 /// Reads the platform's list.
-pub(super) async fn hosts(inner: &Inner, list: SocketAddr) -> Result<Vec<Listed>, StoreError> {
+pub(super) async fn list_hosts(
+    inner: &Inner,
+    list: SocketAddr,
+) -> Result<Vec<ListEntry>, StoreError> {
     inner.count(|calls| calls.hosts += 1);
     let read = async {
         let req = request(inner, Method::GET, list, "/hosts");
-        let answer = req.send().await.map_err(|err| failed(&err))?;
-        let answer = check(answer).await?;
+        let answer = req.send().await.map_err(|err| classify_error(&err))?;
+        let answer = check_status(answer).await?;
         collect(&answer).await
     };
-    match within(inner, read).await {
+    match with_timeout(inner, read).await {
         Ok(body) => decode(&body),
         Err(err) => {
-            note(inner, &err);
+            count_failure(inner, &err);
             Err(err)
         }
     }
@@ -164,17 +167,17 @@
 pub(super) async fn post(
     inner: &Inner,
     at: SocketAddr,
-    sort: Sort,
+    kind: CallKind,
     body: Bytes,
 ) -> Result<ClientResponse, StoreError> {
-    let (name, value) = NEEDS_LEADER;
-    let answer = request(inner, Method::POST, at, sort.path())
+    let (name, value) = REQUIRE_LEADER_HEADER;
+    let answer = request(inner, Method::POST, at, kind.path())
         .set_header(name, value)
         .content_type("application/json")
         .send_body(body.to_vec())
         .await
-        .map_err(|err| failed(&err))?;
-    check(answer).await
+        .map_err(|err| classify_error(&err))?;
+    check_status(answer).await
 }
 
 pub(super) fn encode(body: &impl Serialize) -> Result<Bytes, StoreError> {
@@ -205,14 +208,14 @@
     }
 }
 
-fn note(inner: &Inner, err: &StoreError) {
+fn count_failure(inner: &Inner, err: &StoreError) {
     inner.count(|calls| match err {
         StoreError::Unknown { .. } | StoreError::Malformed { .. } => calls.unknown += 1,
         _ => calls.refused += 1,
     });
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     inner: &Inner,
     work: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
@@ -228,7 +231,7 @@
         .address(at)
 }
 
-fn failed(err: &ClientError) -> StoreError {
+fn classify_error(err: &ClientError) -> StoreError {
     let reason = err.to_string();
     match err {
         // The library also says "disconnected", with no cause, when the other side closes after
@@ -244,7 +247,7 @@
 }
 
 async fn collect(answer: &ClientResponse) -> Result<Bytes, StoreError> {
-    match answer.body().limit(MAX_ANSWER).await {
+    match answer.body().limit(MAX_ANSWER_BYTES).await {
         Ok(body) => Ok(Bytes::copy_from_slice(&body)),
         Err(ntex::http::error::PayloadError::Overflow) => Err(malformed(&"too long")),
         Err(err) => Err(unknown(&err.to_string())),
@@ -252,18 +255,18 @@
 }
 
 /// Turns an answer that is no success into the error it stands for.
-async fn check(answer: ClientResponse) -> Result<ClientResponse, StoreError> {
+async fn check_status(answer: ClientResponse) -> Result<ClientResponse, StoreError> {
     let status = answer.status();
     if status == StatusCode::OK {
         return Ok(answer);
     }
     let body = collect(&answer).await?;
-    let said: wire::Refusal = serde_json::from_slice(&body).unwrap_or_default();
-    if said.code == OUT_OF_RANGE {
+    let said: wire::GatewayError = serde_json::from_slice(&body).unwrap_or_default();
+    if said.code == GRPC_OUT_OF_RANGE {
         return Err(StoreError::Compacted { oldest: 0 });
     }
     // A server error may come after the call was proposed to the cluster, but for this one.
-    if status.is_client_error() || said.message.contains(NO_LEADER) {
+    if status.is_client_error() || said.message.contains(NO_LEADER_MESSAGE) {
         return Err(StoreError::Refused {
             status: status.as_u16(),
             reason: said.message,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,7 +4,7 @@
 //! surely did nothing, or when the call only reads; a write whose outcome is unknown is never
 //! repeated here, for only its sender knows how to find out by reading.
 
-mod link;
+mod call;
 mod watch;
 mod wire;
 
@@ -24,23 +24,23 @@
 use crate::error::Ran;
 use crate::web::CLIENT_IDLE;
 
-pub use link::Sort;
+pub use call::CallKind;
 pub use watch::{Batch, Change, Watch};
 
 /// Most bytes of one answer: all keys of a deployment, of which few are near the megabyte.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 /// Most connections at once, watches included; far above what a host opens.
 ///
 /// Not 0, which means no limit: the pool then never wakes a call that waits for another call's
 /// connection attempt, and the call ends as a timeout.
-const MAX_LINKS: usize = 1024;
+const MAX_CONNECTIONS: usize = 1024;
 /// Part of an attempt's time that connecting may take.
 ///
 /// Without a bound of its own a dead address uses up the whole attempt, and whether the call was
 /// sent is then not known; the pool would also hold back all later calls to that address.
-const CONNECT_SHARE: u32 = 2;
+const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
 /// Time without event or progress notification after which a watch counts as silent.
-const SILENCE: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a call of the key-value service failed.
 #[derive(Debug, Snafu)]
@@ -78,10 +78,10 @@
         reason: Box<str>,
     },
     /// A watch got neither event nor progress notification for too long; open it anew.
-    #[snafu(display("the watch was silent for {} ms", bound.as_millis()))]
-    Silent {
+    #[snafu(display("the watch was silent for {} ms", timeout.as_millis()))]
+    WatchTimeout {
         /// The time it may be silent.
-        bound: Duration,
+        timeout: Duration,
     },
     /// A watch was ended by the other side; open it anew.
     #[snafu(display("the watch was ended: {reason}"))]
@@ -119,9 +119,9 @@
     /// The value.
     pub value: Bytes,
     /// Revision of the last write.
-    pub modified: i64,
+    pub mod_revision: i64,
     /// Revision of the write that created the key.
-    pub created: i64,
+    pub create_revision: i64,
     /// Lease the key goes with; 0 for none.
     pub lease: i64,
 }
@@ -143,7 +143,7 @@
         /// The key.
         key: Box<str>,
         /// The revision.
-        at: i64,
+        revision: i64,
     },
     /// The key does not exist.
     Absent {
@@ -155,7 +155,7 @@
         /// The key.
         key: Box<str>,
         /// The value.
-        is: Bytes,
+        value: Bytes,
     },
 }
 
@@ -190,7 +190,7 @@
 
 /// What one step did.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reply {
+pub enum OpReply {
     /// The key was written.
     Put,
     /// That many keys were deleted.
@@ -207,16 +207,16 @@
     /// Whether the conditions held.
     pub succeeded: bool,
     /// What each step did, in order.
-    pub replies: Vec<Reply>,
+    pub replies: Vec<OpReply>,
 }
 
 /// One entry of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-pub struct Listed {
+pub struct ListEntry {
     /// Name, one of its kind.
     pub name: Box<str>,
     /// What it is.
-    pub kind: ListedKind,
+    pub kind: ListEntryKind,
     /// Model pool or service that it serves; empty for hosts.
     #[serde(default)]
     pub pool: Box<str>,
@@ -225,13 +225,13 @@
     /// Failure domain it stands in.
     pub domain: Box<str>,
     /// Whether it stays.
-    pub state: ListedState,
+    pub state: ListEntryState,
 }
 
 /// What an entry of the platform's list is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedKind {
+pub enum ListEntryKind {
     /// One of this program's hosts.
     Host,
     /// A model engine.
@@ -243,7 +243,7 @@
 /// Whether an entry of the platform's list stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedState {
+pub enum ListEntryState {
     /// It takes work.
     Live,
     /// It is about to go.
@@ -252,7 +252,7 @@
 
 /// Counts of the calls made, one for each attempt at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Calls {
+pub struct CallCounts {
     /// Reads.
     pub range: u64,
     /// Reads of the newest revision.
@@ -270,7 +270,7 @@
     /// Reads of the platform's list.
     pub hosts: u64,
     /// Watches waiting now.
-    pub waiting: u64,
+    pub open_watches: u64,
     /// Attempts that failed and surely did nothing.
     pub refused: u64,
     /// Attempts whose outcome is unknown.
@@ -281,13 +281,13 @@
     client: Client,
     endpoints: Box<[SocketAddr]>,
     /// Endpoint that the next call tries first.
-    first: Cell<usize>,
+    preferred: Cell<usize>,
     timeout: Duration,
-    calls: Cell<Calls>,
+    calls: Cell<CallCounts>,
 }
 
 impl Inner {
-    fn count(&self, change: impl FnOnce(&mut Calls)) {
+    fn count(&self, change: impl FnOnce(&mut CallCounts)) {
         let mut calls = self.calls.get();
         change(&mut calls);
         self.calls.set(calls);
@@ -298,7 +298,7 @@
 #[derive(Clone)]
 pub struct Store {
     inner: Rc<Inner>,
-    silence: Duration,
+    watch_timeout: Duration,
 }
 
 impl std::fmt::Debug for Store {
@@ -319,7 +319,7 @@
     /// When the HTTP library cannot build a plain connector, which needs no I/O.
     pub async fn new(endpoints: Vec<SocketAddr>, timeout: Duration) -> Self {
         let millis = Millis(u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX));
-        let connect = Millis(millis.0 / CONNECT_SHARE);
+        let connect = Millis(millis.0 / CONNECT_TIMEOUT_DIVISOR);
         let cfg = SharedCfg::new("store")
             .add(IoConfig::new().set_connect_timeout(connect))
             .build();
@@ -327,11 +327,11 @@
             .connector::<()>(
                 Connector::default()
                     .keep_alive(CLIENT_IDLE)
-                    .limit(MAX_LINKS),
+                    .limit(MAX_CONNECTIONS),
             )
             .response_timeout(millis)
             .response_payload_timeout(millis)
-            .response_payload_limit(MAX_ANSWER)
+            .response_payload_limit(MAX_ANSWER_BYTES)
             .disable_redirects()
             .no_default_headers()
             .build(cfg)
@@ -341,24 +341,24 @@
             inner: Rc::new(Inner {
                 client,
                 endpoints: endpoints.into(),
-                first: Cell::new(0),
+                preferred: Cell::new(0),
                 timeout,
-                calls: Cell::new(Calls::default()),
+                calls: Cell::new(CallCounts::default()),
             }),
-            silence: SILENCE,
+            watch_timeout: WATCH_TIMEOUT,
         }
     }
 
     /// Sets how long a watch may be silent; must exceed the service's progress interval.
     #[must_use]
-    pub fn silence(mut self, bound: Duration) -> Self {
-        self.silence = bound;
+    pub fn with_watch_timeout(mut self, bound: Duration) -> Self {
+        self.watch_timeout = bound;
         self
     }
 
     /// Returns the counts of calls made so far.
     #[must_use]
-    pub fn calls(&self) -> Calls {
+    pub fn calls(&self) -> CallCounts {
         self.inner.calls.get()
     }
 
@@ -368,9 +368,10 @@
     ///
     /// Any of [`StoreError`] but those of watches.
     pub async fn range(&self, span: Span) -> Result<Range, StoreError> {
-        let answer: wire::RangeAnswer =
-            self.call(Sort::Range, &wire::RangeCall::new(&span)).await?;
-        answer.read()
+        let answer: wire::RangeResponse = self
+            .call(CallKind::Range, &wire::RangeRequest::new(&span))
+            .await?;
+        answer.into_range()
     }
 
     /// Runs a transaction.
@@ -379,8 +380,10 @@
     ///
     /// Any of [`StoreError`] but those of watches; see [`StoreError::ran`].
     pub async fn txn(&self, txn: Txn) -> Result<TxnReply, StoreError> {
-        let answer: wire::TxnAnswer = self.call(Sort::Txn, &wire::TxnCall::new(&txn)).await?;
-        answer.read(&txn)
+        let answer: wire::TxnResponse = self
+            .call(CallKind::Txn, &wire::TxnRequest::new(&txn))
+            .await?;
+        answer.into_reply(&txn)
     }
 
     /// Asks for a lease that lasts `ttl`, in whole seconds rounded up.
@@ -391,8 +394,8 @@
     pub async fn grant(&self, ttl: Duration) -> Result<i64, StoreError> {
         let seconds = ttl.as_secs() + u64::from(ttl.subsec_nanos() > 0);
         let seconds = i64::try_from(seconds).unwrap_or(i64::MAX).max(1);
-        let answer: wire::LeaseAnswer = self
-            .call(Sort::Grant, &wire::LeaseCall::grant(seconds))
+        let answer: wire::LeaseResponse = self
+            .call(CallKind::Grant, &wire::LeaseRequest::grant(seconds))
             .await?;
         answer.id()
     }
@@ -403,10 +406,10 @@
     ///
     /// Any of [`StoreError`] but those of watches.
     pub async fn keepalive(&self, lease: i64) -> Result<Option<Duration>, StoreError> {
-        let answer: wire::Streamed<wire::LeaseAnswer> = self
-            .call(Sort::Keepalive, &wire::LeaseCall::of(lease))
+        let answer: wire::StreamResponse<wire::LeaseResponse> = self
+            .call(CallKind::Keepalive, &wire::LeaseRequest::of(lease))
             .await?;
-        Ok(answer.result.life())
+        Ok(answer.result.ttl())
     }
 
     /// Gives a lease back, with all keys that go with it; one already gone is no error.
@@ -415,8 +418,9 @@
     ///
     /// Any of [`StoreError`] but those of watches.
     pub async fn revoke(&self, lease: i64) -> Result<(), StoreError> {
-        let done: Result<wire::Header, _> =
-            self.call(Sort::Revoke, &wire::LeaseCall::of(lease)).await;
+        let done: Result<wire::HeaderResponse, _> = self
+            .call(CallKind::Revoke, &wire::LeaseRequest::of(lease))
+            .await;
         match done {
             Ok(_) | Err(StoreError::Refused { status: 404, .. }) => Ok(()),
             Err(err) => Err(err),
@@ -437,7 +441,7 @@
     /// # Errors
     ///
     /// Any of [`StoreError`] but those of watches.
-    pub async fn hosts(&self, list: SocketAddr) -> Result<Vec<Listed>, StoreError> {
-        link::hosts(&self.inner, list).await
+    pub async fn hosts(&self, list: SocketAddr) -> Result<Vec<ListEntry>, StoreError> {
+        call::list_hosts(&self.inner, list).await
     }
 }
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -7,9 +7,9 @@
 use ntex::http::Payload;
 use tokio::time::{Instant, timeout_at};
 
-use super::link::{Sort, encode, malformed, post};
-use super::wire::{Told, WatchCall, told};
-use super::{Inner, MAX_ANSWER, Span, Store, StoreError};
+use super::call::{CallKind, encode, malformed, post};
+use super::wire::{WatchMessage, WatchRequest, parse_message};
+use super::{Inner, MAX_ANSWER_BYTES, Span, Store, StoreError};
 
 /// One change of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Its new value; `None` when it was deleted or its lease ended.
     pub value: Option<Bytes>,
     /// Revision of the change.
-    pub modified: i64,
+    pub mod_revision: i64,
 }
 
 /// What a watch tells at once.
@@ -36,8 +36,8 @@
     inner: Rc<Inner>,
     payload: Payload,
     buffer: BytesMut,
-    silence: Duration,
-    heard: Instant,
+    watch_timeout: Duration,
+    last_message: Instant,
 }
 
 impl std::fmt::Debug for Watch {
@@ -48,27 +48,27 @@
 
 impl Drop for Watch {
     fn drop(&mut self) {
-        self.inner.count(|calls| calls.waiting -= 1);
+        self.inner.count(|calls| calls.open_watches -= 1);
     }
 }
 
 impl Watch {
     pub(super) async fn open(store: &Store, span: &Span, from: i64) -> Result<Self, StoreError> {
-        let body = encode(&WatchCall::new(span, from))?;
+        let body = encode(&WatchRequest::new(span, from))?;
         store
-            .turn(Sort::Watch, async |at| {
-                let answer = post(&store.inner, at, Sort::Watch, body.clone()).await?;
-                store.inner.count(|calls| calls.waiting += 1);
+            .try_endpoints(CallKind::Watch, async |at| {
+                let answer = post(&store.inner, at, CallKind::Watch, body.clone()).await?;
+                store.inner.count(|calls| calls.open_watches += 1);
                 let mut watch = Self {
                     inner: Rc::clone(&store.inner),
                     payload: answer.take_payload(),
                     buffer: BytesMut::new(),
-                    silence: store.silence,
-                    heard: Instant::now(),
+                    watch_timeout: store.watch_timeout,
+                    last_message: Instant::now(),
                 };
                 match watch.read().await? {
-                    Told::Created => Ok(watch),
-                    Told::Batch(_) => Err(malformed(&"a watch told before it was created")),
+                    WatchMessage::Created => Ok(watch),
+                    WatchMessage::Batch(_) => Err(malformed(&"a watch told before it was created")),
                 }
             })
             .await
@@ -86,27 +86,27 @@
     pub async fn next(&mut self) -> Result<Batch, StoreError> {
         // A connection that some box on the way has forgotten stays open and says nothing, so
         // changes are missed without any error; progress notifications tell it from a quiet one.
-        let bound = self.silence;
-        let deadline = self.heard + bound;
+        let timeout = self.watch_timeout;
+        let deadline = self.last_message + timeout;
         let told = timeout_at(deadline, self.read())
             .await
-            .unwrap_or(Err(StoreError::Silent { bound }))?;
+            .unwrap_or(Err(StoreError::WatchTimeout { timeout }))?;
         match told {
-            Told::Batch(batch) => Ok(batch),
-            Told::Created => Err(malformed(&"a watch created twice")),
+            WatchMessage::Batch(batch) => Ok(batch),
+            WatchMessage::Created => Err(malformed(&"a watch created twice")),
         }
     }
 
-    async fn read(&mut self) -> Result<Told, StoreError> {
+    async fn read(&mut self) -> Result<WatchMessage, StoreError> {
         let mut seen = 0;
         loop {
             if let Some(end) = self.buffer[seen..].iter().position(|byte| *byte == b'\n') {
                 let line = self.buffer.split_to(seen + end + 1);
-                self.heard = Instant::now();
-                return told(&line);
+                self.last_message = Instant::now();
+                return parse_message(&line);
             }
             seen = self.buffer.len();
-            if seen > MAX_ANSWER {
+            if seen > MAX_ANSWER_BYTES {
                 return Err(malformed(&"a message without end"));
             }
             match self.payload.recv().await {
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -7,20 +7,20 @@
 use bytes::Bytes;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use super::link::malformed;
-use super::{Batch, Change, Compare, Op, Pair, Range, Reply, Span, StoreError, Txn, TxnReply};
+use super::call::malformed;
+use super::{Batch, Change, Compare, Op, OpReply, Pair, Range, Span, StoreError, Txn, TxnReply};
 
 /// Bytes that travel as base64.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Raw(Bytes);
+pub(super) struct Base64Bytes(Bytes);
 
-impl Serialize for Raw {
+impl Serialize for Base64Bytes {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&STANDARD.encode(&self.0))
     }
 }
 
-impl<'de> Deserialize<'de> for Raw {
+impl<'de> Deserialize<'de> for Base64Bytes {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = Box::<str>::deserialize(deserializer)?;
         match STANDARD.decode(&*text) {
@@ -30,7 +30,7 @@
     }
 }
 
-impl From<&str> for Raw {
+impl From<&str> for Base64Bytes {
     fn from(text: &str) -> Self {
         Self(Bytes::copy_from_slice(text.as_bytes()))
     }
@@ -65,70 +65,70 @@
 }
 
 #[derive(Debug, Serialize)]
-pub(super) struct RangeCall {
-    key: Raw,
+pub(super) struct RangeRequest {
+    key: Base64Bytes,
     #[serde(skip_serializing_if = "Option::is_none")]
-    range_end: Option<Raw>,
+    range_end: Option<Base64Bytes>,
 }
 
-impl RangeCall {
+impl RangeRequest {
     pub(super) fn new(span: &Span) -> Self {
-        let (key, range_end) = bounds(span);
+        let (key, range_end) = key_range(span);
         Self { key, range_end }
     }
 }
 
 /// Returns the first key meant and the first one after all that are meant.
-fn bounds(span: &Span) -> (Raw, Option<Raw>) {
+fn key_range(span: &Span) -> (Base64Bytes, Option<Base64Bytes>) {
     match span {
-        Span::Key(key) => (Raw::from(&**key), None),
+        Span::Key(key) => (Base64Bytes::from(&**key), None),
         Span::Prefix(prefix) => {
             let mut end = prefix.as_bytes().to_vec();
             match end.last_mut() {
                 // No byte of UTF-8 is 0xff, so this does not overflow.
                 Some(last) => *last += 1,
                 // etcd: from the first key there can be to the end of all.
-                None => return (Raw::from("\0"), Some(Raw::from("\0"))),
+                None => return (Base64Bytes::from("\0"), Some(Base64Bytes::from("\0"))),
             }
-            (Raw::from(&**prefix), Some(Raw(end.into())))
+            (Base64Bytes::from(&**prefix), Some(Base64Bytes(end.into())))
         }
     }
 }
 
 #[derive(Debug, Serialize)]
-struct PutCall {
-    key: Raw,
-    value: Raw,
+struct PutRequest {
+    key: Base64Bytes,
+    value: Base64Bytes,
     lease: Int,
 }
 
 #[derive(Debug, Serialize)]
-enum Step {
+enum RequestOp {
     #[serde(rename = "requestPut")]
-    Put(PutCall),
+    Put(PutRequest),
     #[serde(rename = "requestDeleteRange")]
-    Delete(RangeCall),
+    Delete(RangeRequest),
     #[serde(rename = "requestRange")]
-    Get(RangeCall),
+    Get(RangeRequest),
 }
 
-impl Step {
+impl RequestOp {
     fn new(op: &Op) -> Self {
         match op {
-            Op::Put { key, value, lease } => Self::Put(PutCall {
-                key: Raw::from(&**key),
-                value: Raw(value.clone()),
+            Op::Put { key, value, lease } => Self::Put(PutRequest {
+                key: Base64Bytes::from(&**key),
+                value: Base64Bytes(value.clone()),
                 lease: Int(*lease),
             }),
-            Op::Delete(span) => Self::Delete(RangeCall::new(span)),
-            Op::Get(span) => Self::Get(RangeCall::new(span)),
+            Op::Delete(span) => Self::Delete(RangeRequest::new(span)),
+            Op::Get(span) => Self::Get(RangeRequest::new(span)),
         }
     }
 }
 
 #[derive(Debug, Serialize)]
-struct CompareCall {
-    key: Raw,
+struct CompareRequest {
+    key: Base64Bytes,
     result: &'static str,
     target: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -136,13 +136,13 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     create_revision: Option<Int>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    value: Option<Raw>,
+    value: Option<Base64Bytes>,
 }
 
-impl CompareCall {
+impl CompareRequest {
     fn new(compare: &Compare) -> Self {
         let blank = |key: &str, target| Self {
-            key: Raw::from(key),
+            key: Base64Bytes::from(key),
             result: "EQUAL",
             target,
             mod_revision: None,
@@ -150,16 +150,16 @@
             value: None,
         };
         match compare {
-            Compare::Modified { key, at } => Self {
-                mod_revision: Some(Int(*at)),
+            Compare::Modified { key, revision } => Self {
+                mod_revision: Some(Int(*revision)),
                 ..blank(key, "MOD")
             },
             Compare::Absent { key } => Self {
                 create_revision: Some(Int(0)),
                 ..blank(key, "CREATE")
             },
-            Compare::Value { key, is } => Self {
-                value: Some(Raw(is.clone())),
+            Compare::Value { key, value } => Self {
+                value: Some(Base64Bytes(value.clone())),
                 ..blank(key, "VALUE")
             },
         }
@@ -167,31 +167,31 @@
 }
 
 #[derive(Debug, Serialize)]
-pub(super) struct TxnCall {
-    compare: Vec<CompareCall>,
-    success: Vec<Step>,
-    failure: Vec<Step>,
+pub(super) struct TxnRequest {
+    compare: Vec<CompareRequest>,
+    success: Vec<RequestOp>,
+    failure: Vec<RequestOp>,
 }
 
-impl TxnCall {
+impl TxnRequest {
     pub(super) fn new(txn: &Txn) -> Self {
         Self {
-            compare: txn.compare.iter().map(CompareCall::new).collect(),
-            success: txn.then.iter().map(Step::new).collect(),
-            failure: txn.otherwise.iter().map(Step::new).collect(),
+            compare: txn.compare.iter().map(CompareRequest::new).collect(),
+            success: txn.then.iter().map(RequestOp::new).collect(),
+            failure: txn.otherwise.iter().map(RequestOp::new).collect(),
         }
     }
 }
 
 #[derive(Debug, Serialize)]
-pub(super) struct LeaseCall {
+pub(super) struct LeaseRequest {
     #[serde(rename = "TTL", skip_serializing_if = "Option::is_none")]
     ttl: Option<Int>,
     #[serde(rename = "ID")]
     id: Int,
 }
 
-impl LeaseCall {
+impl LeaseRequest {
     /// A new lease under a number of the service's choice.
     pub(super) fn grant(seconds: i64) -> Self {
         Self {
@@ -209,23 +209,23 @@
 }
 
 #[derive(Debug, Serialize)]
-pub(super) struct WatchCall {
-    create_request: WatchCreate,
+pub(super) struct WatchRequest {
+    create_request: WatchCreateRequest,
 }
 
 #[derive(Debug, Serialize)]
-struct WatchCreate {
+struct WatchCreateRequest {
     #[serde(flatten)]
-    keys: RangeCall,
+    keys: RangeRequest,
     start_revision: Int,
     progress_notify: bool,
 }
 
-impl WatchCall {
+impl WatchRequest {
     pub(super) fn new(span: &Span, from: i64) -> Self {
         Self {
-            create_request: WatchCreate {
-                keys: RangeCall::new(span),
+            create_request: WatchCreateRequest {
+                keys: RangeRequest::new(span),
                 start_revision: Int(from),
                 progress_notify: true,
             },
@@ -234,7 +234,7 @@
 }
 
 #[derive(Debug, Default, Deserialize)]
-pub(super) struct Refusal {
+pub(super) struct GatewayError {
     #[serde(default)]
     pub message: Box<str>,
     #[serde(default)]
@@ -242,28 +242,28 @@
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct Revision {
+struct ResponseHeader {
     revision: Int,
 }
 
 /// An answer of which only the header counts.
 #[derive(Debug, Deserialize)]
-pub(super) struct Header {
+pub(super) struct HeaderResponse {
     #[expect(dead_code, reason = "read only to see that it is there")]
-    header: Revision,
+    header: ResponseHeader,
 }
 
 /// An answer of a streaming call.
 #[derive(Debug, Deserialize)]
-pub(super) struct Streamed<T> {
+pub(super) struct StreamResponse<T> {
     pub result: T,
 }
 
 #[derive(Debug, Deserialize)]
 struct KeyValue {
-    key: Raw,
+    key: Base64Bytes,
     #[serde(default)]
-    value: Raw,
+    value: Base64Bytes,
     #[serde(default)]
     create_revision: Int,
     mod_revision: Int,
@@ -271,7 +271,7 @@
     lease: Int,
 }
 
-fn text(key: &Raw) -> Result<Box<str>, StoreError> {
+fn utf8_key(key: &Base64Bytes) -> Result<Box<str>, StoreError> {
     std::str::from_utf8(&key.0)
         .map(Box::from)
         .map_err(|err| malformed(&err))
@@ -280,10 +280,10 @@
 fn pairs(kvs: Vec<KeyValue>) -> Result<Vec<Pair>, StoreError> {
     let read = |kv: KeyValue| {
         Ok(Pair {
-            key: text(&kv.key)?,
+            key: utf8_key(&kv.key)?,
             value: kv.value.0,
-            modified: kv.mod_revision.0,
-            created: kv.create_revision.0,
+            mod_revision: kv.mod_revision.0,
+            create_revision: kv.create_revision.0,
             lease: kv.lease.0,
         })
     };
@@ -291,14 +291,14 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub(super) struct RangeAnswer {
-    header: Revision,
+pub(super) struct RangeResponse {
+    header: ResponseHeader,
     #[serde(default)]
     kvs: Vec<KeyValue>,
 }
 
-impl RangeAnswer {
-    pub(super) fn read(self) -> Result<Range, StoreError> {
+impl RangeResponse {
+    pub(super) fn into_range(self) -> Result<Range, StoreError> {
         Ok(Range {
             revision: self.header.revision.0,
             pairs: pairs(self.kvs)?,
@@ -307,7 +307,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-enum StepAnswer {
+enum ResponseOp {
     #[serde(rename = "response_put")]
     Put(serde::de::IgnoredAny),
     #[serde(rename = "response_delete_range")]
@@ -323,16 +323,16 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub(super) struct TxnAnswer {
-    header: Revision,
+pub(super) struct TxnResponse {
+    header: ResponseHeader,
     #[serde(default)]
     succeeded: bool,
     #[serde(default)]
-    responses: Vec<StepAnswer>,
+    responses: Vec<ResponseOp>,
 }
 
-impl TxnAnswer {
-    pub(super) fn read(self, txn: &Txn) -> Result<TxnReply, StoreError> {
+impl TxnResponse {
+    pub(super) fn into_reply(self, txn: &Txn) -> Result<TxnReply, StoreError> {
         let ops = if self.succeeded {
             &txn.then
         } else {
@@ -341,10 +341,10 @@
         if ops.len() != self.responses.len() {
             return Err(malformed(&"not as many answers as steps"));
         }
-        let read = |(op, answer): (&Op, StepAnswer)| match (op, answer) {
-            (Op::Put { .. }, StepAnswer::Put(_)) => Ok(Reply::Put),
-            (Op::Delete(_), StepAnswer::Delete { deleted }) => Ok(Reply::Deleted(deleted.0)),
-            (Op::Get(_), StepAnswer::Get { kvs }) => pairs(kvs).map(Reply::Got),
+        let read = |(op, answer): (&Op, ResponseOp)| match (op, answer) {
+            (Op::Put { .. }, ResponseOp::Put(_)) => Ok(OpReply::Put),
+            (Op::Delete(_), ResponseOp::Delete { deleted }) => Ok(OpReply::Deleted(deleted.0)),
+            (Op::Get(_), ResponseOp::Get { kvs }) => pairs(kvs).map(OpReply::Got),
             _ => Err(malformed(&"an answer of another kind than its step")),
         };
         Ok(TxnReply {
@@ -360,14 +360,14 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub(super) struct LeaseAnswer {
+pub(super) struct LeaseResponse {
     #[serde(rename = "ID", default)]
     id: Int,
     #[serde(rename = "TTL", default)]
     ttl: Int,
 }
 
-impl LeaseAnswer {
+impl LeaseResponse {
     pub(super) fn id(&self) -> Result<i64, StoreError> {
         match self.id.0 {
             0 => Err(malformed(&"a lease without number")),
@@ -375,7 +375,7 @@
         }
     }
 
-    pub(super) fn life(&self) -> Option<Duration> {
+    pub(super) fn ttl(&self) -> Option<Duration> {
         let seconds = u64::try_from(self.ttl.0).ok().filter(|ttl| *ttl > 0)?;
         Some(Duration::from_secs(seconds))
     }
@@ -384,13 +384,13 @@
 #[derive(Debug, Deserialize)]
 struct Event {
     #[serde(rename = "type", default)]
-    sort: EventSort,
+    kind: EventKind,
     kv: KeyValue,
 }
 
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-enum EventSort {
+enum EventKind {
     #[default]
     Put,
     Delete,
@@ -398,8 +398,8 @@
 
 /// One message of a watch.
 #[derive(Debug, Deserialize)]
-pub(super) struct WatchAnswer {
-    header: Revision,
+pub(super) struct WatchResponse {
+    header: ResponseHeader,
     #[serde(default)]
     created: bool,
     #[serde(default)]
@@ -414,17 +414,17 @@
 
 /// What a message of a watch says.
 #[derive(Debug)]
-pub(super) enum Told {
+pub(super) enum WatchMessage {
     Created,
     Batch(Batch),
 }
 
 /// Reads one message of a watch.
-pub(super) fn told(line: &[u8]) -> Result<Told, StoreError> {
+pub(super) fn parse_message(line: &[u8]) -> Result<WatchMessage, StoreError> {
     #[derive(Deserialize)]
     struct Line {
-        result: Option<WatchAnswer>,
-        error: Option<Refusal>,
+        result: Option<WatchResponse>,
+        error: Option<GatewayError>,
     }
     let line: Line = serde_json::from_slice(line).map_err(|err| malformed(&err))?;
     if let Some(err) = line.error {
@@ -446,16 +446,16 @@
         });
     }
     if answer.created {
-        return Ok(Told::Created);
+        return Ok(WatchMessage::Created);
     }
     let change = |event: Event| {
         Ok(Change {
-            key: text(&event.kv.key)?,
-            value: (event.sort == EventSort::Put).then_some(event.kv.value.0),
-            modified: event.kv.mod_revision.0,
+            key: utf8_key(&event.kv.key)?,
+            value: (event.kind == EventKind::Put).then_some(event.kv.value.0),
+            mod_revision: event.kv.mod_revision.0,
         })
     };
-    Ok(Told::Batch(Batch {
+    Ok(WatchMessage::Batch(Batch {
         revision: answer.header.revision.0,
         changes: answer
             .events
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -9,7 +9,8 @@
 use chiveway::error::Ran;
 use chiveway::standin::kv::{self, Options};
 use chiveway::store::{
-    Change, Compare, ListedKind, ListedState, Op, Reply, Span, Store, StoreError, Txn, Watch,
+    Change, Compare, ListEntryKind, ListEntryState, Op, OpReply, Span, Store, StoreError, Txn,
+    Watch,
 };
 use ntex::client::Client;
 use ntex::http::Method;
@@ -78,7 +79,9 @@
     }
 
     async fn store(&self, timeout: Duration) -> Store {
-        Store::new(vec![self.addr], timeout).await.silence(PATIENT)
+        Store::new(vec![self.addr], timeout)
+            .await
+            .with_watch_timeout(PATIENT)
     }
 
     async fn ask(&self, method: Method, path: &str, body: Value) -> Value {
@@ -158,24 +161,24 @@
         };
         let first = store.txn(create.clone()).await.unwrap();
         assert!(first.succeeded);
-        assert_eq!(first.replies, [Reply::Put, Reply::Put]);
+        assert_eq!(first.replies, [OpReply::Put, OpReply::Put]);
         let again = store.txn(create).await.unwrap();
         assert!(!again.succeeded);
-        assert_matches!(&*again.replies, [Reply::Got(pairs)] => {
+        assert_matches!(&*again.replies, [OpReply::Got(pairs)] => {
             assert_eq!(values(pairs), [("p/a", &b"1"[..]), ("p/b", b"1")]);
-            assert_eq!(pairs[0].modified, first.revision);
+            assert_eq!(pairs[0].mod_revision, first.revision);
         });
 
         let swap = |at, to| Txn {
             compare: vec![
-                Compare::Modified { key: "p/a".into(), at },
-                Compare::Value { key: "p/b".into(), is: Bytes::from_static(b"1") },
+                Compare::Modified { key: "p/a".into(), revision: at },
+                Compare::Value { key: "p/b".into(), value: Bytes::from_static(b"1") },
             ],
             then: vec![put("p/a", to), Op::Delete(key("p/b"))],
             otherwise: Vec::new(),
         };
         let won = store.txn(swap(first.revision, b"2")).await.unwrap();
-        assert_eq!(won.replies, [Reply::Put, Reply::Deleted(1)]);
+        assert_eq!(won.replies, [OpReply::Put, OpReply::Deleted(1)]);
         let lost = store.txn(swap(first.revision, b"3")).await.unwrap();
         assert!(!lost.succeeded);
         let all = store.range(Span::Prefix("".into())).await.unwrap();
@@ -257,15 +260,15 @@
         store.txn(only(put("q", b"1"))).await.unwrap();
         store.txn(only(Op::Delete(key("p/a")))).await.unwrap();
         let mut watch = store.watch(Span::Prefix("p/".into()), first).await.unwrap();
-        assert_eq!(store.calls().waiting, 1);
+        assert_eq!(store.calls().open_watches, 1);
         for (value, modified) in [(Some(Bytes::from_static(b"1")), first), (None, first + 2)] {
-            let change = Change { key: "p/a".into(), value, modified };
+            let change = Change { key: "p/a".into(), value, mod_revision: modified };
             assert_eq!(changes(&mut watch).await.unwrap(), [change]);
         }
         let quiet = watch.next().await.unwrap();
         assert_eq!((quiet.revision, quiet.changes.len()), (first + 2, 0));
         drop(watch);
-        assert_eq!(store.calls().waiting, 0);
+        assert_eq!(store.calls().open_watches, 0);
         while kv.ask(Method::GET, "/calls", json!(null)).await["waiting"] != 0 {
             tokio::task::yield_now().await;
         }
@@ -283,13 +286,13 @@
     /// comes through. A host would go on with old lists, with no error to see.
     frozen_watch_is_noticed(kv) {
         let store = kv.store(PATIENT).await;
-        let brief = store.clone().silence(SILENCE);
+        let brief = store.clone().with_watch_timeout(SILENCE);
         let mut watch = brief.watch(key("a"), 1).await.unwrap();
         kv.fault(json!({"freeze_watches": true})).await;
         let written = store.txn(only(put("a", b"1"))).await.unwrap().revision;
-        assert_matches!(changes(&mut watch).await, Err(StoreError::Silent { .. }));
+        assert_matches!(changes(&mut watch).await, Err(StoreError::WatchTimeout { .. }));
         let mut anew = store.watch(key("a"), written).await.unwrap();
-        assert_eq!(changes(&mut anew).await.unwrap()[0].modified, written);
+        assert_eq!(changes(&mut anew).await.unwrap()[0].mod_revision, written);
     }
 
     /// Watches hold their connections for good. With a small pool the calls behind them wait
@@ -332,8 +335,8 @@
         ]);
         kv.ask(Method::PUT, "/hosts", list).await;
         let listed = store.hosts(kv.addr).await.unwrap();
-        assert_eq!((&*listed[0].name, listed[0].kind), ("h1", ListedKind::Host));
-        assert_eq!((&*listed[1].pool, listed[1].state), ("p", ListedState::Leaving));
+        assert_eq!((&*listed[0].name, listed[0].kind), ("h1", ListEntryKind::Host));
+        assert_eq!((&*listed[1].pool, listed[1].state), ("p", ListEntryState::Leaving));
         kv.fault(json!({"lag_ms": 3_600_000})).await;
         assert!(store.hosts(kv.addr).await.unwrap().is_empty());
         kv.fault(json!({"hosts_down": true})).await;
