--- a/src/backend/tests.rs
+++ b/src/backend/tests.rs
@@ -40,21 +40,21 @@
 }
 
 cases! {
-    nothing: "" => Ok(vec![]);
+    empty_input: "" => Ok(vec![]);
     one_event: "id: 1\ndata: a\n\n" => Ok(vec![(Some(1), "a")]);
     carriage_returns: "id: 1\rdata: a\r\r" => Ok(vec![(Some(1), "a")]);
-    both_line_ends: "id: 1\r\ndata: a\r\n\r\n" => Ok(vec![(Some(1), "a")]);
+    crlf_line_ends: "id: 1\r\ndata: a\r\n\r\n" => Ok(vec![(Some(1), "a")]);
     many_data_lines: "data: a\ndata:b\ndata\n\n" => Ok(vec![(None, "a\nb\n")]);
     id_is_kept: "id: 1\ndata: a\n\ndata: b\n\n" => Ok(vec![(Some(1), "a"), (Some(1), "b")]);
     id_without_data: "id: 4\n\ndata: a\n\n" => Ok(vec![(Some(4), "a")]);
-    comments_and_others: ": ping\nevent: x\nretry: 9\ndata: a\n\n" => Ok(vec![(None, "a")]);
-    only_one_space_goes: "data:  a \n\n" => Ok(vec![(None, " a ")]);
+    comments_and_unused_fields: ": ping\nevent: x\nretry: 9\ndata: a\n\n" => Ok(vec![(None, "a")]);
+    one_leading_space_is_stripped: "data:  a \n\n" => Ok(vec![(None, " a ")]);
     byte_order_mark: "\u{feff}data: a\n\n" => Ok(vec![(None, "a")]);
-    cut_short: "data: a\n\ndata: b\n" => Ok(vec![(None, "a")]);
+    unterminated_event_is_dropped: "data: a\n\ndata: b\n" => Ok(vec![(None, "a")]);
     bad_id: "id: x1\n" => Err(SseError::InvalidId);
     signed_id: "id: +1\n" => Err(SseError::InvalidId);
     huge_id: "id: 18446744073709551616\n" => Err(SseError::InvalidId);
-    longest_line: format!("data:{}\n\n", "a".repeat(65_531)) => Ok(vec![(None, &*"a".repeat(65_531))]);
+    line_of_maximum_length: format!("data:{}\n\n", "a".repeat(65_531)) => Ok(vec![(None, &*"a".repeat(65_531))]);
     line_too_long: format!("data:{}\n\n", "a".repeat(65_532)) => Err(SseError::LineTooLong);
     unended_line_too_long: "a".repeat(65_537) => Err(SseError::LineTooLong);
     event_too_long: format!("data:{}\n", "a".repeat(60_000)).repeat(5) => Err(SseError::EventTooLong);
@@ -62,7 +62,7 @@
 
 proptest! {
     #[test]
-    fn splits_do_not_matter(
+    fn events_do_not_depend_on_chunk_boundaries(
         text in proptest::collection::vec(
             "((id: [0-9]{1,3})|(data: ?[a-z]{0,3})|(:[a-z]?)|x)?((\r\n)|\n|\r){1,2}", 0..12),
         cuts in proptest::collection::vec(0_usize..200, 0..12),
@@ -76,7 +76,7 @@
     }
 
     #[test]
-    fn any_bytes_end_in_events_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_give_events_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let ones: Vec<&[u8]> = bytes.chunks(1).collect();
         prop_assert_eq!(parse(&ones), parse(&[&bytes]));
     }
--- a/src/host/relay/backends.rs
+++ b/src/host/relay/backends.rs
@@ -81,7 +81,7 @@
 
 fn call(prepared: &Prepared, out: &Outgoing) -> Call {
     let mut headers = prepared.headers.clone();
-    let ours = header::encode(out).into_iter();
+    let ours = header::encode_request(out).into_iter();
     headers.extend(ours.map(|(name, value)| (name.into(), value.into_bytes().into())));
     Call {
         addr: out.addr,
@@ -103,16 +103,16 @@
     let headers: Vec<_> = headers
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .collect();
-    let reply = header::replied(status, &headers);
+    let reply = header::decode_answer(status, &headers);
     let id = prepared
         .headers
         .iter()
         .find(|(name, _)| header::is_attempt(name));
-    let echoed = match (&reply.id, id) {
+    let echoed = match (&reply.attempt_id, id) {
         (Some(echo), Some((_, sent))) => echo.as_bytes() == &**sent,
         _ => false,
     };
-    if status != 421 && (reply.refused || echoed) {
+    if status != 421 && (reply.not_run || echoed) {
         tell(
             node,
             RelayEvent::Limited {
@@ -121,8 +121,8 @@
             },
         );
     }
-    if reply.refused {
-        keep(node, answer, out, reply.idle).await;
+    if reply.not_run {
+        keep(node, answer, out, reply.keep_alive).await;
         let end = if status == 421 {
             Break::Rejected
         } else {
@@ -136,20 +136,20 @@
         return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
     }
     if matches!(out.task, Task::Prefill) {
-        return prefilled(node, out, answer, status, reply.idle).await;
+        return prefilled(node, out, answer, status, reply.keep_alive).await;
     }
-    if (200..300).contains(&status) && (!reply.signed || header::is_encoded(&reply.passed)) {
+    if (200..300).contains(&status) && (!reply.has_stamp || header::is_encoded(&reply.forwarded)) {
         let detail = "the answer is not the backend server's own";
         return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
     }
     let head = Head {
         status,
-        headers: reply.passed,
+        headers: reply.forwarded,
     };
     if out.streaming && status == 200 {
-        stream(node, out, answer, &head, reply.idle).await
+        stream(node, out, answer, &head, reply.keep_alive).await
     } else {
-        whole(node, out, answer, head, reply.idle).await
+        whole(node, out, answer, head, reply.keep_alive).await
     }
 }
 
@@ -179,7 +179,7 @@
     idle: Option<Duration>,
 ) -> Result<(), Lost> {
     let body = pool::collect(&mut answer, PREFILLED).await?;
-    let handle = engine::prefilled(&body).filter(|_| status == 200);
+    let handle = engine::decode_kv_handle(&body).filter(|_| status == 200);
     let Some(handle) = handle else {
         let detail = format!("answered {status} to a prefill");
         return Err(Lost::new(Ran::Unknown, Break::Cut, detail));
@@ -260,7 +260,7 @@
     instance: &str,
     body: Vec<u8>,
 ) -> Call {
-    let (name, value) = header::expect(instance);
+    let (name, value) = header::expect_instance(instance);
     let mut headers: Vec<header::Header> = vec![(name.into(), value.into_bytes().into())];
     if !body.is_empty() {
         headers.push(("content-type".into(), (*b"application/json").into()));
@@ -288,7 +288,7 @@
     let path = engine::REPORT_PATH;
     let call = side_call(addr, hyper::Method::GET, path, &instance, Vec::new());
     let report = match node.relay.channels.call(&call, CALL, PREFILLED).await {
-        Ok(answer) if answer.status == 200 => engine::report(&answer.body),
+        Ok(answer) if answer.status == 200 => engine::decode_report(&answer.body),
         Ok(answer) => {
             let status = answer.status;
             log::debug!("{instance} answered {status} when asked for its state");
@@ -309,7 +309,7 @@
         hyper::Method::POST,
         engine::ORDER_PATH,
         &order.instance,
-        engine::order(&order),
+        engine::encode_order(&order),
     );
     // A process may sleep between the decision and here.
     let era = node.look(|core| core.relay.view.era());
--- a/src/host/relay/callers.rs
+++ b/src/host/relay/callers.rs
@@ -93,8 +93,8 @@
     let headers: Vec<_> = headers
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .collect();
-    let asked = header::decode(&headers);
-    let Some(id) = asked.id else {
+    let asked = header::decode_request(&headers);
+    let Some(attempt_id) = asked.attempt_id else {
         return refused(&Refusal::new(Kind::Malformed, "the request has no id"), "");
     };
     let limit = node.look(|core| {
@@ -103,10 +103,13 @@
     });
     let body = match web::read_body(&mut req, limit.max_body, BODY_TIME).await {
         Ok(body) => body,
-        Err(status) => return unread(status, &id),
+        Err(status) => return unread(status, &attempt_id),
     };
     let Ok(method) = hyper::Method::from_bytes(req.method().as_str().as_bytes()) else {
-        return refused(&Refusal::new(Kind::Malformed, "no such method"), &id);
+        return refused(
+            &Refusal::new(Kind::Malformed, "no such method"),
+            &attempt_id,
+        );
     };
     let target = req
         .uri()
@@ -117,7 +120,7 @@
         .get("host")
         .and_then(|host| host.to_str().ok());
     let arrival = Arrival {
-        id: id.clone(),
+        id: attempt_id.clone(),
         host: host.unwrap_or_default().into(),
         path: req.uri().path().into(),
         deadline: asked.deadline,
@@ -129,13 +132,16 @@
     let prepared = Prepared {
         method,
         path: target.into(),
-        headers: asked.passed,
+        headers: asked.forwarded,
         body,
     };
     let Some(taken) = take(node, arrival, prepared, req.io().cloned()) else {
-        return refused(&Refusal::new(Kind::Internal, "the request was lost"), &id);
+        return refused(
+            &Refusal::new(Kind::Internal, "the request was lost"),
+            &attempt_id,
+        );
     };
-    answer(node, taken, &id).await
+    answer(node, taken, &attempt_id).await
 }
 
 fn unread(status: StatusCode, id: &str) -> Response {
--- a/src/host/relay/keeper.rs
+++ b/src/host/relay/keeper.rs
@@ -123,7 +123,7 @@
         body: call.body.into(),
     };
     let answer = node.relay.store.call(&call, time, ANSWER).await?;
-    if let Some(era) = store::era(&answer.headers) {
+    if let Some(era) = store::decode_era(&answer.headers) {
         tell(node, RelayEvent::StoreEra(era));
     }
     Ok((answer.status, answer.body))
@@ -153,7 +153,7 @@
         Effect::Renew { job, lease } => Some((job, renew(node, lease).await)),
         Effect::Txn { job, txn } => Some((job, write(node, &own(txn)).await)),
         Effect::Revoke(lease) => {
-            if let Err(trouble) = ask(node, store::end(lease), CALL).await {
+            if let Err(trouble) = ask(node, store::revoke(lease), CALL).await {
                 log::debug!("a lease was not given back and will lapse: {trouble}");
             }
             None
@@ -168,7 +168,7 @@
 async fn grant(node: &Rc<Node>, life: Duration) -> Result<StoreResult, Trouble> {
     match ask(node, store::grant(life), CALL).await? {
         (200, body) => {
-            let lease = store::lease(&body).ok_or(Trouble::Unreadable)?;
+            let lease = store::decode_lease(&body).ok_or(Trouble::Unreadable)?;
             Ok(StoreResult::Lease(lease))
         }
         (status, _) => Err(Trouble::Status { status }),
@@ -176,7 +176,7 @@
 }
 
 async fn renew(node: &Rc<Node>, lease: i64) -> Result<StoreResult, Trouble> {
-    match ask(node, store::keep(lease), CALL).await? {
+    match ask(node, store::keepalive(lease), CALL).await? {
         (200, _) => Ok(StoreResult::Lease(lease)),
         (404, _) => Ok(StoreResult::Lease(0)),
         (status, _) => Err(Trouble::Status { status }),
@@ -187,7 +187,7 @@
     match ask(node, store::txn(txn), CALL).await? {
         (404, _) => Ok(StoreResult::Lease(0)),
         (status @ (200 | 412), body) => {
-            let reply = store::txn_reply(status, &body).ok_or(Trouble::Unreadable)?;
+            let reply = store::decode_txn_reply(status, &body).ok_or(Trouble::Unreadable)?;
             Ok(StoreResult::Txn(reply))
         }
         (status, _) => Err(Trouble::Status { status }),
@@ -196,7 +196,7 @@
 
 /// Puts this program's prefix before every key.
 fn own(mut txn: Txn) -> Txn {
-    let full = |key: &str| -> Box<str> { format!("{}{key}", platform::OWN).into() };
+    let full = |key: &str| -> Box<str> { format!("{}{key}", platform::OWN_PREFIX).into() };
     for compare in &mut txn.compare {
         match compare {
             Compare::Modified { key, .. }
@@ -237,26 +237,26 @@
         StoreCall::Watch { after, wait } => changes(node, after, wait).await,
         StoreCall::Probe => {
             let (status, body) = ask(node, store::probe(), CALL).await?;
-            let page = readable(status, || store::page(&body))?;
+            let page = readable(status, || store::decode_page(&body))?;
             Ok(StoreAnswer::Newest(page.range.revision))
         }
     }
 }
 
 async fn page(node: &Rc<Node>, after: Option<Box<str>>) -> Result<StoreAnswer, Trouble> {
-    let call = store::range(platform::WATCHED, after.as_deref());
+    let call = store::range(platform::WATCHED_PREFIX, after.as_deref());
     let (status, body) = ask(node, call, CALL).await?;
-    let page = readable(status, || store::page(&body))?;
+    let page = readable(status, || store::decode_page(&body))?;
     let mut changes = Changes::default();
     for pair in &page.range.pairs {
-        platform::sort(
+        platform::apply_change(
             &mut changes,
             &pair.key,
             Some(&pair.value),
             pair.mod_revision,
         );
     }
-    let last = page.range.pairs.last().filter(|_| page.more);
+    let last = page.range.pairs.last().filter(|_| page.has_more);
     Ok(StoreAnswer::Page {
         revision: page.range.revision,
         changes,
@@ -265,16 +265,16 @@
 }
 
 async fn changes(node: &Rc<Node>, after: i64, wait: Duration) -> Result<StoreAnswer, Trouble> {
-    let call = store::watch(platform::WATCHED, after, wait);
+    let call = store::watch(platform::WATCHED_PREFIX, after, wait);
     let (status, body) = ask(node, call, wait + SILENT).await?;
     if status == 410 {
         return Ok(StoreAnswer::Compacted);
     }
-    let events = readable(status, || store::events(&body))?;
+    let events = readable(status, || store::decode_events(&body))?;
     let mut changes = Changes::default();
     let mut single = Vec::with_capacity(events.changes.len());
     for (key, value, revision) in events.changes {
-        platform::sort(&mut changes, &key, value.as_deref(), revision);
+        platform::apply_change(&mut changes, &key, value.as_deref(), revision);
         let mut event = StoreChange {
             revision,
             key,
@@ -285,7 +285,7 @@
         single.push(event);
     }
     Ok(StoreAnswer::Changes {
-        revision: events.at,
+        revision: events.revision,
         changes,
         events: single,
     })
@@ -294,7 +294,7 @@
 /// Works out what a change of the store means.
 pub fn read(event: &mut StoreChange) {
     let (key, value) = (&event.key, event.value.as_deref());
-    platform::sort(&mut event.changes, key, value, event.revision);
+    platform::apply_change(&mut event.changes, key, value, event.revision);
 }
 
 /// Returns what a success says.
--- a/src/platform/catalog.rs
+++ b/src/platform/catalog.rs
@@ -4,13 +4,13 @@
 
 use serde_json::Value;
 
-use super::{millis, secs, whole};
+use super::{millis, secs, whole_number};
 use crate::core::relay::catalog::{Catalog, Engine, InputLimits, RetryPolicy, Route, Service};
 
 /// Time a request may take on a route that names none: far above any route seen.
-const TIMEOUT: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Wanted time on a route that names none.
-const TARGET: Duration = Duration::from_secs(1);
+const DEFAULT_LATENCY_TARGET: Duration = Duration::from_secs(1);
 
 /// Reads a configuration; `None` where it is not one.
 #[must_use]
@@ -22,11 +22,11 @@
         .iter()
         .filter_map(|service| Some((service["name"].as_str()?.into(), self::service(service))));
     let mut limits = InputLimits::default();
-    if let Some(body) = whole(&value["limits"]["maxBodyBytes"]) {
+    if let Some(body) = whole_number(&value["limits"]["maxBodyBytes"]) {
         limits.max_body = usize::try_from(body).unwrap_or(limits.max_body);
     }
     Some(Catalog {
-        version: whole(&value["version"])?,
+        version: whole_number(&value["version"])?,
         routes: routes.iter().filter_map(route).collect(),
         services: services.collect(),
         limits,
@@ -42,7 +42,7 @@
     } else {
         RetryPolicy::Once
     };
-    let target = millis(&value["targetLatencyMs"]).unwrap_or(TARGET);
+    let target = millis(&value["targetLatencyMs"]).unwrap_or(DEFAULT_LATENCY_TARGET);
     Some(Route {
         name: value["name"].as_str().unwrap_or_default().into(),
         host: value["hostname"].as_str()?.to_ascii_lowercase().into(),
@@ -50,12 +50,12 @@
         streaming,
         retry: repeat,
         resumable: streaming && resumable,
-        timeout: millis(&value["timeoutMs"]).unwrap_or(TIMEOUT),
+        timeout: millis(&value["timeoutMs"]).unwrap_or(DEFAULT_TIMEOUT),
         target,
         gap_target: millis(&value["gapTargetMs"]).unwrap_or(target),
-        rank: whole(&value["priority"]).map_or(5, |rank| u8::try_from(rank).unwrap_or(9)),
+        rank: whole_number(&value["priority"]).map_or(5, |rank| u8::try_from(rank).unwrap_or(9)),
         split: split(value)?,
-        max_attempts: whole(&value["maxAttempts"])
+        max_attempts: whole_number(&value["maxAttempts"])
             .and_then(|count| u32::try_from(count).ok())
             .unwrap_or(1)
             .max(1),
@@ -66,7 +66,7 @@
 fn split(route: &Value) -> Option<Vec<(Box<str>, u32)>> {
     if let Some(parts) = route["trafficSplit"].as_array() {
         let parts = parts.iter().filter_map(|part| {
-            let weight = u32::try_from(whole(&part["weight"])?).ok()?;
+            let weight = u32::try_from(whole_number(&part["weight"])?).ok()?;
             Some((part["service"].as_str()?.into(), weight))
         });
         let parts: Vec<_> = parts.collect();
@@ -78,7 +78,7 @@
 }
 
 fn service(value: &Value) -> Service {
-    let connections = whole(&value["maxConnections"]).unwrap_or(0);
+    let connections = whole_number(&value["maxConnections"]).unwrap_or(0);
     Service {
         max_connections: u32::try_from(connections).unwrap_or(u32::MAX),
         engine: engine(&value["engine"]),
@@ -88,8 +88,8 @@
 fn engine(value: &Value) -> Option<Engine> {
     value.as_object()?;
     Some(Engine {
-        kv_capacity: whole(&value["kvCapacity"]).unwrap_or(0),
-        token_bytes: whole(&value["kvBytes"]).unwrap_or(0),
+        kv_capacity: whole_number(&value["kvCapacity"]).unwrap_or(0),
+        token_bytes: whole_number(&value["kvBytes"]).unwrap_or(0),
         link_mbps: value["linkMbps"].as_f64().unwrap_or(0.0),
         switch_time: secs(&value["switchS"]).unwrap_or_default(),
     })
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use super::{entry, whole};
+use super::{entry, whole_number};
 use crate::core::relay::event::{EngineReport, OrderResult, StageOrder};
 
 /// Path of orders.
@@ -14,23 +14,23 @@
 
 /// Reads an engine's report.
 #[must_use]
-pub fn report(body: &[u8]) -> Option<EngineReport> {
+pub fn decode_report(body: &[u8]) -> Option<EngineReport> {
     let value: Value = serde_json::from_slice(body).ok()?;
     Some(EngineReport {
-        stage: entry::stage(value["stage"].as_str()?)?,
+        stage: entry::parse_stage(value["stage"].as_str()?)?,
         busy: value["busy"].as_bool().unwrap_or(false),
         // Here the field counts accepted orders; in a registered entry the same name counts
         // heartbeats.
-        orders: whole(&value["sequence"])?,
+        orders: whole_number(&value["sequence"])?,
     })
 }
 
 /// Returns the body of an order.
 #[must_use]
-pub fn order(order: &StageOrder) -> Vec<u8> {
+pub fn encode_order(order: &StageOrder) -> Vec<u8> {
     json!({
         "operation": "stage",
-        "stage": entry::word(order.stage),
+        "stage": entry::stage_name(order.stage),
         "holder": &*order.holder,
         "fencingToken": order.fence,
         // The platform means the orders that the engine has accepted, not a store revision.
@@ -61,7 +61,7 @@
 
 /// Reads the name of the KV cache from the answer to a prefill.
 #[must_use]
-pub fn prefilled(body: &[u8]) -> Option<Box<str>> {
+pub fn decode_kv_handle(body: &[u8]) -> Option<Box<str>> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let handle = value["kvHandle"].as_str()?;
     // It becomes part of a header and of a path.
--- a/src/platform/entry.rs
+++ b/src/platform/entry.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-use super::whole;
+use super::whole_number;
 use crate::core::relay::event::{BackendEntry, Stage};
 
 /// Word for an engine that prefills.
@@ -21,7 +21,7 @@
     };
     let stage = match &value["stage"] {
         Value::Null => None,
-        Value::String(word) => Some(stage(word)?),
+        Value::String(word) => Some(parse_stage(word)?),
         _ => return None,
     };
     Some(BackendEntry {
@@ -29,14 +29,14 @@
         service: value["service"].as_str()?.into(),
         addr: value["address"].as_str()?.parse().ok()?,
         domain: value["zone"].as_str()?.into(),
-        slots: u32::try_from(whole(&value["slots"])?).ok()?,
+        slots: u32::try_from(whole_number(&value["slots"])?).ok()?,
         leaving,
         stage,
-        started_ms: whole(&value["born"]).unwrap_or(0),
+        started_ms: whole_number(&value["born"]).unwrap_or(0),
     })
 }
 
-pub(super) fn stage(word: &str) -> Option<Stage> {
+pub(super) fn parse_stage(word: &str) -> Option<Stage> {
     match word {
         PREFILL => Some(Stage::Prefill),
         DECODE => Some(Stage::Decode),
@@ -45,7 +45,7 @@
 }
 
 /// Returns the platform's word for a stage.
-pub(super) fn word(stage: Stage) -> &'static str {
+pub(super) fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::Prefill => PREFILL,
         Stage::Decode => DECODE,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -18,29 +18,29 @@
 use crate::core::relay::event::{Changes, KeyChange};
 
 /// Variable that holds the path of the settings file, where the platform renders one.
-const SETTINGS_FILE: &str = "CHIVEWAY_NODE_FILE";
+const SETTINGS_FILE_VAR: &str = "CHIVEWAY_NODE_FILE";
 /// Path of the readiness check.
 pub const READY_PATH: &str = "/v1/readyz";
 /// Key of the operator's configuration.
 const CONFIG_KEY: &str = "op/config";
 /// Start of the keys of backend servers.
-const SERVERS: &str = "servers/";
+const SERVERS_PREFIX: &str = "servers/";
 /// Start of the keys that this program writes.
-pub const OWN: &str = "chiveway/";
+pub const OWN_PREFIX: &str = "chiveway/";
 /// Start of all keys that are watched: one watch costs one call, three would cost three.
-pub const WATCHED: &str = "";
+pub const WATCHED_PREFIX: &str = "";
 
 /// Returns the settings file that the platform names.
 #[must_use]
 pub fn settings_file() -> Option<PathBuf> {
-    std::env::var_os(SETTINGS_FILE).map(PathBuf::from)
+    std::env::var_os(SETTINGS_FILE_VAR).map(PathBuf::from)
 }
 
 /// Sorts one changed key into what it means; bytes that cannot be read change nothing.
 ///
 /// Entries may be written by others or be cut short: such an entry names no backend server, and
 /// the rest holds.
-pub fn sort(changes: &mut Changes, key: &str, value: Option<&[u8]>, revision: i64) {
+pub fn apply_change(changes: &mut Changes, key: &str, value: Option<&[u8]>, revision: i64) {
     if key == CONFIG_KEY {
         let Some(bytes) = value else { return };
         match catalog::decode(bytes) {
@@ -48,14 +48,14 @@
             None => log::warn!(target: "chiveway::config.unreadable", revision;
                 "the configuration cannot be read and is passed over"),
         }
-    } else if let Some(id) = key.strip_prefix(SERVERS) {
+    } else if let Some(id) = key.strip_prefix(SERVERS_PREFIX) {
         changes.instances.retain(|entry| *entry.id != *id);
         changes.removed.retain(|gone| **gone != *id);
         match value.and_then(|bytes| entry::decode(id, bytes)) {
             Some(entry) => changes.instances.push(entry),
             None => changes.removed.push(id.into()),
         }
-    } else if let Some(own) = key.strip_prefix(OWN) {
+    } else if let Some(own) = key.strip_prefix(OWN_PREFIX) {
         changes.keys.push(KeyChange {
             key: own.into(),
             value: value.map(Into::into),
@@ -65,7 +65,7 @@
 }
 
 /// Returns a whole number that is not negative.
-fn whole(value: &Value) -> Option<u64> {
+fn whole_number(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| {
         let number = value.as_f64()?;
         let fits = (0.0..9e15).contains(&number) && number.fract() == 0.0;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -13,13 +13,13 @@
 use hyper::HeaderMap;
 use serde_json::{Value, json};
 
-use super::OWN;
+use super::OWN_PREFIX;
 use crate::store::{CallKind, Compare, Op, OpReply, Pair, Range, Span, Txn, TxnReply};
 
 /// Header that counts how often the store came back from an older copy.
-const ERA: &str = "store-era";
+const ERA_HEADER: &str = "store-era";
 /// Start of keys that nothing writes, below [`OWN`].
-const NOTHING: &str = "none/";
+const UNUSED_PREFIX: &str = "none/";
 
 /// One call, as it is to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     /// Changes in order: key, value (`None` for a removal) and revision.
     pub changes: Vec<(Box<str>, Option<Bytes>, i64)>,
     /// Revision to go on from.
-    pub at: i64,
+    pub revision: i64,
 }
 
 /// One page of a read.
@@ -49,7 +49,7 @@
     /// What was found.
     pub range: Range,
     /// Whether more follows after the last key.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 fn get(kind: CallKind, path: String) -> Call {
@@ -90,7 +90,7 @@
 /// that it names is the store's.
 #[must_use]
 pub fn probe() -> Call {
-    let prefix = escape(&format!("{OWN}{NOTHING}"));
+    let prefix = escape(&format!("{OWN_PREFIX}{UNUSED_PREFIX}"));
     get(
         CallKind::Probe,
         format!("/v1/kv-range?prefix={prefix}&serializable=1"),
@@ -115,7 +115,7 @@
 
 /// Returns the call that renews a lease.
 #[must_use]
-pub fn keep(lease: i64) -> Call {
+pub fn keepalive(lease: i64) -> Call {
     Call {
         kind: CallKind::Keepalive,
         method: "POST",
@@ -126,7 +126,7 @@
 
 /// Returns the call that gives a lease back.
 #[must_use]
-pub fn end(lease: i64) -> Call {
+pub fn revoke(lease: i64) -> Call {
     Call {
         kind: CallKind::Revoke,
         method: "DELETE",
@@ -166,7 +166,7 @@
 
 /// Reads the answer to [`range`].
 #[must_use]
-pub fn page(body: &[u8]) -> Option<Page> {
+pub fn decode_page(body: &[u8]) -> Option<Page> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let items = value["items"].as_array()?;
     let pairs: Option<Vec<Pair>> = items.iter().map(pair).collect();
@@ -175,7 +175,7 @@
             revision: value["at"].as_i64()?,
             pairs: pairs?,
         },
-        more: value["hasMore"].as_bool().unwrap_or(false),
+        has_more: value["hasMore"].as_bool().unwrap_or(false),
     })
 }
 
@@ -198,7 +198,7 @@
 
 /// Reads the answer to [`watch`].
 #[must_use]
-pub fn events(body: &[u8]) -> Option<Events> {
+pub fn decode_events(body: &[u8]) -> Option<Events> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let changes = value["events"].as_array()?.iter().map(|event| {
         let key = event["key"].as_str()?.into();
@@ -209,20 +209,20 @@
     let changes: Option<Vec<_>> = changes.collect();
     Some(Events {
         changes: changes?,
-        at: value["at"].as_i64()?,
+        revision: value["at"].as_i64()?,
     })
 }
 
 /// Reads the lease from the answer to [`grant`].
 #[must_use]
-pub fn lease(body: &[u8]) -> Option<i64> {
+pub fn decode_lease(body: &[u8]) -> Option<i64> {
     let value: Value = serde_json::from_slice(body).ok()?;
     value["lease"].as_i64()
 }
 
 /// Reads the answer to [`txn`] of that status.
 #[must_use]
-pub fn txn_reply(status: u16, body: &[u8]) -> Option<TxnReply> {
+pub fn decode_txn_reply(status: u16, body: &[u8]) -> Option<TxnReply> {
     let value: Value = serde_json::from_slice(body).ok()?;
     match status {
         200 => Some(TxnReply {
@@ -245,11 +245,11 @@
 
 /// Reads the era that an answer names, if it names one.
 #[must_use]
-pub fn era(headers: &HeaderMap) -> Option<u64> {
-    let value = headers.get(ERA)?.to_str().ok();
+pub fn decode_era(headers: &HeaderMap) -> Option<u64> {
+    let value = headers.get(ERA_HEADER)?.to_str().ok();
     let era = value.and_then(|value| value.trim().parse().ok());
     if era.is_none() {
-        log::warn!("{ERA} is {value:?}, expected a whole number");
+        log::warn!("{ERA_HEADER} is {value:?}, expected a whole number");
     }
     era
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-use super::{catalog, engine, entry, header, sort, store};
+use super::{apply_change, catalog, engine, entry, header, store};
 use crate::core::key::{AttemptKey, CallKey};
 use crate::core::relay::catalog::RetryPolicy;
 use crate::core::relay::event::{Changes, NamedLimit, Outgoing, Stage, StageOrder, Task};
@@ -37,31 +37,31 @@
 }
 
 entries! {
-    entry_as_it_is: "version" = json!("v2") => true;
+    valid_entry: "version" = json!("v2") => true;
     entry_draining: "state" = json!("draining") => true;
     entry_of_unknown_state: "state" = json!("asleep") => false;
     entry_of_unknown_stage: "stage" = json!("both") => false;
     entry_with_a_stage_of_another_type: "stage" = json!(3) => false;
     entry_of_a_plain_server: "stage" = json!(null) => true;
-    entry_with_a_text_for_slots: "slots" = json!("64") => false;
-    entry_with_less_than_no_slots: "slots" = json!(-1) => false;
+    entry_with_slots_as_text: "slots" = json!("64") => false;
+    entry_with_negative_slots: "slots" = json!(-1) => false;
     entry_without_an_address: "address" = json!(null) => false;
-    entry_with_a_name_for_an_address: "address" = json!("host:8080") => false;
+    entry_with_a_host_name_as_address: "address" = json!("host:8080") => false;
     entry_without_a_service: "service" = json!(1) => false;
-    entry_without_a_start: "born" = json!(null) => true;
+    entry_without_a_start_time: "born" = json!(null) => true;
 }
 
 #[test]
-fn what_cannot_be_read_removes_a_backend_server_and_nothing_else() {
+fn an_unreadable_entry_removes_only_its_backend_server() {
     let mut changes = Changes::default();
     let good = entry().to_string();
-    sort(&mut changes, "servers/i-1", Some(good.as_bytes()), 5);
-    sort(&mut changes, "servers/i-2", Some(b"\xff{"), 6);
+    apply_change(&mut changes, "servers/i-1", Some(good.as_bytes()), 5);
+    apply_change(&mut changes, "servers/i-2", Some(b"\xff{"), 6);
     assert_eq!(changes.instances.len(), 1);
     assert_eq!(changes.removed, vec![Box::from("i-2")]);
-    sort(&mut changes, "op/config", Some(b"[]"), 7);
+    apply_change(&mut changes, "op/config", Some(b"[]"), 7);
     assert_eq!(changes.catalog, None);
-    sort(&mut changes, "servers/i-1", None, 8);
+    apply_change(&mut changes, "servers/i-1", None, 8);
     assert!(changes.instances.is_empty());
 }
 
@@ -92,16 +92,16 @@
 }
 
 routes! {
-    idempotent_runs_again: "idempotent", false => Idempotent;
-    a_call_that_is_not_runs_once: "non_idempotent", false => Once;
+    an_idempotent_route_may_retry: "idempotent", false => Idempotent;
+    a_non_idempotent_route_runs_once: "non_idempotent", false => Once;
     a_stream_runs_once: "streaming", false => Once;
-    a_stream_that_resumes_runs_again: "streaming", true => Idempotent;
+    a_resumable_stream_may_retry: "streaming", true => Idempotent;
     a_plain_call_is_not_made_idempotent_by_resumable: "non_idempotent", true => Once;
     an_unknown_kind_runs_once: "batch", true => Once;
 }
 
 #[test]
-fn a_configuration_keeps_what_engines_can_do() {
+fn a_configuration_keeps_engine_capacities() {
     let catalog = config(&json!({"hostname": "h", "prefix": "/", "type": "streaming",
         "trafficSplit": [{"service": "s", "weight": 9}, {"service": "t", "weight": 1}]}));
     let catalog = catalog.expect("a configuration");
@@ -115,7 +115,7 @@
 /// Callers forge the headers by which this side speaks to engines: taken as they came, a request
 /// would run at the wrong stage or go on from the KV cache of another caller.
 #[test]
-fn headers_that_only_this_side_sets_are_not_passed_on() {
+fn internal_headers_are_not_forwarded() {
     let forged = [
         "x-chiveway-serving-stage",
         "x-chiveway-kv-source",
@@ -137,14 +137,14 @@
         forged.iter().map(|name| (*name, &b"x-hop"[..])).collect();
     headers.push(("x-chiveway-attempt-id", b"id"));
     headers.push(("x-other", b"kept"));
-    let asked = header::decode(&headers);
-    let passed: Vec<&str> = asked.passed.iter().map(|(name, _)| &**name).collect();
+    let asked = header::decode_request(&headers);
+    let passed: Vec<&str> = asked.forwarded.iter().map(|(name, _)| &**name).collect();
     assert_eq!(passed, ["x-chiveway-attempt-id", "x-other"]);
 }
 
 #[test]
-fn a_prompt_is_read_with_its_parts() {
-    let asked = header::decode(&[
+fn a_prompt_is_decoded_with_its_blocks() {
+    let asked = header::decode_request(&[
         ("x-chiveway-token-usage", b"1460,80"),
         (
             "x-chiveway-prompt-prefix",
@@ -174,7 +174,7 @@
         #[test]
         fn $name() {
             let value: &[u8] = $value;
-            assert_eq!(header::replied(200, &[("server-limit", value)]).limit, $limit);
+            assert_eq!(header::decode_answer(200, &[("server-limit", value)]).limit, $limit);
         }
     )*};
 }
@@ -183,11 +183,11 @@
     a_limit_is_a_number: b"1.2" => NamedLimit::Rate(1.2);
     a_limit_may_be_zero: b" 0 " => NamedLimit::Rate(0.0);
     a_limit_may_be_huge: b"1e300" => NamedLimit::Rate(1e300);
-    a_negative_limit_is_none: b"-1" => NamedLimit::Unreadable;
-    a_limit_that_is_no_number_is_none: b"nan" => NamedLimit::Unreadable;
-    an_endless_limit_is_none: b"inf" => NamedLimit::Unreadable;
-    a_limit_of_words_is_none: b"two" => NamedLimit::Unreadable;
-    an_empty_limit_is_none: b"" => NamedLimit::Unreadable;
+    a_negative_limit_is_unreadable: b"-1" => NamedLimit::Unreadable;
+    a_nan_limit_is_unreadable: b"nan" => NamedLimit::Unreadable;
+    an_infinite_limit_is_unreadable: b"inf" => NamedLimit::Unreadable;
+    a_textual_limit_is_unreadable: b"two" => NamedLimit::Unreadable;
+    an_empty_limit_is_unreadable: b"" => NamedLimit::Unreadable;
 }
 
 macro_rules! replies {
@@ -195,21 +195,22 @@
         #[test]
         fn $name() {
             let headers: Vec<(&str, &[u8])> = vec![$($header),*];
-            assert_eq!(header::replied($status, &headers).refused, $refused);
+            assert_eq!(header::decode_answer($status, &headers).not_run, $refused);
         }
     )*};
 }
 
 replies! {
     a_bare_503_may_have_run: 503, [] => false;
-    a_503_that_says_so_did_not_run: 503, [("x-chiveway-not-executed", &b"1"[..])] => true;
-    another_instance_does_not_run_it: 421, [] => true;
-    an_answer_ran: 200, [("x-chiveway-server-stamp", &b"s"[..])] => false;
+    a_503_with_the_not_executed_header_did_not_run: 503, [("x-chiveway-not-executed", &b"1"[..])] => true;
+    a_misdirected_request_did_not_run: 421, [] => true;
+    a_stamped_answer_ran: 200, [("x-chiveway-server-stamp", &b"s"[..])] => false;
 }
 
 #[test]
-fn an_idle_connection_is_kept_as_long_as_it_is_named() {
-    let idle = |value: &'static [u8]| header::replied(200, &[("keep-alive", value)]).idle;
+fn the_keep_alive_timeout_is_decoded() {
+    let idle =
+        |value: &'static [u8]| header::decode_answer(200, &[("keep-alive", value)]).keep_alive;
     assert_eq!(idle(b"timeout=5, max=100"), Some(Duration::from_secs(5)));
     assert_eq!(idle(b"max=100"), None);
 }
@@ -231,8 +232,8 @@
 }
 
 #[test]
-fn a_request_names_its_instance_and_what_is_left() {
-    let headers = header::encode(&outgoing(Task::Decode {
+fn a_request_carries_its_instance_and_remaining_time() {
+    let headers = header::encode_request(&outgoing(Task::Decode {
         from: "10.0.0.2:80".parse().expect("an address"),
         handle: "h1".into(),
     }));
@@ -248,10 +249,10 @@
         .map(|(name, value)| (*name, &**value))
         .collect();
     assert_eq!(found, wanted);
-    let prefill = header::encode(&outgoing(Task::Prefill));
+    let prefill = header::encode_request(&outgoing(Task::Prefill));
     assert!(prefill.contains(&("x-chiveway-serving-stage", "prefill".to_owned())));
     assert!(prefill.iter().all(|(name, _)| *name != "kv-fetch"));
-    let fetching = header::encode(&Outgoing {
+    let fetching = header::encode_request(&Outgoing {
         fetch_from: Some("10.0.0.3:80".parse().expect("an address")),
         ..outgoing(Task::Prefill)
     });
@@ -261,8 +262,9 @@
 /// The name of a KV cache becomes part of a header and of a path: one with a line end or a slash
 /// in it would write headers of its own.
 #[test]
-fn a_handle_that_is_no_plain_name_is_not_taken() {
-    let read = |handle: &str| engine::prefilled(json!({"kvHandle": handle}).to_string().as_bytes());
+fn a_handle_with_unsafe_characters_is_rejected() {
+    let read =
+        |handle: &str| engine::decode_kv_handle(json!({"kvHandle": handle}).to_string().as_bytes());
     assert_eq!(read("3fa09c41b7d5").as_deref(), Some("3fa09c41b7d5"));
     assert_eq!(read("a\r\nx: y"), None);
     assert_eq!(read("a/b"), None);
@@ -270,7 +272,7 @@
 }
 
 #[test]
-fn an_order_carries_fence_and_expected_count() {
+fn an_order_carries_the_fencing_token_and_expected_count() {
     let order = StageOrder {
         era: 0,
         instance: "i-1".into(),
@@ -281,7 +283,7 @@
         expected: 2,
         until: Time::default(),
     };
-    let body: Value = serde_json::from_slice(&engine::order(&order)).expect("JSON");
+    let body: Value = serde_json::from_slice(&engine::encode_order(&order)).expect("JSON");
     assert_eq!(body["fencingToken"], 41);
     assert_eq!(body["expectedRevision"], 2);
     assert_eq!(body["stage"], "prefill");
@@ -291,16 +293,16 @@
 #[test]
 fn a_report_counts_accepted_orders() {
     let body = json!({"stage": "decode", "busy": true, "sequence": 3}).to_string();
-    let report = engine::report(body.as_bytes()).expect("a report");
+    let report = engine::decode_report(body.as_bytes()).expect("a report");
     assert_eq!(
         (report.stage, report.busy, report.orders),
         (Stage::Decode, true, 3)
     );
-    assert_eq!(engine::report(b"{}"), None);
+    assert_eq!(engine::decode_report(b"{}"), None);
 }
 
 #[test]
-fn a_transaction_is_written_as_the_store_reads_it() {
+fn a_transaction_is_encoded_in_the_stores_format() {
     let txn = Txn {
         compare: vec![Compare::Absent { key: "a".into() }],
         then: vec![Op::Put {
@@ -322,13 +324,13 @@
 }
 
 #[test]
-fn a_watch_brings_writes_and_removals() {
+fn watch_events_carry_writes_and_deletions() {
     let body = json!({"events": [
         {"key": "a", "value": "bm9kZS0x", "revision": 4, "created": 4, "lease": 0},
         {"key": "b", "revision": 5, "deleted": true},
     ], "at": 6});
-    let events = store::events(body.to_string().as_bytes()).expect("events");
-    assert_eq!(events.at, 6);
+    let events = store::decode_events(body.to_string().as_bytes()).expect("events");
+    assert_eq!(events.revision, 6);
     assert_eq!(events.changes[0].1.as_deref(), Some(&b"node-1"[..]));
     assert_eq!(events.changes[1], ("b".into(), None, 5));
 }
@@ -342,14 +344,14 @@
 proptest! {
     /// Whatever bytes the store or an engine sends, reading them ends.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = catalog::decode(&bytes);
         let _ = entry::decode("i", &bytes);
-        let _ = engine::prefilled(&bytes);
-        let _ = engine::report(&bytes);
-        let _ = store::page(&bytes);
-        let _ = store::events(&bytes);
-        let _ = store::txn_reply(200, &bytes);
-        let _ = header::decode(&[("x-chiveway-prompt-prefix", &bytes), ("connection", &bytes)]);
+        let _ = engine::decode_kv_handle(&bytes);
+        let _ = engine::decode_report(&bytes);
+        let _ = store::decode_page(&bytes);
+        let _ = store::decode_events(&bytes);
+        let _ = store::decode_txn_reply(200, &bytes);
+        let _ = header::decode_request(&[("x-chiveway-prompt-prefix", &bytes), ("connection", &bytes)]);
     }
 }
