--- a/src/backend/client.rs
+++ b/src/backend/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client with every default set, and the classification of its failures.
+//! HTTP client with explicit limits, which classifies failures by whether the request ran.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -24,37 +24,39 @@
 use crate::error::Ran;
 use crate::web::CLIENT_IDLE;
 
-/// Header by which a back end says that it did not run a request.
+/// Header by which a backend server states that it did not run a request.
 pub(super) const RAN_HEADER: &str = "x-ran";
-/// Connections in all. With the library's 0, no limit, a caller that comes while a connection to
-/// the same back end is being made is never woken.
+/// Maximum number of connections in total.
+///
+/// With the library's default of 0 (no limit), a caller that waits while a connection to the same
+/// backend server is being opened is never woken.
 const MAX_CONNECTIONS: usize = 65_536;
-/// Most bytes kept of the body of an answer other than 200 to a streamed call.
+/// Maximum size kept of the body of a non-200 response to a streamed call.
 const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// Times and limits of a [`Client`].
+/// Timeouts and limits of a [`Client`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Time to get a connection, pooled or new.
+    /// Time to obtain a connection, pooled or new.
     pub connect_timeout: Duration,
-    /// Time from the request's first byte to the answer's head.
+    /// Time from the request's first byte to the response head.
     pub head_timeout: Duration,
-    /// Time from the answer's head to the end of a collected body.
+    /// Time from the response head to the end of a collected body.
     pub body_timeout: Duration,
     /// Age at which a connection is no longer reused; whole seconds, at least 1.
     pub max_age: Duration,
-    /// Most bytes of a collected body.
+    /// Maximum size of a collected body.
     pub max_body_bytes: usize,
-    /// Whether connections are kept for further calls.
+    /// Whether connections are reused.
     pub reuse: Reuse,
 }
 
-/// Whether connections are kept for further calls.
+/// Whether connections are reused for further calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// They are, until they are too old or were idle for too long.
+    /// Connections are reused until they exceed their maximum age or idle time.
     Pooled,
-    /// Each call opens its own and closes it.
+    /// Each call opens a connection and closes it.
     Never,
 }
 
@@ -71,40 +73,40 @@
     }
 }
 
-/// Why a call has no answer that can be used.
+/// Why a call has no usable response.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// The address, path or a header cannot be written as HTTP.
-    #[snafu(display("the request cannot be written as HTTP"))]
+    /// The address, path or a header is not valid HTTP.
+    #[snafu(display("request is not valid HTTP"))]
     Invalid,
-    /// No connection was made; no byte of the request was handed to a socket.
-    #[snafu(display("no connection was made"))]
+    /// Connecting failed; no byte of the request was written to a socket.
+    #[snafu(display("cannot connect to the backend server"))]
     Connect,
-    /// The connection broke after the request was handed to it and before the whole answer.
-    #[snafu(display("the connection broke before the answer was whole"))]
+    /// The connection broke after the request was handed to it and before the response was complete.
+    #[snafu(display("connection broke before the response was complete"))]
     Lost,
-    /// No whole answer came in time.
-    #[snafu(display("no answer came in time"))]
+    /// No complete response arrived in time.
+    #[snafu(display("no complete response before the deadline"))]
     Timeout,
-    /// The answer is longer than the client takes, or not in the form of the protocol.
-    #[snafu(display("the answer cannot be read"))]
+    /// The response exceeds the size limit or violates the protocol.
+    #[snafu(display("response is too long or malformed"))]
     Unreadable,
-    /// The back end answered with a status other than the one that opens a stream.
-    #[snafu(display("the back end answered {status}"))]
+    /// The backend server answered with a status other than 200.
+    #[snafu(display("backend server answered with status {status}, expected 200"))]
     Status {
         /// HTTP status.
         status: u16,
-        /// [`Ran::No`] if the back end said so.
+        /// [`Ran::No`] if the backend server stated so.
         ran: Ran,
-        /// When the back end asks to come back.
+        /// Delay from the `Retry-After` header.
         retry_after: Option<Duration>,
-        /// Body, cut at 64 KiB.
+        /// Response body; empty if it exceeds 64 KiB or cannot be read.
         body: Bytes,
     },
 }
 
 impl CallError {
-    /// Returns whether the request ran, as far as this side can know.
+    /// Returns whether the request ran, as far as the client can determine.
     #[must_use]
     pub fn ran(&self) -> Ran {
         match self {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Returns the HTTP status, if there was an answer.
+    /// Returns the HTTP status, if there was a response.
     #[must_use]
     pub fn status(&self) -> Option<u16> {
         match self {
@@ -125,35 +127,35 @@
     }
 }
 
-/// One call.
+/// An HTTP request to a backend server.
 #[derive(Debug, Clone)]
 pub struct Call<'a> {
     /// HTTP method.
     pub method: &'a str,
-    /// Address of the back end.
+    /// Address of the backend server.
     pub addr: SocketAddr,
     /// Path with query, beginning with a slash.
     pub path: &'a str,
-    /// Names and values.
+    /// Header names and values.
     pub headers: &'a [(&'a str, &'a str)],
-    /// Body; may be empty.
+    /// Request body; may be empty.
     pub body: Bytes,
 }
 
-/// A whole answer of a back end.
+/// A complete response of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// HTTP status; redirects are given as they came.
+    /// HTTP status; redirects are not followed.
     pub status: u16,
-    /// Names in lower case and values, in the order they came.
+    /// Lower-case names and their values, in the order of arrival.
     pub headers: Vec<(Box<str>, Box<str>)>,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
-    /// [`Ran::No`] if the back end said so.
+    /// [`Ran::No`] if the backend server stated so.
     pub ran: Ran,
 }
 
-/// Pool of connections to back ends; belongs to one thread.
+/// HTTP client with a pool of connections to backend servers; belongs to one thread.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: ntex::client::Client,
@@ -161,11 +163,11 @@
 }
 
 impl Client {
-    /// Builds a client; must run inside the runtime it will be used in.
+    /// Builds a client; must run inside the runtime in which it will be used.
     ///
     /// # Errors
     ///
-    /// Returns the library's error if the connector cannot be made.
+    /// Returns the library's error if the connector cannot be built.
     pub async fn new(opts: Options) -> Result<Self, ntex::client::error::ClientBuilderError> {
         let age = u16::try_from(opts.max_age.as_secs().max(1)).unwrap_or(u16::MAX);
         let connector = Connector::new()
@@ -175,11 +177,11 @@
         Self::with(opts, connector).await
     }
 
-    /// Builds a client for one call, on a connection of its own.
+    /// Builds a client for one call on a new connection.
     ///
     /// # Errors
     ///
-    /// Returns the library's error if the connector cannot be made.
+    /// Returns the library's error if the connector cannot be built.
     pub async fn single_use(
         opts: Options,
         single_use: SingleUse,
@@ -200,7 +202,7 @@
             .connector::<()>(connector)
             .disable_redirects()
             .no_default_headers()
-            // Times are kept here, on timers finer than the library's.
+            // Timeouts are enforced in `send` and `call`, on timers finer than the library's.
             .disable_timeout()
             .response_payload_limit(opts.max_body_bytes)
             .response_payload_timeout(Millis::ZERO)
@@ -209,11 +211,11 @@
         Ok(Self { http, opts })
     }
 
-    /// Sends a call and collects its answer, whatever its status.
+    /// Sends a call and collects its response, whatever its status.
     ///
     /// # Errors
     ///
-    /// Returns why there is no whole answer.
+    /// Returns why there is no complete response.
     pub async fn call(&self, call: Call<'_>) -> Result<Answer, CallError> {
         let response = self.send(call).await?;
         let headers = response
@@ -233,7 +235,7 @@
         })
     }
 
-    /// Sends a call and returns the answer's head with the body still to be read.
+    /// Sends a call and returns the response head with the body still to be read.
     pub(super) async fn send(&self, call: Call<'_>) -> Result<ClientResponse, CallError> {
         let Ok(method) = Method::from_bytes(call.method.as_bytes()) else {
             return Err(CallError::Invalid);
@@ -255,7 +257,7 @@
         tokio::pin!(send);
         tokio::select! {
             biased;
-            // Answered or failed at once; a failure before the hand-over is one to connect.
+            // Completed at once; a failure before the request was dispatched is one to connect.
             result = send.as_mut() => match result {
                 Ok(response) => return Ok(response),
                 Err(_) if dispatched.notified().now_or_never().is_some() => return Err(CallError::Lost),
@@ -268,23 +270,23 @@
         match timeout(self.opts.head_timeout, send).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(_broken)) => Err(CallError::Lost),
-            Err(_late) => Err(CallError::Timeout),
+            Err(_elapsed) => Err(CallError::Timeout),
         }
     }
 
-    /// Returns the options the client was built with.
+    /// Returns the options with which the client was built.
     #[must_use]
     pub fn options(&self) -> &Options {
         &self.opts
     }
 }
 
-/// A body that notes when the library takes the request to a connection.
+/// A body that records when the library assigns the request to a connection.
 ///
-/// The library reports a connection lost before the answer with the same error as a connection
-/// never made; taken at its word, a request that ran would be called "not run". It asks a body
-/// for its size only once it holds a connection and before it writes the first byte, so that a
-/// body never asked belongs to a request of which no byte was written.
+/// The library reports a connection lost before the response with the same error as a failed
+/// connection attempt; relying on that error, a request that ran would be reported as not run.
+/// The library queries a body's size once it has a connection and before it writes the first byte.
+/// If the size was never queried, no byte of the request was written.
 struct TrackedBody {
     body: Bytes,
     dispatched: Rc<Notify>,
@@ -312,7 +314,7 @@
     }
 }
 
-/// Returns what the answer's head says about the request.
+/// Returns what the response head states about whether the request ran.
 fn ran(response: &ClientResponse) -> Ran {
     match response.header(RAN_HEADER) {
         Some(value) if value.as_bytes() == b"no" => Ran::No,
@@ -321,15 +323,15 @@
     }
 }
 
-/// Turns an answer that opens no stream into an error.
-pub(super) async fn status_error(response: ClientResponse, time: Duration) -> CallError {
+/// Converts a response whose status is not 200 into an error; `time_limit` bounds reading its body.
+pub(super) async fn status_error(response: ClientResponse, time_limit: Duration) -> CallError {
     let status = response.status().as_u16();
     let ran = ran(&response);
     let retry_after = response
         .header(RETRY_AFTER)
         .and_then(|value| value.to_str().ok()?.parse().ok())
         .map(Duration::from_secs);
-    let body = timeout(time, collect(response, MAX_REFUSAL_BYTES)).await;
+    let body = timeout(time_limit, collect(response, MAX_REFUSAL_BYTES)).await;
     CallError::Status {
         status,
         ran,
@@ -340,16 +342,16 @@
 
 async fn collect(mut response: ClientResponse, limit: usize) -> Result<Bytes, CallError> {
     let mut body = BytesMut::new();
-    while let Some(part) = ntex::util::stream_recv(&mut response).await {
-        let part = part.map_err(|_broken| CallError::Lost)?;
-        if body.len() + part.len() > limit {
+    while let Some(chunk) = ntex::util::stream_recv(&mut response).await {
+        let chunk = chunk.map_err(|_broken| CallError::Lost)?;
+        if body.len() + chunk.len() > limit {
             return Err(CallError::Unreadable);
         }
-        body.extend_from_slice(&part);
+        body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
 
-fn millis(time: Duration) -> Millis {
-    Millis(u32::try_from(time.as_millis()).unwrap_or(u32::MAX))
+fn millis(duration: Duration) -> Millis {
+    Millis(u32::try_from(duration.as_millis()).unwrap_or(u32::MAX))
 }
--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to an engine besides its answers: load, cache events, orders, prefill.
+//! Calls to an engine other than streamed requests: load, cache events, orders, prefill.
 
 use std::net::SocketAddr;
 
@@ -14,100 +14,100 @@
 /// An engine's report of its load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests in the batch.
+    /// Requests in the running batch.
     pub running: u64,
-    /// Requests not yet in the batch.
+    /// Requests waiting to enter the batch.
     pub waiting: u64,
-    /// Prompt tokens still to be worked through by all requests.
+    /// Prompt tokens of all requests that are not prefilled yet.
     pub prefill_tokens: u64,
-    /// Pieces in the prefix cache.
+    /// Blocks in the prefix cache.
     pub pieces_used: u64,
     /// `both`, `prefill` or `decode`.
     pub role: Box<str>,
     /// Name of the loaded model.
     pub model: Box<str>,
-    /// Highest fencing number the engine has seen; 0 for none.
+    /// Highest fencing number received by the engine; 0 for none.
     pub fence_seen: u64,
-    /// Highest order number seen with that fencing number; 0 for none.
+    /// Highest order number received with that fencing number; 0 for none.
     pub order_seen: u64,
-    /// Whether a change of role, model, adapter or version is under way.
+    /// Whether a change of role, model, adapter or version is in progress.
     pub changing: bool,
-    /// Whether the engine was told to take no new work.
+    /// Whether the engine has been ordered to accept no new requests.
     pub draining: bool,
     /// Age of the report in milliseconds.
     pub age_ms: u64,
 }
 
-/// What became of a piece of the prefix cache.
+/// Kind of change to a block of the prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CacheOp {
-    /// The piece is now held.
+    /// The block was added to the cache.
     Stored,
-    /// The piece is no longer held.
+    /// The block was removed from the cache.
     Evicted,
 }
 
-/// One published change of the prefix cache.
+/// One published change to the prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; gaps mean lost events.
+    /// Sequence number; gaps mean lost events.
     pub seq: u64,
-    /// What happened.
+    /// Kind of change.
     pub op: CacheOp,
-    /// Hash of the piece in hexadecimal.
+    /// Hash of the block in hexadecimal.
     pub piece: Box<str>,
 }
 
-/// What an engine is ordered to do.
+/// Action that an order asks of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum Action {
-    /// Take a role: `both`, `prefill` or `decode`.
+    /// Switch to a role: `both`, `prefill` or `decode`.
     Role {
-        /// The role.
+        /// New role.
         role: Box<str>,
     },
-    /// Load something.
+    /// Load a model, an adapter or a version.
     Load {
         /// `model`, `adapter` or `version`.
         what: Box<str>,
-        /// Its name.
+        /// Name of the model, adapter or version.
         name: Box<str>,
     },
-    /// Take no new work.
+    /// Accept no new requests.
     Drain,
-    /// Take work again.
+    /// Accept requests again.
     Resume,
 }
 
 /// Why an order is not known to be in force.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum OrderError {
-    /// The engine has seen a higher order.
-    #[snafu(display("the engine has seen the fencing number {fence}"))]
+    /// The engine has already received an order with the same or a higher number.
+    #[snafu(display("order fenced: the engine has received fencing number {fence}"))]
     Fenced {
-        /// The highest fencing number it has seen.
+        /// Highest fencing number that the engine has received.
         fence: u64,
     },
     /// The call failed.
     #[snafu(display("{source}"))]
     Call {
-        /// Why.
+        /// Cause of the failure.
         source: CallError,
     },
 }
 
-/// A prompt worked through and kept for another engine.
+/// Result of a prefill whose KV cache is kept for another engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillResult {
-    /// Name under which the engine keeps the result.
+    /// Handle of the KV cache at the engine.
     pub kv: Box<str>,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
 }
 
-/// Reads an engine's load report.
+/// Fetches an engine's load report.
 ///
 /// # Errors
 ///
@@ -116,7 +116,7 @@
     parse(&get(client, addr, "/load").await?)
 }
 
-/// Reads the published cache events numbered above `after`.
+/// Fetches the published cache events with sequence numbers above `after`.
 ///
 /// # Errors
 ///
@@ -129,7 +129,7 @@
     parse(&get(client, addr, &format!("/events?after={after}")).await?)
 }
 
-/// Gives an engine an order under a fencing number.
+/// Sends an order with its fencing number to an engine.
 ///
 /// # Errors
 ///
@@ -168,11 +168,11 @@
     }
 }
 
-/// Has an engine work through a prompt and keep the result for another engine.
+/// Has an engine prefill a prompt and keep the KV cache for another engine.
 ///
 /// # Errors
 ///
-/// Returns why there is no result, and whether the request ran.
+/// Returns why there is no KV cache, and whether the request ran.
 pub async fn prefill(
     client: &Client,
     addr: SocketAddr,
@@ -207,7 +207,7 @@
     if answer.status != 200 {
         return Err(status_error(answer.clone()));
     }
-    serde_json::from_slice(&answer.body).map_err(|_bad| CallError::Unreadable)
+    serde_json::from_slice(&answer.body).map_err(|_malformed| CallError::Unreadable)
 }
 
 fn status_error(answer: Answer) -> CallError {
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,7 +1,7 @@
-//! Client side towards engines and plain services.
+//! HTTP clients for backend servers: engines and plain services.
 //!
-//! Every call tells whether the request may have run: the answer "not run" is given only when no
-//! byte of the request was handed to a socket, or when the other side said so.
+//! Every failed call reports whether the request may have run. "Not run" is reported only if no
+//! byte of the request was written to a socket, or if the backend server stated so.
 
 mod client;
 mod engine;
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -1,9 +1,9 @@
-//! Kept connections to backend servers and to the store, one request at a time on each.
+//! Pool of keep-alive connections to backend servers and to the store, without pipelining.
 //!
-//! The pool of the house's HTTP client keeps each idle connection for one fixed time and does not
-//! tell a connection that was closed from one that broke under a request. Relayed requests need
-//! both: a backend server names the time for which it keeps a connection, and whether a byte of a
-//! request was handed over decides whether "not run" is true. The HTTP itself is a library's.
+//! The pool of the HTTP client in [`super::Client`] keeps every idle connection for the same time
+//! and reports a closed connection with the same error as one that broke during a request.
+//! Relayed requests need both: a backend server announces its own keep-alive timeout, and a request
+//! is reported as not run only if no byte of it was handed to a connection. HTTP itself is hyper's.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,46 +26,46 @@
 
 use crate::error::Ran;
 
-/// Time without an acknowledgement after which the kernel gives a connection up.
+/// Time without a TCP acknowledgement after which the kernel closes a connection.
 ///
-/// A host without power or behind a partition answers nothing; without this a request waits there
-/// for its whole deadline. Four times the probes' interval.
+/// Four times the keep-alive interval. Without it, a request to a server that lost power or is
+/// behind a partition waits for its whole deadline.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time between two probes of a connection on which nothing happens.
+/// Interval of TCP keep-alive probes on an idle connection.
 ///
-/// Something between the two ends may lose track of a connection, which then stays silent for
-/// good; the probes end it within a few seconds.
+/// A middlebox that drops its state of a connection leaves it open without any traffic; failed
+/// probes close it within a few seconds.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time a connection may take to be ready for its next request once an answer is whole.
+/// Time within which a connection must be ready for its next request after a complete response.
 const READY_TIMEOUT: Duration = Duration::from_millis(2);
-/// Most headers of an answer.
+/// Maximum number of headers in a response.
 const MAX_HEADERS: usize = 128;
 
-/// Why there is no answer, or no whole one.
+/// Why there is no response, or no complete one.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum PoolError {
-    /// No connection was made; no byte was handed over.
-    #[snafu(display("no connection was made: {reason}"))]
+    /// Connecting failed; no byte of the request was sent.
+    #[snafu(display("cannot connect: {reason}"))]
     Connect {
-        /// What was met.
+        /// Description of the failure.
         reason: Box<str>,
     },
     /// The connection broke after the request was handed to it.
-    #[snafu(display("the connection broke: {reason}"))]
+    #[snafu(display("connection broke: {reason}"))]
     Broken {
-        /// What was met.
+        /// Description of the failure.
         reason: Box<str>,
     },
-    /// No answer came in time.
-    #[snafu(display("no answer came in time"))]
+    /// No complete response arrived in time.
+    #[snafu(display("no complete response before the deadline"))]
     Timeout,
-    /// The answer is longer than is taken.
-    #[snafu(display("the answer is too long"))]
+    /// The response body exceeds the size limit.
+    #[snafu(display("response body exceeds the size limit"))]
     TooLong,
 }
 
 impl PoolError {
-    /// Tells whether the other side may have run the call.
+    /// Returns whether the server may have run the call.
     #[must_use]
     pub fn ran(&self) -> Ran {
         match self {
@@ -75,14 +75,13 @@
     }
 }
 
-/// An idle connection.
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     guard: oneshot::Sender<Infallible>,
     expires_at: Instant,
 }
 
-/// Connections to many addresses; clones share them.
+/// Pool of idle connections by address; clones share them.
 #[derive(Clone, Default)]
 pub struct ConnectionPool {
     idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
@@ -94,9 +93,9 @@
     }
 }
 
-/// An answer whose head has arrived.
+/// A response whose head has arrived.
 pub struct Answer {
-    /// Head and body.
+    /// Response with the body still to be read.
     pub response: Response<Incoming>,
     sender: SendRequest<Full<Bytes>>,
     guard: oneshot::Sender<Infallible>,
@@ -111,64 +110,65 @@
     }
 }
 
-/// A whole answer.
+/// A response with its complete body.
 #[derive(Debug)]
 pub struct FullAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Its headers.
+    /// Response headers.
     pub headers: hyper::HeaderMap,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// What is to be sent.
+/// An HTTP request and its destination.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Where to.
+    /// Destination address.
     pub addr: SocketAddr,
     /// HTTP method.
     pub method: hyper::Method,
-    /// Path with query, as it is to be written.
+    /// Encoded path with query.
     pub path: Box<str>,
-    /// Names and values.
+    /// Header names and values.
     pub headers: Vec<(Box<str>, Box<[u8]>)>,
-    /// Body; may be empty.
+    /// Request body; may be empty.
     pub body: Bytes,
 }
 
 impl Call {
-    /// Returns the request as the library takes it.
+    /// Builds the request, with a `Host` header if the call has none.
     fn request(&self) -> Result<Request<Full<Bytes>>, PoolError> {
         let mut builder = Request::builder().method(&self.method).uri(&*self.path);
-        let mut named = false;
+        let mut has_host = false;
         for (name, value) in &self.headers {
-            named |= &**name == "host";
+            has_host |= &**name == "host";
             builder = builder.header(&**name, &**value);
         }
-        if !named {
+        if !has_host {
             builder = builder.header("host", self.addr.to_string());
         }
         builder
             .body(Full::new(self.body.clone()))
             .map_err(|err| PoolError::Connect {
-                reason: format!("the request cannot be written as HTTP: {err}").into(),
+                reason: format!("request is not valid HTTP: {err}").into(),
             })
     }
 }
 
 impl ConnectionPool {
-    /// Sends a call and returns the head of its answer.
+    /// Sends a call and returns the head of its response.
     ///
-    /// `connect_timeout` bounds the making of a connection; the caller bounds the rest by dropping the
-    /// future, which closes the connection.
+    /// `connect_timeout` bounds the opening of a connection. The caller bounds the rest by dropping
+    /// the future, which closes the connection.
     ///
     /// # Errors
     ///
-    /// Returns [`ChannelError::Connect`] where no byte of the call was handed to a connection.
+    /// Returns [`PoolError::Connect`] if no byte of the call was handed to a connection, and
+    /// [`PoolError::Broken`] if the connection broke afterwards.
     pub async fn send(&self, call: &Call, connect_timeout: Duration) -> Result<Answer, PoolError> {
         let mut request = call.request()?;
-        // A kept connection that turns out to be closed hands the request back untouched.
+        // An idle connection that was closed meanwhile returns the request unsent.
         while let Some(mut idle) = self.take_idle(call.addr) {
             match idle.sender.try_send_request(request).await {
                 Ok(response) => {
@@ -180,16 +180,16 @@
                     });
                 }
                 Err(mut err) => match err.take_message() {
-                    Some(back) => request = back,
+                    Some(unsent) => request = unsent,
                     None => return Err(connection_broken(&err.into_error())),
                 },
             }
         }
         let (mut sender, guard) = timeout(connect_timeout, connect(call.addr))
             .await
-            .unwrap_or_else(|_late| {
+            .unwrap_or_else(|_elapsed| {
                 Err(PoolError::Connect {
-                    reason: "the other side does not answer".into(),
+                    reason: "timed out".into(),
                 })
             })?;
         match sender.try_send_request(request).await {
@@ -201,7 +201,7 @@
             }),
             Err(mut err) => Err(if err.take_message().is_some() {
                 PoolError::Connect {
-                    reason: "the connection closed before the request was handed to it".into(),
+                    reason: "connection closed before the request was sent".into(),
                 }
             } else {
                 connection_broken(&err.into_error())
@@ -209,24 +209,25 @@
         }
     }
 
-    /// Sends a call and collects its whole answer within `time`.
+    /// Sends a call and collects its complete response within `time_limit`; its body may have at
+    /// most `limit` bytes.
     ///
     /// # Errors
     ///
-    /// Returns why there is no whole answer.
+    /// Returns why there is no complete response.
     pub async fn call(
         &self,
         call: &Call,
-        time: Duration,
+        time_limit: Duration,
         limit: usize,
     ) -> Result<FullAnswer, PoolError> {
-        let end = Instant::now() + time;
-        let answer = self.send(call, time / 2);
-        let answer = timeout_at(end, answer).await;
+        let deadline = Instant::now() + time_limit;
+        let answer = self.send(call, time_limit / 2);
+        let answer = timeout_at(deadline, answer).await;
         let mut answer = answer.unwrap_or(Err(PoolError::Timeout))?;
         let status = answer.response.status().as_u16();
         let headers = std::mem::take(answer.response.headers_mut());
-        let body = timeout_at(end, collect(&mut answer, limit)).await;
+        let body = timeout_at(deadline, collect(&mut answer, limit)).await;
         let body = body.unwrap_or(Err(PoolError::Timeout))?;
         self.put_back(answer, CALL_IDLE_TIMEOUT, MAX_IDLE_CALL_CONNECTIONS)
             .await;
@@ -242,7 +243,7 @@
         let list = all.get_mut(&addr)?;
         let now = Instant::now();
         let mut found = None;
-        // The one used last is the one least likely to be closed by now.
+        // The most recently used connection is the least likely to be closed by now.
         while let Some(idle) = list.pop() {
             if idle.expires_at > now && idle.sender.is_ready() {
                 found = Some(idle);
@@ -255,16 +256,17 @@
         found
     }
 
-    /// Keeps the connection of an answer that was read to its end, for `idle` and among at most
-    /// `most` to the same address.
-    pub async fn put_back(&self, answer: Answer, idle: Duration, most: usize) {
+    /// Returns the connection of a response that was read to its end to the pool.
+    ///
+    /// It is kept for `idle_timeout`, unless `max_idle` connections to its address are kept already.
+    pub async fn put_back(&self, answer: Answer, idle_timeout: Duration, max_idle: usize) {
         let Answer {
             mut sender,
             guard,
             addr,
             ..
         } = answer;
-        // Bytes after the answer end the connection here: they belong to no request.
+        // Bytes after the response belong to no request and close the connection here.
         let ready = timeout(READY_TIMEOUT, sender.ready()).await;
         if !matches!(ready, Ok(Ok(()))) {
             return;
@@ -273,11 +275,11 @@
         let mut all = self.idle.borrow_mut();
         let list = all.entry(addr).or_default();
         list.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
-        if list.len() < most {
+        if list.len() < max_idle {
             list.push(IdleConnection {
                 sender,
                 guard,
-                expires_at: now + idle,
+                expires_at: now + idle_timeout,
             });
         }
     }
@@ -287,7 +289,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes idle connections that are past their time.
+    /// Closes idle connections that have expired.
     pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, list| {
@@ -297,33 +299,33 @@
     }
 }
 
-/// Time for which connections of [`Channels::call`] are kept.
+/// Time for which idle connections of [`ConnectionPool::call`] are kept.
 ///
-/// The store and the engines' own interfaces keep theirs for longer; the store is called at least
-/// this often while its leases are renewed.
+/// Shorter than the keep-alive of the store and of the engines' own interfaces; lease renewals
+/// call the store at least this often.
 const CALL_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Connections of [`Channels::call`] kept to one address.
+/// Maximum number of idle connections of [`ConnectionPool::call`] per address.
 const MAX_IDLE_CALL_CONNECTIONS: usize = 4;
 
-/// Collects the rest of an answer's body.
+/// Collects the rest of a response's body.
 ///
 /// # Errors
 ///
-/// Returns [`ChannelError::Broken`] for a body that was cut and [`ChannelError::Long`] past
-/// `limit` bytes.
+/// Returns [`PoolError::Broken`] for a truncated body and [`PoolError::TooLong`] for one of more
+/// than `limit` bytes.
 pub async fn collect(answer: &mut Answer, limit: usize) -> Result<Bytes, PoolError> {
     let mut body = bytes::BytesMut::new();
-    while let Some(part) = next_chunk(answer).await {
-        let part = part?;
-        if body.len() + part.len() > limit {
+    while let Some(chunk) = next_chunk(answer).await {
+        let chunk = chunk?;
+        if body.len() + chunk.len() > limit {
             return Err(PoolError::TooLong);
         }
-        body.extend_from_slice(&part);
+        body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
 
-/// Returns the next part of an answer's body; `None` at its proper end.
+/// Returns the next chunk of a response's body; `None` at its regular end.
 pub async fn next_chunk(answer: &mut Answer) -> Option<Result<Bytes, PoolError>> {
     loop {
         match answer.response.body_mut().frame().await? {
@@ -353,11 +355,11 @@
     let stream = TcpStream::connect(addr).await.map_err(failed)?;
     stream.set_nodelay(true).map_err(failed)?;
     let socket = SockRef::from(&stream);
-    let probes = TcpKeepalive::new()
+    let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
-    socket.set_tcp_keepalive(&probes).map_err(failed)?;
+    socket.set_tcp_keepalive(&keepalive).map_err(failed)?;
     socket
         .set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
         .map_err(failed)?;
--- a/src/backend/single_use.rs
+++ b/src/backend/single_use.rs
@@ -1,9 +1,8 @@
-//! A client whose every call goes out on a connection of its own, from which the kernel drops
-//! late bytes.
+//! Connector that opens a new connection for each call and bounds how long the kernel retransmits.
 //!
-//! Bytes that were written to a socket are sent again until the other side has them, also long
-//! after a partition, and also when the process that wrote them is dead. An order must not arrive
-//! that late: a successor may have given others meanwhile.
+//! The kernel retransmits bytes written to a socket until the peer acknowledges them: also long
+//! after a partition, and also after the process that wrote them has exited. An order must not be
+//! delivered that late, because the next holder of the authority may have given other orders.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,25 +19,25 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Decides, once a connection is there, whether it may still be used.
+/// Returns whether a connection that has just been opened may still be used.
 pub type SendCheck = fn(u64) -> bool;
 
-/// A [`Gate`] and the value that it decides by.
+/// Conditions under which a single-use connection may deliver its request.
 #[derive(Debug, Clone, Copy)]
 pub struct SingleUse {
-    /// Time the kernel goes on trying to deliver what was written.
+    /// Time for which the kernel retransmits unacknowledged bytes.
     pub unacked_timeout: Duration,
-    /// Asked after the connection is made and before the first byte is written.
+    /// Called after the connection is established and before the first byte is written.
     pub may_send: SendCheck,
-    /// What the gate is asked about.
+    /// Argument of `may_send`.
     pub check_value: u64,
 }
 
-/// Returns a connector that asks the gate and bounds the life of what is written.
-pub(super) fn connector(single_use: SingleUse, time: Duration) -> Connector {
+/// Returns a connector that calls `may_send` and limits retransmission of what is written.
+pub(super) fn connector(single_use: SingleUse, connect_timeout: Duration) -> Connector {
     let factory = fn_factory_with_config(async move |cfg: SharedCfg| {
         Ok::<_, io::Error>(fn_service(async move |request: Connect<Uri>| {
-            connect(&request, single_use, time, cfg.clone()).await
+            connect(&request, single_use, connect_timeout, cfg.clone()).await
         }))
     });
     Connector::new().connector(factory)
@@ -47,12 +46,12 @@
 async fn connect(
     request: &Connect<Uri>,
     single_use: SingleUse,
-    time: Duration,
+    connect_timeout: Duration,
     cfg: SharedCfg,
 ) -> Result<Io, ConnectError> {
     let addr: SocketAddr = request.addrs().next().ok_or(ConnectError::Unresolved)?;
-    let stream = timeout(time, TcpStream::connect(addr)).await;
-    let stream = stream.map_err(|_late| io::Error::from(io::ErrorKind::TimedOut))??;
+    let stream = timeout(connect_timeout, TcpStream::connect(addr)).await;
+    let stream = stream.map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
     SockRef::from(&stream).set_tcp_user_timeout(Some(single_use.unacked_timeout))?;
     if !(single_use.may_send)(single_use.check_value) {
         return Err(io::Error::from(io::ErrorKind::Interrupted).into());
--- a/src/backend/sse.rs
+++ b/src/backend/sse.rs
@@ -5,48 +5,48 @@
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
-/// Most bytes of one line; an engine's chunk is well below 1 KiB.
+/// Maximum length of a line; a chunk of an engine is well below 1 KiB.
 const MAX_LINE_BYTES: usize = 64 * 1024;
-/// Most bytes of all data lines of one event.
+/// Maximum total length of the data lines of one event.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
-/// Mark that a stream may begin with; ignored.
+/// UTF-8 byte order mark, ignored at the start of a stream.
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
-/// Why a stream of events cannot be read on.
+/// Why a stream of events cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum SseError {
-    /// A line is longer than the parser takes.
-    #[snafu(display("a line of the event stream is too long"))]
+    /// A line exceeds the length limit.
+    #[snafu(display("line of the event stream exceeds {MAX_LINE_BYTES} bytes"))]
     LineTooLong,
-    /// The data of one event is longer than the parser takes.
-    #[snafu(display("an event of the stream is too long"))]
+    /// The data of an event exceeds the length limit.
+    #[snafu(display("data of an event exceeds {MAX_EVENT_BYTES} bytes"))]
     EventTooLong,
     /// An event id is not a decimal number.
-    #[snafu(display("an event id is not a number"))]
+    #[snafu(display("event id is not a decimal number"))]
     InvalidId,
 }
 
-/// One event that carries data.
+/// An event that carries data.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Last id seen in the stream up to and with this event.
+    /// Last id in the stream up to and including this event.
     pub id: Option<u64>,
-    /// The data lines, joined by line feeds.
+    /// Data lines, joined by line feeds.
     pub data: Bytes,
 }
 
-/// Turns parts of a stream, split anywhere, into events.
+/// Parses events from chunks of a stream that may be split at any byte.
 #[derive(Debug, Default)]
 pub struct Parser {
-    /// Start of a line whose end has not come yet.
+    /// Start of a line whose end has not arrived yet.
     line: BytesMut,
-    /// Data lines of the event being read, each followed by a line feed.
+    /// Data lines of the current event, each followed by a line feed.
     data: BytesMut,
     id: Option<u64>,
     ready: VecDeque<Event>,
-    /// The last byte was a carriage return, so that a line feed next belongs to it.
+    /// The last byte was a carriage return, so a line feed that follows belongs to it.
     after_cr: bool,
-    /// The first line has been read.
+    /// Whether the first line has been read.
     started: bool,
 }
 
@@ -57,18 +57,18 @@
         Self::default()
     }
 
-    /// Takes the next part of the stream.
+    /// Parses the next chunk of the stream.
     ///
     /// # Errors
     ///
-    /// Returns why the stream cannot be read on; the parser must not be used afterwards.
-    pub fn push(&mut self, mut part: &[u8]) -> Result<(), SseError> {
-        if self.after_cr && !part.is_empty() {
+    /// Returns why the stream cannot be parsed; the parser must not be used afterwards.
+    pub fn push(&mut self, mut chunk: &[u8]) -> Result<(), SseError> {
+        if self.after_cr && !chunk.is_empty() {
             self.after_cr = false;
-            part = part.strip_prefix(b"\n").unwrap_or(part);
+            chunk = chunk.strip_prefix(b"\n").unwrap_or(chunk);
         }
-        while let Some(end) = part.iter().position(|b| matches!(b, b'\n' | b'\r')) {
-            let (line, rest) = (&part[..end], &part[end + 1..]);
+        while let Some(end) = chunk.iter().position(|b| matches!(b, b'\n' | b'\r')) {
+            let (line, rest) = (&chunk[..end], &chunk[end + 1..]);
             if self.line.len() + line.len() > MAX_LINE_BYTES {
                 return Err(SseError::LineTooLong);
             }
@@ -76,25 +76,25 @@
                 self.end_line(line)?;
             } else {
                 self.line.extend_from_slice(line);
-                let whole = self.line.split();
-                self.end_line(&whole)?;
+                let complete = self.line.split();
+                self.end_line(&complete)?;
             }
-            let cr = part[end] == b'\r';
-            self.after_cr = cr && rest.is_empty();
-            part = if cr {
+            let is_cr = chunk[end] == b'\r';
+            self.after_cr = is_cr && rest.is_empty();
+            chunk = if is_cr {
                 rest.strip_prefix(b"\n").unwrap_or(rest)
             } else {
                 rest
             };
         }
-        if self.line.len() + part.len() > MAX_LINE_BYTES {
+        if self.line.len() + chunk.len() > MAX_LINE_BYTES {
             return Err(SseError::LineTooLong);
         }
-        self.line.extend_from_slice(part);
+        self.line.extend_from_slice(chunk);
         Ok(())
     }
 
-    /// Returns the next whole event.
+    /// Returns the next complete event.
     pub fn pop(&mut self) -> Option<Event> {
         self.ready.pop_front()
     }
@@ -109,7 +109,7 @@
             return Ok(());
         }
         let (field, value) = match line.iter().position(|b| *b == b':') {
-            Some(at) => (&line[..at], &line[at + 1..]),
+            Some(colon) => (&line[..colon], &line[colon + 1..]),
             None => (line, &[][..]),
         };
         let value = value.strip_prefix(b" ").unwrap_or(value);
@@ -122,7 +122,7 @@
                 self.data.extend_from_slice(b"\n");
             }
             b"id" => self.id = Some(parse_id(value).ok_or(SseError::InvalidId)?),
-            // Comments (an empty field name), "event" and "retry" carry nothing for this program.
+            // Comments (an empty field name), "event" and "retry" are not used.
             _ => {}
         }
         Ok(())
--- a/src/backend/stream.rs
+++ b/src/backend/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer of an engine, chunk by chunk.
+//! Streamed response of an engine, read chunk by chunk.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -15,49 +15,49 @@
 use super::client::{Call, CallError, Client, status_error};
 use super::sse::{Event, Parser, SseError};
 
-/// Header that names the attempt.
+/// Header with the attempt id.
 pub(super) const ATTEMPT_HEADER: &str = "x-attempt-id";
-/// Header that names the offset to resume from.
+/// Header with the token offset to resume from.
 const RESUME_HEADER: &str = "last-event-id";
-/// Header that names the priority; it outranks the field of the same name in the body.
+/// Header with the priority; it takes precedence over the `priority` field of the body.
 const PRIORITY_HEADER: &str = "x-priority";
-/// Time a back end has to end the body after the event that ends the stream.
+/// Time within which the body must end after the event that ends the stream.
 const END_TIMEOUT: Duration = Duration::from_secs(1);
-/// Data of the event that ends a stream.
+/// Data of the event that ends the stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Why a stream cannot be read on.
+/// Why reading a stream failed.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
     /// The connection broke.
-    #[snafu(display("the connection broke"))]
+    #[snafu(display("connection broke"))]
     Lost,
-    /// The answer ended without the event that ends a stream.
-    #[snafu(display("the stream ended early"))]
+    /// The body ended before the event that ends the stream.
+    #[snafu(display("stream ended before its last event"))]
     Truncated,
-    /// The stream is not made of events.
-    #[snafu(display("the stream cannot be read: {source}"))]
+    /// The body is not a stream of server-sent events.
+    #[snafu(display("malformed event stream: {source}"))]
     Malformed {
-        /// What is wrong with it.
+        /// Cause reported by the parser.
         source: SseError,
     },
-    /// The data of an event is not a chunk of an answer.
-    #[snafu(display("an event of the stream is no chunk"))]
+    /// The data of an event is not a completion chunk, or the event has no id.
+    #[snafu(display("event of the stream is not a completion chunk"))]
     InvalidChunk,
 }
 
-/// One chunk of an answer.
+/// One completion chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chunk {
     /// Offset of the token that follows this chunk.
     pub offset: u64,
-    /// The event's data: the chunk as JSON.
+    /// The chunk as JSON.
     pub data: Bytes,
     /// Whether the chunk carries the finish reason.
     pub is_last: bool,
 }
 
-/// A streamed answer; dropping it closes its connection, which cancels the attempt.
+/// A streamed response; dropping it closes its connection, which cancels the attempt.
 pub struct Stream {
     /// `None` after the event that ends the stream.
     response: Option<ClientResponse>,
@@ -66,7 +66,7 @@
     foreign_chunks: u64,
 }
 
-/// The fields of a chunk that this side reads.
+/// Fields of a chunk that are used here.
 #[derive(Deserialize)]
 struct ChunkHead<'a> {
     #[serde(borrow)]
@@ -81,14 +81,14 @@
     finish_reason: Option<Cow<'a, str>>,
 }
 
-/// Opens a streamed answer.
+/// Opens a streamed response.
 ///
-/// `resume` is the offset of the next token wanted of an attempt that is already running or
-/// finished on this engine; without it the engine starts the attempt.
+/// With `resume`, the engine continues an attempt that is running or finished there from that
+/// token offset; without it, the engine starts the attempt.
 ///
 /// # Errors
 ///
-/// Returns why no stream was opened, and with it whether the request ran.
+/// Returns why no stream was opened, including whether the request ran.
 pub async fn open(
     client: &Client,
     addr: SocketAddr,
@@ -131,12 +131,12 @@
 impl Stream {
     /// Returns the next chunk in order of arrival, or `None` after the event that ends the stream.
     ///
-    /// Chunks of other attempts are left out and counted; repeated and reordered chunks are
-    /// given as they came. A call that is dropped before it returns loses nothing.
+    /// Chunks of other attempts are skipped and counted; duplicate and reordered chunks are
+    /// returned as they arrive. The call is cancel-safe.
     ///
     /// # Errors
     ///
-    /// Returns why the stream cannot be read on; it must be dropped then.
+    /// Returns why reading failed; the stream must not be used afterwards.
     pub async fn next(&mut self) -> Result<Option<Chunk>, ReadError> {
         loop {
             while let Some(event) = self.parser.pop() {
@@ -152,14 +152,14 @@
                 return Ok(None);
             };
             match ntex::util::stream_recv(response).await {
-                Some(Ok(part)) => self.parser.push(&part).context(MalformedSnafu)?,
+                Some(Ok(bytes)) => self.parser.push(&bytes).context(MalformedSnafu)?,
                 Some(Err(_broken)) => return Err(ReadError::Lost),
                 None => return Err(ReadError::Truncated),
             }
         }
     }
 
-    /// Returns the number of chunks of other attempts that were left out.
+    /// Returns the number of chunks of other attempts that were skipped.
     #[must_use]
     pub fn foreign_chunks(&self) -> u64 {
         self.foreign_chunks
@@ -169,34 +169,33 @@
         let Ok(head) = serde_json::from_slice::<ChunkHead<'_>>(&event.data) else {
             return Err(ReadError::InvalidChunk);
         };
-        // A chunk of another attempt inside this stream would end up in the wrong caller's
-        // answer; the caller would see words that do not belong to its request.
+        // Forwarding a chunk of another attempt would show the caller text of another request.
         if *head.id != *self.attempt {
             self.foreign_chunks += 1;
             return Ok(None);
         }
-        let end = head.choices.iter().any(|c| c.finish_reason.is_some());
+        let is_last = head.choices.iter().any(|c| c.finish_reason.is_some());
         let offset = event.id.ok_or(ReadError::InvalidChunk)?;
         let data = event.data;
         Ok(Some(Chunk {
             offset,
             data,
-            is_last: end,
+            is_last,
         }))
     }
 
-    /// Reads the end of the body, so that the connection goes back to the pool.
+    /// Reads the end of the body, so that the connection returns to the pool.
     fn finish(&mut self) {
         let Some(mut response) = self.response.take() else {
             return;
         };
         let rest = ntex::util::stream_recv(&mut response).now_or_never();
         if rest.is_none() {
-            // The end of the body is not here yet. Its reader need not wait for it.
+            // The end of the body has not arrived yet; the caller need not wait for it.
             ntex::rt::spawn(async move {
                 let rest = ntex::util::stream_recv(&mut response);
                 if let Ok(Some(_)) = timeout(END_TIMEOUT, rest).await {
-                    log::debug!("data after the end of a stream");
+                    log::debug!("engine sent data after the event that ends the stream");
                 }
             });
         }
--- a/src/backend/tests.rs
+++ b/src/backend/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of the parser of server-sent events.
+//! Tests of the server-sent event parser.
 
 use proptest::prelude::*;
 
 use super::sse::{Event, Parser, SseError};
 
-fn parse(parts: &[&[u8]]) -> Result<Vec<Event>, SseError> {
+fn parse(chunks: &[&[u8]]) -> Result<Vec<Event>, SseError> {
     let mut parser = Parser::new();
     let mut events = Vec::new();
-    for part in parts {
-        parser.push(part)?;
+    for chunk in chunks {
+        parser.push(chunk)?;
         events.extend(std::iter::from_fn(|| parser.pop()));
     }
     Ok(events)
@@ -16,25 +16,25 @@
 
 type OwnedEvents = Result<Vec<(Option<u64>, String)>, SseError>;
 
-fn owned(want: Result<Vec<(Option<u64>, &str)>, SseError>) -> OwnedEvents {
-    Ok(want?
+fn owned(events: Result<Vec<(Option<u64>, &str)>, SseError>) -> OwnedEvents {
+    Ok(events?
         .into_iter()
         .map(|(id, data)| (id, data.to_owned()))
         .collect())
 }
 
 macro_rules! cases {
-    ($($name:ident: $input:expr => $want:expr;)*) => {$(
+    ($($name:ident: $input:expr => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            let got = parse(&[$input.as_ref()]).map(|events| {
+            let actual = parse(&[$input.as_ref()]).map(|events| {
                 events
                     .into_iter()
                     .map(|e| (e.id, String::from_utf8_lossy(&e.data).into_owned()))
                     .collect::<Vec<_>>()
             });
-            let want = owned($want);
-            assert_eq!(got, want);
+            let expected = owned($expected);
+            assert_eq!(actual, expected);
         }
     )*};
 }
@@ -42,7 +42,7 @@
 cases! {
     empty_input: "" => Ok(vec![]);
     one_event: "id: 1\ndata: a\n\n" => Ok(vec![(Some(1), "a")]);
-    carriage_returns: "id: 1\rdata: a\r\r" => Ok(vec![(Some(1), "a")]);
+    cr_line_ends: "id: 1\rdata: a\r\r" => Ok(vec![(Some(1), "a")]);
     crlf_line_ends: "id: 1\r\ndata: a\r\n\r\n" => Ok(vec![(Some(1), "a")]);
     many_data_lines: "data: a\ndata:b\ndata\n\n" => Ok(vec![(None, "a\nb\n")]);
     id_is_kept: "id: 1\ndata: a\n\ndata: b\n\n" => Ok(vec![(Some(1), "a"), (Some(1), "b")]);
@@ -53,10 +53,10 @@
     unterminated_event_is_dropped: "data: a\n\ndata: b\n" => Ok(vec![(None, "a")]);
     bad_id: "id: x1\n" => Err(SseError::InvalidId);
     signed_id: "id: +1\n" => Err(SseError::InvalidId);
-    huge_id: "id: 18446744073709551616\n" => Err(SseError::InvalidId);
+    overflowing_id: "id: 18446744073709551616\n" => Err(SseError::InvalidId);
     line_of_maximum_length: format!("data:{}\n\n", "a".repeat(65_531)) => Ok(vec![(None, &*"a".repeat(65_531))]);
     line_too_long: format!("data:{}\n\n", "a".repeat(65_532)) => Err(SseError::LineTooLong);
-    unended_line_too_long: "a".repeat(65_537) => Err(SseError::LineTooLong);
+    unterminated_line_too_long: "a".repeat(65_537) => Err(SseError::LineTooLong);
     event_too_long: format!("data:{}\n", "a".repeat(60_000)).repeat(5) => Err(SseError::EventTooLong);
 }
 
@@ -71,13 +71,13 @@
         let mut cuts: Vec<usize> = cuts.into_iter().map(|cut| cut.min(text.len())).collect();
         cuts.extend([0, text.len()]);
         cuts.sort_unstable();
-        let parts: Vec<&[u8]> = cuts.windows(2).map(|w| &text.as_bytes()[w[0]..w[1]]).collect();
-        prop_assert_eq!(parse(&parts), parse(&[text.as_bytes()]));
+        let chunks: Vec<&[u8]> = cuts.windows(2).map(|w| &text.as_bytes()[w[0]..w[1]]).collect();
+        prop_assert_eq!(parse(&chunks), parse(&[text.as_bytes()]));
     }
 
     #[test]
     fn arbitrary_bytes_give_events_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let ones: Vec<&[u8]> = bytes.chunks(1).collect();
-        prop_assert_eq!(parse(&ones), parse(&[&bytes]));
+        let single_bytes: Vec<&[u8]> = bytes.chunks(1).collect();
+        prop_assert_eq!(parse(&single_bytes), parse(&[&bytes]));
     }
 }
