--- a/src/store/call.rs
+++ b/src/store/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call, and the turn from endpoint to endpoint.
+//! HTTP calls to the gateway and failover between endpoints.
 
 use std::net::SocketAddr;
 
@@ -9,36 +9,36 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{CallCounts, Inner, ListEntry, MAX_ANSWER_BYTES, Store, StoreError, wire};
+use super::{CallCounts, Inner, ListEntry, MAX_RESPONSE_BYTES, Store, StoreError, wire};
 
-/// gRPC code of an answer to a revision that was compacted away.
+/// gRPC status code for a compacted revision.
 const GRPC_OUT_OF_RANGE: i64 = 11;
-/// Words of etcd's refusal when it has no leader, which it gives before it does anything.
+/// Text in etcd's refusal while it has no leader, which it sends before it runs the call.
 const NO_LEADER_MESSAGE: &str = "no leader";
-/// Asks etcd, through its gateway, to refuse at once while it has no leader.
+/// Header that makes etcd, through its gateway, refuse a call immediately while it has no leader.
 const REQUIRE_LEADER_HEADER: (&str, &str) = ("grpc-metadata-hasleader", "true");
 
-/// Kind of call, as logs and counts name it.
+/// Kind of call, as named in logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
-    /// A read of keys.
+    /// Read of keys.
     Range,
-    /// A read of the newest revision.
+    /// Read of the newest revision.
     Probe,
-    /// A transaction.
+    /// Transaction.
     Txn,
-    /// A lease is asked for.
+    /// Grant of a lease.
     Grant,
-    /// A lease is renewed.
+    /// Renewal of a lease.
     Keepalive,
-    /// A lease is given back.
+    /// Revocation of a lease.
     Revoke,
-    /// A wait for changes.
+    /// Watch for changes.
     Watch,
 }
 
 impl CallKind {
-    /// Returns its name.
+    /// Returns the name of the kind.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether the call may be made again elsewhere when its outcome is unknown.
+    /// Returns whether a call of unknown outcome may be retried at another endpoint.
     fn is_retryable(self) -> bool {
         matches!(
             self,
@@ -86,50 +86,52 @@
 }
 
 impl Store {
-    /// Makes one call and reads its answer.
+    /// Sends a call and decodes its response.
     pub(super) async fn call<T: DeserializeOwned>(
         &self,
         kind: CallKind,
         body: &impl Serialize,
     ) -> Result<T, StoreError> {
         let body = encode(body)?;
-        let answer = self
-            .try_endpoints(kind, async |at| {
-                let answer = post(&self.inner, at, kind, body.clone()).await?;
-                collect(&answer).await
+        let response = self
+            .try_endpoints(kind, async |endpoint| {
+                let response = post(&self.inner, endpoint, kind, body.clone()).await?;
+                collect(&response).await
             })
             .await?;
-        decode(&answer)
+        decode(&response)
     }
 
-    /// Tries `attempt` at one endpoint after the other as long as that is safe.
+    /// Runs `attempt` at one endpoint after the other as long as a retry is safe.
+    ///
+    /// After a failure of the endpoint, later calls start at the next one.
     pub(super) async fn try_endpoints<T>(
         &self,
         kind: CallKind,
         attempt: impl AsyncFn(SocketAddr) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
         let inner = &*self.inner;
-        let mut last = unsent("no endpoint is set");
+        let mut last = unsent("no endpoint is configured");
         for _ in 0..inner.endpoints.len() {
             let first = inner.preferred.get();
             inner.count(|calls| kind.count(calls));
-            let done = with_timeout(inner, attempt(inner.endpoints[first])).await;
-            let err = match done {
-                Ok(answer) => return Ok(answer),
+            let result = with_timeout(inner, attempt(inner.endpoints[first])).await;
+            let err = match result {
+                Ok(response) => return Ok(response),
                 Err(err) => err,
             };
             count_failure(inner, &err);
-            let faulty = match &err {
+            let endpoint_failed = match &err {
                 StoreError::Unsent { .. }
                 | StoreError::Unknown { .. }
                 | StoreError::Ended { .. } => true,
                 StoreError::Refused { status, .. } => *status >= 500,
                 _ => false,
             };
-            if !faulty {
+            if !endpoint_failed {
                 return Err(err);
             }
-            // Another call on this thread may have moved on meanwhile.
+            // A concurrent call may have moved on to the next endpoint already.
             if inner.preferred.get() == first {
                 inner.preferred.set((first + 1) % inner.endpoints.len());
             }
@@ -150,9 +152,9 @@
     inner.count(|calls| calls.hosts += 1);
     let read = async {
         let req = request(inner, Method::GET, list, "/hosts");
-        let answer = req.send().await.map_err(|err| classify_error(&err))?;
-        let answer = check_status(answer).await?;
-        collect(&answer).await
+        let response = req.send().await.map_err(|err| classify_error(&err))?;
+        let response = check_status(response).await?;
+        collect(&response).await
     };
     match with_timeout(inner, read).await {
         Ok(body) => decode(&body),
@@ -163,21 +165,21 @@
     }
 }
 
-/// Sends a call and returns its answer when that is a success.
+/// Sends a call and returns its response if the status is 200.
 pub(super) async fn post(
     inner: &Inner,
-    at: SocketAddr,
+    endpoint: SocketAddr,
     kind: CallKind,
     body: Bytes,
 ) -> Result<ClientResponse, StoreError> {
     let (name, value) = REQUIRE_LEADER_HEADER;
-    let answer = request(inner, Method::POST, at, kind.path())
+    let response = request(inner, Method::POST, endpoint, kind.path())
         .set_header(name, value)
         .content_type("application/json")
         .send_body(body.to_vec())
         .await
         .map_err(|err| classify_error(&err))?;
-    check_status(answer).await
+    check_status(response).await
 }
 
 pub(super) fn encode(body: &impl Serialize) -> Result<Bytes, StoreError> {
@@ -221,21 +223,21 @@
 ) -> Result<T, StoreError> {
     tokio::time::timeout(inner.timeout, work)
         .await
-        .unwrap_or_else(|_late| Err(unknown("no answer in time")))
+        .unwrap_or_else(|_elapsed| Err(unknown("no response before the timeout")))
 }
 
-fn request(inner: &Inner, method: Method, at: SocketAddr, path: &str) -> ClientRequest {
+fn request(inner: &Inner, method: Method, endpoint: SocketAddr, path: &str) -> ClientRequest {
     inner
         .client
-        .request(method, format!("http://{at}{path}"))
-        .address(at)
+        .request(method, format!("http://{endpoint}{path}"))
+        .address(endpoint)
 }
 
 fn classify_error(err: &ClientError) -> StoreError {
     let reason = err.to_string();
     match err {
-        // The library also says "disconnected", with no cause, when the other side closes after
-        // the request went out: only an error of the connection attempt proves that nothing did.
+        // The library also reports `Disconnected` without a cause if the server closes after the
+        // request was sent; only an error of the connection attempt proves that nothing was sent.
         ClientError::Connect(ConnectError::Disconnected(None)) => unknown(&reason),
         ClientError::Connect(_)
         | ClientError::Url(_)
@@ -246,31 +248,33 @@
     }
 }
 
-async fn collect(answer: &ClientResponse) -> Result<Bytes, StoreError> {
-    match answer.body().limit(MAX_ANSWER_BYTES).await {
+async fn collect(response: &ClientResponse) -> Result<Bytes, StoreError> {
+    match response.body().limit(MAX_RESPONSE_BYTES).await {
         Ok(body) => Ok(Bytes::copy_from_slice(&body)),
-        Err(ntex::http::error::PayloadError::Overflow) => Err(malformed(&"too long")),
+        Err(ntex::http::error::PayloadError::Overflow) => {
+            Err(malformed(&"body exceeds the size limit"))
+        }
         Err(err) => Err(unknown(&err.to_string())),
     }
 }
 
-/// Turns an answer that is no success into the error it stands for.
-async fn check_status(answer: ClientResponse) -> Result<ClientResponse, StoreError> {
-    let status = answer.status();
+/// Returns a response of status 200 and converts any other into the matching error.
+async fn check_status(response: ClientResponse) -> Result<ClientResponse, StoreError> {
+    let status = response.status();
     if status == StatusCode::OK {
-        return Ok(answer);
+        return Ok(response);
     }
-    let body = collect(&answer).await?;
-    let said: wire::GatewayError = serde_json::from_slice(&body).unwrap_or_default();
-    if said.code == GRPC_OUT_OF_RANGE {
+    let body = collect(&response).await?;
+    let error: wire::GatewayError = serde_json::from_slice(&body).unwrap_or_default();
+    if error.code == GRPC_OUT_OF_RANGE {
         return Err(StoreError::Compacted { oldest: 0 });
     }
-    // A server error may come after the call was proposed to the cluster, but for this one.
-    if status.is_client_error() || said.message.contains(NO_LEADER_MESSAGE) {
+    // A server error may occur after the call was proposed to the cluster, except this one.
+    if status.is_client_error() || error.message.contains(NO_LEADER_MESSAGE) {
         return Err(StoreError::Refused {
             status: status.as_u16(),
-            reason: said.message,
+            reason: error.message,
         });
     }
-    Err(unknown(&format!("{status}: {}", said.message)))
+    Err(unknown(&format!("status {status}: {}", error.message)))
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's key-value service: etcd's v3 JSON-over-HTTP gateway.
 //!
-//! Endpoints are tried in turn. A call moves on to the next endpoint only when the one before
-//! surely did nothing, or when the call only reads; a write whose outcome is unknown is never
-//! repeated here, for only its sender knows how to find out by reading.
+//! Endpoints are tried in turn. A call is retried at the next endpoint only if the previous one
+//! certainly did not run it, or if running it twice is harmless. A write whose outcome is unknown
+//! is never retried here, because only its caller knows how to determine the outcome by reading.
 
 mod call;
 mod watch;
@@ -27,72 +27,72 @@
 pub use call::CallKind;
 pub use watch::{Batch, Change, Watch};
 
-/// Most bytes of one answer: all keys of a deployment, of which few are near the megabyte.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// Most connections at once, watches included; far above what a host opens.
+/// Maximum size of a response: all keys of a deployment, few of which are close to 1 MB.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum number of connections, watches included; far above what a host opens.
 ///
-/// Not 0, which means no limit: the pool then never wakes a call that waits for another call's
-/// connection attempt, and the call ends as a timeout.
+/// Must not be 0 (no limit): the pool then never wakes a call that waits for another call's
+/// connection attempt, and the call times out.
 const MAX_CONNECTIONS: usize = 1024;
-/// Part of an attempt's time that connecting may take.
+/// Divisor of an attempt's timeout that gives the timeout of connecting.
 ///
-/// Without a bound of its own a dead address uses up the whole attempt, and whether the call was
-/// sent is then not known; the pool would also hold back all later calls to that address.
+/// Without its own limit, connecting to an unresponsive address takes the whole attempt, after
+/// which it is unknown whether the call was sent; the pool also blocks later calls to that address.
 const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
-/// Time without event or progress notification after which a watch counts as silent.
+/// Time without an event or progress notification after which a watch has failed.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a call of the key-value service failed.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// No endpoint was reached; the call surely did nothing.
-    #[snafu(display("no endpoint of the key-value service was reached: {reason}"))]
+    /// The call was not sent to any endpoint; it had no effect.
+    #[snafu(display("cannot reach any endpoint of the key-value service: {reason}"))]
     Unsent {
-        /// What the last attempt met.
+        /// Failure of the last attempt.
         reason: Box<str>,
     },
-    /// The service said no; the call surely did nothing.
-    #[snafu(display("the key-value service refused the call with {status}: {reason}"))]
+    /// The service refused the call; it had no effect.
+    #[snafu(display("the key-value service refused the call with status {status}: {reason}"))]
     Refused {
-        /// HTTP status of the refusal.
+        /// HTTP status.
         status: u16,
-        /// The service's own words.
+        /// Message of the service.
         reason: Box<str>,
     },
-    /// The call was handed over and no answer came; a write may have taken effect.
+    /// The call was sent and its outcome is unknown; a write may have taken effect.
     #[snafu(display("the key-value service may have run the call: {reason}"))]
     Unknown {
-        /// What was met while waiting.
+        /// Description of the failure.
         reason: Box<str>,
     },
-    /// The revision asked for is no longer known; read afresh and watch from there.
-    #[snafu(display("changes before revision {oldest} are no longer known"))]
+    /// The requested revision was compacted; read all keys again and watch from that revision.
+    #[snafu(display("revision was compacted; oldest available: {oldest} (0 if unknown)"))]
     Compacted {
-        /// Oldest revision still known; 0 when the service did not say.
+        /// Oldest available revision; 0 if the service did not report it.
         oldest: i64,
     },
-    /// The answer is not understood; a write may have taken effect.
-    #[snafu(display("the key-value service's answer is not understood: {reason}"))]
+    /// The response cannot be decoded; a write may have taken effect.
+    #[snafu(display("malformed response of the key-value service: {reason}"))]
     Malformed {
-        /// What is wrong with it.
+        /// Description of the defect.
         reason: Box<str>,
     },
-    /// A watch got neither event nor progress notification for too long; open it anew.
-    #[snafu(display("the watch was silent for {} ms", timeout.as_millis()))]
+    /// A watch received neither an event nor a progress notification in time; open a new one.
+    #[snafu(display("the watch received nothing for {} ms", timeout.as_millis()))]
     WatchTimeout {
-        /// The time it may be silent.
+        /// Maximum time between two messages.
         timeout: Duration,
     },
-    /// A watch was ended by the other side; open it anew.
-    #[snafu(display("the watch was ended: {reason}"))]
+    /// The service ended a watch or its connection broke; open a new one.
+    #[snafu(display("the watch ended: {reason}"))]
     Ended {
-        /// What was met.
+        /// Description of the cause.
         reason: Box<str>,
     },
 }
 
 impl StoreError {
-    /// Tells whether a write that ended so may have taken effect.
+    /// Returns whether a write that failed with this error may have taken effect.
     #[must_use]
     pub fn ran(&self) -> Ran {
         match self {
@@ -102,16 +102,16 @@
     }
 }
 
-/// One key, or all keys that begin alike.
+/// A key, or all keys with a common prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Span {
-    /// Just this key.
+    /// A single key.
     Key(Box<str>),
-    /// All keys that begin so; empty for all there are.
+    /// All keys with this prefix; an empty prefix stands for all keys.
     Prefix(Box<str>),
 }
 
-/// One key and its value.
+/// A key and its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pair {
     /// The key.
@@ -122,23 +122,23 @@
     pub mod_revision: i64,
     /// Revision of the write that created the key.
     pub create_revision: i64,
-    /// Lease the key goes with; 0 for none.
+    /// Lease to which the key is attached; 0 for none.
     pub lease: i64,
 }
 
-/// Answer to a read.
+/// Result of a read.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Range {
-    /// Revision of the whole store at the read.
+    /// Revision of the store at the time of the read.
     pub revision: i64,
-    /// What was found, by key.
+    /// Pairs found, ordered by key.
     pub pairs: Vec<Pair>,
 }
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Compare {
-    /// The key was last written at this revision; 0 for absent.
+    /// The key was last written at this revision; 0 if it does not exist.
     Modified {
         /// The key.
         key: Box<str>,
@@ -154,21 +154,21 @@
     Value {
         /// The key.
         key: Box<str>,
-        /// The value.
+        /// The expected value.
         value: Bytes,
     },
 }
 
-/// A step of a transaction.
+/// An operation of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Op {
     /// Writes a key.
     Put {
         /// The key.
         key: Box<str>,
-        /// The value, at most a megabyte.
+        /// The value, at most 1 MB.
         value: Bytes,
-        /// Lease that the key goes with; 0 for none.
+        /// Lease to which the key is attached; 0 for none.
         lease: i64,
     },
     /// Deletes keys.
@@ -177,62 +177,62 @@
     Get(Span),
 }
 
-/// Steps that are done together or not at all.
+/// Operations that are applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Txn {
-    /// Conditions, all of which must hold.
+    /// Conditions that decide between `then` and `otherwise`.
     pub compare: Vec<Compare>,
-    /// Steps when they hold.
+    /// Operations if all conditions hold.
     pub then: Vec<Op>,
-    /// Steps when one does not.
+    /// Operations if a condition does not hold.
     pub otherwise: Vec<Op>,
 }
 
-/// What one step did.
+/// Result of an operation of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OpReply {
     /// The key was written.
     Put,
-    /// That many keys were deleted.
+    /// Number of keys deleted.
     Deleted(i64),
-    /// What was read.
+    /// Pairs read.
     Got(Vec<Pair>),
 }
 
-/// Answer to a transaction.
+/// Result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TxnReply {
-    /// Revision of the whole store after it.
+    /// Revision of the store after the transaction.
     pub revision: i64,
-    /// Whether the conditions held.
+    /// Whether all conditions held.
     pub succeeded: bool,
-    /// What each step did, in order.
+    /// Results of the operations, in order.
     pub replies: Vec<OpReply>,
 }
 
-/// One entry of the platform's list.
+/// An entry of the platform's list of hosts and backend servers.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ListEntry {
-    /// Name, one of its kind.
+    /// Unique name.
     pub name: Box<str>,
-    /// What it is.
+    /// Kind of process.
     pub kind: ListEntryKind,
     /// Model pool or service that it serves; empty for hosts.
     #[serde(default)]
     pub pool: Box<str>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain in which it runs.
     pub domain: Box<str>,
-    /// Whether it stays.
+    /// Whether it is leaving.
     pub state: ListEntryState,
 }
 
-/// What an entry of the platform's list is.
+/// Kind of process that an entry of the platform's list describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListEntryKind {
-    /// One of this program's hosts.
+    /// A host that runs this program.
     Host,
     /// A model engine.
     Engine,
@@ -240,17 +240,17 @@
     Service,
 }
 
-/// Whether an entry of the platform's list stays.
+/// Whether the process of an entry of the platform's list is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListEntryState {
-    /// It takes work.
+    /// It accepts requests.
     Live,
-    /// It is about to go.
+    /// It will stop soon.
     Leaving,
 }
 
-/// Counts of the calls made, one for each attempt at an endpoint.
+/// Numbers of calls by kind and result; each attempt at an endpoint counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CallCounts {
     /// Reads.
@@ -259,19 +259,19 @@
     pub probe: u64,
     /// Transactions.
     pub txn: u64,
-    /// Leases asked for.
+    /// Lease grants.
     pub grant: u64,
-    /// Leases kept alive.
+    /// Lease renewals.
     pub keepalive: u64,
-    /// Leases given back.
+    /// Lease revocations.
     pub revoke: u64,
     /// Watches opened.
     pub watch: u64,
     /// Reads of the platform's list.
     pub hosts: u64,
-    /// Watches waiting now.
+    /// Watches that are open now.
     pub open_watches: u64,
-    /// Attempts that failed and surely did nothing.
+    /// Attempts that failed without effect.
     pub refused: u64,
     /// Attempts whose outcome is unknown.
     pub unknown: u64,
@@ -280,7 +280,7 @@
 struct Inner {
     client: Client,
     endpoints: Box<[SocketAddr]>,
-    /// Endpoint that the next call tries first.
+    /// Index of the endpoint that the next call tries first.
     preferred: Cell<usize>,
     timeout: Duration,
     calls: Cell<CallCounts>,
@@ -294,7 +294,7 @@
     }
 }
 
-/// Client of the key-value service; clones share their connections and counts.
+/// Client of the key-value service; clones share connections and counts.
 #[derive(Clone)]
 pub struct Store {
     inner: Rc<Inner>,
@@ -310,13 +310,13 @@
 }
 
 impl Store {
-    /// Builds a client of `endpoints` that gives each attempt of a call `timeout`.
+    /// Builds a client of `endpoints`; `timeout` applies to each attempt of a call.
     ///
-    /// Connects nowhere yet. Must be built on the thread that uses it.
+    /// Does not connect yet. Must be called on the thread that uses the client.
     ///
     /// # Panics
     ///
-    /// When the HTTP library cannot build a plain connector, which needs no I/O.
+    /// Panics if the HTTP library cannot build a default connector, which needs no I/O.
     pub async fn new(endpoints: Vec<SocketAddr>, timeout: Duration) -> Self {
         let millis = Millis(u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX));
         let connect = Millis(millis.0 / CONNECT_TIMEOUT_DIVISOR);
@@ -331,12 +331,12 @@
             )
             .response_timeout(millis)
             .response_payload_timeout(millis)
-            .response_payload_limit(MAX_ANSWER_BYTES)
+            .response_payload_limit(MAX_RESPONSE_BYTES)
             .disable_redirects()
             .no_default_headers()
             .build(cfg)
             .await
-            .expect("a plain connector needs no I/O");
+            .expect("building a default connector needs no I/O");
         Self {
             inner: Rc::new(Inner {
                 client,
@@ -349,14 +349,16 @@
         }
     }
 
-    /// Sets how long a watch may be silent; must exceed the service's progress interval.
+    /// Sets the maximum time between two messages of a watch.
+    ///
+    /// Must exceed the service's interval of progress notifications.
     #[must_use]
-    pub fn with_watch_timeout(mut self, bound: Duration) -> Self {
-        self.watch_timeout = bound;
+    pub fn with_watch_timeout(mut self, timeout: Duration) -> Self {
+        self.watch_timeout = timeout;
         self
     }
 
-    /// Returns the counts of calls made so far.
+    /// Returns the numbers of calls so far.
     #[must_use]
     pub fn calls(&self) -> CallCounts {
         self.inner.calls.get()
@@ -366,81 +368,82 @@
     ///
     /// # Errors
     ///
-    /// Any of [`StoreError`] but those of watches.
+    /// Any [`StoreError`] except those of watches.
     pub async fn range(&self, span: Span) -> Result<Range, StoreError> {
-        let answer: wire::RangeResponse = self
+        let response: wire::RangeResponse = self
             .call(CallKind::Range, &wire::RangeRequest::new(&span))
             .await?;
-        answer.into_range()
+        response.into_range()
     }
 
     /// Runs a transaction.
     ///
     /// # Errors
     ///
-    /// Any of [`StoreError`] but those of watches; see [`StoreError::ran`].
+    /// Any [`StoreError`] except those of watches; see [`StoreError::ran`].
     pub async fn txn(&self, txn: Txn) -> Result<TxnReply, StoreError> {
-        let answer: wire::TxnResponse = self
+        let response: wire::TxnResponse = self
             .call(CallKind::Txn, &wire::TxnRequest::new(&txn))
             .await?;
-        answer.into_reply(&txn)
+        response.into_reply(&txn)
     }
 
-    /// Asks for a lease that lasts `ttl`, in whole seconds rounded up.
+    /// Requests a lease with the time to live `ttl`, rounded up to whole seconds.
     ///
     /// # Errors
     ///
-    /// Any of [`StoreError`] but those of watches. A lease whose answer was lost lapses unused.
+    /// Any [`StoreError`] except those of watches. If the response is lost, the lease expires
+    /// unused.
     pub async fn grant(&self, ttl: Duration) -> Result<i64, StoreError> {
         let seconds = ttl.as_secs() + u64::from(ttl.subsec_nanos() > 0);
         let seconds = i64::try_from(seconds).unwrap_or(i64::MAX).max(1);
-        let answer: wire::LeaseResponse = self
+        let response: wire::LeaseResponse = self
             .call(CallKind::Grant, &wire::LeaseRequest::grant(seconds))
             .await?;
-        answer.id()
+        response.id()
     }
 
-    /// Gives a lease its full life again; returns that life, or `None` when it has lapsed.
+    /// Renews a lease; returns its time to live, or `None` if it has expired.
     ///
     /// # Errors
     ///
-    /// Any of [`StoreError`] but those of watches.
+    /// Any [`StoreError`] except those of watches.
     pub async fn keepalive(&self, lease: i64) -> Result<Option<Duration>, StoreError> {
-        let answer: wire::StreamResponse<wire::LeaseResponse> = self
-            .call(CallKind::Keepalive, &wire::LeaseRequest::of(lease))
+        let response: wire::StreamResponse<wire::LeaseResponse> = self
+            .call(CallKind::Keepalive, &wire::LeaseRequest::for_lease(lease))
             .await?;
-        Ok(answer.result.ttl())
+        Ok(response.result.ttl())
     }
 
-    /// Gives a lease back, with all keys that go with it; one already gone is no error.
+    /// Revokes a lease, which deletes all keys attached to it; an unknown lease is no error.
     ///
     /// # Errors
     ///
-    /// Any of [`StoreError`] but those of watches.
+    /// Any [`StoreError`] except those of watches.
     pub async fn revoke(&self, lease: i64) -> Result<(), StoreError> {
-        let done: Result<wire::HeaderResponse, _> = self
-            .call(CallKind::Revoke, &wire::LeaseRequest::of(lease))
+        let result: Result<wire::HeaderResponse, _> = self
+            .call(CallKind::Revoke, &wire::LeaseRequest::for_lease(lease))
             .await;
-        match done {
+        match result {
             Ok(_) | Err(StoreError::Refused { status: 404, .. }) => Ok(()),
             Err(err) => Err(err),
         }
     }
 
-    /// Watches keys from revision `from` on; 0 for what comes after now.
+    /// Watches keys from revision `from` on; with 0, only changes from now on.
     ///
     /// # Errors
     ///
-    /// Any of [`StoreError`]; a revision too old shows at the first [`Watch::next`].
+    /// Any [`StoreError`]; a compacted revision is reported by the first [`Watch::next`].
     pub async fn watch(&self, span: Span, from: i64) -> Result<Watch, StoreError> {
         Watch::open(self, &span, from).await
     }
 
-    /// Reads the platform's list of hosts and backend servers at `list`.
+    /// Reads the platform's list of hosts and backend servers from the address `list`.
     ///
     /// # Errors
     ///
-    /// Any of [`StoreError`] but those of watches.
+    /// Any [`StoreError`] except those of watches.
     pub async fn hosts(&self, list: SocketAddr) -> Result<Vec<ListEntry>, StoreError> {
         call::list_hosts(&self.inner, list).await
     }
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -1,4 +1,4 @@
-//! A watch: changes of keys as the service tells them.
+//! A watch: the stream of changes to keys.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 
 use super::call::{CallKind, encode, malformed, post};
 use super::wire::{WatchMessage, WatchRequest, parse_message};
-use super::{Inner, MAX_ANSWER_BYTES, Span, Store, StoreError};
+use super::{Inner, MAX_RESPONSE_BYTES, Span, Store, StoreError};
 
-/// One change of one key.
+/// A change to a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// The key.
     pub key: Box<str>,
-    /// Its new value; `None` when it was deleted or its lease ended.
+    /// The new value; `None` if the key was deleted or its lease expired.
     pub value: Option<Bytes>,
     /// Revision of the change.
     pub mod_revision: i64,
 }
 
-/// What a watch tells at once.
+/// Changes received in one message of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// Revision up to which the watch has told everything.
+    /// Revision up to which all changes have been received.
     pub revision: i64,
-    /// The changes, oldest first; none for a progress notification.
+    /// Changes, oldest first; empty for a progress notification.
     pub changes: Vec<Change>,
 }
 
@@ -56,19 +56,21 @@
     pub(super) async fn open(store: &Store, span: &Span, from: i64) -> Result<Self, StoreError> {
         let body = encode(&WatchRequest::new(span, from))?;
         store
-            .try_endpoints(CallKind::Watch, async |at| {
-                let answer = post(&store.inner, at, CallKind::Watch, body.clone()).await?;
+            .try_endpoints(CallKind::Watch, async |endpoint| {
+                let response = post(&store.inner, endpoint, CallKind::Watch, body.clone()).await?;
                 store.inner.count(|calls| calls.open_watches += 1);
                 let mut watch = Self {
                     inner: Rc::clone(&store.inner),
-                    payload: answer.take_payload(),
+                    payload: response.take_payload(),
                     buffer: BytesMut::new(),
                     watch_timeout: store.watch_timeout,
                     last_message: Instant::now(),
                 };
                 match watch.read().await? {
                     WatchMessage::Created => Ok(watch),
-                    WatchMessage::Batch(_) => Err(malformed(&"a watch told before it was created")),
+                    WatchMessage::Batch(_) => {
+                        Err(malformed(&"watch sent changes before its creation"))
+                    }
                 }
             })
             .await
@@ -76,41 +78,44 @@
 
     /// Waits for the next changes or progress notification.
     ///
-    /// Dropping the future before it is done loses nothing. After an error the watch is over.
+    /// The call is cancel-safe. After an error the watch must not be used any more.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Silent`] when neither came in time, counted from the last message and not
-    /// from this call; [`StoreError::Compacted`], [`StoreError::Ended`] and
+    /// [`StoreError::WatchTimeout`] if neither arrived in time, counted from the last message and
+    /// not from this call; [`StoreError::Compacted`], [`StoreError::Ended`] and
     /// [`StoreError::Malformed`].
     pub async fn next(&mut self) -> Result<Batch, StoreError> {
-        // A connection that some box on the way has forgotten stays open and says nothing, so
-        // changes are missed without any error; progress notifications tell it from a quiet one.
+        // A connection of which a middlebox dropped its state stays open without any traffic, so
+        // changes are lost without an error. Progress notifications distinguish it from an idle one.
         let timeout = self.watch_timeout;
         let deadline = self.last_message + timeout;
-        let told = timeout_at(deadline, self.read())
+        let message = timeout_at(deadline, self.read())
             .await
             .unwrap_or(Err(StoreError::WatchTimeout { timeout }))?;
-        match told {
+        match message {
             WatchMessage::Batch(batch) => Ok(batch),
-            WatchMessage::Created => Err(malformed(&"a watch created twice")),
+            WatchMessage::Created => Err(malformed(&"watch created twice")),
         }
     }
 
     async fn read(&mut self) -> Result<WatchMessage, StoreError> {
-        let mut seen = 0;
+        let mut scanned = 0;
         loop {
-            if let Some(end) = self.buffer[seen..].iter().position(|byte| *byte == b'\n') {
-                let line = self.buffer.split_to(seen + end + 1);
+            if let Some(end) = self.buffer[scanned..]
+                .iter()
+                .position(|byte| *byte == b'\n')
+            {
+                let line = self.buffer.split_to(scanned + end + 1);
                 self.last_message = Instant::now();
                 return parse_message(&line);
             }
-            seen = self.buffer.len();
-            if seen > MAX_ANSWER_BYTES {
-                return Err(malformed(&"a message without end"));
+            scanned = self.buffer.len();
+            if scanned > MAX_RESPONSE_BYTES {
+                return Err(malformed(&"watch message exceeds the size limit"));
             }
             match self.payload.recv().await {
-                Some(Ok(part)) => self.buffer.extend_from_slice(&part),
+                Some(Ok(chunk)) => self.buffer.extend_from_slice(&chunk),
                 Some(Err(err)) => {
                     return Err(StoreError::Ended {
                         reason: err.to_string().into(),
@@ -118,7 +123,7 @@
                 }
                 None => {
                     return Err(StoreError::Ended {
-                        reason: "closed by the other side".into(),
+                        reason: "connection closed by the service".into(),
                     });
                 }
             }
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,4 +1,4 @@
-//! JSON forms of etcd's v3 gateway, as the client writes and reads them.
+//! JSON messages of etcd's v3 gateway.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::call::malformed;
 use super::{Batch, Change, Compare, Op, OpReply, Pair, Range, Span, StoreError, Txn, TxnReply};
 
-/// Bytes that travel as base64.
+/// Bytes encoded as base64 in JSON.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Base64Bytes(Bytes);
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A 64-bit integer: text on the wire, a number from some gateways, nothing for 0.
+/// A 64-bit integer: a string in JSON, a number from some gateways, absent for 0.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Int(pub i64);
 
@@ -78,16 +78,16 @@
     }
 }
 
-/// Returns the first key meant and the first one after all that are meant.
+/// Returns the first key of a span and the first key after it; no end for a single key.
 fn key_range(span: &Span) -> (Base64Bytes, Option<Base64Bytes>) {
     match span {
         Span::Key(key) => (Base64Bytes::from(&**key), None),
         Span::Prefix(prefix) => {
             let mut end = prefix.as_bytes().to_vec();
             match end.last_mut() {
-                // No byte of UTF-8 is 0xff, so this does not overflow.
+                // UTF-8 contains no byte 0xff, so this does not overflow.
                 Some(last) => *last += 1,
-                // etcd: from the first key there can be to the end of all.
+                // In etcd this range covers all keys.
                 None => return (Base64Bytes::from("\0"), Some(Base64Bytes::from("\0"))),
             }
             (Base64Bytes::from(&**prefix), Some(Base64Bytes(end.into())))
@@ -141,7 +141,7 @@
 
 impl CompareRequest {
     fn new(compare: &Compare) -> Self {
-        let blank = |key: &str, target| Self {
+        let equal = |key: &str, target| Self {
             key: Base64Bytes::from(key),
             result: "EQUAL",
             target,
@@ -152,15 +152,15 @@
         match compare {
             Compare::Modified { key, revision } => Self {
                 mod_revision: Some(Int(*revision)),
-                ..blank(key, "MOD")
+                ..equal(key, "MOD")
             },
             Compare::Absent { key } => Self {
                 create_revision: Some(Int(0)),
-                ..blank(key, "CREATE")
+                ..equal(key, "CREATE")
             },
             Compare::Value { key, value } => Self {
                 value: Some(Base64Bytes(value.clone())),
-                ..blank(key, "VALUE")
+                ..equal(key, "VALUE")
             },
         }
     }
@@ -192,7 +192,7 @@
 }
 
 impl LeaseRequest {
-    /// A new lease under a number of the service's choice.
+    /// Requests a new lease, whose id the service chooses.
     pub(super) fn grant(seconds: i64) -> Self {
         Self {
             ttl: Some(Int(seconds)),
@@ -200,7 +200,7 @@
         }
     }
 
-    pub(super) fn of(lease: i64) -> Self {
+    pub(super) fn for_lease(lease: i64) -> Self {
         Self {
             ttl: None,
             id: Int(lease),
@@ -246,14 +246,14 @@
     revision: Int,
 }
 
-/// An answer of which only the header counts.
+/// A response of which only the presence of the header is checked.
 #[derive(Debug, Deserialize)]
 pub(super) struct HeaderResponse {
-    #[expect(dead_code, reason = "read only to see that it is there")]
+    #[expect(dead_code, reason = "only its presence is checked")]
     header: ResponseHeader,
 }
 
-/// An answer of a streaming call.
+/// A message of a streaming call.
 #[derive(Debug, Deserialize)]
 pub(super) struct StreamResponse<T> {
     pub result: T,
@@ -339,13 +339,15 @@
             &txn.otherwise
         };
         if ops.len() != self.responses.len() {
-            return Err(malformed(&"not as many answers as steps"));
+            return Err(malformed(
+                &"number of results differs from number of operations",
+            ));
         }
-        let read = |(op, answer): (&Op, ResponseOp)| match (op, answer) {
+        let read = |(op, response): (&Op, ResponseOp)| match (op, response) {
             (Op::Put { .. }, ResponseOp::Put(_)) => Ok(OpReply::Put),
             (Op::Delete(_), ResponseOp::Delete { deleted }) => Ok(OpReply::Deleted(deleted.0)),
             (Op::Get(_), ResponseOp::Get { kvs }) => pairs(kvs).map(OpReply::Got),
-            _ => Err(malformed(&"an answer of another kind than its step")),
+            _ => Err(malformed(&"result of another kind than its operation")),
         };
         Ok(TxnReply {
             revision: self.header.revision.0,
@@ -370,7 +372,7 @@
 impl LeaseResponse {
     pub(super) fn id(&self) -> Result<i64, StoreError> {
         match self.id.0 {
-            0 => Err(malformed(&"a lease without number")),
+            0 => Err(malformed(&"lease without an id")),
             id => Ok(id),
         }
     }
@@ -396,7 +398,7 @@
     Delete,
 }
 
-/// One message of a watch.
+/// A message of a watch.
 #[derive(Debug, Deserialize)]
 pub(super) struct WatchResponse {
     header: ResponseHeader,
@@ -412,14 +414,14 @@
     events: Vec<Event>,
 }
 
-/// What a message of a watch says.
+/// Decoded message of a watch.
 #[derive(Debug)]
 pub(super) enum WatchMessage {
     Created,
     Batch(Batch),
 }
 
-/// Reads one message of a watch.
+/// Parses a message of a watch.
 pub(super) fn parse_message(line: &[u8]) -> Result<WatchMessage, StoreError> {
     #[derive(Deserialize)]
     struct Line {
@@ -432,20 +434,20 @@
             reason: err.message,
         });
     }
-    let answer = line
+    let response = line
         .result
-        .ok_or_else(|| malformed(&"neither result nor error"))?;
-    if answer.compact_revision.0 > 0 {
+        .ok_or_else(|| malformed(&"watch message has neither result nor error"))?;
+    if response.compact_revision.0 > 0 {
         return Err(StoreError::Compacted {
-            oldest: answer.compact_revision.0,
+            oldest: response.compact_revision.0,
         });
     }
-    if answer.canceled {
+    if response.canceled {
         return Err(StoreError::Ended {
-            reason: answer.cancel_reason,
+            reason: response.cancel_reason,
         });
     }
-    if answer.created {
+    if response.created {
         return Ok(WatchMessage::Created);
     }
     let change = |event: Event| {
@@ -456,8 +458,8 @@
         })
     };
     Ok(WatchMessage::Batch(Batch {
-        revision: answer.header.revision.0,
-        changes: answer
+        revision: response.header.revision.0,
+        changes: response
             .events
             .into_iter()
             .map(change)
