--- a/src/platform/catalog.rs
+++ b/src/platform/catalog.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration as the platform stores it.
+//! Decoding of the operator's configuration from the platform's format.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use super::{millis, secs, whole_number};
 use crate::core::relay::catalog::{Catalog, Engine, InputLimits, RetryPolicy, Route, Service};
 
-/// Time a request may take on a route that names none: far above any route seen.
+/// Timeout of requests on routes that set none; well above the timeouts in use.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Wanted time on a route that names none.
+/// Target latency of routes that set none.
 const DEFAULT_LATENCY_TARGET: Duration = Duration::from_secs(1);
 
-/// Reads a configuration; `None` where it is not one.
+/// Decodes a configuration; `None` if it is not valid.
 #[must_use]
 pub fn decode(bytes: &[u8]) -> Option<Catalog> {
     let value: Value = serde_json::from_slice(bytes).ok()?;
@@ -37,7 +37,7 @@
     let kind = value["type"].as_str()?;
     let resumable = value["resumable"].as_bool().unwrap_or(false);
     let streaming = kind == "streaming";
-    let repeat = if kind == "idempotent" || streaming && resumable {
+    let retry = if kind == "idempotent" || streaming && resumable {
         RetryPolicy::Idempotent
     } else {
         RetryPolicy::Once
@@ -48,7 +48,7 @@
         host: value["hostname"].as_str()?.to_ascii_lowercase().into(),
         prefix: value["prefix"].as_str()?.into(),
         streaming,
-        retry: repeat,
+        retry,
         resumable: streaming && resumable,
         timeout: millis(&value["timeoutMs"]).unwrap_or(DEFAULT_TIMEOUT),
         target,
@@ -62,16 +62,16 @@
     })
 }
 
-/// Returns the services of a route: one of its own, or several with weights.
+/// Returns the services of a route with their weights.
 fn split(route: &Value) -> Option<Vec<(Box<str>, u32)>> {
-    if let Some(parts) = route["trafficSplit"].as_array() {
-        let parts = parts.iter().filter_map(|part| {
-            let weight = u32::try_from(whole_number(&part["weight"])?).ok()?;
-            Some((part["service"].as_str()?.into(), weight))
+    if let Some(entries) = route["trafficSplit"].as_array() {
+        let services = entries.iter().filter_map(|entry| {
+            let weight = u32::try_from(whole_number(&entry["weight"])?).ok()?;
+            Some((entry["service"].as_str()?.into(), weight))
         });
-        let parts: Vec<_> = parts.collect();
-        if !parts.is_empty() {
-            return Some(parts);
+        let services: Vec<_> = services.collect();
+        if !services.is_empty() {
+            return Some(services);
         }
     }
     Some(vec![(route["service"].as_str()?.into(), 1)])
--- a/src/platform/entry.rs
+++ b/src/platform/entry.rs
@@ -1,16 +1,16 @@
-//! Backend servers as they register themselves in the platform's store.
+//! Entries with which backend servers register in the platform's store.
 
 use serde_json::Value;
 
 use super::whole_number;
 use crate::core::relay::event::{BackendEntry, Stage};
 
-/// Word for an engine that prefills.
+/// Stage name of engines that prefill.
 pub(super) const PREFILL: &str = "prefill";
-/// Word for an engine that generates.
+/// Stage name of engines that decode.
 pub(super) const DECODE: &str = "decode";
 
-/// Reads an entry; `None` where a field is missing, of another type or without meaning here.
+/// Decodes an entry; `None` if a field is missing, of the wrong type or of an unknown value.
 #[must_use]
 pub fn decode(id: &str, bytes: &[u8]) -> Option<BackendEntry> {
     let value: Value = serde_json::from_slice(bytes).ok()?;
@@ -21,7 +21,7 @@
     };
     let stage = match &value["stage"] {
         Value::Null => None,
-        Value::String(word) => Some(parse_stage(word)?),
+        Value::String(name) => Some(parse_stage(name)?),
         _ => return None,
     };
     Some(BackendEntry {
@@ -36,15 +36,15 @@
     })
 }
 
-pub(super) fn parse_stage(word: &str) -> Option<Stage> {
-    match word {
+pub(super) fn parse_stage(name: &str) -> Option<Stage> {
+    match name {
         PREFILL => Some(Stage::Prefill),
         DECODE => Some(Stage::Decode),
         _ => None,
     }
 }
 
-/// Returns the platform's word for a stage.
+/// Returns the platform's name of a stage.
 pub(super) fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::Prefill => PREFILL,
--- a/src/platform/header.rs
+++ b/src/platform/header.rs
@@ -1,44 +1,44 @@
-//! Headers of requests and answers.
+//! Headers of requests and responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::core::relay::event::{NamedLimit, Outgoing, PrefixBlock, Prompt, Stage, Task};
 
-/// Id of one attempt of a caller; echoed by backend servers.
+/// Id of a caller's attempt; backend servers echo it.
 const ATTEMPT_ID: &str = "x-chiveway-attempt-id";
-/// Milliseconds that the caller will wait; on the way to a backend server, those that are left.
+/// Time limit of the caller in milliseconds; towards a backend server, the remaining time.
 const DEADLINE_MS: &str = "x-chiveway-deadline-ms";
-/// Prompt tokens and most tokens to generate.
+/// Number of prompt tokens and maximum number of tokens to generate.
 const TOKEN_USAGE: &str = "x-chiveway-token-usage";
-/// Parts of the prompt.
+/// Prefix blocks of the prompt.
 const PROMPT_PREFIX: &str = "x-chiveway-prompt-prefix";
-/// The caller's estimate of the tokens to generate.
+/// The caller's estimate of the number of tokens to generate.
 const LENGTH_HINT: &str = "x-chiveway-length-hint";
-/// Number of the last event that the caller has.
+/// Id of the last event that the caller received.
 const LAST_EVENT_ID: &str = "last-event-id";
-/// Instance that alone may take the request.
+/// The only instance that may run the request.
 const EXPECT_INSTANCE: &str = "x-chiveway-expect-instance";
-/// Part of the work that the engine is to do.
+/// Serving stage that the engine runs.
 const SERVING_STAGE: &str = "x-chiveway-serving-stage";
-/// Engine and name of the KV cache to go on from.
+/// Engine and handle of the KV cache from which to decode.
 const KV_SOURCE: &str = "x-chiveway-kv-source";
-/// Urgency at the engine.
+/// Scheduling priority at the engine.
 const REQUEST_PRIORITY: &str = "x-chiveway-request-priority";
-/// Engine from which what it holds of the prompt is copied first.
+/// Engine from which cached blocks of the prompt are copied before prefilling.
 const KV_FETCH: &str = "kv-fetch";
-/// The backend server did not run the request.
+/// Set by a backend server that did not run the request.
 const NOT_EXECUTED: &str = "x-chiveway-not-executed";
-/// Signature of the backend server that answered.
+/// Signature of the backend server that sent the response.
 const SERVER_STAMP: &str = "x-chiveway-server-stamp";
-/// Requests a second that the backend server takes from all hosts together.
+/// Requests per second that the backend server accepts from all hosts together.
 const SERVER_LIMIT: &str = "server-limit";
-/// Time after which an idle connection is closed.
+/// Keep-alive timeout of the connection.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Headers that only this side may set, whatever a caller sent.
+/// Headers that callers must not set; they are not forwarded.
 ///
-/// Callers forge them: a request would run at the wrong stage, go on from another caller's KV
+/// With forged headers, a request would run at the wrong stage, decode from another caller's KV
 /// cache, or take a reserved place.
 const INTERNAL_HEADERS: [&str; 15] = [
     DEADLINE_MS,
@@ -58,7 +58,7 @@
     "wait-ms",
 ];
 
-/// Headers that concern one connection, or that the library writes itself.
+/// Hop-by-hop headers, and those that the HTTP library writes itself.
 const HOP_BY_HOP_HEADERS: [&str; 12] = [
     "connection",
     KEEP_ALIVE,
@@ -74,59 +74,59 @@
     "content-length",
 ];
 
-/// A header as it came.
+/// Name and value of a header as received.
 pub type Header = (Box<str>, Box<[u8]>);
 
-/// A caller's request head, decoded.
+/// Decoded headers of a caller's request.
 #[derive(Debug, Clone, Default)]
 pub struct RequestHead {
     /// Id of the attempt.
     pub attempt_id: Option<Box<str>>,
-    /// Time that the caller will wait.
+    /// Time limit of the caller.
     pub deadline: Option<Duration>,
-    /// Prompt and output.
+    /// Sizes of the prompt and the output.
     pub prompt: Option<Prompt>,
-    /// Number of the last event that the caller has.
+    /// Id of the last event that the caller received.
     pub resume: Option<u64>,
-    /// Headers passed on.
+    /// Headers to forward to a backend server.
     pub forwarded: Vec<Header>,
 }
 
 /// Decodes a caller's headers, given with lower-case names.
 #[must_use]
 pub fn decode_request(headers: &[(&str, &[u8])]) -> RequestHead {
-    let named = connection_headers(headers);
-    let mut asked = RequestHead::default();
-    let (mut tokens, mut parts, mut hint) = (None, Vec::new(), None);
+    let connection_names = connection_headers(headers);
+    let mut head = RequestHead::default();
+    let (mut usage, mut blocks, mut output_hint) = (None, Vec::new(), None);
     for &(name, value) in headers {
         let text = std::str::from_utf8(value).unwrap_or_default().trim();
         match name {
-            ATTEMPT_ID => asked.attempt_id = Some(text.into()),
-            DEADLINE_MS => asked.deadline = millis(text),
-            TOKEN_USAGE => tokens = token_usage(text),
-            PROMPT_PREFIX => parts = prefix_blocks(text),
-            LENGTH_HINT => hint = text.parse().ok(),
-            LAST_EVENT_ID => asked.resume = text.parse().ok(),
+            ATTEMPT_ID => head.attempt_id = Some(text.into()),
+            DEADLINE_MS => head.deadline = millis(text),
+            TOKEN_USAGE => usage = token_usage(text),
+            PROMPT_PREFIX => blocks = prefix_blocks(text),
+            LENGTH_HINT => output_hint = text.parse().ok(),
+            LAST_EVENT_ID => head.resume = text.parse().ok(),
             _ => {}
         }
-        // The resumption is set anew on each way to a backend server.
+        // The event id to resume from is set again on each attempt at a backend server.
         let dropped = INTERNAL_HEADERS.contains(&name)
             || HOP_BY_HOP_HEADERS.contains(&name)
             || name == LAST_EVENT_ID;
-        if !dropped && !named.iter().any(|other| other == name) {
-            asked.forwarded.push((name.into(), value.into()));
+        if !dropped && !connection_names.iter().any(|other| other == name) {
+            head.forwarded.push((name.into(), value.into()));
         }
     }
-    asked.prompt = tokens.map(|(tokens, output)| Prompt {
+    head.prompt = usage.map(|(tokens, max_output)| Prompt {
         tokens,
-        max_output: output,
-        output_hint: hint,
-        blocks: parts,
+        max_output,
+        output_hint,
+        blocks,
     });
-    asked
+    head
 }
 
-/// Returns the names that the `Connection` header lists, in lower case.
+/// Returns the header names listed in the `Connection` header, in lower case.
 fn connection_headers(headers: &[(&str, &[u8])]) -> Vec<String> {
     headers
         .iter()
@@ -143,31 +143,31 @@
 }
 
 fn token_usage(text: &str) -> Option<(u64, u64)> {
-    let (first, second) = text.split_once(',')?;
-    Some((first.trim().parse().ok()?, second.trim().parse().ok()?))
+    let (prompt, max_output) = text.split_once(',')?;
+    Some((prompt.trim().parse().ok()?, max_output.trim().parse().ok()?))
 }
 
 fn prefix_blocks(text: &str) -> Vec<PrefixBlock> {
-    let part = |item: &str| {
+    let block = |item: &str| {
         let (id, tokens) = item.trim().split_once(':')?;
         Some(PrefixBlock {
             id: block_id(id),
             tokens: tokens.trim().parse().ok()?,
         })
     };
-    text.split(',').filter_map(part).collect()
+    text.split(',').filter_map(block).collect()
 }
 
-/// Returns a number for a part's hexadecimal id; equal ids have equal numbers.
+/// Returns the number of a block's hexadecimal id, or a hash of an id that does not fit 64 bits.
 fn block_id(id: &str) -> u64 {
-    u64::from_str_radix(id, 16).unwrap_or_else(|_long| {
+    u64::from_str_radix(id, 16).unwrap_or_else(|_unparsable| {
         let mut first = [0; 8];
         first.copy_from_slice(&blake3::hash(id.as_bytes()).as_bytes()[..8]);
         u64::from_le_bytes(first)
     })
 }
 
-/// Returns the headers that go with a request to a backend server.
+/// Returns the headers to add to a request to a backend server.
 #[must_use]
 pub fn encode_request(out: &Outgoing) -> Vec<(&'static str, String)> {
     let mut headers = vec![
@@ -177,8 +177,8 @@
     if let Some(urgency) = out.urgency {
         headers.push((REQUEST_PRIORITY, urgency.to_string()));
     }
-    if let Some(number) = out.resume {
-        headers.push((LAST_EVENT_ID, number.to_string()));
+    if let Some(event_id) = out.resume {
+        headers.push((LAST_EVENT_ID, event_id.to_string()));
     }
     if let Some(from) = out.fetch_from {
         headers.push((KV_FETCH, from.to_string()));
@@ -198,56 +198,58 @@
     format!("{from}/{handle}")
 }
 
-/// Returns the headers of a call that only one instance may take.
+/// Returns the header that restricts a call to one instance.
 #[must_use]
 pub fn expect_instance(instance: &str) -> (&'static str, String) {
     (EXPECT_INSTANCE, instance.to_owned())
 }
 
-/// A backend server's answer head, decoded.
+/// Decoded headers of a backend server's response.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerHead {
-    /// Id of the attempt that the answer is for.
+    /// Id of the attempt to which the response belongs.
     pub attempt_id: Option<Box<str>>,
-    /// Whether the backend server signed it.
+    /// Whether the response carries the backend server's signature.
     pub has_stamp: bool,
-    /// Whether the backend server says that it did not run the request.
+    /// Whether the backend server states that it did not run the request.
     pub not_run: bool,
-    /// Time for which an idle connection is kept open there.
+    /// Time after which the backend server closes the idle connection.
     pub keep_alive: Option<Duration>,
-    /// Limit that the backend server names.
+    /// Rate limit announced by the backend server.
     pub limit: NamedLimit,
-    /// Headers passed on.
+    /// Headers to forward to the caller.
     pub forwarded: Vec<Header>,
 }
 
-/// Decodes the head of a backend server's answer.
+/// Decodes the headers of a backend server's response, given with lower-case names.
 #[must_use]
 pub fn decode_answer(status: u16, headers: &[(&str, &[u8])]) -> AnswerHead {
-    let named = connection_headers(headers);
-    let mut reply = AnswerHead {
-        // Another instance at the address never runs the request.
+    let connection_names = connection_headers(headers);
+    let mut head = AnswerHead {
+        // 421: another instance serves at this address and never runs the request.
         not_run: status == 421,
         ..AnswerHead::default()
     };
     for &(name, value) in headers {
         let text = std::str::from_utf8(value).unwrap_or_default().trim();
         match name {
-            ATTEMPT_ID => reply.attempt_id = Some(text.into()),
-            SERVER_STAMP => reply.has_stamp = true,
-            NOT_EXECUTED => reply.not_run = true,
-            KEEP_ALIVE => reply.keep_alive = timeout(text),
-            SERVER_LIMIT => reply.limit = rate_limit(text),
+            ATTEMPT_ID => head.attempt_id = Some(text.into()),
+            SERVER_STAMP => head.has_stamp = true,
+            NOT_EXECUTED => head.not_run = true,
+            KEEP_ALIVE => head.keep_alive = keep_alive_timeout(text),
+            SERVER_LIMIT => head.limit = rate_limit(text),
             _ => {}
         }
-        if !HOP_BY_HOP_HEADERS.contains(&name) && !named.iter().any(|other| other == name) {
-            reply.forwarded.push((name.into(), value.into()));
+        if !HOP_BY_HOP_HEADERS.contains(&name)
+            && !connection_names.iter().any(|other| other == name)
+        {
+            head.forwarded.push((name.into(), value.into()));
         }
     }
-    reply
+    head
 }
 
-/// Reads a limit in requests a second.
+/// Parses a limit in requests per second.
 fn rate_limit(text: &str) -> NamedLimit {
     match text.parse::<f64>() {
         Ok(rate) if rate.is_finite() && rate >= 0.0 => NamedLimit::Rate(rate),
@@ -255,20 +257,20 @@
     }
 }
 
-/// Reads the time-out from a `Keep-Alive` header.
-fn timeout(text: &str) -> Option<Duration> {
+/// Parses the timeout of a `Keep-Alive` header, in seconds.
+fn keep_alive_timeout(text: &str) -> Option<Duration> {
     let mut fields = text.split(',').map(str::trim);
     let value = fields.find_map(|field| field.strip_prefix("timeout="))?;
     value.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// Tells whether a header carries the id of the attempt.
+/// Returns whether the header carries the attempt id.
 #[must_use]
 pub fn is_attempt(name: &str) -> bool {
     name == ATTEMPT_ID
 }
 
-/// Tells whether an answer's body was encoded on the way: it is then not the backend server's.
+/// Returns whether an intermediary encoded the body; it is then not the backend server's own.
 #[must_use]
 pub fn is_encoded(headers: &[Header]) -> bool {
     headers
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The users' platform: its names, formats and calls, translated to and from the project's types.
+//! Adapter for the users' platform: its names, formats and calls.
 //!
-//! Nothing here decides anything. What comes in is decoded once into the core's types; what goes
-//! out is encoded from them. No other folder knows a name of the platform.
+//! Input is decoded once into the types of the core, output is encoded from them; no decision is
+//! made here. Names of the platform occur in no other module.
 
 pub mod catalog;
 pub mod engine;
@@ -17,40 +17,42 @@
 
 use crate::core::relay::event::{Changes, KeyChange};
 
-/// Variable that holds the path of the settings file, where the platform renders one.
+/// Environment variable with the path of the settings file, if the platform renders one.
 const SETTINGS_FILE_VAR: &str = "CHIVEWAY_NODE_FILE";
 /// Path of the readiness check.
 pub const READY_PATH: &str = "/v1/readyz";
 /// Key of the operator's configuration.
 const CONFIG_KEY: &str = "op/config";
-/// Start of the keys of backend servers.
+/// Prefix of the keys of backend servers.
 const SERVERS_PREFIX: &str = "servers/";
-/// Start of the keys that this program writes.
+/// Prefix of the keys that this program writes.
 pub const OWN_PREFIX: &str = "chiveway/";
-/// Start of all keys that are watched: one watch costs one call, three would cost three.
+/// Common prefix of all watched keys.
+///
+/// One watch for all keys costs one call; separate watches for the three kinds would cost three.
 pub const WATCHED_PREFIX: &str = "";
 
-/// Returns the settings file that the platform names.
+/// Returns the path of the settings file that the platform renders.
 #[must_use]
 pub fn settings_file() -> Option<PathBuf> {
     std::env::var_os(SETTINGS_FILE_VAR).map(PathBuf::from)
 }
 
-/// Sorts one changed key into what it means; bytes that cannot be read change nothing.
+/// Decodes the change of a key and adds it to `changes`.
 ///
-/// Entries may be written by others or be cut short: such an entry names no backend server, and
-/// the rest holds.
+/// Other programs may write malformed or truncated entries. An unreadable configuration is
+/// ignored; an unreadable entry counts as removed, and other entries are not affected.
 pub fn apply_change(changes: &mut Changes, key: &str, value: Option<&[u8]>, revision: i64) {
     if key == CONFIG_KEY {
         let Some(bytes) = value else { return };
         match catalog::decode(bytes) {
             Some(catalog) => changes.catalog = Some(catalog),
             None => log::warn!(target: "chiveway::config.unreadable", revision;
-                "the configuration cannot be read and is passed over"),
+                "ignoring a configuration that cannot be decoded"),
         }
     } else if let Some(id) = key.strip_prefix(SERVERS_PREFIX) {
         changes.instances.retain(|entry| *entry.id != *id);
-        changes.removed.retain(|gone| **gone != *id);
+        changes.removed.retain(|removed| **removed != *id);
         match value.and_then(|bytes| entry::decode(id, bytes)) {
             Some(entry) => changes.instances.push(entry),
             None => changes.removed.push(id.into()),
@@ -64,28 +66,27 @@
     }
 }
 
-/// Returns a whole number that is not negative.
+/// Returns a non-negative whole number.
 fn whole_number(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| {
         let number = value.as_f64()?;
         let fits = (0.0..9e15).contains(&number) && number.fract() == 0.0;
-        // The range was checked.
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "checked"
+            reason = "the range is checked above"
         )]
         fits.then_some(number as u64)
     })
 }
 
-/// Returns a time given in milliseconds, which may have fractions.
+/// Returns a duration given in milliseconds, which may be fractional.
 fn millis(value: &Value) -> Option<std::time::Duration> {
     let millis = value.as_f64()?;
     std::time::Duration::try_from_secs_f64(millis / 1000.0).ok()
 }
 
-/// Returns a time given in seconds, which may have fractions.
+/// Returns a duration given in seconds, which may be fractional.
 fn secs(value: &Value) -> Option<std::time::Duration> {
     std::time::Duration::try_from_secs_f64(value.as_f64()?).ok()
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,8 +1,8 @@
-//! Calls of the platform's store and their answers.
+//! Calls to the platform's store and decoding of their responses.
 //!
-//! The types are those of the project's own client ([`crate::store`]); only the form on the wire
-//! differs. Where a call's answer is lost, whether it took effect is unknown: nothing here repeats
-//! a call.
+//! The types are those of the etcd client ([`crate::store`]); only the wire format differs. If the
+//! response to a call is lost, it is unknown whether the call took effect, so no call is retried
+//! here.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -16,39 +16,39 @@
 use super::OWN_PREFIX;
 use crate::store::{CallKind, Compare, Op, OpReply, Pair, Range, Span, Txn, TxnReply};
 
-/// Header that counts how often the store came back from an older copy.
+/// Header with the store's era, which counts restores from an older backup.
 const ERA_HEADER: &str = "store-era";
-/// Start of keys that nothing writes, below [`OWN`].
+/// Prefix of keys that are never written, below [`OWN_PREFIX`].
 const UNUSED_PREFIX: &str = "none/";
 
-/// One call, as it is to be written.
+/// An encoded call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// What it is.
+    /// Kind of call.
     pub kind: CallKind,
     /// HTTP method.
     pub method: &'static str,
     /// Path with query.
     pub path: String,
-    /// Body; empty for none.
+    /// Request body; empty for none.
     pub body: Vec<u8>,
 }
 
-/// What a watch brought.
+/// Changes received from a watch.
 #[derive(Debug, Clone, Default)]
 pub struct Events {
     /// Changes in order: key, value (`None` for a removal) and revision.
     pub changes: Vec<(Box<str>, Option<Bytes>, i64)>,
-    /// Revision to go on from.
+    /// Revision after which the next watch continues.
     pub revision: i64,
 }
 
 /// One page of a read.
 #[derive(Debug, Clone, Default)]
 pub struct Page {
-    /// What was found.
+    /// Pairs of the page.
     pub range: Range,
-    /// Whether more follows after the last key.
+    /// Whether more keys follow after the last one.
     pub has_more: bool,
 }
 
@@ -70,10 +70,10 @@
     }
 }
 
-/// Returns the call that reads a page of the keys that begin so, after `after`.
+/// Returns the call that reads a page of the keys with a prefix, after the key `after`.
 ///
-/// The store offers cheaper reads that may be seconds old. They name the revision of the store, not
-/// of what they show: a watch that goes on from there misses what lies between, for good.
+/// The store's cheaper serializable reads may be seconds old but report the current revision. A
+/// watch that continues from that revision would permanently miss the changes in between.
 #[must_use]
 pub fn range(prefix: &str, after: Option<&str>) -> Call {
     let mut path = format!("/v1/kv-range?prefix={}", escape(prefix));
@@ -84,10 +84,10 @@
     get(CallKind::Range, path)
 }
 
-/// Returns the call that asks for the store's newest revision, by a read of keys that nothing writes.
+/// Returns the call that queries the store's newest revision by reading keys that are never written.
 ///
-/// Such a read costs a tenth and counts towards no rate. What it shows may be old, but the revision
-/// that it names is the store's.
+/// A serializable read costs a tenth of a normal one and does not count towards rate limits. Its
+/// data may be stale, but the revision that it reports is current.
 #[must_use]
 pub fn probe() -> Call {
     let prefix = escape(&format!("{OWN_PREFIX}{UNUSED_PREFIX}"));
@@ -106,11 +106,11 @@
     get(CallKind::Watch, path)
 }
 
-/// Returns the call that asks for a lease.
+/// Returns the call that requests a lease.
 #[must_use]
-pub fn grant(life: Duration) -> Call {
-    let millis = u64::try_from(life.as_millis()).unwrap_or(u64::MAX);
-    post(CallKind::Grant, "/v1/kv-lease", &json!({ "ttlMs": millis }))
+pub fn grant(ttl: Duration) -> Call {
+    let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
+    post(CallKind::Grant, "/v1/kv-lease", &json!({ "ttlMs": ttl_ms }))
 }
 
 /// Returns the call that renews a lease.
@@ -124,7 +124,7 @@
     }
 }
 
-/// Returns the call that gives a lease back.
+/// Returns the call that revokes a lease.
 #[must_use]
 pub fn revoke(lease: i64) -> Call {
     Call {
@@ -135,8 +135,10 @@
     }
 }
 
-/// Returns the call for a transaction; conditions on values, reads and steps for conditions that
-/// do not hold have no form here and are left out, as nothing on this store uses them.
+/// Returns the call for a transaction.
+///
+/// The format has no conditions on values, no reads and no operations for conditions that do not
+/// hold; they are omitted, since no caller of this store uses them.
 #[must_use]
 pub fn txn(txn: &Txn) -> Call {
     let expected = txn.compare.iter().filter_map(|compare| match compare {
@@ -152,19 +154,19 @@
         })),
         _ => None,
     });
-    let removes = txn.then.iter().filter_map(|op| match op {
+    let deletes = txn.then.iter().filter_map(|op| match op {
         Op::Delete(Span::Key(key)) => Some(json!(&**key)),
         _ => None,
     });
     let body = json!({
         "expectedRevision": expected.collect::<Vec<_>>(),
         "setKeys": puts.collect::<Vec<_>>(),
-        "remove": removes.collect::<Vec<_>>(),
+        "remove": deletes.collect::<Vec<_>>(),
     });
     post(CallKind::Txn, "/v1/kv-txn", &body)
 }
 
-/// Reads the answer to [`range`].
+/// Decodes the response to [`range`].
 #[must_use]
 pub fn decode_page(body: &[u8]) -> Option<Page> {
     let value: Value = serde_json::from_slice(body).ok()?;
@@ -196,7 +198,7 @@
         .map(Bytes::from)
 }
 
-/// Reads the answer to [`watch`].
+/// Decodes the response to [`watch`].
 #[must_use]
 pub fn decode_events(body: &[u8]) -> Option<Events> {
     let value: Value = serde_json::from_slice(body).ok()?;
@@ -213,14 +215,14 @@
     })
 }
 
-/// Reads the lease from the answer to [`grant`].
+/// Decodes the id of the lease from the response to [`grant`].
 #[must_use]
 pub fn decode_lease(body: &[u8]) -> Option<i64> {
     let value: Value = serde_json::from_slice(body).ok()?;
     value["lease"].as_i64()
 }
 
-/// Reads the answer to [`txn`] of that status.
+/// Decodes the response to [`txn`] with the given status.
 #[must_use]
 pub fn decode_txn_reply(status: u16, body: &[u8]) -> Option<TxnReply> {
     let value: Value = serde_json::from_slice(body).ok()?;
@@ -243,7 +245,7 @@
     }
 }
 
-/// Reads the era that an answer names, if it names one.
+/// Decodes the era from the headers of a response, if it is present.
 #[must_use]
 pub fn decode_era(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(ERA_HEADER)?.to_str().ok();
@@ -254,7 +256,7 @@
     era
 }
 
-/// Escapes text for a query.
+/// Percent-encodes text for a query.
 fn escape(text: &str) -> String {
     let mut out = String::new();
     for byte in text.bytes() {
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's messages, decoded and encoded, in any shape they may come.
+//! Tests of decoding and encoding the platform's messages, including malformed ones.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::core::time::Time;
 use crate::store::{Compare, Op, Txn};
 
-/// A whole entry of an engine.
+/// Returns a valid entry of an engine.
 fn entry() -> Value {
     json!({
         "service": "s", "address": "10.0.0.9:8080", "zone": "z", "version": "v1", "slots": 64,
@@ -21,17 +21,17 @@
     })
 }
 
-/// Makes one test of each change of an entry: whether it still names a backend server.
+/// Generates a test for each changed field of an entry: whether the entry is still accepted.
 macro_rules! entries {
-    ($($name:ident: $key:literal = $value:expr => $named:literal;)*) => {$(
-        /// Entries may be written by others or be cut short; taken as they are, work would go to an
-        /// address that serves something else.
+    ($($name:ident: $key:literal = $value:expr => $accepted:literal;)*) => {$(
+        /// Entries may be malformed or truncated; if they were accepted, requests would be sent to
+        /// an address that serves something else.
         #[test]
         fn $name() {
             let mut entry = entry();
             entry[$key] = $value;
-            let read = entry::decode("i-1", entry.to_string().as_bytes());
-            assert_eq!(read.is_some(), $named, "{entry}");
+            let decoded = entry::decode("i-1", entry.to_string().as_bytes());
+            assert_eq!(decoded.is_some(), $accepted, "{entry}");
         }
     )*};
 }
@@ -54,8 +54,8 @@
 #[test]
 fn an_unreadable_entry_removes_only_its_backend_server() {
     let mut changes = Changes::default();
-    let good = entry().to_string();
-    apply_change(&mut changes, "servers/i-1", Some(good.as_bytes()), 5);
+    let valid = entry().to_string();
+    apply_change(&mut changes, "servers/i-1", Some(valid.as_bytes()), 5);
     apply_change(&mut changes, "servers/i-2", Some(b"\xff{"), 6);
     assert_eq!(changes.instances.len(), 1);
     assert_eq!(changes.removed, vec![Box::from("i-2")]);
@@ -77,16 +77,16 @@
     catalog::decode(value.to_string().as_bytes())
 }
 
-/// Makes one test of each sort of route: whether a request on it may run again.
+/// Generates a test for each kind of route: its retry policy.
 macro_rules! routes {
-    ($($name:ident: $kind:literal, $resumable:literal => $repeat:ident;)*) => {$(
+    ($($name:ident: $kind:literal, $resumable:literal => $policy:ident;)*) => {$(
         #[test]
         fn $name() {
             let catalog = config(&json!({"hostname": "H", "prefix": "/a/", "type": $kind,
                 "resumable": $resumable, "service": "s", "timeoutMs": 10}));
             let catalog = catalog.expect("a configuration");
             let route = catalog.route("h:80", "/a/b").expect("the route");
-            assert_eq!(route.retry, RetryPolicy::$repeat);
+            assert_eq!(route.retry, RetryPolicy::$policy);
         }
     )*};
 }
@@ -112,8 +112,8 @@
     assert_eq!(catalog.routes[0].split.len(), 2);
 }
 
-/// Callers forge the headers by which this side speaks to engines: taken as they came, a request
-/// would run at the wrong stage or go on from the KV cache of another caller.
+/// If headers forged by a caller were forwarded, a request would run at the wrong stage or decode
+/// from the KV cache of another caller.
 #[test]
 fn internal_headers_are_not_forwarded() {
     let forged = [
@@ -137,14 +137,14 @@
         forged.iter().map(|name| (*name, &b"x-hop"[..])).collect();
     headers.push(("x-chiveway-attempt-id", b"id"));
     headers.push(("x-other", b"kept"));
-    let asked = header::decode_request(&headers);
-    let passed: Vec<&str> = asked.forwarded.iter().map(|(name, _)| &**name).collect();
-    assert_eq!(passed, ["x-chiveway-attempt-id", "x-other"]);
+    let head = header::decode_request(&headers);
+    let forwarded: Vec<&str> = head.forwarded.iter().map(|(name, _)| &**name).collect();
+    assert_eq!(forwarded, ["x-chiveway-attempt-id", "x-other"]);
 }
 
 #[test]
 fn a_prompt_is_decoded_with_its_blocks() {
-    let asked = header::decode_request(&[
+    let head = header::decode_request(&[
         ("x-chiveway-token-usage", b"1460,80"),
         (
             "x-chiveway-prompt-prefix",
@@ -153,22 +153,22 @@
         ("x-chiveway-deadline-ms", b"1500"),
         ("last-event-id", b"12"),
     ]);
-    let prompt = asked.prompt.expect("a prompt");
+    let prompt = head.prompt.expect("a prompt");
     assert_eq!((prompt.tokens, prompt.max_output), (1460, 80));
-    let parts: Vec<_> = prompt
+    let blocks: Vec<_> = prompt
         .blocks
         .iter()
-        .map(|part| (part.id, part.tokens))
+        .map(|block| (block.id, block.tokens))
         .collect();
     assert_eq!(
-        parts,
+        blocks,
         [(0x5c1e_07a2, 800), (0x91bd_3f06, 410), (0xe440_2b7d, 250)]
     );
-    assert_eq!(asked.deadline, Some(Duration::from_millis(1500)));
-    assert_eq!(asked.resume, Some(12));
+    assert_eq!(head.deadline, Some(Duration::from_millis(1500)));
+    assert_eq!(head.resume, Some(12));
 }
 
-/// Makes one test of each answer head: whether the backend server says that it did not run it.
+/// Generates a test for each value of the limit header: the limit decoded from it.
 macro_rules! limits {
     ($($name:ident: $value:literal => $limit:expr;)*) => {$(
         #[test]
@@ -190,17 +190,18 @@
     an_empty_limit_is_unreadable: b"" => NamedLimit::Unreadable;
 }
 
-macro_rules! replies {
-    ($($name:ident: $status:literal, [$($header:expr),*] => $refused:literal;)*) => {$(
+/// Generates a test for each response head: whether it states that the request did not run.
+macro_rules! responses {
+    ($($name:ident: $status:literal, [$($header:expr),*] => $not_run:literal;)*) => {$(
         #[test]
         fn $name() {
             let headers: Vec<(&str, &[u8])> = vec![$($header),*];
-            assert_eq!(header::decode_answer($status, &headers).not_run, $refused);
+            assert_eq!(header::decode_answer($status, &headers).not_run, $not_run);
         }
     )*};
 }
 
-replies! {
+responses! {
     a_bare_503_may_have_run: 503, [] => false;
     a_503_with_the_not_executed_header_did_not_run: 503, [("x-chiveway-not-executed", &b"1"[..])] => true;
     a_misdirected_request_did_not_run: 421, [] => true;
@@ -237,18 +238,18 @@
         from: "10.0.0.2:80".parse().expect("an address"),
         handle: "h1".into(),
     }));
-    let wanted = [
+    let expected = [
         ("x-chiveway-deadline-ms", "1234"),
         ("x-chiveway-expect-instance", "i-1"),
         ("x-chiveway-request-priority", "3"),
         ("last-event-id", "7"),
         ("x-chiveway-kv-source", "10.0.0.2:80/h1"),
     ];
-    let found: Vec<(&str, &str)> = headers
+    let actual: Vec<(&str, &str)> = headers
         .iter()
         .map(|(name, value)| (*name, &**value))
         .collect();
-    assert_eq!(found, wanted);
+    assert_eq!(actual, expected);
     let prefill = header::encode_request(&outgoing(Task::Prefill));
     assert!(prefill.contains(&("x-chiveway-serving-stage", "prefill".to_owned())));
     assert!(prefill.iter().all(|(name, _)| *name != "kv-fetch"));
@@ -259,16 +260,16 @@
     assert!(fetching.contains(&("kv-fetch", "10.0.0.3:80".to_owned())));
 }
 
-/// The name of a KV cache becomes part of a header and of a path: one with a line end or a slash
-/// in it would write headers of its own.
+/// A KV cache handle is used in a header and in a path; a line end or a slash in it would inject
+/// further headers or change the path.
 #[test]
 fn a_handle_with_unsafe_characters_is_rejected() {
-    let read =
+    let decode =
         |handle: &str| engine::decode_kv_handle(json!({"kvHandle": handle}).to_string().as_bytes());
-    assert_eq!(read("3fa09c41b7d5").as_deref(), Some("3fa09c41b7d5"));
-    assert_eq!(read("a\r\nx: y"), None);
-    assert_eq!(read("a/b"), None);
-    assert_eq!(read(""), None);
+    assert_eq!(decode("3fa09c41b7d5").as_deref(), Some("3fa09c41b7d5"));
+    assert_eq!(decode("a\r\nx: y"), None);
+    assert_eq!(decode("a/b"), None);
+    assert_eq!(decode(""), None);
 }
 
 #[test]
@@ -342,7 +343,7 @@
 }
 
 proptest! {
-    /// Whatever bytes the store or an engine sends, reading them ends.
+    /// Decoding terminates without a panic for any bytes from the store or an engine.
     #[test]
     fn arbitrary_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = catalog::decode(&bytes);
