--- a/src/backend/client.rs
+++ b/src/backend/client.rs
@@ -82,7 +82,7 @@
     /// Connecting failed; no byte of the request was written to a socket.
     #[snafu(display("cannot connect to the backend server"))]
     Connect,
-    /// The connection broke after the request was handed to it and before the response was complete.
+    /// The connection broke after the request was handed to it, before the response was complete.
     #[snafu(display("connection broke before the response was complete"))]
     Lost,
     /// No complete response arrived in time.
@@ -174,7 +174,7 @@
             .limit(MAX_CONNECTIONS)
             .keep_alive(CLIENT_IDLE)
             .lifetime(Seconds(age));
-        Self::with(opts, connector).await
+        Self::with_connector(opts, connector).await
     }
 
     /// Builds a client for one call on a new connection.
@@ -186,14 +186,14 @@
         opts: Options,
         single_use: SingleUse,
     ) -> Result<Self, ntex::client::error::ClientBuilderError> {
-        Self::with(
+        Self::with_connector(
             opts,
             single_use::connector(single_use, opts.connect_timeout),
         )
         .await
     }
 
-    async fn with(
+    async fn with_connector(
         opts: Options,
         connector: Connector,
     ) -> Result<Self, ntex::client::error::ClientBuilderError> {
@@ -340,11 +340,11 @@
     }
 }
 
-async fn collect(mut response: ClientResponse, limit: usize) -> Result<Bytes, CallError> {
+async fn collect(mut response: ClientResponse, max_bytes: usize) -> Result<Bytes, CallError> {
     let mut body = BytesMut::new();
     while let Some(chunk) = ntex::util::stream_recv(&mut response).await {
         let chunk = chunk.map_err(|_broken| CallError::Lost)?;
-        if body.len() + chunk.len() > limit {
+        if body.len() + chunk.len() > max_bytes {
             return Err(CallError::Unreadable);
         }
         body.extend_from_slice(&chunk);
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Sends a call and collects its complete response within `time_limit`; its body may have at
-    /// most `limit` bytes.
+    /// Sends a call and collects its complete response, of at most `max_bytes` bytes, within
+    /// `time_limit`.
     ///
     /// # Errors
     ///
@@ -219,7 +219,7 @@
         &self,
         call: &Call,
         time_limit: Duration,
-        limit: usize,
+        max_bytes: usize,
     ) -> Result<FullAnswer, PoolError> {
         let deadline = Instant::now() + time_limit;
         let answer = self.send(call, time_limit / 2);
@@ -227,7 +227,7 @@
         let mut answer = answer.unwrap_or(Err(PoolError::Timeout))?;
         let status = answer.response.status().as_u16();
         let headers = std::mem::take(answer.response.headers_mut());
-        let body = timeout_at(deadline, collect(&mut answer, limit)).await;
+        let body = timeout_at(deadline, collect(&mut answer, max_bytes)).await;
         let body = body.unwrap_or(Err(PoolError::Timeout))?;
         self.put_back(answer, CALL_IDLE_TIMEOUT, MAX_IDLE_CALL_CONNECTIONS)
             .await;
@@ -258,7 +258,7 @@
 
     /// Returns the connection of a response that was read to its end to the pool.
     ///
-    /// It is kept for `idle_timeout`, unless `max_idle` connections to its address are kept already.
+    /// It is kept for `idle_timeout`, unless `max_idle` connections to its address are idle.
     pub async fn put_back(&self, answer: Answer, idle_timeout: Duration, max_idle: usize) {
         let Answer {
             mut sender,
@@ -312,12 +312,12 @@
 /// # Errors
 ///
 /// Returns [`PoolError::Broken`] for a truncated body and [`PoolError::TooLong`] for one of more
-/// than `limit` bytes.
-pub async fn collect(answer: &mut Answer, limit: usize) -> Result<Bytes, PoolError> {
+/// than `max_bytes`.
+pub async fn collect(answer: &mut Answer, max_bytes: usize) -> Result<Bytes, PoolError> {
     let mut body = bytes::BytesMut::new();
     while let Some(chunk) = next_chunk(answer).await {
         let chunk = chunk?;
-        if body.len() + chunk.len() > limit {
+        if body.len() + chunk.len() > max_bytes {
             return Err(PoolError::TooLong);
         }
         body.extend_from_slice(&chunk);
@@ -349,20 +349,22 @@
 
 /// Opens a connection; it is closed when the returned guard is dropped.
 async fn connect(addr: SocketAddr) -> Result<OpenConnection, PoolError> {
-    let failed = |err: std::io::Error| PoolError::Connect {
+    let connect_error = |err: std::io::Error| PoolError::Connect {
         reason: err.to_string().into(),
     };
-    let stream = TcpStream::connect(addr).await.map_err(failed)?;
-    stream.set_nodelay(true).map_err(failed)?;
+    let stream = TcpStream::connect(addr).await.map_err(connect_error)?;
+    stream.set_nodelay(true).map_err(connect_error)?;
     let socket = SockRef::from(&stream);
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
-    socket.set_tcp_keepalive(&keepalive).map_err(failed)?;
+    socket
+        .set_tcp_keepalive(&keepalive)
+        .map_err(connect_error)?;
     socket
         .set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
-        .map_err(failed)?;
+        .map_err(connect_error)?;
     let (sender, connection) = http1::Builder::new()
         .max_headers(MAX_HEADERS)
         .handshake(TokioIo::new(stream))
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -84,7 +84,7 @@
     get(CallKind::Range, path)
 }
 
-/// Returns the call that queries the store's newest revision by reading keys that are never written.
+/// Returns the call that queries the store's newest revision, by a read of keys never written.
 ///
 /// A serializable read costs a tenth of a normal one and does not count towards rate limits. Its
 /// data may be stale, but the revision that it reports is current.
@@ -204,8 +204,12 @@
     let value: Value = serde_json::from_slice(body).ok()?;
     let changes = value["events"].as_array()?.iter().map(|event| {
         let key = event["key"].as_str()?.into();
-        let gone = event["deleted"].as_bool().unwrap_or(false);
-        let value = if gone { None } else { Some(bytes(event)?) };
+        let is_deleted = event["deleted"].as_bool().unwrap_or(false);
+        let value = if is_deleted {
+            None
+        } else {
+            Some(bytes(event)?)
+        };
         Some((key, value, event["revision"].as_i64()?))
     });
     let changes: Option<Vec<_>> = changes.collect();
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -86,8 +86,8 @@
     /// not from this call; [`StoreError::Compacted`], [`StoreError::Ended`] and
     /// [`StoreError::Malformed`].
     pub async fn next(&mut self) -> Result<Batch, StoreError> {
-        // A connection of which a middlebox dropped its state stays open without any traffic, so
-        // changes are lost without an error. Progress notifications distinguish it from an idle one.
+        // If a middlebox drops the state of a connection, it stays open without any traffic and
+        // changes are missed without an error; progress notifications reveal it.
         let timeout = self.watch_timeout;
         let deadline = self.last_message + timeout;
         let message = timeout_at(deadline, self.read())
