--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to an engine besides its answers: load, cache events, orders, prefill.
+//! Calls to an engine other than streamed requests: load, cache events, orders, prefill.
 
 use std::net::SocketAddr;
 
@@ -7,134 +7,134 @@
 use serde_json::json;
 use snafu::Snafu;
 
-use super::client::{Answer, Call, Client, OpenError};
+use super::client::{Answer, Call, CallError, Client};
 use super::stream::ATTEMPT_HEADER;
 use crate::error::Ran;
 
 /// An engine's report of its load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
-    /// Requests in the batch.
+pub struct EngineLoad {
+    /// Requests in the running batch.
     pub running: u64,
-    /// Requests not yet in the batch.
+    /// Requests waiting to enter the batch.
     pub waiting: u64,
-    /// Prompt tokens still to be worked through by all requests.
+    /// Prompt tokens of all requests that are not prefilled yet.
     pub prefill_tokens: u64,
-    /// Pieces in the prefix cache.
+    /// Blocks in the prefix cache.
     pub pieces_used: u64,
     /// `both`, `prefill` or `decode`.
     pub role: Box<str>,
     /// Name of the loaded model.
     pub model: Box<str>,
-    /// Highest fencing number the engine has seen; 0 for none.
+    /// Highest fencing number received by the engine; 0 for none.
     pub fence_seen: u64,
-    /// Highest order number seen with that fencing number; 0 for none.
+    /// Highest order number received with that fencing number; 0 for none.
     pub order_seen: u64,
-    /// Whether a change of role, model, adapter or version is under way.
+    /// Whether a change of role, model, adapter or version is in progress.
     pub changing: bool,
-    /// Whether the engine was told to take no new work.
+    /// Whether the engine has been ordered to accept no new requests.
     pub draining: bool,
     /// Age of the report in milliseconds.
     pub age_ms: u64,
 }
 
-/// What became of a piece of the prefix cache.
+/// Kind of change to a block of the prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CacheOp {
-    /// The piece is now held.
+    /// The block was added to the cache.
     Stored,
-    /// The piece is no longer held.
+    /// The block was removed from the cache.
     Evicted,
 }
 
-/// One published change of the prefix cache.
+/// One published change to the prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; gaps mean lost events.
+    /// Sequence number; gaps mean lost events.
     pub seq: u64,
-    /// What happened.
+    /// Kind of change.
     pub op: CacheOp,
-    /// Hash of the piece in hexadecimal.
+    /// Hash of the block in hexadecimal.
     pub piece: Box<str>,
 }
 
-/// What an engine is ordered to do.
+/// Action that an order asks of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum Action {
-    /// Take a role: `both`, `prefill` or `decode`.
+    /// Switch to a role: `both`, `prefill` or `decode`.
     Role {
-        /// The role.
+        /// New role.
         role: Box<str>,
     },
-    /// Load something.
+    /// Load a model, an adapter or a version.
     Load {
         /// `model`, `adapter` or `version`.
         what: Box<str>,
-        /// Its name.
+        /// Name of the model, adapter or version.
         name: Box<str>,
     },
-    /// Take no new work.
+    /// Accept no new requests.
     Drain,
-    /// Take work again.
+    /// Accept requests again.
     Resume,
 }
 
 /// Why an order is not known to be in force.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum OrderError {
-    /// The engine has seen a higher order.
-    #[snafu(display("the engine has seen the fencing number {fence}"))]
+    /// The engine has already received an order with the same or a higher number.
+    #[snafu(display("order fenced: the engine has received fencing number {fence}"))]
     Fenced {
-        /// The highest fencing number it has seen.
+        /// Highest fencing number that the engine has received.
         fence: u64,
     },
     /// The call failed.
     #[snafu(display("{source}"))]
     Call {
-        /// Why.
-        source: OpenError,
+        /// Cause of the failure.
+        source: CallError,
     },
 }
 
-/// A prompt worked through and kept for another engine.
+/// Result of a prefill whose KV cache is kept for another engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Prefilled {
-    /// Name under which the engine keeps the result.
+pub struct PrefillResult {
+    /// Handle of the KV cache at the engine.
     pub kv: Box<str>,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
 }
 
-/// Reads an engine's load report.
+/// Fetches an engine's load report.
 ///
 /// # Errors
 ///
 /// Returns why there is no report.
-pub async fn load(client: &Client, addr: SocketAddr) -> Result<Load, OpenError> {
+pub async fn fetch_load(client: &Client, addr: SocketAddr) -> Result<EngineLoad, CallError> {
     parse(&get(client, addr, "/load").await?)
 }
 
-/// Reads the published cache events numbered above `after`.
+/// Fetches the published cache events with sequence numbers above `after`.
 ///
 /// # Errors
 ///
 /// Returns why there is no list.
-pub async fn events(
+pub async fn fetch_cache_events(
     client: &Client,
     addr: SocketAddr,
     after: u64,
-) -> Result<Vec<CacheEvent>, OpenError> {
+) -> Result<Vec<CacheEvent>, CallError> {
     parse(&get(client, addr, &format!("/events?after={after}")).await?)
 }
 
-/// Gives an engine an order under a fencing number.
+/// Sends an order with its fencing number to an engine.
 ///
 /// # Errors
 ///
 /// Returns why the order is not known to be in force.
-pub async fn order(
+pub async fn send_order(
     client: &Client,
     addr: SocketAddr,
     fence: u64,
@@ -143,7 +143,7 @@
     action: &Action,
 ) -> Result<(), OrderError> {
     #[derive(Deserialize)]
-    struct Seen {
+    struct FencedBody {
         fence: u64,
     }
     let body = json!({"fence": fence, "order": number, "holder": holder, "action": action});
@@ -156,26 +156,29 @@
     };
     let answer = client.call(call).await;
     let answer = answer.map_err(|source| OrderError::Call { source })?;
-    match (answer.status, serde_json::from_slice::<Seen>(&answer.body)) {
+    match (
+        answer.status,
+        serde_json::from_slice::<FencedBody>(&answer.body),
+    ) {
         (200, _) => Ok(()),
         (409, Ok(seen)) => Err(OrderError::Fenced { fence: seen.fence }),
         _ => Err(OrderError::Call {
-            source: status(answer),
+            source: status_error(answer),
         }),
     }
 }
 
-/// Has an engine work through a prompt and keep the result for another engine.
+/// Has an engine prefill a prompt and keep the KV cache for another engine.
 ///
 /// # Errors
 ///
-/// Returns why there is no result, and whether the request ran.
+/// Returns why there is no KV cache, and whether the request ran.
 pub async fn prefill(
     client: &Client,
     addr: SocketAddr,
     body: Bytes,
     attempt: &str,
-) -> Result<Prefilled, OpenError> {
+) -> Result<PrefillResult, CallError> {
     let call = Call {
         method: "POST",
         addr,
@@ -189,7 +192,7 @@
     parse(&client.call(call).await?)
 }
 
-async fn get(client: &Client, addr: SocketAddr, path: &str) -> Result<Answer, OpenError> {
+async fn get(client: &Client, addr: SocketAddr, path: &str) -> Result<Answer, CallError> {
     let call = Call {
         method: "GET",
         addr,
@@ -200,22 +203,22 @@
     client.call(call).await
 }
 
-fn parse<T: for<'de> Deserialize<'de>>(answer: &Answer) -> Result<T, OpenError> {
+fn parse<T: for<'de> Deserialize<'de>>(answer: &Answer) -> Result<T, CallError> {
     if answer.status != 200 {
-        return Err(status(answer.clone()));
+        return Err(status_error(answer.clone()));
     }
-    serde_json::from_slice(&answer.body).map_err(|_bad| OpenError::Unreadable)
+    serde_json::from_slice(&answer.body).map_err(|_malformed| CallError::Unreadable)
 }
 
-fn status(answer: Answer) -> OpenError {
+fn status_error(answer: Answer) -> CallError {
     let ran = match answer.ran {
         Ran::No => Ran::No,
         Ran::Yes | Ran::Unknown => Ran::Unknown,
     };
-    OpenError::Status {
+    CallError::Status {
         status: answer.status,
         ran,
-        retry: None,
+        retry_after: None,
         body: answer.body,
     }
 }
--- /dev/null
+++ b/src/backend/pool.rs
@@ -0,0 +1,387 @@
+//! Pool of keep-alive connections to backend servers and to the store, without pipelining.
+//!
+//! The pool of the HTTP client in [`super::Client`] keeps every idle connection for the same time
+//! and reports a closed connection with the same error as one that broke during a request.
+//! Relayed requests need both: a backend server announces its own keep-alive timeout, and a request
+//! is reported as not run only if no byte of it was handed to a connection. HTTP itself is hyper's.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use snafu::Snafu;
+use socket2::{SockRef, TcpKeepalive};
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
+use tokio::time::{Instant, timeout, timeout_at};
+
+use crate::error::Ran;
+
+/// Time without a TCP acknowledgement after which the kernel closes a connection.
+///
+/// Four times the keep-alive interval. Without it, a request to a server that lost power or is
+/// behind a partition waits for its whole deadline.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
+/// Interval of TCP keep-alive probes on an idle connection.
+///
+/// A middlebox that drops its state of a connection leaves it open without any traffic; failed
+/// probes close it within a few seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time within which a connection must be ready for its next request after a complete response.
+const READY_TIMEOUT: Duration = Duration::from_millis(2);
+/// Maximum number of headers in a response.
+const MAX_HEADERS: usize = 128;
+
+/// Why there is no response, or no complete one.
+#[derive(Debug, Clone, PartialEq, Eq, Snafu)]
+pub enum PoolError {
+    /// Connecting failed; no byte of the request was sent.
+    #[snafu(display("cannot connect: {reason}"))]
+    Connect {
+        /// Description of the failure.
+        reason: Box<str>,
+    },
+    /// The connection broke after the request was handed to it.
+    #[snafu(display("connection broke: {reason}"))]
+    Broken {
+        /// Description of the failure.
+        reason: Box<str>,
+    },
+    /// No complete response arrived in time.
+    #[snafu(display("no complete response before the deadline"))]
+    Timeout,
+    /// The response body exceeds the size limit.
+    #[snafu(display("response body exceeds the size limit"))]
+    TooLong,
+}
+
+impl PoolError {
+    /// Returns whether the server may have run the call.
+    #[must_use]
+    pub fn ran(&self) -> Ran {
+        match self {
+            Self::Connect { .. } => Ran::No,
+            _ => Ran::Unknown,
+        }
+    }
+}
+
+struct IdleConnection {
+    sender: SendRequest<Full<Bytes>>,
+    guard: oneshot::Sender<Infallible>,
+    expires_at: Instant,
+}
+
+/// Pool of idle connections by address; clones share them.
+#[derive(Clone, Default)]
+pub struct ConnectionPool {
+    idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
+}
+
+impl std::fmt::Debug for ConnectionPool {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("ConnectionPool").finish_non_exhaustive()
+    }
+}
+
+/// A response whose head has arrived.
+pub struct Answer {
+    /// Response with the body still to be read.
+    pub response: Response<Incoming>,
+    sender: SendRequest<Full<Bytes>>,
+    guard: oneshot::Sender<Infallible>,
+    addr: SocketAddr,
+}
+
+impl std::fmt::Debug for Answer {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("Answer")
+            .field("addr", &self.addr)
+            .finish_non_exhaustive()
+    }
+}
+
+/// A response with its complete body.
+#[derive(Debug)]
+pub struct FullAnswer {
+    /// HTTP status.
+    pub status: u16,
+    /// Response headers.
+    pub headers: hyper::HeaderMap,
+    /// Response body.
+    pub body: Bytes,
+}
+
+/// An HTTP request and its destination.
+#[derive(Debug, Clone)]
+pub struct Call {
+    /// Destination address.
+    pub addr: SocketAddr,
+    /// HTTP method.
+    pub method: hyper::Method,
+    /// Encoded path with query.
+    pub path: Box<str>,
+    /// Header names and values.
+    pub headers: Vec<(Box<str>, Box<[u8]>)>,
+    /// Request body; may be empty.
+    pub body: Bytes,
+}
+
+impl Call {
+    /// Builds the request, with a `Host` header if the call has none.
+    fn request(&self) -> Result<Request<Full<Bytes>>, PoolError> {
+        let mut builder = Request::builder().method(&self.method).uri(&*self.path);
+        let mut has_host = false;
+        for (name, value) in &self.headers {
+            has_host |= &**name == "host";
+            builder = builder.header(&**name, &**value);
+        }
+        if !has_host {
+            builder = builder.header("host", self.addr.to_string());
+        }
+        builder
+            .body(Full::new(self.body.clone()))
+            .map_err(|err| PoolError::Connect {
+                reason: format!("request is not valid HTTP: {err}").into(),
+            })
+    }
+}
+
+impl ConnectionPool {
+    /// Sends a call and returns the head of its response.
+    ///
+    /// `connect_timeout` bounds the opening of a connection. The caller bounds the rest by dropping
+    /// the future, which closes the connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`PoolError::Connect`] if no byte of the call was handed to a connection, and
+    /// [`PoolError::Broken`] if the connection broke afterwards.
+    pub async fn send(&self, call: &Call, connect_timeout: Duration) -> Result<Answer, PoolError> {
+        let mut request = call.request()?;
+        // An idle connection that was closed meanwhile returns the request unsent.
+        while let Some(mut idle) = self.take_idle(call.addr) {
+            match idle.sender.try_send_request(request).await {
+                Ok(response) => {
+                    return Ok(Answer {
+                        response,
+                        sender: idle.sender,
+                        guard: idle.guard,
+                        addr: call.addr,
+                    });
+                }
+                Err(mut err) => match err.take_message() {
+                    Some(unsent) => request = unsent,
+                    None => return Err(connection_broken(&err.into_error())),
+                },
+            }
+        }
+        let (mut sender, guard) = timeout(connect_timeout, connect(call.addr))
+            .await
+            .unwrap_or_else(|_elapsed| {
+                Err(PoolError::Connect {
+                    reason: "timed out".into(),
+                })
+            })?;
+        match sender.try_send_request(request).await {
+            Ok(response) => Ok(Answer {
+                response,
+                sender,
+                guard,
+                addr: call.addr,
+            }),
+            Err(mut err) => Err(if err.take_message().is_some() {
+                PoolError::Connect {
+                    reason: "connection closed before the request was sent".into(),
+                }
+            } else {
+                connection_broken(&err.into_error())
+            }),
+        }
+    }
+
+    /// Sends a call and collects its complete response, of at most `max_bytes` bytes, within
+    /// `time_limit`.
+    ///
+    /// # Errors
+    ///
+    /// Returns why there is no complete response.
+    pub async fn call(
+        &self,
+        call: &Call,
+        time_limit: Duration,
+        max_bytes: usize,
+    ) -> Result<FullAnswer, PoolError> {
+        let deadline = Instant::now() + time_limit;
+        let answer = self.send(call, time_limit / 2);
+        let answer = timeout_at(deadline, answer).await;
+        let mut answer = answer.unwrap_or(Err(PoolError::Timeout))?;
+        let status = answer.response.status().as_u16();
+        let headers = std::mem::take(answer.response.headers_mut());
+        let body = timeout_at(deadline, collect(&mut answer, max_bytes)).await;
+        let body = body.unwrap_or(Err(PoolError::Timeout))?;
+        self.put_back(answer, CALL_IDLE_TIMEOUT, MAX_IDLE_CALL_CONNECTIONS)
+            .await;
+        Ok(FullAnswer {
+            status,
+            headers,
+            body,
+        })
+    }
+
+    fn take_idle(&self, addr: SocketAddr) -> Option<IdleConnection> {
+        let mut all = self.idle.borrow_mut();
+        let list = all.get_mut(&addr)?;
+        let now = Instant::now();
+        let mut found = None;
+        // The most recently used connection is the least likely to be closed by now.
+        while let Some(idle) = list.pop() {
+            if idle.expires_at > now && idle.sender.is_ready() {
+                found = Some(idle);
+                break;
+            }
+        }
+        if list.is_empty() {
+            all.remove(&addr);
+        }
+        found
+    }
+
+    /// Returns the connection of a response that was read to its end to the pool.
+    ///
+    /// It is kept for `idle_timeout`, unless `max_idle` connections to its address are idle.
+    pub async fn put_back(&self, answer: Answer, idle_timeout: Duration, max_idle: usize) {
+        let Answer {
+            mut sender,
+            guard,
+            addr,
+            ..
+        } = answer;
+        // Bytes after the response belong to no request and close the connection here.
+        let ready = timeout(READY_TIMEOUT, sender.ready()).await;
+        if !matches!(ready, Ok(Ok(()))) {
+            return;
+        }
+        let now = Instant::now();
+        let mut all = self.idle.borrow_mut();
+        let list = all.entry(addr).or_default();
+        list.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
+        if list.len() < max_idle {
+            list.push(IdleConnection {
+                sender,
+                guard,
+                expires_at: now + idle_timeout,
+            });
+        }
+    }
+
+    /// Closes every idle connection.
+    pub fn close_idle(&self) {
+        self.idle.borrow_mut().clear();
+    }
+
+    /// Closes idle connections that have expired.
+    pub fn close_expired(&self) {
+        let now = Instant::now();
+        self.idle.borrow_mut().retain(|_, list| {
+            list.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
+            !list.is_empty()
+        });
+    }
+}
+
+/// Time for which idle connections of [`ConnectionPool::call`] are kept.
+///
+/// Shorter than the keep-alive of the store and of the engines' own interfaces; lease renewals
+/// call the store at least this often.
+const CALL_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of idle connections of [`ConnectionPool::call`] per address.
+const MAX_IDLE_CALL_CONNECTIONS: usize = 4;
+
+/// Collects the rest of a response's body.
+///
+/// # Errors
+///
+/// Returns [`PoolError::Broken`] for a truncated body and [`PoolError::TooLong`] for one of more
+/// than `max_bytes`.
+pub async fn collect(answer: &mut Answer, max_bytes: usize) -> Result<Bytes, PoolError> {
+    let mut body = bytes::BytesMut::new();
+    while let Some(chunk) = next_chunk(answer).await {
+        let chunk = chunk?;
+        if body.len() + chunk.len() > max_bytes {
+            return Err(PoolError::TooLong);
+        }
+        body.extend_from_slice(&chunk);
+    }
+    Ok(body.freeze())
+}
+
+/// Returns the next chunk of a response's body; `None` at its regular end.
+pub async fn next_chunk(answer: &mut Answer) -> Option<Result<Bytes, PoolError>> {
+    loop {
+        match answer.response.body_mut().frame().await? {
+            Ok(frame) => {
+                if let Ok(data) = frame.into_data() {
+                    return Some(Ok(data));
+                }
+            }
+            Err(err) => return Some(Err(connection_broken(&err))),
+        }
+    }
+}
+
+fn connection_broken(err: &hyper::Error) -> PoolError {
+    PoolError::Broken {
+        reason: err.to_string().into(),
+    }
+}
+
+type OpenConnection = (SendRequest<Full<Bytes>>, oneshot::Sender<Infallible>);
+
+/// Opens a connection; it is closed when the returned guard is dropped.
+async fn connect(addr: SocketAddr) -> Result<OpenConnection, PoolError> {
+    let connect_error = |err: std::io::Error| PoolError::Connect {
+        reason: err.to_string().into(),
+    };
+    let stream = TcpStream::connect(addr).await.map_err(connect_error)?;
+    stream.set_nodelay(true).map_err(connect_error)?;
+    let socket = SockRef::from(&stream);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(2);
+    socket
+        .set_tcp_keepalive(&keepalive)
+        .map_err(connect_error)?;
+    socket
+        .set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
+        .map_err(connect_error)?;
+    let (sender, connection) = http1::Builder::new()
+        .max_headers(MAX_HEADERS)
+        .handshake(TokioIo::new(stream))
+        .await
+        .map_err(|err| PoolError::Connect {
+            reason: err.to_string().into(),
+        })?;
+    let (guard, closed) = oneshot::channel();
+    ntex::rt::spawn(async move {
+        tokio::select! {
+            result = connection => {
+                if let Err(err) = result {
+                    log::debug!("connection to {addr} ended: {err}");
+                }
+            }
+            _ = closed => {}
+        }
+    });
+    Ok((sender, guard))
+}
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -9,7 +9,7 @@
 use crate::core::key::CommandKey;
 use crate::core::{Core, Effects};
 use crate::lists::{self, Chunk, Lists, Uses};
-use crate::store::{Compare, Op, Pair, Reply, Span, Txn, TxnReply};
+use crate::store::{Compare, Op, OpReply, Pair, Span, Txn, TxnReply};
 
 /// Number of previous edits whose tokens a head keeps; more than can follow while the writer of an
 /// edit finds out about a lost answer.
@@ -180,7 +180,7 @@
         },
         modified => Compare::Modified {
             key: HEAD_KEY.into(),
-            at: modified,
+            revision: modified,
         },
     };
     let mut then = vec![Op::Put {
@@ -209,8 +209,8 @@
             write_next(core, ask, out);
         }
         StoreResult::Txn(txn) => {
-            let found_head =
-                read_pairs(txn).find_map(|pair| Some((parse_head(&pair.value)?, pair.modified)));
+            let found_head = read_pairs(txn)
+                .find_map(|pair| Some((parse_head(&pair.value)?, pair.mod_revision)));
             if txn.succeeded {
                 finish(core, ask, Some(txn.revision), out);
             } else {
@@ -275,8 +275,8 @@
     txn.replies
         .iter()
         .filter_map(|reply| match reply {
-            Reply::Got(pairs) => Some(pairs),
-            Reply::Put | Reply::Deleted(_) => None,
+            OpReply::Got(pairs) => Some(pairs),
+            OpReply::Put | OpReply::Deleted(_) => None,
         })
         .flatten()
 }
--- a/src/core/once/owner.rs
+++ b/src/core/once/owner.rs
@@ -236,7 +236,7 @@
         0 => Compare::Absent { key: at.clone() },
         modified => Compare::Modified {
             key: at.clone(),
-            at: modified,
+            revision: modified,
         },
     };
     let put = Op::Put {
@@ -306,7 +306,7 @@
         refuse_begins(core, key, &BeginState::StoreDown, out);
         return;
     };
-    shard.revision = Some(pair.map_or(0, |pair| pair.modified));
+    shard.revision = Some(pair.map_or(0, |pair| pair.mod_revision));
     shard.last_confirmed = core.now;
     shard.bytes = pair.map_or(0, |pair| pair.value.len());
     shard.calls = calls;
--- a/src/host/backends.rs
+++ b/src/host/backends.rs
@@ -10,7 +10,7 @@
 
 use super::node::{Node, Prepared};
 use super::timer;
-use crate::backend::{self, Chunk, OpenError, OrderError};
+use crate::backend::{self, CallError, Chunk, OrderError};
 use crate::core::effect::{self, OpenStream};
 use crate::core::event::{
     AttemptFailure, Entry, EntryKind, FleetEvent, OrderResult, ProbeResult, Report, RequestEvent,
@@ -19,7 +19,7 @@
 use crate::core::key::{AttemptKey, RequestKey};
 use crate::core::{Event, Time};
 use crate::error::Ran;
-use crate::store::{ListedKind, ListedState};
+use crate::store::{ListEntryKind, ListEntryState};
 
 /// Time limit for reading a load report.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
@@ -33,11 +33,11 @@
 const ORDER_LIFETIME: Duration = Duration::from_secs(2);
 /// Timeouts and limits of the call that sends an order.
 const ORDER_OPTIONS: backend::Options = backend::Options {
-    connect: Duration::from_millis(500),
-    head: Duration::from_secs(2),
-    body: Duration::from_secs(2),
-    age: Duration::from_secs(1),
-    limit: 64 * 1024,
+    connect_timeout: Duration::from_millis(500),
+    head_timeout: Duration::from_secs(2),
+    body_timeout: Duration::from_secs(2),
+    max_age: Duration::from_secs(1),
+    max_body_bytes: 64 * 1024,
     reuse: backend::Reuse::Never,
 };
 /// Time limit for a connection attempt of a probe.
@@ -117,7 +117,7 @@
                     return attempt_failed(attempt, Ran::Yes, AttemptFailure::Cut, &detail);
                 }
                 while let Some((offset, chunk)) = reorder.pop() {
-                    let tokens = u32::from(!chunk.end);
+                    let tokens = u32::from(!chunk.is_last);
                     node.chunk_received(attempt, offset, tokens, chunk.data);
                 }
                 if let Some(event) = wait_for_caller(node, open).await {
@@ -181,7 +181,7 @@
         let start = first_offset(&chunk);
         if start >= self.next_offset {
             // The end marker has the offset of the token that would follow, so it sorts after it.
-            let place = start * 2 + u64::from(chunk.end);
+            let place = start * 2 + u64::from(chunk.is_last);
             self.pending.entry(place).or_insert(chunk);
         }
         self.pending.len() <= MAX_CHUNKS_AHEAD || start == self.next_offset
@@ -195,7 +195,7 @@
             return None;
         }
         let chunk = entry.remove();
-        self.ended = chunk.end;
+        self.ended = chunk.is_last;
         self.next_offset = chunk.offset;
         Some((offset, chunk))
     }
@@ -206,7 +206,7 @@
 /// The offset in a chunk, the id of its event, is that of the token after it; the end marker holds
 /// no token.
 fn first_offset(chunk: &Chunk) -> u64 {
-    chunk.offset.saturating_sub(u64::from(!chunk.end))
+    chunk.offset.saturating_sub(u64::from(!chunk.is_last))
 }
 
 fn attempt_failed(attempt: AttemptKey, ran: Ran, end: AttemptFailure, detail: &str) -> RequestEvent {
@@ -218,7 +218,7 @@
     }
 }
 
-fn open_failed(attempt: AttemptKey, err: &OpenError, resume: Option<u64>) -> RequestEvent {
+fn open_failed(attempt: AttemptKey, err: &CallError, resume: Option<u64>) -> RequestEvent {
     let ran = err.ran();
     let end = match (err, err.status()) {
         (_, Some(404)) if resume.is_some() => AttemptFailure::Forgotten,
@@ -229,8 +229,8 @@
             AttemptFailure::Rejected
         }
         _ if ran == Ran::No && err.status().is_some() => AttemptFailure::Refused,
-        (OpenError::Connect | OpenError::Invalid, _) => AttemptFailure::Unreachable,
-        (OpenError::Late, _) => AttemptFailure::Silent,
+        (CallError::Connect | CallError::Invalid, _) => AttemptFailure::Unreachable,
+        (CallError::Timeout, _) => AttemptFailure::Silent,
         _ => AttemptFailure::Cut,
     };
     attempt_failed(attempt, ran, end, &err.to_string())
@@ -293,7 +293,7 @@
     RequestEvent::Answered { attempt, result }
 }
 
-fn service_failed(attempt: AttemptKey, err: &OpenError) -> RequestEvent {
+fn service_failed(attempt: AttemptKey, err: &CallError) -> RequestEvent {
     let end = match err.ran() {
         Ran::No => AttemptFailure::Unreachable,
         Ran::Yes | Ran::Unknown => AttemptFailure::Cut,
@@ -309,14 +309,14 @@
             let entries = listed.into_iter().map(|entry| Entry {
                 name: entry.name,
                 kind: match entry.kind {
-                    ListedKind::Host => EntryKind::Host,
-                    ListedKind::Engine => EntryKind::Engine,
-                    ListedKind::Service => EntryKind::Service,
+                    ListEntryKind::Host => EntryKind::Host,
+                    ListEntryKind::Engine => EntryKind::Engine,
+                    ListEntryKind::Service => EntryKind::Service,
                 },
                 pool: entry.pool,
                 addr: entry.addr,
                 domain: entry.domain,
-                leaving: entry.state == ListedState::Leaving,
+                leaving: entry.state == ListEntryState::Leaving,
             });
             let entries = entries.collect();
             node.apply(Event::Fleet(FleetEvent::Listed(entries)));
@@ -327,7 +327,7 @@
 
 /// Reads an engine's load report.
 pub async fn read_load(node: Rc<Node>, name: Box<str>, addr: SocketAddr) {
-    let read = timeout(LOAD_TIMEOUT, backend::load(&node.backends, addr)).await;
+    let read = timeout(LOAD_TIMEOUT, backend::fetch_load(&node.backends, addr)).await;
     let report = match read {
         Ok(Ok(load)) => Some(Report {
             running: saturating_u32(load.running),
@@ -363,12 +363,12 @@
 
 /// Sends an order, unless the authority to send it has expired.
 pub async fn send_order(node: Rc<Node>, order: effect::Order) {
-    let fresh = backend::Fresh {
-        life: ORDER_LIFETIME,
-        gate: |until| timer::now() < Time::from_micros(until),
-        until: order.valid_until.micros(),
+    let fresh = backend::SingleUse {
+        unacked_timeout: ORDER_LIFETIME,
+        may_send: |until| timer::now() < Time::from_micros(until),
+        check_value: order.valid_until.micros(),
     };
-    let result = if let Ok(client) = backend::Client::fresh(ORDER_OPTIONS, fresh).await {
+    let result = if let Ok(client) = backend::Client::single_use(ORDER_OPTIONS, fresh).await {
         let action = match &order.action {
             effect::Action::Role(role) => backend::Action::Role {
                 role: role.name().into(),
@@ -377,7 +377,7 @@
             effect::Action::Adapter(name) => load_action("adapter", name),
             effect::Action::Version(name) => load_action("version", name),
         };
-        let sent = backend::order(
+        let sent = backend::send_order(
             &client,
             order.addr,
             order.fence,
--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -12,7 +12,7 @@
 
 use crate::core::effect::Meter;
 use crate::settings::Settings;
-use crate::store::Calls;
+use crate::store::CallCounts;
 
 /// Largest number of customers with a label value of their own; all others share one.
 ///
@@ -46,7 +46,7 @@
     store_era: Gauge<u64>,
     unlisted: Gauge<u64>,
     limited: Gauge<u64>,
-    last_calls: Cell<Calls>,
+    last_calls: Cell<CallCounts>,
     request_counts: RefCell<BTreeMap<Box<str>, u32>>,
     named_customers: RefCell<Vec<Box<str>>>,
 }
@@ -183,7 +183,7 @@
     }
 
     /// Adds the calls to the key-value service made since the last update, from running totals.
-    pub fn record_store_calls(&self, now: &Calls) {
+    pub fn record_store_calls(&self, now: &CallCounts) {
         let seen = self.last_calls.replace(*now);
         for (kind, now, seen) in [
             ("range", now.range, seen.range),
--- a/src/host/relay/backends.rs
+++ b/src/host/relay/backends.rs
@@ -9,7 +9,7 @@
 
 use super::events::Splitter;
 use super::{EventPayload, Head, Prepared, apply, apply_with};
-use crate::backend::channel::{self, Answer, Call, ChannelError};
+use crate::backend::pool::{self, Answer, Call, PoolError};
 use crate::core::event::AttemptFailure;
 use crate::core::key::AttemptKey;
 use crate::core::relay::event::{OrderResult, Outgoing, RelayEvent, StageOrder, Task};
@@ -50,12 +50,12 @@
     }
 }
 
-impl From<ChannelError> for AttemptFailure {
-    fn from(err: ChannelError) -> Self {
+impl From<PoolError> for AttemptFailure {
+    fn from(err: PoolError) -> Self {
         let end = match err {
-            ChannelError::Connect { .. } => AttemptFailure::Unreachable,
-            ChannelError::Late => AttemptFailure::Silent,
-            ChannelError::Broken { .. } | ChannelError::Long => AttemptFailure::Cut,
+            PoolError::Connect { .. } => AttemptFailure::Unreachable,
+            PoolError::Timeout => AttemptFailure::Silent,
+            PoolError::Broken { .. } | PoolError::TooLong => AttemptFailure::Cut,
         };
         Self::new(err.ran(), end, err.to_string())
     }
@@ -82,7 +82,7 @@
 
 fn build_call(prepared: &Prepared, out: &Outgoing) -> Call {
     let mut headers = prepared.headers.clone();
-    let added = header::encode(out).into_iter();
+    let added = header::encode_request(out).into_iter();
     headers.extend(added.map(|(name, value)| (name.into(), value.into_bytes().into())));
     Call {
         addr: out.addr,
@@ -104,16 +104,16 @@
     let headers: Vec<_> = headers
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .collect();
-    let reply = header::replied(status, &headers);
+    let reply = header::decode_answer(status, &headers);
     let id = prepared
         .headers
         .iter()
         .find(|(name, _)| header::is_attempt(name));
-    let echoed = match (&reply.id, id) {
+    let echoed = match (&reply.attempt_id, id) {
         (Some(echo), Some((_, sent))) => echo.as_bytes() == &**sent,
         _ => false,
     };
-    if status != 421 && (reply.refused || echoed) {
+    if status != 421 && (reply.not_run || echoed) {
         apply(
             node,
             RelayEvent::Limited {
@@ -122,8 +122,8 @@
             },
         );
     }
-    if reply.refused {
-        drain_and_release(node, answer, out, reply.idle).await;
+    if reply.not_run {
+        drain_and_release(node, answer, out, reply.keep_alive).await;
         let end = if status == 421 {
             AttemptFailure::Rejected
         } else {
@@ -141,20 +141,20 @@
         return Err(AttemptFailure::new(Ran::Unknown, AttemptFailure::Cut, detail));
     }
     if matches!(out.task, Task::Prefill) {
-        return read_prefill_answer(node, out, answer, status, reply.idle).await;
+        return read_prefill_answer(node, out, answer, status, reply.keep_alive).await;
     }
-    if (200..300).contains(&status) && (!reply.signed || header::is_encoded(&reply.passed)) {
+    if (200..300).contains(&status) && (!reply.has_stamp || header::is_encoded(&reply.forwarded)) {
         let detail = "the answer is unsigned, or was encoded by a proxy";
         return Err(AttemptFailure::new(Ran::Unknown, AttemptFailure::Cut, detail));
     }
     let head = Head {
         status,
-        headers: reply.passed,
+        headers: reply.forwarded,
     };
     if out.streaming && status == 200 {
-        read_stream(node, out, answer, &head, reply.idle).await
+        read_stream(node, out, answer, &head, reply.keep_alive).await
     } else {
-        read_answer(node, out, answer, head, reply.idle).await
+        read_answer(node, out, answer, head, reply.keep_alive).await
     }
 }
 
@@ -165,7 +165,7 @@
     out: &Outgoing,
     idle: Option<Duration>,
 ) {
-    if channel::collect(&mut answer, MAX_CONTROL_ANSWER_BYTES)
+    if pool::collect(&mut answer, MAX_CONTROL_ANSWER_BYTES)
         .await
         .is_ok()
     {
@@ -178,7 +178,10 @@
     if idle.is_zero() {
         return;
     }
-    node.relay.channels.keep(answer, idle, out.max_idle).await;
+    node.relay
+        .channels
+        .put_back(answer, idle, out.max_idle)
+        .await;
 }
 
 async fn read_prefill_answer(
@@ -188,8 +191,8 @@
     status: u16,
     idle: Option<Duration>,
 ) -> Result<(), AttemptFailure> {
-    let body = channel::collect(&mut answer, MAX_CONTROL_ANSWER_BYTES).await?;
-    let handle = engine::prefilled(&body).filter(|_| status == 200);
+    let body = pool::collect(&mut answer, MAX_CONTROL_ANSWER_BYTES).await?;
+    let handle = engine::decode_kv_handle(&body).filter(|_| status == 200);
     let Some(handle) = handle else {
         let detail =
             format!("the engine answered the prefill with status {status} and no usable handle");
@@ -213,7 +216,7 @@
     head: Head,
     idle: Option<Duration>,
 ) -> Result<(), AttemptFailure> {
-    let body = channel::collect(&mut answer, MAX_ANSWER_BYTES).await?;
+    let body = pool::collect(&mut answer, MAX_ANSWER_BYTES).await?;
     let status = head.status;
     apply_with(
         node,
@@ -235,7 +238,7 @@
     idle: Option<Duration>,
 ) -> Result<(), AttemptFailure> {
     let mut splitter = Splitter::default();
-    while let Some(bytes) = channel::next(&mut answer).await {
+    while let Some(bytes) = pool::next_chunk(&mut answer).await {
         let bytes = bytes?;
         if splitter.push(&bytes).is_none() {
             return Err(AttemptFailure::new(
@@ -275,7 +278,7 @@
     instance: &str,
     body: Vec<u8>,
 ) -> Call {
-    let (name, value) = header::expect(instance);
+    let (name, value) = header::expect_instance(instance);
     let mut headers: Vec<header::Header> = vec![(name.into(), value.into_bytes().into())];
     if !body.is_empty() {
         headers.push(("content-type".into(), (*b"application/json").into()));
@@ -313,7 +316,7 @@
         .call(&call, CONTROL_CALL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
         .await
     {
-        Ok(answer) if answer.status == 200 => engine::report(&answer.body),
+        Ok(answer) if answer.status == 200 => engine::decode_report(&answer.body),
         Ok(answer) => {
             let status = answer.status;
             log::debug!("{instance} answered the request for its state with status {status}");
@@ -334,7 +337,7 @@
         hyper::Method::POST,
         engine::ORDER_PATH,
         &order.instance,
-        engine::order(&order),
+        engine::encode_order(&order),
     );
     // The process may have been suspended since the decision.
     let era = node.with_core(|core| core.relay.view.era());
--- a/src/host/relay/callers.rs
+++ b/src/host/relay/callers.rs
@@ -93,8 +93,8 @@
     let headers: Vec<_> = headers
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .collect();
-    let decoded = header::decode(&headers);
-    let Some(id) = decoded.id else {
+    let decoded = header::decode_request(&headers);
+    let Some(attempt_id) = decoded.attempt_id else {
         return refused(
             &Refusal::new(Kind::Malformed, "the request has no attempt id header"),
             "",
@@ -106,12 +106,12 @@
     });
     let body = match web::read_body(&mut req, limit.max_body, BODY_TIMEOUT).await {
         Ok(body) => body,
-        Err(status) => return body_failure(status, &id),
+        Err(status) => return body_failure(status, &attempt_id),
     };
     let Ok(method) = hyper::Method::from_bytes(req.method().as_str().as_bytes()) else {
         return refused(
             &Refusal::new(Kind::Malformed, "the HTTP method is invalid"),
-            &id,
+            &attempt_id,
         );
     };
     let target = req
@@ -123,7 +123,7 @@
         .get("host")
         .and_then(|host| host.to_str().ok());
     let arrival = Arrival {
-        id: id.clone(),
+        id: attempt_id.clone(),
         host: host.unwrap_or_default().into(),
         path: req.uri().path().into(),
         deadline: decoded.deadline,
@@ -135,16 +135,16 @@
     let prepared = Prepared {
         method,
         path: target.into(),
-        headers: decoded.passed,
+        headers: decoded.forwarded,
         body,
     };
     let Some(accepted) = accept_request(node, arrival, prepared, req.io().cloned()) else {
         return refused(
             &Refusal::new(Kind::Internal, "the host lost the request"),
-            &id,
+            &attempt_id,
         );
     };
-    answer(node, accepted, &id).await
+    answer(node, accepted, &attempt_id).await
 }
 
 fn body_failure(status: StatusCode, id: &str) -> Response {
--- a/src/host/relay/mod.rs
+++ b/src/host/relay/mod.rs
@@ -21,13 +21,13 @@
 
 use super::node::Node;
 use super::queue::{self, QueueReceiver, QueueSender};
-use crate::backend::channel::Channels;
+use crate::backend::pool::ConnectionPool;
 use crate::core::Event;
 use crate::core::effect::Refusal;
 use crate::core::key::{AttemptKey, CallKey};
 use crate::core::relay::event::{Arrival, RelayEffect, RelayEvent};
 use crate::platform::header::Header;
-use crate::store::Calls;
+use crate::store::CallCounts;
 
 /// A request as it is sent to backend servers.
 #[derive(Debug, Clone)]
@@ -95,14 +95,14 @@
 #[derive(Debug, Default)]
 pub struct Adapters {
     /// Connections to backend servers.
-    pub channels: Channels,
+    pub channels: ConnectionPool,
     /// Connections to the store.
-    pub store: Channels,
+    pub store: ConnectionPool,
     /// Pending reads, watches and probes of the store, by number; dropping a sender cancels its
     /// call.
     store_calls: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
     /// Numbers of calls made to the store so far.
-    pub calls: Cell<Calls>,
+    pub calls: Cell<CallCounts>,
     open_calls: RefCell<SecondaryMap<CallKey, OpenCall>>,
     arriving: RefCell<Option<OpenCall>>,
     arrived: Cell<Option<CallKey>>,
--- a/src/host/relay/store.rs
+++ b/src/host/relay/store.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{apply, event_log};
-use crate::backend::channel::{Call, ChannelError};
+use crate::backend::pool::{Call, PoolError};
 use crate::core::effect::LogFields;
 use crate::core::event::{Job, StoreEvent, StoreReply, StoreResult};
 use crate::core::relay::event::{Changes, RelayEvent, StoreAnswer, StoreCall, StoreChange};
@@ -16,7 +16,7 @@
 use crate::error::Ran;
 use crate::host::node::Node;
 use crate::platform::{self, store};
-use crate::store::{Calls, Compare, Op, Sort, Txn};
+use crate::store::{CallCounts, CallKind, Compare, Op, Txn};
 
 /// Time limit of a call, far above the slowest answer of a working store.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -32,7 +32,7 @@
     #[snafu(transparent)]
     Channel {
         /// Error of the connection.
-        source: ChannelError,
+        source: PoolError,
     },
     /// The store answered with another status.
     #[snafu(display("the store answered {status}"))]
@@ -65,7 +65,7 @@
     call: store::Call,
     time: Duration,
 ) -> Result<(u16, bytes::Bytes), CallError> {
-    let sort = call.sort;
+    let sort = call.kind;
     update_counts(node, |calls| sort.count(calls));
     let sent = Instant::now();
     let result = send(node, call, time).await;
@@ -80,7 +80,7 @@
         Ran::No => calls.refused += 1,
         Ran::Yes | Ran::Unknown => calls.unknown += 1,
     });
-    if sort == Sort::Probe {
+    if sort == CallKind::Probe {
         // In an outage each host probes twice a second; the counter and `store.down` suffice.
         return result;
     }
@@ -96,7 +96,7 @@
     result
 }
 
-fn update_counts(node: &Rc<Node>, change: impl FnOnce(&mut Calls)) {
+fn update_counts(node: &Rc<Node>, change: impl FnOnce(&mut CallCounts)) {
     let mut calls = node.relay.calls.get();
     change(&mut calls);
     node.relay.calls.set(calls);
@@ -123,7 +123,7 @@
         body: call.body.into(),
     };
     let answer = node.relay.store.call(&call, time, MAX_ANSWER_BYTES).await?;
-    if let Some(era) = store::era(&answer.headers) {
+    if let Some(era) = store::decode_era(&answer.headers) {
         apply(node, RelayEvent::StoreEra(era));
     }
     Ok((answer.status, answer.body))
@@ -153,7 +153,7 @@
         Effect::RenewLease { job, lease } => Some((job, renew(node, lease).await)),
         Effect::Txn { job, txn } => Some((job, write_txn(node, &prefix_keys(txn)).await)),
         Effect::RevokeLease(lease) => {
-            if let Err(err) = call_store(node, store::end(lease), CALL_TIMEOUT).await {
+            if let Err(err) = call_store(node, store::revoke(lease), CALL_TIMEOUT).await {
                 log::debug!("cannot revoke lease {lease}, it will expire: {err}");
             }
             None
@@ -168,7 +168,7 @@
 async fn grant(node: &Rc<Node>, life: Duration) -> Result<StoreResult, CallError> {
     match call_store(node, store::grant(life), CALL_TIMEOUT).await? {
         (200, body) => {
-            let lease = store::lease(&body).ok_or(CallError::Unreadable)?;
+            let lease = store::decode_lease(&body).ok_or(CallError::Unreadable)?;
             Ok(StoreResult::Lease(lease))
         }
         (status, _) => Err(CallError::Status { status }),
@@ -176,7 +176,7 @@
 }
 
 async fn renew(node: &Rc<Node>, lease: i64) -> Result<StoreResult, CallError> {
-    match call_store(node, store::keep(lease), CALL_TIMEOUT).await? {
+    match call_store(node, store::keepalive(lease), CALL_TIMEOUT).await? {
         (200, _) => Ok(StoreResult::Lease(lease)),
         (404, _) => Ok(StoreResult::Lease(0)),
         (status, _) => Err(CallError::Status { status }),
@@ -187,7 +187,7 @@
     match call_store(node, store::txn(txn), CALL_TIMEOUT).await? {
         (404, _) => Ok(StoreResult::Lease(0)),
         (status @ (200 | 412), body) => {
-            let reply = store::txn_reply(status, &body).ok_or(CallError::Unreadable)?;
+            let reply = store::decode_txn_reply(status, &body).ok_or(CallError::Unreadable)?;
             Ok(StoreResult::Txn(reply))
         }
         (status, _) => Err(CallError::Status { status }),
@@ -196,7 +196,7 @@
 
 /// Prepends this program's prefix to every key.
 fn prefix_keys(mut txn: Txn) -> Txn {
-    let full = |key: &str| -> Box<str> { format!("{}{key}", platform::OWN).into() };
+    let full = |key: &str| -> Box<str> { format!("{}{key}", platform::OWN_PREFIX).into() };
     for compare in &mut txn.compare {
         match compare {
             Compare::Modified { key, .. }
@@ -229,7 +229,7 @@
     node.relay.store_calls.borrow_mut().remove(&number);
     let answer = answer.unwrap_or_else(|err| {
         // Idle connections may have failed for the same reason.
-        node.relay.store.clear();
+        node.relay.store.close_idle();
         StoreAnswer::Failed {
             refused: err.ran() == Ran::No,
         }
@@ -243,21 +243,26 @@
         StoreCall::Watch { after, wait } => changes(node, after, wait).await,
         StoreCall::Probe => {
             let (status, body) = call_store(node, store::probe(), CALL_TIMEOUT).await?;
-            let page = decode_success(status, || store::page(&body))?;
+            let page = decode_success(status, || store::decode_page(&body))?;
             Ok(StoreAnswer::Newest(page.range.revision))
         }
     }
 }
 
 async fn page(node: &Rc<Node>, after: Option<Box<str>>) -> Result<StoreAnswer, CallError> {
-    let call = store::range(platform::WATCHED, after.as_deref());
+    let call = store::range(platform::WATCHED_PREFIX, after.as_deref());
     let (status, body) = call_store(node, call, CALL_TIMEOUT).await?;
-    let page = decode_success(status, || store::page(&body))?;
+    let page = decode_success(status, || store::decode_page(&body))?;
     let mut changes = Changes::default();
     for pair in &page.range.pairs {
-        platform::sort(&mut changes, &pair.key, Some(&pair.value), pair.modified);
+        platform::apply_change(
+            &mut changes,
+            &pair.key,
+            Some(&pair.value),
+            pair.mod_revision,
+        );
     }
-    let last = page.range.pairs.last().filter(|_| page.more);
+    let last = page.range.pairs.last().filter(|_| page.has_more);
     Ok(StoreAnswer::Page {
         revision: page.range.revision,
         changes,
@@ -266,16 +271,16 @@
 }
 
 async fn changes(node: &Rc<Node>, after: i64, wait: Duration) -> Result<StoreAnswer, CallError> {
-    let call = store::watch(platform::WATCHED, after, wait);
+    let call = store::watch(platform::WATCHED_PREFIX, after, wait);
     let (status, body) = call_store(node, call, wait + WATCH_TIMEOUT_MARGIN).await?;
     if status == 410 {
         return Ok(StoreAnswer::Compacted);
     }
-    let events = decode_success(status, || store::events(&body))?;
+    let events = decode_success(status, || store::decode_events(&body))?;
     let mut changes = Changes::default();
     let mut decoded = Vec::with_capacity(events.changes.len());
     for (key, value, revision) in events.changes {
-        platform::sort(&mut changes, &key, value.as_deref(), revision);
+        platform::apply_change(&mut changes, &key, value.as_deref(), revision);
         let mut event = StoreChange {
             revision,
             key,
@@ -286,7 +291,7 @@
         decoded.push(event);
     }
     Ok(StoreAnswer::Changes {
-        revision: events.at,
+        revision: events.revision,
         changes,
         events: decoded,
     })
@@ -295,7 +300,7 @@
 /// Decodes a change of the store.
 pub fn decode_change(event: &mut StoreChange) {
     let (key, value) = (&event.key, event.value.as_deref());
-    platform::sort(&mut event.changes, key, value, event.revision);
+    platform::apply_change(&mut event.changes, key, value, event.revision);
 }
 
 /// Decodes the answer if its status is 200.
--- a/src/host/store.rs
+++ b/src/host/store.rs
@@ -8,7 +8,7 @@
 use crate::core::event::{Health, Job, StoreEvent, StoreReply, StoreResult, WatchedKey};
 use crate::core::{Effect, Event};
 use crate::error::Ran;
-use crate::store::{Batch, Compare, Op, Range, Reply, Span, StoreError, Txn};
+use crate::store::{Batch, Compare, Op, OpReply, Range, Span, StoreError, Txn};
 
 /// Prefix of the watched keys, after the deployment's prefix.
 const WATCHED_PREFIX: &str = "w/";
@@ -43,7 +43,7 @@
             let done = node.store.txn(full_txn(&prefix, txn)).await;
             let done = done.map(|mut reply| {
                 for op_reply in &mut reply.replies {
-                    if let Reply::Got(pairs) = op_reply {
+                    if let OpReply::Got(pairs) = op_reply {
                         for pair in pairs {
                             pair.key = bare_key(&prefix, &pair.key);
                         }
@@ -109,16 +109,16 @@
 
 fn full_txn(prefix: &str, txn: Txn) -> Txn {
     let compare = txn.compare.into_iter().map(|compare| match compare {
-        Compare::Modified { key, at } => Compare::Modified {
+        Compare::Modified { key, revision } => Compare::Modified {
             key: full_key(prefix, &key),
-            at,
+            revision,
         },
         Compare::Absent { key } => Compare::Absent {
             key: full_key(prefix, &key),
         },
-        Compare::Value { key, is } => Compare::Value {
+        Compare::Value { key, value } => Compare::Value {
             key: full_key(prefix, &key),
-            is,
+            value,
         },
     });
     let ops = |ops: Vec<Op>| -> Vec<Op> {
@@ -180,7 +180,7 @@
         pairs.push(WatchedKey {
             key,
             value: Some(pair.value.to_vec().into()),
-            modified: pair.modified,
+            modified: pair.mod_revision,
         });
     }
     // Keys deleted while no watch was open are reported too, or the core would keep them forever.
@@ -223,7 +223,7 @@
         WatchedKey {
             key,
             value: change.value.map(|value| value.to_vec().into()),
-            modified: change.modified,
+            modified: change.mod_revision,
         }
     });
     let pairs = pairs.collect();
--- a/src/host/tests.rs
+++ b/src/host/tests.rs
@@ -90,7 +90,7 @@
         count in 0_u64..40,
         shuffle in prop::collection::vec(any::<(u8, bool)>(), 46),
     ) {
-        let chunk = |offset, end| Chunk { offset, data: Bytes::new(), end };
+        let chunk = |offset, end| Chunk { offset, data: Bytes::new(), is_last: end };
         let mut sent: Vec<(u8, Chunk)> = Vec::new();
         for token in 0..first + count {
             let (place, duplicate) = shuffle[usize::try_from(token).unwrap_or(0)];
@@ -106,7 +106,7 @@
         for (_, chunk) in sent {
             prop_assert!(reorder.insert(chunk));
             while let Some((offset, chunk)) = reorder.pop() {
-                returned.push((offset, chunk.end));
+                returned.push((offset, chunk.is_last));
             }
         }
         let mut expected: Vec<_> = (first..first + count).map(|token| (token, false)).collect();
@@ -123,7 +123,7 @@
         reorder.insert(Chunk {
             offset,
             data: Bytes::new(),
-            end: false,
+            is_last: false,
         })
     });
     assert!(inserted.count() < 100);
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,8 +1,8 @@
-//! Calls of the platform's store and their answers.
+//! Calls to the platform's store and decoding of their responses.
 //!
-//! The types are those of the project's own client ([`crate::store`]); only the form on the wire
-//! differs. Where a call's answer is lost, whether it took effect is unknown: nothing here repeats
-//! a call.
+//! The types are those of the etcd client ([`crate::store`]); only the wire format differs. If the
+//! response to a call is lost, it is unknown whether the call took effect, so no call is retried
+//! here.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -13,67 +13,67 @@
 use hyper::HeaderMap;
 use serde_json::{Value, json};
 
-use super::OWN;
-use crate::store::{Compare, Op, Pair, Range, Reply, Sort, Span, Txn, TxnReply};
+use super::OWN_PREFIX;
+use crate::store::{CallKind, Compare, Op, OpReply, Pair, Range, Span, Txn, TxnReply};
 
-/// Header that counts how often the store came back from an older copy.
-const ERA: &str = "store-era";
-/// Start of keys that nothing writes, below [`OWN`].
-const NOTHING: &str = "none/";
+/// Header with the store's era, which counts restores from an older backup.
+const ERA_HEADER: &str = "store-era";
+/// Prefix of keys that are never written, below [`OWN_PREFIX`].
+const UNUSED_PREFIX: &str = "none/";
 
-/// One call, as it is to be written.
+/// An encoded call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// What it is.
-    pub sort: Sort,
+    /// Kind of call.
+    pub kind: CallKind,
     /// HTTP method.
     pub method: &'static str,
     /// Path with query.
     pub path: String,
-    /// Body; empty for none.
+    /// Request body; empty for none.
     pub body: Vec<u8>,
 }
 
-/// What a watch brought.
+/// Changes received from a watch.
 #[derive(Debug, Clone, Default)]
 pub struct Events {
     /// Changes in order: key, value (`None` for a removal) and revision.
     pub changes: Vec<(Box<str>, Option<Bytes>, i64)>,
-    /// Revision to go on from.
-    pub at: i64,
+    /// Revision after which the next watch continues.
+    pub revision: i64,
 }
 
 /// One page of a read.
 #[derive(Debug, Clone, Default)]
 pub struct Page {
-    /// What was found.
+    /// Pairs of the page.
     pub range: Range,
-    /// Whether more follows after the last key.
-    pub more: bool,
+    /// Whether more keys follow after the last one.
+    pub has_more: bool,
 }
 
-fn get(sort: Sort, path: String) -> Call {
+fn get(kind: CallKind, path: String) -> Call {
     Call {
-        sort,
+        kind,
         method: "GET",
         path,
         body: Vec::new(),
     }
 }
 
-fn post(sort: Sort, path: &str, body: &Value) -> Call {
+fn post(kind: CallKind, path: &str, body: &Value) -> Call {
     Call {
-        sort,
+        kind,
         method: "POST",
         path: path.to_owned(),
         body: body.to_string().into_bytes(),
     }
 }
 
-/// Returns the call that reads a page of the keys that begin so, after `after`.
+/// Returns the call that reads a page of the keys with a prefix, after the key `after`.
 ///
-/// The store offers cheaper reads that may be seconds old. They name the revision of the store, not
-/// of what they show: a watch that goes on from there misses what lies between, for good.
+/// The store's cheaper serializable reads may be seconds old but report the current revision. A
+/// watch that continues from that revision would permanently miss the changes in between.
 #[must_use]
 pub fn range(prefix: &str, after: Option<&str>) -> Call {
     let mut path = format!("/v1/kv-range?prefix={}", escape(prefix));
@@ -81,18 +81,18 @@
         // Writing to a string does not fail.
         let _ = write!(path, "&after={}", escape(after));
     }
-    get(Sort::Range, path)
+    get(CallKind::Range, path)
 }
 
-/// Returns the call that asks for the store's newest revision, by a read of keys that nothing writes.
+/// Returns the call that queries the store's newest revision, by a read of keys never written.
 ///
-/// Such a read costs a tenth and counts towards no rate. What it shows may be old, but the revision
-/// that it names is the store's.
+/// A serializable read costs a tenth of a normal one and does not count towards rate limits. Its
+/// data may be stale, but the revision that it reports is current.
 #[must_use]
 pub fn probe() -> Call {
-    let prefix = escape(&format!("{OWN}{NOTHING}"));
+    let prefix = escape(&format!("{OWN_PREFIX}{UNUSED_PREFIX}"));
     get(
-        Sort::Probe,
+        CallKind::Probe,
         format!("/v1/kv-range?prefix={prefix}&serializable=1"),
     )
 }
@@ -103,44 +103,46 @@
     let prefix = escape(prefix);
     let wait = wait.as_millis();
     let path = format!("/v1/kv-watch?prefix={prefix}&after={after}&waitMs={wait}");
-    get(Sort::Watch, path)
+    get(CallKind::Watch, path)
 }
 
-/// Returns the call that asks for a lease.
+/// Returns the call that requests a lease.
 #[must_use]
-pub fn grant(life: Duration) -> Call {
-    let millis = u64::try_from(life.as_millis()).unwrap_or(u64::MAX);
-    post(Sort::Grant, "/v1/kv-lease", &json!({ "ttlMs": millis }))
+pub fn grant(ttl: Duration) -> Call {
+    let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
+    post(CallKind::Grant, "/v1/kv-lease", &json!({ "ttlMs": ttl_ms }))
 }
 
 /// Returns the call that renews a lease.
 #[must_use]
-pub fn keep(lease: i64) -> Call {
+pub fn keepalive(lease: i64) -> Call {
     Call {
-        sort: Sort::Keepalive,
+        kind: CallKind::Keepalive,
         method: "POST",
         path: format!("/v1/kv-keep/{lease}"),
         body: Vec::new(),
     }
 }
 
-/// Returns the call that gives a lease back.
+/// Returns the call that revokes a lease.
 #[must_use]
-pub fn end(lease: i64) -> Call {
+pub fn revoke(lease: i64) -> Call {
     Call {
-        sort: Sort::Revoke,
+        kind: CallKind::Revoke,
         method: "DELETE",
         path: format!("/v1/kv-lease-end/{lease}"),
         body: Vec::new(),
     }
 }
 
-/// Returns the call for a transaction; conditions on values, reads and steps for conditions that
-/// do not hold have no form here and are left out, as nothing on this store uses them.
+/// Returns the call for a transaction.
+///
+/// The format has no conditions on values, no reads and no operations for conditions that do not
+/// hold; they are omitted, since no caller of this store uses them.
 #[must_use]
 pub fn txn(txn: &Txn) -> Call {
     let expected = txn.compare.iter().filter_map(|compare| match compare {
-        Compare::Modified { key, at } => Some(json!({ "key": &**key, "revision": at })),
+        Compare::Modified { key, revision } => Some(json!({ "key": &**key, "revision": revision })),
         Compare::Absent { key } => Some(json!({ "key": &**key, "revision": 0 })),
         Compare::Value { .. } => None,
     });
@@ -152,21 +154,21 @@
         })),
         _ => None,
     });
-    let removes = txn.then.iter().filter_map(|op| match op {
+    let deletes = txn.then.iter().filter_map(|op| match op {
         Op::Delete(Span::Key(key)) => Some(json!(&**key)),
         _ => None,
     });
     let body = json!({
         "expectedRevision": expected.collect::<Vec<_>>(),
         "setKeys": puts.collect::<Vec<_>>(),
-        "remove": removes.collect::<Vec<_>>(),
+        "remove": deletes.collect::<Vec<_>>(),
     });
-    post(Sort::Txn, "/v1/kv-txn", &body)
+    post(CallKind::Txn, "/v1/kv-txn", &body)
 }
 
-/// Reads the answer to [`range`].
+/// Decodes the response to [`range`].
 #[must_use]
-pub fn page(body: &[u8]) -> Option<Page> {
+pub fn decode_page(body: &[u8]) -> Option<Page> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let items = value["items"].as_array()?;
     let pairs: Option<Vec<Pair>> = items.iter().map(pair).collect();
@@ -175,7 +177,7 @@
             revision: value["at"].as_i64()?,
             pairs: pairs?,
         },
-        more: value["hasMore"].as_bool().unwrap_or(false),
+        has_more: value["hasMore"].as_bool().unwrap_or(false),
     })
 }
 
@@ -183,8 +185,8 @@
     Some(Pair {
         key: item["key"].as_str()?.into(),
         value: bytes(item)?,
-        modified: item["revision"].as_i64()?,
-        created: item["created"].as_i64().unwrap_or(0),
+        mod_revision: item["revision"].as_i64()?,
+        create_revision: item["created"].as_i64().unwrap_or(0),
         lease: item["lease"].as_i64().unwrap_or(0),
     })
 }
@@ -196,39 +198,43 @@
         .map(Bytes::from)
 }
 
-/// Reads the answer to [`watch`].
+/// Decodes the response to [`watch`].
 #[must_use]
-pub fn events(body: &[u8]) -> Option<Events> {
+pub fn decode_events(body: &[u8]) -> Option<Events> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let changes = value["events"].as_array()?.iter().map(|event| {
         let key = event["key"].as_str()?.into();
-        let gone = event["deleted"].as_bool().unwrap_or(false);
-        let value = if gone { None } else { Some(bytes(event)?) };
+        let is_deleted = event["deleted"].as_bool().unwrap_or(false);
+        let value = if is_deleted {
+            None
+        } else {
+            Some(bytes(event)?)
+        };
         Some((key, value, event["revision"].as_i64()?))
     });
     let changes: Option<Vec<_>> = changes.collect();
     Some(Events {
         changes: changes?,
-        at: value["at"].as_i64()?,
+        revision: value["at"].as_i64()?,
     })
 }
 
-/// Reads the lease from the answer to [`grant`].
+/// Decodes the id of the lease from the response to [`grant`].
 #[must_use]
-pub fn lease(body: &[u8]) -> Option<i64> {
+pub fn decode_lease(body: &[u8]) -> Option<i64> {
     let value: Value = serde_json::from_slice(body).ok()?;
     value["lease"].as_i64()
 }
 
-/// Reads the answer to [`txn`] of that status.
+/// Decodes the response to [`txn`] with the given status.
 #[must_use]
-pub fn txn_reply(status: u16, body: &[u8]) -> Option<TxnReply> {
+pub fn decode_txn_reply(status: u16, body: &[u8]) -> Option<TxnReply> {
     let value: Value = serde_json::from_slice(body).ok()?;
     match status {
         200 => Some(TxnReply {
             revision: value["revision"].as_i64()?,
             succeeded: true,
-            replies: vec![Reply::Put],
+            replies: vec![OpReply::Put],
         }),
         412 => {
             let items = value["items"].as_array().cloned().unwrap_or_default();
@@ -236,25 +242,25 @@
             Some(TxnReply {
                 revision: 0,
                 succeeded: false,
-                replies: vec![Reply::Got(pairs)],
+                replies: vec![OpReply::Got(pairs)],
             })
         }
         _ => None,
     }
 }
 
-/// Reads the era that an answer names, if it names one.
+/// Decodes the era from the headers of a response, if it is present.
 #[must_use]
-pub fn era(headers: &HeaderMap) -> Option<u64> {
-    let value = headers.get(ERA)?.to_str().ok();
+pub fn decode_era(headers: &HeaderMap) -> Option<u64> {
+    let value = headers.get(ERA_HEADER)?.to_str().ok();
     let era = value.and_then(|value| value.trim().parse().ok());
     if era.is_none() {
-        log::warn!("{ERA} is {value:?}, expected a whole number");
+        log::warn!("{ERA_HEADER} is {value:?}, expected a whole number");
     }
     era
 }
 
-/// Escapes text for a query.
+/// Percent-encodes text for a query.
 fn escape(text: &str) -> String {
     let mut out = String::new();
     for byte in text.bytes() {
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -15,7 +15,7 @@
 use super::options::{Answers, Faults, Options, Role, Timing};
 use super::orders::{Order, OrderLogEntry, OrderResult, Orders};
 use super::wire::Continuation;
-use crate::backend::{Action, Load};
+use crate::backend::{Action, EngineLoad};
 
 /// Maximum number of entries of each log; later attempts and orders are not logged.
 const MAX_LOG_ENTRIES: usize = 200_000;
@@ -106,7 +106,7 @@
     pub draining: bool,
     pub stats: Stats,
     /// Loads with the time at which they were recorded, oldest first.
-    load_reports: VecDeque<(Instant, Load)>,
+    load_reports: VecDeque<(Instant, EngineLoad)>,
     started: Instant,
     pub connections: BTreeMap<ntex::io::Id, Connection>,
     /// Incremented each time the fault `silent` silences the open connections.
@@ -389,7 +389,7 @@
     }
 
     /// Returns the newest load that is at least `load_lag` old, or else the oldest one.
-    pub fn visible_load(&mut self) -> Load {
+    pub fn visible_load(&mut self) -> EngineLoad {
         let now = Instant::now();
         let lag = self.opts.load_lag;
         while self
@@ -431,9 +431,9 @@
         }
     }
 
-    fn current_load(&self) -> Load {
+    fn current_load(&self) -> EngineLoad {
         let (fence_seen, order_seen) = self.orders.highest();
-        Load {
+        EngineLoad {
             running: self.batch.running.len() as u64,
             waiting: self.batch.waiting.len() as u64,
             prefill_tokens: self.batch.prefill_backlog(),
--- a/src/store/link.rs
+++ b/src/store/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call, and the turn from endpoint to endpoint.
+//! HTTP calls to the gateway and failover between endpoints.
 
 use std::net::SocketAddr;
 
@@ -9,36 +9,36 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{Calls, Inner, Listed, MAX_ANSWER, Store, StoreError, wire};
+use super::{CallCounts, Inner, ListEntry, MAX_RESPONSE_BYTES, Store, StoreError, wire};
 
-/// gRPC code of an answer to a revision that was compacted away.
-const OUT_OF_RANGE: i64 = 11;
-/// Words of etcd's refusal when it has no leader, which it gives before it does anything.
-const NO_LEADER: &str = "no leader";
-/// Asks etcd, through its gateway, to refuse at once while it has no leader.
-const NEEDS_LEADER: (&str, &str) = ("grpc-metadata-hasleader", "true");
+/// gRPC status code for a compacted revision.
+const GRPC_OUT_OF_RANGE: i64 = 11;
+/// Text in etcd's refusal while it has no leader, which it sends before it runs the call.
+const NO_LEADER_MESSAGE: &str = "no leader";
+/// Header that makes etcd, through its gateway, refuse a call immediately while it has no leader.
+const REQUIRE_LEADER_HEADER: (&str, &str) = ("grpc-metadata-hasleader", "true");
 
-/// Kind of call, as logs and counts name it.
+/// Kind of call, as named in logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sort {
-    /// A read of keys.
+pub enum CallKind {
+    /// Read of keys.
     Range,
-    /// A read of the newest revision.
+    /// Read of the newest revision.
     Probe,
-    /// A transaction.
+    /// Transaction.
     Txn,
-    /// A lease is asked for.
+    /// Grant of a lease.
     Grant,
-    /// A lease is renewed.
+    /// Renewal of a lease.
     Keepalive,
-    /// A lease is given back.
+    /// Revocation of a lease.
     Revoke,
-    /// A wait for changes.
+    /// Watch for changes.
     Watch,
 }
 
-impl Sort {
-    /// Returns its name.
+impl CallKind {
+    /// Returns the name of the kind.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Whether the call may be made again elsewhere when its outcome is unknown.
-    fn repeats(self) -> bool {
+    /// Returns whether a call of unknown outcome may be retried at another endpoint.
+    fn is_retryable(self) -> bool {
         matches!(
             self,
             Self::Range | Self::Probe | Self::Watch | Self::Keepalive
@@ -72,7 +72,7 @@
     }
 
     /// Counts a call of this kind.
-    pub fn count(self, calls: &mut Calls) {
+    pub fn count(self, calls: &mut CallCounts) {
         *match self {
             Self::Range => &mut calls.range,
             Self::Probe => &mut calls.probe,
@@ -86,54 +86,56 @@
 }
 
 impl Store {
-    /// Makes one call and reads its answer.
+    /// Sends a call and decodes its response.
     pub(super) async fn call<T: DeserializeOwned>(
         &self,
-        sort: Sort,
+        kind: CallKind,
         body: &impl Serialize,
     ) -> Result<T, StoreError> {
         let body = encode(body)?;
-        let answer = self
-            .turn(sort, async |at| {
-                let answer = post(&self.inner, at, sort, body.clone()).await?;
-                collect(&answer).await
+        let response = self
+            .try_endpoints(kind, async |endpoint| {
+                let response = post(&self.inner, endpoint, kind, body.clone()).await?;
+                collect(&response).await
             })
             .await?;
-        decode(&answer)
+        decode(&response)
     }
 
-    /// Tries `attempt` at one endpoint after the other as long as that is safe.
-    pub(super) async fn turn<T>(
+    /// Runs `attempt` at one endpoint after the other as long as a retry is safe.
+    ///
+    /// After a failure of the endpoint, later calls start at the next one.
+    pub(super) async fn try_endpoints<T>(
         &self,
-        sort: Sort,
+        kind: CallKind,
         attempt: impl AsyncFn(SocketAddr) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
         let inner = &*self.inner;
-        let mut last = unsent("no endpoint is set");
+        let mut last = unsent("no endpoint is configured");
         for _ in 0..inner.endpoints.len() {
-            let first = inner.first.get();
-            inner.count(|calls| sort.count(calls));
-            let done = within(inner, attempt(inner.endpoints[first])).await;
-            let err = match done {
-                Ok(answer) => return Ok(answer),
+            let first = inner.preferred.get();
+            inner.count(|calls| kind.count(calls));
+            let result = with_timeout(inner, attempt(inner.endpoints[first])).await;
+            let err = match result {
+                Ok(response) => return Ok(response),
                 Err(err) => err,
             };
-            note(inner, &err);
-            let faulty = match &err {
+            count_failure(inner, &err);
+            let endpoint_failed = match &err {
                 StoreError::Unsent { .. }
                 | StoreError::Unknown { .. }
                 | StoreError::Ended { .. } => true,
                 StoreError::Refused { status, .. } => *status >= 500,
                 _ => false,
             };
-            if !faulty {
+            if !endpoint_failed {
                 return Err(err);
             }
-            // Another call on this thread may have moved on meanwhile.
-            if inner.first.get() == first {
-                inner.first.set((first + 1) % inner.endpoints.len());
+            // A concurrent call may have moved on to the next endpoint already.
+            if inner.preferred.get() == first {
+                inner.preferred.set((first + 1) % inner.endpoints.len());
             }
-            if matches!(err, StoreError::Unknown { .. }) && !sort.repeats() {
+            if matches!(err, StoreError::Unknown { .. }) && !kind.is_retryable() {
                 return Err(err);
             }
             last = err;
@@ -143,38 +145,41 @@
 }
 
 /// Reads the platform's list.
-pub(super) async fn hosts(inner: &Inner, list: SocketAddr) -> Result<Vec<Listed>, StoreError> {
+pub(super) async fn list_hosts(
+    inner: &Inner,
+    list: SocketAddr,
+) -> Result<Vec<ListEntry>, StoreError> {
     inner.count(|calls| calls.hosts += 1);
     let read = async {
         let req = request(inner, Method::GET, list, "/hosts");
-        let answer = req.send().await.map_err(|err| failed(&err))?;
-        let answer = check(answer).await?;
-        collect(&answer).await
+        let response = req.send().await.map_err(|err| classify_error(&err))?;
+        let response = check_status(response).await?;
+        collect(&response).await
     };
-    match within(inner, read).await {
+    match with_timeout(inner, read).await {
         Ok(body) => decode(&body),
         Err(err) => {
-            note(inner, &err);
+            count_failure(inner, &err);
             Err(err)
         }
     }
 }
 
-/// Sends a call and returns its answer when that is a success.
+/// Sends a call and returns its response if the status is 200.
 pub(super) async fn post(
     inner: &Inner,
-    at: SocketAddr,
-    sort: Sort,
+    endpoint: SocketAddr,
+    kind: CallKind,
     body: Bytes,
 ) -> Result<ClientResponse, StoreError> {
-    let (name, value) = NEEDS_LEADER;
-    let answer = request(inner, Method::POST, at, sort.path())
+    let (name, value) = REQUIRE_LEADER_HEADER;
+    let response = request(inner, Method::POST, endpoint, kind.path())
         .set_header(name, value)
         .content_type("application/json")
         .send_body(body.to_vec())
         .await
-        .map_err(|err| failed(&err))?;
-    check(answer).await
+        .map_err(|err| classify_error(&err))?;
+    check_status(response).await
 }
 
 pub(super) fn encode(body: &impl Serialize) -> Result<Bytes, StoreError> {
@@ -205,34 +210,34 @@
     }
 }
 
-fn note(inner: &Inner, err: &StoreError) {
+fn count_failure(inner: &Inner, err: &StoreError) {
     inner.count(|calls| match err {
         StoreError::Unknown { .. } | StoreError::Malformed { .. } => calls.unknown += 1,
         _ => calls.refused += 1,
     });
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     inner: &Inner,
     work: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     tokio::time::timeout(inner.timeout, work)
         .await
-        .unwrap_or_else(|_late| Err(unknown("no answer in time")))
+        .unwrap_or_else(|_elapsed| Err(unknown("no response before the timeout")))
 }
 
-fn request(inner: &Inner, method: Method, at: SocketAddr, path: &str) -> ClientRequest {
+fn request(inner: &Inner, method: Method, endpoint: SocketAddr, path: &str) -> ClientRequest {
     inner
         .client
-        .request(method, format!("http://{at}{path}"))
-        .address(at)
+        .request(method, format!("http://{endpoint}{path}"))
+        .address(endpoint)
 }
 
-fn failed(err: &ClientError) -> StoreError {
+fn classify_error(err: &ClientError) -> StoreError {
     let reason = err.to_string();
     match err {
-        // The library also says "disconnected", with no cause, when the other side closes after
-        // the request went out: only an error of the connection attempt proves that nothing did.
+        // The library also reports `Disconnected` without a cause if the server closes after the
+        // request was sent; only an error of the connection attempt proves that nothing was sent.
         ClientError::Connect(ConnectError::Disconnected(None)) => unknown(&reason),
         ClientError::Connect(_)
         | ClientError::Url(_)
@@ -243,31 +248,33 @@
     }
 }
 
-async fn collect(answer: &ClientResponse) -> Result<Bytes, StoreError> {
-    match answer.body().limit(MAX_ANSWER).await {
+async fn collect(response: &ClientResponse) -> Result<Bytes, StoreError> {
+    match response.body().limit(MAX_RESPONSE_BYTES).await {
         Ok(body) => Ok(Bytes::copy_from_slice(&body)),
-        Err(ntex::http::error::PayloadError::Overflow) => Err(malformed(&"too long")),
+        Err(ntex::http::error::PayloadError::Overflow) => {
+            Err(malformed(&"body exceeds the size limit"))
+        }
         Err(err) => Err(unknown(&err.to_string())),
     }
 }
 
-/// Turns an answer that is no success into the error it stands for.
-async fn check(answer: ClientResponse) -> Result<ClientResponse, StoreError> {
-    let status = answer.status();
+/// Returns a response of status 200 and converts any other into the matching error.
+async fn check_status(response: ClientResponse) -> Result<ClientResponse, StoreError> {
+    let status = response.status();
     if status == StatusCode::OK {
-        return Ok(answer);
+        return Ok(response);
     }
-    let body = collect(&answer).await?;
-    let said: wire::Refusal = serde_json::from_slice(&body).unwrap_or_default();
-    if said.code == OUT_OF_RANGE {
+    let body = collect(&response).await?;
+    let error: wire::GatewayError = serde_json::from_slice(&body).unwrap_or_default();
+    if error.code == GRPC_OUT_OF_RANGE {
         return Err(StoreError::Compacted { oldest: 0 });
     }
-    // A server error may come after the call was proposed to the cluster, but for this one.
-    if status.is_client_error() || said.message.contains(NO_LEADER) {
+    // A server error may occur after the call was proposed to the cluster, except this one.
+    if status.is_client_error() || error.message.contains(NO_LEADER_MESSAGE) {
         return Err(StoreError::Refused {
             status: status.as_u16(),
-            reason: said.message,
+            reason: error.message,
         });
     }
-    Err(unknown(&format!("{status}: {}", said.message)))
+    Err(unknown(&format!("status {status}: {}", error.message)))
 }
--- a/src/trial.rs
+++ b/src/trial.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-use crate::backend::{self, Answer, Call, Client, OpenError, Parser};
+use crate::backend::{self, Answer, Call, CallError, Client, Parser};
 use crate::cli::TryOptions;
 use crate::output;
 use crate::site::{self, CUSTOMER_KEY, MODEL, OPERATOR_KEY, SERVICE, Site};
@@ -33,7 +33,7 @@
         /// The call.
         what: Box<str>,
         /// Error of the call.
-        source: OpenError,
+        source: CallError,
     },
     /// A call was answered with a status other than 200.
     #[snafu(display("{what} was answered with status {status}: {body}"))]
