--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -9,10 +9,10 @@
 use common::console::{Console, Fault, KEY};
 
 const PLANS: &str = "[customer Sønderborg Kunstforening]\nplan = guld\n";
-const USES: &str = "[plan guld]\nrequests = 50/s\n";
+const SERVICE_SETTINGS: &str = "[plan guld]\nrequests = 50/s\n";
 
 /// Returns a file of this test in the build's own folder for temporary files.
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).unwrap();
     path
@@ -31,7 +31,7 @@
 prints! {
     help_lists_commands: "--help" => "explain          Explains how a request was handled, and why\n";
     short_help: "-h" => "Exit codes: 0 done, 1 failed, 2 wrong usage.";
-    help_of_a_noun: "plans --help" => "  plans apply  Puts a file of customers' plans in force\n";
+    help_of_a_command_group: "plans --help" => "  plans apply  Puts a file of customers' plans in force\n";
     help_of_host: "host --help" => "  --config FILE  Settings of the host; also -c\n";
     help_shows_defaults: "try --help" => "  --hosts N  Hosts to run [default: 3]\n";
     help_lists_settings: "check --help" => "  refresh  Time between two reads of the list [default: 1s]\n";
@@ -48,7 +48,7 @@
 }
 
 /// Names each case: wrong arguments and what must be on standard error.
-macro_rules! misused {
+macro_rules! usage_errors {
     ($($name:ident: $args:literal => $text:expr;)+) => {
         $(#[test]
         fn $name() {
@@ -58,7 +58,7 @@
     };
 }
 
-misused! {
+usage_errors! {
     no_command: "" => "error: Name one of the commands: host, check, plans get,";
     unknown_command: "serve" => "Unknown command \"serve\"; use one of host, check,";
     unknown_verb: "plans put" => "use one of plans get, plans edit, plans check, plans diff, plans apply.\nFor help: chiveway plans --help\n";
@@ -79,11 +79,11 @@
 
 #[test]
 fn check_prints_every_fault_of_every_file() {
-    let one = file(
+    let one = write_file(
         "check-one.ini",
         "[host]\nname = ærø\nnom = x\n[pool a]\nmodel = m\nfencing = maybe\n",
     );
-    let two = file("check-two.ini", "[platform\n");
+    let two = write_file("check-two.ini", "[platform\n");
     let done = chiveway()
         .args("check")
         .arg(one.to_str().unwrap())
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn check_names_a_file_that_is_not_there() {
+fn check_names_a_missing_file() {
     let done = chiveway().args("check no-such.ini").ends(1);
     done.stderr_contains("error: cannot read no-such.ini: ");
 }
@@ -120,9 +120,9 @@
 
 #[test]
 fn list_is_fetched_edited_compared_and_applied() {
-    let console = Console::start(PLANS, USES, Fault::None);
+    let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::None);
     let access = console.access();
-    let path = file("edited.ini", "");
+    let path = write_file("edited.ini", "");
     let on_file = |verb: &str| {
         let run = chiveway().args(&format!("plans {verb} {access} --file"));
         run.arg(path.to_str().unwrap()).key(KEY)
@@ -156,14 +156,14 @@
 /// Two operators fetch the same revision and both apply. If the second went through, the first
 /// edit would vanish without a word; the second operator must see what came first.
 #[test]
-fn second_of_two_racing_edits_is_told_what_changed() {
-    let console = Console::start(PLANS, USES, Fault::None);
+fn second_of_two_concurrent_edits_gets_a_diff() {
+    let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::None);
     let apply = |path: &PathBuf| {
         let run = chiveway().args(&format!("plans apply {} --file", console.access()));
         run.arg(path.to_str().unwrap()).key(KEY)
     };
-    let first = file("first.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
-    let second = file(
+    let first = write_file("first.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
+    let second = write_file(
         "second.ini",
         "# revision 1\n[customer Ålborg]\nplan = guld\n",
     );
@@ -179,9 +179,9 @@
 /// The host takes an edit and its answer is lost. The operator applies the file again and would
 /// see a conflict with a rival who does not exist.
 #[test]
-fn edit_whose_answer_was_lost_can_be_applied_again() {
-    let console = Console::start(PLANS, USES, Fault::LostAnswer);
-    let path = file("lost.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
+fn edit_with_a_lost_answer_can_be_retried() {
+    let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::LostAnswer);
+    let path = write_file("lost.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
     let apply = || {
         let run = chiveway().args(&format!("plans apply {} --file", console.access()));
         run.arg(path.to_str().unwrap()).key(KEY)
@@ -199,8 +199,8 @@
     ($($name:ident: $text:literal, $fault:ident, $key:expr => $message:literal;)+) => {
         $(#[test]
         fn $name() {
-            let console = Console::start(PLANS, USES, Fault::$fault);
-            let path = file(concat!(stringify!($name), ".ini"), $text);
+            let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::$fault);
+            let path = write_file(concat!(stringify!($name), ".ini"), $text);
             chiveway()
                 .args(&format!("plans apply {} --file", console.access()))
                 .arg(path.to_str().unwrap())
@@ -230,8 +230,8 @@
 
 #[test]
 fn explanation_is_printed_as_text_or_json() {
-    let console = Console::start(PLANS, USES, Fault::None);
-    let key_file = file("key.txt", &format!("{KEY}\n"));
+    let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::None);
+    let key_file = write_file("key.txt", &format!("{KEY}\n"));
     let explain = |args: &str| {
         let run = chiveway().args(&format!("explain {args} {} --key-file", console.access()));
         run.arg(key_file.to_str().unwrap())
--- a/tests/engine/calls.rs
+++ b/tests/engine/calls.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use chiveway::backend::{
-    Action, Call, CallError, Client, Options as Settings, OrderError, SingleUse, fetch_load, open,
-    send_order,
+    Action, Call, CallError, Client, Options as ClientOptions, OrderError, SingleUse, fetch_load,
+    open, send_order,
 };
 use chiveway::error::Ran;
 use chiveway::standin::engine::Options;
@@ -14,65 +14,68 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{sleep, timeout};
 
-use super::{LIMIT, TEXT, ask, call, client, engine, fault, get, plain};
+use super::{
+    COMPLETIONS_PATH, TEST_TIMEOUT, completion_body, get_json, new_client, send_call, set_fault,
+    start_engine, start_service,
+};
 
 cases! {
     a_service_counts_calls: |c| {
-        let s = plain();
+        let s = start_service();
         for count in 1..=2 {
             let body = json!({"hut": 4});
-            let answer = call(c, s.addr, "POST", "/book", &body).await;
+            let answer = send_call(c, s.addr, "POST", "/book", &body).await;
             let echo: Value = serde_json::from_slice(&answer.body).expect("JSON");
             assert_eq!((&echo["count"], &echo["key"]), (&json!(count), &json!("k1")));
         }
-        fault(c, s.addr, json!({"fail_next": 1})).await;
-        let failed = call(c, s.addr, "POST", "/book", &Value::Null).await;
+        set_fault(c, s.addr, json!({"fail_next": 1})).await;
+        let failed = send_call(c, s.addr, "POST", "/book", &Value::Null).await;
         assert_eq!((failed.status, failed.ran), (503, Ran::No));
-        assert_eq!(get(c, s.addr, "/counts").await, json!({"POST /book k1": 2}));
+        assert_eq!(get_json(c, s.addr, "/counts").await, json!({"POST /book k1": 2}));
     }
 
     /// A service does its work and the connection breaks before the answer. A client that tried
     /// again by itself would book twice; one that took the broken connection for one never made
     /// would say "not run".
     a_lost_answer_is_not_retried: |c| {
-        let s = plain();
+        let s = start_service();
         // The second call uses a pooled connection, where libraries like to try again.
         for count in 1..=2 {
-            get(c, s.addr, "/counts").await;
-            fault(c, s.addr, json!({"lose_answers": 1})).await;
+            get_json(c, s.addr, "/counts").await;
+            set_fault(c, s.addr, json!({"lose_answers": 1})).await;
             let (addr, body) = (s.addr, Bytes::from_static(b"{}"));
             let call = Call { method: "POST", addr, path: "/charge", headers: &[], body };
             let lost = c.call(call).await.expect_err("no answer");
             assert_eq!((&lost, lost.ran()), (&CallError::Lost, Ran::Unknown));
-            let counts = get(c, s.addr, "/counts").await;
+            let counts = get_json(c, s.addr, "/counts").await;
             assert_eq!(counts, json!({"POST /charge -": count}));
         }
     }
 
     /// The right to order ends while the connection is being made. The engine must get no byte;
     /// the next order, given in time, arrives.
-    an_order_past_its_time_is_not_written: |c| {
-        let e = engine(Options::default());
-        for (until, wanted) in [(0, Err(CallError::Connect)), (1, Ok(()))] {
-            let fresh = SingleUse { unacked_timeout: LIMIT, may_send: |until| until > 0, check_value: until };
-            let once = Client::single_use(Settings::default(), fresh).await.expect("a client");
+    an_order_past_its_deadline_is_not_sent: |c| {
+        let e = start_engine(Options::default());
+        for (until, expected) in [(0, Err(CallError::Connect)), (1, Ok(()))] {
+            let fresh = SingleUse { unacked_timeout: TEST_TIMEOUT, may_send: |until| until > 0, check_value: until };
+            let single_use = Client::single_use(ClientOptions::default(), fresh).await.expect("a client");
             let action = Action::Role { role: "decode".into() };
-            let sent = send_order(&once, e.addr, 3, until + 1, "host-1", &action).await;
-            let wanted = wanted.map_err(|source| OrderError::Call { source });
-            assert_eq!(sent, wanted);
+            let sent = send_order(&single_use, e.addr, 3, until + 1, "host-1", &action).await;
+            let expected = expected.map_err(|source| OrderError::Call { source });
+            assert_eq!(sent, expected);
         }
-        let log = get(c, e.addr, "/log").await;
+        let log = get_json(c, e.addr, "/log").await;
         assert_eq!(log["orders"].as_array().map(Vec::len), Some(1));
         assert_eq!(log["orders"][0]["order"], 2);
     }
 
     /// A service answers with a redirect. Following it would repeat a call that may not repeat.
     a_redirect_is_not_followed: |c| {
-        let s = plain();
-        fault(c, s.addr, json!({"redirect": true})).await;
-        let answer = call(c, s.addr, "POST", "/charge", &json!({})).await;
+        let s = start_service();
+        set_fault(c, s.addr, json!({"redirect": true})).await;
+        let answer = send_call(c, s.addr, "POST", "/charge", &json!({})).await;
         assert_eq!(answer.status, 307);
-        assert_eq!(get(c, s.addr, "/counts").await, json!({"POST /charge k1": 1}));
+        assert_eq!(get_json(c, s.addr, "/counts").await, json!({"POST /charge k1": 1}));
     }
 
     /// Nothing listens where a back end should be. The caller may be told "not run".
@@ -81,20 +84,20 @@
         let socket = tokio::net::TcpSocket::new_v4().expect("socket");
         socket.bind(([127, 0, 0, 1], 0).into()).expect("bind");
         let addr = socket.local_addr().expect("address");
-        let refused = open(c, addr, TEXT, ask("a", 1), "a1", None, 0).await;
+        let refused = open(c, addr, COMPLETIONS_PATH, completion_body("a", 1), "a1", None, 0).await;
         let refused = refused.expect_err("no stream");
         assert_eq!((&refused, refused.ran()), (&CallError::Connect, Ran::No));
     }
 
     /// A back end takes a request and falls silent before the head of its answer. The request may
     /// have run, so the caller must not be told otherwise.
-    a_late_head_may_have_run: |_c| {
+    a_request_without_a_head_in_time_may_have_run: |_c| {
         let head = Duration::from_millis(50);
-        let settings = Settings { connect_timeout: LIMIT, head_timeout: head, ..Settings::default() };
-        let c = &Client::new(settings).await.expect("client");
+        let options = ClientOptions { connect_timeout: TEST_TIMEOUT, head_timeout: head, ..ClientOptions::default() };
+        let c = &Client::new(options).await.expect("client");
         let listener = web::listen(([127, 0, 0, 1], 0).into()).await.expect("listen");
         let addr = listener.local_addr().expect("address");
-        let late = open(c, addr, TEXT, ask("a", 1), "a1", None, 0).await.expect_err("late");
+        let late = open(c, addr, COMPLETIONS_PATH, completion_body("a", 1), "a1", None, 0).await.expect_err("late");
         assert_eq!((&late, late.ran()), (&CallError::Timeout, Ran::Unknown));
     }
 
@@ -102,21 +105,21 @@
     /// ends that kills old connections meets few of them.
     old_connections_are_retired: |c| {
         let age = Duration::from_secs(1);
-        let young = &Client::new(Settings { max_age: age, ..Settings::default() }).await.expect("client");
-        let e = engine(Options::default());
-        for (client, count) in [(c, 1), (young, 2)] {
-            assert_eq!(get(client, e.addr, "/stats").await["connections"], count);
+        let short_lived = &Client::new(ClientOptions { max_age: age, ..ClientOptions::default() }).await.expect("client");
+        let e = start_engine(Options::default());
+        for (client, count) in [(c, 1), (short_lived, 2)] {
+            assert_eq!(get_json(client, e.addr, "/stats").await["connections"], count);
         }
         sleep(age * 2).await;
-        for (client, count) in [(c, 2), (young, 3)] {
-            assert_eq!(get(client, e.addr, "/stats").await["connections"], count);
+        for (client, count) in [(c, 2), (short_lived, 3)] {
+            assert_eq!(get_json(client, e.addr, "/stats").await["connections"], count);
         }
     }
 
     /// Many requests want a connection to one back end at once, and the library makes one at a
     /// time. None of them may be left asleep.
-    many_first_calls_all_connect: |c| {
-        let e = engine(Options::default());
+    concurrent_first_calls_all_connect: |c| {
+        let e = start_engine(Options::default());
         let calls = (0..50).map(async |turn| {
             // Some come while the library is making a connection for those before.
             for _ in 0..turn {
@@ -124,7 +127,7 @@
             }
             fetch_load(c, e.addr).await
         });
-        let all = timeout(LIMIT, futures_util::future::join_all(calls));
+        let all = timeout(TEST_TIMEOUT, futures_util::future::join_all(calls));
         let all = all.await.expect("all answers in time");
         assert!(all.iter().all(Result::is_ok));
     }
@@ -142,8 +145,8 @@
                 socket.shutdown().await.expect("close");
             }
         };
-        let one = open(c, addr, TEXT, ask("a", 1), "a1", None, 0);
-        let two = open(c, addr, TEXT, ask("b", 1), "a2", None, 0);
+        let one = open(c, addr, COMPLETIONS_PATH, completion_body("a", 1), "a1", None, 0);
+        let two = open(c, addr, COMPLETIONS_PATH, completion_body("b", 1), "a2", None, 0);
         let (one, two, ()) = tokio::join!(one, two, closer);
         for lost in [one, two] {
             assert_eq!(lost.expect_err("no stream").ran(), Ran::Unknown);
--- a/tests/engine/main.rs
+++ b/tests/engine/main.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chiveway::backend::{Answer, Call, Client, Options as Settings, ReadError, Stream, open};
+use chiveway::backend::{Answer, Call, Client, Options as ClientOptions, ReadError, Stream, open};
 use chiveway::standin::engine::{self, Options, StepCosts, Timing};
 use chiveway::standin::service;
 use ntex::rt::{DefaultRuntime, System};
@@ -19,7 +19,7 @@
         #[test]
         fn $name() {
             ntex::rt::System::new("test", ntex::rt::DefaultRuntime).block_on(async {
-                let $c = &client().await;
+                let $c = &new_client().await;
                 $body
             });
         }
@@ -30,10 +30,10 @@
 mod calls;
 
 /// Generous bound of any wait in a test.
-const LIMIT: Duration = Duration::from_secs(20);
-const TEXT: &str = "/v1/completions";
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const COMPLETIONS_PATH: &str = "/v1/completions";
 /// Long enough that no test finishes an answer it means to interrupt.
-const MANY: u64 = 5000;
+const LONG_ANSWER_TOKENS: u64 = 5000;
 
 /// A stand-in on a thread of its own; dropping it ends it like a killed process.
 struct Standin {
@@ -51,7 +51,7 @@
     }
 }
 
-fn start<F, R>(serve: F) -> Standin
+fn start_standin<F, R>(serve: F) -> Standin
 where
     F: FnOnce(tokio::net::TcpListener) -> R + Send + 'static,
     R: Future<Output = ()>,
@@ -76,17 +76,17 @@
     }
 }
 
-fn engine(opts: Options) -> Standin {
-    start(move |listener| engine::run(listener, opts))
+fn start_engine(opts: Options) -> Standin {
+    start_standin(move |listener| engine::run(listener, opts))
 }
 
-fn plain() -> Standin {
+fn start_service() -> Standin {
     let name = "bookings".into();
-    start(move |listener| service::run(listener, service::Options { name }))
+    start_standin(move |listener| service::run(listener, service::Options { name }))
 }
 
 /// One millisecond a step, so that answers take a while.
-fn slow() -> Options {
+fn slow_options() -> Options {
     let costs = StepCosts {
         base: Duration::from_millis(1),
         prefill: Duration::ZERO,
@@ -101,11 +101,17 @@
     }
 }
 
-async fn client() -> Client {
-    Client::new(Settings::default()).await.expect("client")
+async fn new_client() -> Client {
+    Client::new(ClientOptions::default()).await.expect("client")
 }
 
-async fn call(client: &Client, addr: SocketAddr, method: &str, path: &str, body: &Value) -> Answer {
+async fn send_call(
+    client: &Client,
+    addr: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &Value,
+) -> Answer {
     let body = match body {
         Value::Null => Bytes::new(),
         body => body.to_string().into(),
@@ -121,32 +127,41 @@
     client.call(call).await.expect("answer")
 }
 
-async fn get(client: &Client, addr: SocketAddr, path: &str) -> Value {
-    let answer = call(client, addr, "GET", path, &Value::Null).await;
+async fn get_json(client: &Client, addr: SocketAddr, path: &str) -> Value {
+    let answer = send_call(client, addr, "GET", path, &Value::Null).await;
     serde_json::from_slice(&answer.body).expect("JSON")
 }
 
-async fn fault(client: &Client, addr: SocketAddr, fault: Value) {
-    let answer = call(client, addr, "POST", "/fault", &fault).await;
+async fn set_fault(client: &Client, addr: SocketAddr, fault: Value) {
+    let answer = send_call(client, addr, "POST", "/fault", &fault).await;
     assert_eq!(answer.status, 204);
 }
 
-fn ask(prompt: &str, tokens: u64) -> Bytes {
+fn completion_body(prompt: &str, tokens: u64) -> Bytes {
     let body = json!({"model": "model", "prompt": prompt, "max_tokens": tokens, "stream": true});
     body.to_string().into()
 }
 
-async fn begin(client: &Client, addr: SocketAddr, prompt: &str, n: u64, attempt: &str) -> Stream {
-    let body = ask(prompt, n);
-    let stream = open(client, addr, TEXT, body, attempt, None, 0).await;
+async fn open_stream(
+    client: &Client,
+    addr: SocketAddr,
+    prompt: &str,
+    max_tokens: u64,
+    attempt: &str,
+) -> Stream {
+    let body = completion_body(prompt, max_tokens);
+    let stream = open(client, addr, COMPLETIONS_PATH, body, attempt, None, 0).await;
     stream.expect("stream")
 }
 
 /// Reads up to `n` tokens, or to the end; returns the text, the last offset and the end reached.
-async fn read(stream: &mut Stream, n: usize) -> Result<(String, u64, bool), ReadError> {
+async fn read_tokens(
+    stream: &mut Stream,
+    max_tokens: usize,
+) -> Result<(String, u64, bool), ReadError> {
     let (mut text, mut last, mut count) = (String::new(), 0, 0);
-    while count < n {
-        let next = timeout(LIMIT, stream.next())
+    while count < max_tokens {
+        let next = timeout(TEST_TIMEOUT, stream.next())
             .await
             .expect("a chunk in time")?;
         let Some(chunk) = next else {
@@ -154,8 +169,8 @@
         };
         let data: Value = serde_json::from_slice(&chunk.data).expect("JSON");
         let choice = &data["choices"][0];
-        let part = choice.get("text").or(choice.pointer("/delta/content"));
-        text.push_str(part.and_then(Value::as_str).expect("text"));
+        let text_field = choice.get("text").or(choice.pointer("/delta/content"));
+        text.push_str(text_field.and_then(Value::as_str).expect("text"));
         assert_eq!(
             chunk.is_last,
             data["choices"][0]["finish_reason"] == "length"
@@ -167,11 +182,13 @@
 }
 
 /// Waits until a field of an engine's figures has a value.
-async fn until(client: &Client, addr: SocketAddr, path: &str, field: &str, value: Value) {
+async fn wait_for_field(client: &Client, addr: SocketAddr, path: &str, field: &str, value: Value) {
     let reached = async {
-        while get(client, addr, path).await.pointer(field) != Some(&value) {
+        while get_json(client, addr, path).await.pointer(field) != Some(&value) {
             sleep(Duration::from_millis(2)).await;
         }
     };
-    timeout(LIMIT, reached).await.expect("the figure in time");
+    timeout(TEST_TIMEOUT, reached)
+        .await
+        .expect("the figure in time");
 }
--- a/tests/relay/limit.rs
+++ b/tests/relay/limit.rs
@@ -4,19 +4,19 @@
 
 use serde_json::Value;
 
-use super::follow::Second;
 use super::standin::Engine;
-use super::{LOG, Site, http, lists, wait_for};
+use super::watcher::SecondHost;
+use super::{LOG_FILE, Site, http, is_listed_ready, wait_for};
 
 /// Requests at each host.
 const REQUESTS: usize = 30;
 /// Time that an answer of the slower server takes.
-const SLOW: Duration = Duration::from_millis(60);
+const SLOW_DELAY: Duration = Duration::from_millis(60);
 /// Seconds between two requests by which it is learned whether a limit of zero has ended.
-const RECHECK: u64 = 10;
+const RECHECK_INTERVAL_SECS: u64 = 10;
 
 /// Returns where a host's log says that a server's limit is known from.
-fn source(log: &str, id: &str) -> Option<String> {
+fn limit_source(log: &str, id: &str) -> Option<String> {
     let events = log
         .lines()
         .filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -28,31 +28,31 @@
 /// A server names a limit of zero in an answer to one host. Guards against the other host sending it requests
 /// because nobody named the limit to it.
 #[test]
-fn a_limit_named_to_one_host_binds_both() {
+fn a_limit_sent_to_one_host_applies_at_both() {
     let (limited, free) = (Engine::plain("s-1"), Engine::plain("s-2"));
     let site = Site::ready(&[&limited, &free]);
-    let second = Second::start(&site);
+    let second = SecondHost::start(&site);
     wait_for("the second host's view", || {
-        let log = second.folder.read(LOG);
-        lists(&log, "s-1") && lists(&log, "s-2")
+        let log = second.folder.read(LOG_FILE);
+        is_listed_ready(&log, "s-1") && is_listed_ready(&log, "s-2")
     });
-    limited.limit("0");
+    limited.set_limit("0");
     // The other server is slower, so that requests go to the limited one first.
-    free.take(SLOW);
+    free.set_delay(SLOW_DELAY);
     wait_for("the limit at the first host", || {
         site.send("/once/x", "id", &[]).expect("an answer");
-        source(&site.log(), "s-1").is_some()
+        limit_source(&site.log(), "s-1").is_some()
     });
     wait_for("the limit at the second host", || {
-        source(&second.folder.read(LOG), "s-1").is_some()
+        limit_source(&second.folder.read(LOG_FILE), "s-1").is_some()
     });
     assert_eq!(
-        source(&second.folder.read(LOG), "s-1").as_deref(),
+        limit_source(&second.folder.read(LOG_FILE), "s-1").as_deref(),
         Some("host-1")
     );
-    free.take(Duration::ZERO);
+    free.set_delay(Duration::ZERO);
     let start = Instant::now();
-    let before = limited.seen("/once/x").len();
+    let before = limited.request_heads("/once/x").len();
     let headers = [
         ("x-chiveway-attempt-id", "id"),
         ("x-chiveway-deadline-ms", "8000"),
@@ -63,7 +63,7 @@
         assert_eq!(one.map(|answer| answer.status), Some(200));
         assert_eq!(two.map(|answer| answer.status), Some(200));
     }
-    let sent = limited.seen("/once/x").len() - before;
-    let allowed = 1 + start.elapsed().as_secs() / RECHECK;
+    let sent = limited.request_heads("/once/x").len() - before;
+    let allowed = 1 + start.elapsed().as_secs() / RECHECK_INTERVAL_SECS;
     assert!(sent as u64 <= allowed, "{sent} sent, {allowed} allowed");
 }
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -2,7 +2,7 @@
 //! server that speak the users' platform's protocol.
 
 mod era;
-mod follow;
+mod hang;
 #[path = "../common/http.rs"]
 #[expect(dead_code, reason = "shared with the fleet tests, which use all of it")]
 mod http;
@@ -10,10 +10,10 @@
 #[path = "../fleet/support/process.rs"]
 #[expect(dead_code, reason = "shared with the fleet tests, which use all of it")]
 mod process;
-mod silence;
 #[expect(dead_code, reason = "shared with the soak, which uses all of it")]
 mod standin;
 mod stop;
+mod watcher;
 
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
@@ -22,10 +22,10 @@
 use serde_json::Value;
 
 use process::{Folder, Process};
-use standin::{Engine, LONG, SHORT, Store, config, settings};
+use standin::{Engine, LONG_PROMPT, SHORT_PROMPT, Store, config, settings};
 
 /// Bound of any wait; far above what a test waits for.
-const LIMIT: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until something holds.
 ///
@@ -35,18 +35,18 @@
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LIMIT, "{what} did not come about");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "{what} did not come about");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Returns whether a host has logged that the list names this backend server as ready.
-fn lists(log: &str, id: &str) -> bool {
-    listed_as(log, id, "ready")
+fn is_listed_ready(log: &str, id: &str) -> bool {
+    is_listed_as(log, id, "ready")
 }
 
 /// Returns whether a host has logged that the list names this backend server in a state.
-fn listed_as(log: &str, id: &str, state: &str) -> bool {
+fn is_listed_as(log: &str, id: &str, state: &str) -> bool {
     let events = log
         .lines()
         .filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -64,7 +64,7 @@
 }
 
 /// Name of the file that takes a host's log lines.
-const LOG: &str = "host.log";
+const LOG_FILE: &str = "host.log";
 
 impl Site {
     fn new() -> Self {
@@ -78,7 +78,7 @@
         let settings = settings("host-1", store.addr).replace("8s", grace);
         let config = folder.write("host.ini", &settings);
         let config = config.to_str().expect("a path").to_owned();
-        let log = folder.write(LOG, "");
+        let log = folder.write(LOG_FILE, "");
         let host = Process::logged(&["host", "-c", &config], &log);
         let line: Value = serde_json::from_str(&host.line).expect("a JSON line");
         let addr = |name: &str| line[name].as_str().and_then(|addr| addr.parse().ok());
@@ -111,13 +111,15 @@
         self.wait_ready();
         wait_for("every engine", || {
             let log = self.log();
-            engines.iter().all(|engine| lists(&log, &engine.id))
+            engines
+                .iter()
+                .all(|engine| is_listed_ready(&log, &engine.id))
         });
     }
 
     /// Returns what the host has logged.
     fn log(&self) -> String {
-        self.folder.read(LOG)
+        self.folder.read(LOG_FILE)
     }
 
     fn wait_ready(&self) {
@@ -132,10 +134,10 @@
         let callers = self.callers;
         let running = std::thread::spawn(move || {
             let mut headers = vec![("x-chiveway-attempt-id", id)];
-            headers.extend(SHORT);
+            headers.extend(SHORT_PROMPT);
             http::send(callers, "POST", "/short/x", &headers, b"body")
         });
-        wait_for("the stream", || engine.seen("/short/x").len() == 1);
+        wait_for("the stream", || engine.request_heads("/short/x").len() == 1);
         running
     }
 
@@ -150,7 +152,7 @@
 }
 
 #[test]
-fn a_request_of_each_kind_is_served_whole() {
+fn each_kind_of_request_gets_a_complete_answer() {
     let (plain, prefill, decode) = (
         Engine::plain("s-1"),
         Engine::model("p-1", "prefill"),
@@ -165,24 +167,28 @@
         );
         assert_eq!(answer.header("x-chiveway-server-stamp"), Some("s-1"));
     }
-    let answer = site.send("/long/x", "id-2", &LONG).expect("an answer");
+    let answer = site
+        .send("/long/x", "id-2", &LONG_PROMPT)
+        .expect("an answer");
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.text(), standin::events("d-1", 1..=4));
     assert_eq!(
-        prefill.seen("/long/x").len(),
+        prefill.request_heads("/long/x").len(),
         1,
         "the prompt was prefilled apart"
     );
-    let taken = decode.seen("/long/x");
+    let taken = decode.request_heads("/long/x");
     assert!(taken[0].contains("x-chiveway-kv-source: "), "{taken:?}");
-    let answer = site.send("/short/x", "id-3", &SHORT).expect("an answer");
+    let answer = site
+        .send("/short/x", "id-3", &SHORT_PROMPT)
+        .expect("an answer");
     assert!(answer.whole && answer.text().contains("id: 4"));
 }
 
 /// Callers forge the headers by which hosts speak to engines. Passed on, they would skip the
 /// prefill or take a KV cache of another caller.
 #[test]
-fn forged_headers_reach_no_backend_server() {
+fn internal_headers_from_callers_are_not_forwarded() {
     let plain = Engine::plain("s-1");
     let site = Site::ready(&[&plain]);
     let forged = [
@@ -193,7 +199,7 @@
         ("x-mine", "kept"),
     ];
     site.send("/once/x", "id-1", &forged).expect("an answer");
-    let head = plain.seen("/once/x").remove(0);
+    let head = plain.request_heads("/once/x").remove(0);
     assert!(head.contains("x-mine: kept") && head.contains("x-chiveway-expect-instance: s-1"));
     assert!(
         !head.contains("serving-stage") && !head.contains("kv-source"),
@@ -204,10 +210,13 @@
 
 /// The operator adds a route and drops another. Both are in force soon after the store took it.
 #[test]
-fn a_configuration_comes_into_force() {
+fn a_new_configuration_replaces_the_routes() {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
     let site = Site::ready(&[&plain, &decode]);
-    let status = |path: &str| site.send(path, "id", &SHORT).map(|answer| answer.status);
+    let status = |path: &str| {
+        site.send(path, "id", &SHORT_PROMPT)
+            .map(|answer| answer.status)
+    };
     assert_eq!(status("/new/x"), Some(404));
     assert_eq!(status("/short/x"), Some(200));
     site.store.put("op/config", &config(2, "/new/"));
@@ -218,7 +227,7 @@
 /// A backend server reports that it is about to end. What was on its way is finished, and nothing
 /// more goes there once the store has told.
 #[test]
-fn a_leaving_backend_server_gets_nothing_more() {
+fn a_draining_backend_server_gets_no_new_requests() {
     let (one, two) = (Engine::plain("s-1"), Engine::plain("s-2"));
     let site = Site::ready(&[&one, &two]);
     site.store.put("servers/s-1", &one.entry("draining"));
@@ -227,21 +236,21 @@
     let decode = Engine::model("d-1", "decode");
     site.store.put("servers/d-1", &decode.entry("ready"));
     wait_for("the later change", || {
-        site.send("/new/x", "id", &SHORT)
+        site.send("/new/x", "id", &SHORT_PROMPT)
             .is_some_and(|answer| answer.status == 200)
     });
-    let before = one.seen("/once/x").len();
+    let before = one.request_heads("/once/x").len();
     for _ in 0..20 {
         site.send("/once/x", "id", &[]).expect("an answer");
     }
-    assert_eq!(one.seen("/once/x").len(), before);
-    assert_eq!(two.seen("/once/x").len(), 20);
+    assert_eq!(one.request_heads("/once/x").len(), before);
+    assert_eq!(two.request_heads("/once/x").len(), 20);
 }
 
 /// All engines decode. The host that holds the authority has some prefill, with a fencing number
 /// that the store gave and the count of orders that the engine told.
 #[test]
-fn engines_are_ordered_with_authority() {
+fn stage_orders_carry_the_fencing_token() {
     let engines: Vec<Engine> = (1..=4)
         .map(|n| Engine::model(&format!("d-{n}"), "decode"))
         .collect();
@@ -249,7 +258,7 @@
     let orders = || -> Vec<Value> {
         engines
             .iter()
-            .flat_map(|engine| engine.bodies("/v1/order"))
+            .flat_map(|engine| engine.request_bodies("/v1/order"))
             .collect()
     };
     wait_for("an order", || !orders().is_empty());
@@ -270,7 +279,7 @@
 /// An engine breaks off in the middle of an event. A stream that may go on does so elsewhere with
 /// no piece missing or twice; one that may not must look cut.
 #[test]
-fn a_broken_stream_goes_on_or_looks_cut() {
+fn a_broken_stream_resumes_or_ends_incomplete() {
     let (one, two) = (
         Engine::model("d-1", "decode"),
         Engine::model("d-2", "decode"),
@@ -278,12 +287,16 @@
     let site = Site::ready(&[&one, &two]);
     one.break_after(2);
     two.break_after(2);
-    let answer = site.send("/long/x", "id-1", &LONG).expect("an answer");
+    let answer = site
+        .send("/long/x", "id-1", &LONG_PROMPT)
+        .expect("an answer");
     assert_eq!((answer.status, answer.whole), (200, false));
     // Which engine it goes to is the host's choice; the one that goes on does not break off.
     one.break_after(2);
     two.break_after(2);
-    let answer = site.send("/short/x", "id-2", &SHORT).expect("an answer");
+    let answer = site
+        .send("/short/x", "id-2", &SHORT_PROMPT)
+        .expect("an answer");
     assert!(answer.whole, "{}", answer.text());
     let text = answer.text();
     let ids: Vec<&str> = text
@@ -291,14 +304,14 @@
         .filter(|line| line.starts_with("id:"))
         .collect();
     assert_eq!(ids, ["id: 1", "id: 2", "id: 3", "id: 4"]);
-    let heads = [one.seen("/short/x"), two.seen("/short/x")].concat();
+    let heads = [one.request_heads("/short/x"), two.request_heads("/short/x")].concat();
     assert!(heads.iter().any(|head| head.contains("last-event-id: 2")));
 }
 
 /// A backend server answers a request that it was never asked for in place of this one. Its answer
 /// belongs to another caller.
 #[test]
-fn an_answer_to_another_request_is_not_passed_on() {
+fn an_answer_to_another_request_is_not_forwarded() {
     let plain = Engine::plain("s-1");
     let site = Site::ready(&[&plain]);
     plain.answer_as("another");
@@ -309,17 +322,17 @@
 
 /// The host is asked to stop while a stream runs. The stream is finished, and the process ends.
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_planned_stop_finishes_running_streams() {
     let decode = Engine::model("d-1", "decode");
     let mut site = Site::ready(&[&decode]);
-    decode.hold();
+    decode.hold_streams();
     let running = site.stream("id-1", &decode);
     site.host.term();
     wait_for("unreadiness", || {
         let answer = http::send(site.readiness, "GET", "/v1/readyz", &[], b"");
         answer.is_none_or(|answer| answer.status != 200)
     });
-    decode.release();
+    decode.release_streams();
     let answer = running.join().expect("a caller").expect("an answer");
     assert!(answer.whole && answer.status == 200);
     wait_for("the end of the process", || site.host.is_over());
@@ -328,7 +341,7 @@
 /// A host's settings change just after its start. It must not end of that: callers that it had
 /// accepted would be cut.
 #[test]
-fn a_reload_just_after_the_start_ends_nothing() {
+fn a_reload_just_after_start_does_not_end_the_host() {
     for _ in 0..10 {
         let mut site = Site::new();
         site.host.hup();
@@ -340,21 +353,21 @@
 
 /// A body is larger than the operator allows.
 #[test]
-fn a_body_that_is_too_large_runs_nowhere() {
+fn an_oversized_body_is_rejected_before_it_runs() {
     let plain = Engine::plain("s-1");
     let site = Site::ready(&[&plain]);
     let headers = [("x-chiveway-attempt-id", "id-1")];
     let answer = http::send(site.callers, "POST", "/once/x", &headers, &[b'x'; 5000]);
     assert_eq!(answer.map(|answer| answer.status), Some(413));
-    assert!(plain.seen("/once/x").is_empty());
+    assert!(plain.request_heads("/once/x").is_empty());
 }
 
 /// The store is away when the host starts. It is not ready, and what it cannot know it does not
 /// call unknown.
 #[test]
-fn a_host_without_a_store_refuses_with_a_time_to_come_back() {
+fn a_host_without_a_store_refuses_with_retry_after() {
     let site = Site::new();
-    site.store.stop_answering();
+    site.store.go_down();
     let answer = site.send("/once/x", "id-1", &[]).expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
--- a/tests/relay/standin.rs
+++ b/tests/relay/standin.rs
@@ -41,8 +41,8 @@
 fn read(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut first = String::new();
     reader.read_line(&mut first).ok().filter(|read| *read > 0)?;
-    let mut words = first.split_whitespace();
-    let (method, path) = (words.next()?.to_owned(), words.next()?.to_owned());
+    let mut fields = first.split_whitespace();
+    let (method, path) = (fields.next()?.to_owned(), fields.next()?.to_owned());
     let (mut head, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
@@ -103,23 +103,23 @@
 type Change = (String, Option<Vec<u8>>, i64, i64);
 
 /// Time between two looks at the leases.
-const LOOK: Duration = Duration::from_millis(50);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Start of the keys that the operator and the servers write.
-const OTHERS: [&str; 2] = ["op/", "servers/"];
+const EXTERNAL_KEY_PREFIXES: [&str; 2] = ["op/", "servers/"];
 
 /// What the store held at a moment.
 #[derive(Clone, Default)]
 struct Backup {
     revision: i64,
     keys: BTreeMap<String, (Vec<u8>, i64, i64)>,
-    granted: i64,
+    last_lease: i64,
     leases: BTreeMap<i64, Duration>,
-    bound: BTreeMap<String, i64>,
+    key_leases: BTreeMap<String, i64>,
 }
 
 #[derive(Default)]
-struct Kept {
+struct StoreState {
     revision: i64,
     keys: BTreeMap<String, (Vec<u8>, i64, i64)>,
     history: Vec<Change>,
@@ -129,45 +129,45 @@
     backups: Vec<(Instant, Backup)>,
     /// What the operator and the servers wrote and a restore lost: key and value, `None` for a removal.
     lost_writes: BTreeMap<String, Option<Vec<u8>>>,
-    away: bool,
+    down: bool,
     /// Whether calls and answers are swallowed, and their connections live on.
-    silent: bool,
+    hung: bool,
     /// Watches that were swallowed.
-    lost_watches: u32,
+    hung_watches: u32,
     /// Renewals answered, by lease.
-    renewed: BTreeMap<i64, u32>,
+    renewals: BTreeMap<i64, u32>,
     /// Writes that are done and not answered from now on.
-    lost: u32,
+    lost_replies: u32,
     /// Leases granted yet.
-    granted: i64,
+    last_lease: i64,
     /// Life and end of each lease.
     leases: BTreeMap<i64, (Duration, Instant)>,
     /// Keys that go with a lease.
-    bound: BTreeMap<String, i64>,
+    key_leases: BTreeMap<String, i64>,
 }
 
-impl Kept {
+impl StoreState {
     fn grant(&mut self, millis: u64) -> i64 {
-        self.granted += 1;
-        let life = Duration::from_millis(millis);
+        self.last_lease += 1;
+        let ttl = Duration::from_millis(millis);
         self.leases
-            .insert(self.granted, (life, Instant::now() + life));
-        self.back_up();
-        self.granted
+            .insert(self.last_lease, (ttl, Instant::now() + ttl));
+        self.save_backup();
+        self.last_lease
     }
 
     /// Keeps a copy of what it holds now.
-    fn back_up(&mut self) {
+    fn save_backup(&mut self) {
         let backup = Backup {
             revision: self.revision,
             keys: self.keys.clone(),
-            granted: self.granted,
+            last_lease: self.last_lease,
             leases: self
                 .leases
                 .iter()
-                .map(|(lease, (life, _))| (*lease, *life))
+                .map(|(lease, (ttl, _))| (*lease, *ttl))
                 .collect(),
-            bound: self.bound.clone(),
+            key_leases: self.key_leases.clone(),
         };
         self.backups.push((Instant::now(), backup));
     }
@@ -180,20 +180,28 @@
         let backup = found.map_or_else(Backup::default, |(_, backup)| backup.clone());
         self.restores += 1;
         self.backups
-            .retain(|(_, kept)| kept.revision <= backup.revision);
+            .retain(|(_, older)| older.revision <= backup.revision);
         self.history
             .retain(|(.., revision, _)| *revision <= backup.revision);
         let before = std::mem::replace(&mut self.keys, backup.keys);
-        let others = |key: &&String| OTHERS.iter().any(|start| key.starts_with(start));
+        let is_external = |key: &&String| {
+            EXTERNAL_KEY_PREFIXES
+                .iter()
+                .any(|start| key.starts_with(start))
+        };
         let mut lost = BTreeMap::new();
-        for key in self.keys.keys().filter(others) {
+        for key in self.keys.keys().filter(is_external) {
             lost.insert(key.clone(), None);
         }
         for (key, (value, ..)) in before {
-            if !others(&&key) {
+            if !is_external(&&key) {
                 continue;
             }
-            if self.keys.get(&key).is_some_and(|(kept, ..)| *kept == value) {
+            if self
+                .keys
+                .get(&key)
+                .is_some_and(|(restored, ..)| *restored == value)
+            {
                 lost.remove(&key);
             } else {
                 lost.insert(key, Some(value));
@@ -204,16 +212,16 @@
             self.lost_writes.entry(key).or_insert(value);
         }
         self.revision = backup.revision;
-        self.granted = backup.granted;
-        self.bound = backup.bound;
+        self.last_lease = backup.last_lease;
+        self.key_leases = backup.key_leases;
         let leases = backup.leases.into_iter();
         self.leases = leases
-            .map(|(lease, life)| (lease, (life, now + life)))
+            .map(|(lease, ttl)| (lease, (ttl, now + ttl)))
             .collect();
     }
 
     /// Has the operator and the servers write again what a restore lost.
-    fn write_again(&mut self) {
+    fn rewrite_lost(&mut self) {
         for (key, value) in std::mem::take(&mut self.lost_writes).into_iter().rev() {
             match value {
                 Some(value) => self.write(&key, value),
@@ -223,14 +231,17 @@
     }
 
     fn renew(&mut self, lease: i64) -> Option<()> {
-        let (life, end) = self.leases.get_mut(&lease)?;
-        *end = Instant::now() + *life;
+        let (ttl, end) = self.leases.get_mut(&lease)?;
+        *end = Instant::now() + *ttl;
         Some(())
     }
 
     fn end(&mut self, lease: i64) {
         self.leases.remove(&lease);
-        let keys = self.bound.iter().filter(|(_, bound)| **bound == lease);
+        let keys = self
+            .key_leases
+            .iter()
+            .filter(|(_, key_lease)| **key_lease == lease);
         let keys: Vec<String> = keys.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.remove(&key);
@@ -247,11 +258,11 @@
     }
 
     fn remove(&mut self, key: &str) {
-        self.bound.remove(key);
+        self.key_leases.remove(key);
         if self.keys.remove(key).is_some() {
             self.revision += 1;
             self.history.push((key.to_owned(), None, self.revision, 0));
-            self.back_up();
+            self.save_backup();
         }
     }
 
@@ -265,7 +276,7 @@
         self.keys.insert(key.to_owned(), entry);
         let change = (key.to_owned(), Some(value), self.revision, created);
         self.history.push(change);
-        self.back_up();
+        self.save_backup();
     }
 
     /// Returns the header that all its answers bear.
@@ -277,114 +288,114 @@
 /// Stand-in of the store.
 pub struct Store {
     pub addr: SocketAddr,
-    kept: Arc<(Mutex<Kept>, Condvar)>,
+    state: Arc<(Mutex<StoreState>, Condvar)>,
 }
 
 impl Store {
     pub fn start() -> Self {
-        let kept = Arc::new((Mutex::new(Kept::default()), Condvar::new()));
-        let shared = Arc::clone(&kept);
-        let addr = listen(move |request, stream| store(&shared, request, stream));
-        let timed: Arc<(Mutex<Kept>, Condvar)> = Arc::clone(&kept);
+        let state = Arc::new((Mutex::new(StoreState::default()), Condvar::new()));
+        let shared = Arc::clone(&state);
+        let addr = listen(move |request, stream| serve_store(&shared, request, stream));
+        let timed: Arc<(Mutex<StoreState>, Condvar)> = Arc::clone(&state);
         std::thread::spawn(move || {
             loop {
-                std::thread::sleep(LOOK);
-                let mut kept = timed.0.lock().expect("the store");
-                let before = kept.revision;
-                kept.expire();
-                if kept.revision > before {
+                std::thread::sleep(EXPIRY_INTERVAL);
+                let mut state = timed.0.lock().expect("the store");
+                let before = state.revision;
+                state.expire();
+                if state.revision > before {
                     timed.1.notify_all();
                 }
             }
         });
-        Self { addr, kept }
+        Self { addr, state }
     }
 
     /// Removes a key.
     pub fn remove(&self, key: &str) {
-        let mut kept = self.kept.0.lock().expect("the store");
-        kept.lost_writes.remove(key);
-        kept.remove(key);
-        self.kept.1.notify_all();
+        let mut state = self.state.0.lock().expect("the store");
+        state.lost_writes.remove(key);
+        state.remove(key);
+        self.state.1.notify_all();
     }
 
     /// Answers again; what was swallowed meanwhile stays without an answer.
-    pub fn answer(&self) {
-        let mut kept = self.kept.0.lock().expect("the store");
-        kept.away = false;
-        kept.silent = false;
+    pub fn recover(&self) {
+        let mut state = self.state.0.lock().expect("the store");
+        state.down = false;
+        state.hung = false;
     }
 
     /// Takes every call from now on and answers none, also of those that wait: their connections
     /// live on and bring nothing, also after the store answers again.
-    pub fn fall_silent(&self) {
-        self.kept.0.lock().expect("the store").silent = true;
+    pub fn hang(&self) {
+        self.state.0.lock().expect("the store").hung = true;
     }
 
     /// Returns how many watches were swallowed.
-    pub fn lost_watches(&self) -> u32 {
-        self.kept.0.lock().expect("the store").lost_watches
+    pub fn hung_watches(&self) -> u32 {
+        self.state.0.lock().expect("the store").hung_watches
     }
 
     /// Returns how many renewals were answered of the lease that a key goes with.
-    pub fn renewed(&self, key: &str) -> u32 {
-        let kept = self.kept.0.lock().expect("the store");
-        let lease = kept.bound.get(key);
-        let renewed = lease.and_then(|lease| kept.renewed.get(lease));
-        renewed.copied().unwrap_or(0)
+    pub fn renewals(&self, key: &str) -> u32 {
+        let state = self.state.0.lock().expect("the store");
+        let lease = state.key_leases.get(key);
+        let renewals = lease.and_then(|lease| state.renewals.get(lease));
+        renewals.copied().unwrap_or(0)
     }
 
     /// Carries the next writes out without an answer.
-    pub fn lose_answers(&self, writes: u32) {
-        self.kept.0.lock().expect("the store").lost = writes;
+    pub fn drop_replies(&self, writes: u32) {
+        self.state.0.lock().expect("the store").lost_replies = writes;
     }
 
     pub fn put(&self, key: &str, value: &Value) {
-        let (kept, changed) = &*self.kept;
+        let (state, changed) = &*self.state;
         let value = value.to_string().into_bytes();
-        let mut kept = kept.lock().expect("the store");
-        kept.lost_writes.remove(key);
-        kept.write(key, value);
-        drop(kept);
+        let mut state = state.lock().expect("the store");
+        state.lost_writes.remove(key);
+        state.write(key, value);
+        drop(state);
         changed.notify_all();
     }
 
     /// Returns the revision at which a key was created.
     pub fn created(&self, key: &str) -> Option<i64> {
-        let kept = self.kept.0.lock().expect("the store");
-        kept.keys.get(key).map(|(.., created)| *created)
+        let state = self.state.0.lock().expect("the store");
+        state.keys.get(key).map(|(.., created)| *created)
     }
 
     /// Comes back from its copy of a revision; what was written since is lost.
     pub fn restore(&self, revision: i64) {
-        let (kept, changed) = &*self.kept;
-        kept.lock().expect("the store").restore(revision);
+        let (state, changed) = &*self.state;
+        state.lock().expect("the store").restore(revision);
         changed.notify_all();
     }
 
     /// Returns the revision that it had so long ago, or 0.
     pub fn revision_before(&self, ago: Duration) -> i64 {
-        let kept = self.kept.0.lock().expect("the store");
-        let mut backups = kept.backups.iter().rev();
+        let state = self.state.0.lock().expect("the store");
+        let mut backups = state.backups.iter().rev();
         let older = backups.find(|(at, _)| at.elapsed() >= ago);
         older.map_or(0, |(_, backup)| backup.revision)
     }
 
     /// Has the operator and the servers write again what a restore lost, in another order.
-    pub fn write_again(&self) {
-        let (kept, changed) = &*self.kept;
-        kept.lock().expect("the store").write_again();
+    pub fn rewrite_lost(&self) {
+        let (state, changed) = &*self.state;
+        state.lock().expect("the store").rewrite_lost();
         changed.notify_all();
     }
 
     /// Returns the revision of the last change.
     pub fn revision(&self) -> i64 {
-        self.kept.0.lock().expect("the store").revision
+        self.state.0.lock().expect("the store").revision
     }
 
     /// Closes every connection that asks something from now on.
-    pub fn stop_answering(&self) {
-        self.kept.0.lock().expect("the store").away = true;
+    pub fn go_down(&self) {
+        self.state.0.lock().expect("the store").down = true;
     }
 }
 
@@ -393,17 +404,17 @@
 }
 
 /// Reads and drops what comes on a connection until the other side closes it.
-fn swallow(stream: &mut TcpStream) -> Option<()> {
+fn discard(stream: &mut TcpStream) -> Option<()> {
     // A connection that is reset has ended, too.
     let _ended = std::io::copy(stream, &mut std::io::sink());
     None
 }
 
 /// Carries out a transaction; returns the status where it does nothing.
-fn txn(kept: &mut Kept, body: &[u8]) -> Option<Result<(), u16>> {
+fn txn(state: &mut StoreState, body: &[u8]) -> Option<Result<(), u16>> {
     let txn: Value = serde_json::from_slice(body).ok()?;
     let holds = txn["expectedRevision"].as_array()?.iter().all(|row| {
-        let known = row["key"].as_str().and_then(|key| kept.keys.get(key));
+        let known = row["key"].as_str().and_then(|key| state.keys.get(key));
         known.map_or(0, |(_, revision, _)| *revision) == row["revision"].as_i64().unwrap_or(0)
     });
     if !holds {
@@ -413,63 +424,64 @@
         let value = STANDARD.decode(row["value"].as_str()?).ok()?;
         let key = row["key"].as_str()?;
         let lease = row["lease"].as_i64().unwrap_or(0);
-        if lease != 0 && !kept.leases.contains_key(&lease) {
+        if lease != 0 && !state.leases.contains_key(&lease) {
             return Some(Err(404));
         }
-        kept.bound.insert(key.to_owned(), lease);
-        kept.write(key, value);
+        state.key_leases.insert(key.to_owned(), lease);
+        state.write(key, value);
     }
     Some(Ok(()))
 }
 
-fn store(
-    shared: &Arc<(Mutex<Kept>, Condvar)>,
+fn serve_store(
+    shared: &Arc<(Mutex<StoreState>, Condvar)>,
     request: &Request,
     stream: &mut TcpStream,
 ) -> Option<()> {
-    let (kept, changed) = &**shared;
-    let mut kept = kept.lock().expect("the store");
-    if kept.away {
+    let (state, changed) = &**shared;
+    let mut state = state.lock().expect("the store");
+    if state.down {
         return None;
     }
-    if kept.silent {
-        kept.lost_watches += u32::from(request.path.starts_with("/v1/kv-watch"));
-        drop(kept);
-        return swallow(stream);
+    if state.hung {
+        state.hung_watches += u32::from(request.path.starts_with("/v1/kv-watch"));
+        drop(state);
+        return discard(stream);
     }
-    kept.expire();
+    state.expire();
     let path = request.path.split('?').next()?;
     let answer = match (request.method.as_str(), path) {
         ("GET", "/v1/kv-range") => {
-            let items = kept.keys.iter();
+            let items = state.keys.iter();
             let items = items
                 .map(|(key, (value, revision, created))| item(key, value, *revision, *created));
-            json!({"items": items.collect::<Vec<_>>(), "hasMore": false, "at": kept.revision})
+            json!({"items": items.collect::<Vec<_>>(), "hasMore": false, "at": state.revision})
         }
         ("GET", "/v1/kv-watch") => {
             let after: i64 = request.query("after")?.parse().ok()?;
             let wait = request.query("waitMs")?.parse().ok()?;
-            let restores = kept.restores;
-            if after > kept.revision {
-                let era = kept.era();
-                drop(kept);
+            let restores = state.restores;
+            if after > state.revision {
+                let era = state.era();
+                drop(state);
                 return write(stream, 410, &era, "{}");
             }
-            let waits = |kept: &mut Kept| kept.revision <= after && kept.restores == restores;
+            let is_pending =
+                |state: &mut StoreState| state.revision <= after && state.restores == restores;
             let wait = Duration::from_millis(wait);
-            kept = changed
-                .wait_timeout_while(kept, wait, waits)
+            state = changed
+                .wait_timeout_while(state, wait, is_pending)
                 .expect("the store")
                 .0;
-            if kept.silent {
-                kept.lost_watches += 1;
-                drop(kept);
-                return swallow(stream);
+            if state.hung {
+                state.hung_watches += 1;
+                drop(state);
+                return discard(stream);
             }
-            if kept.restores != restores {
+            if state.restores != restores {
                 return None;
             }
-            let new = kept
+            let new = state
                 .history
                 .iter()
                 .filter(|(.., revision, _)| *revision > after);
@@ -477,59 +489,59 @@
                 Some(value) => item(key, value, *revision, *created),
                 None => json!({"key": key, "revision": revision, "deleted": true}),
             });
-            json!({"events": events.collect::<Vec<_>>(), "at": kept.revision})
+            json!({"events": events.collect::<Vec<_>>(), "at": state.revision})
         }
-        ("POST", "/v1/kv-txn") => match txn(&mut kept, &request.body)? {
+        ("POST", "/v1/kv-txn") => match txn(&mut state, &request.body)? {
             Ok(()) => {
                 changed.notify_all();
-                if kept.lost > 0 {
-                    kept.lost -= 1;
+                if state.lost_replies > 0 {
+                    state.lost_replies -= 1;
                     return None;
                 }
-                json!({"revision": kept.revision})
+                json!({"revision": state.revision})
             }
-            Err(status) => return write(stream, status, &kept.era(), r#"{"items":[]}"#),
+            Err(status) => return write(stream, status, &state.era(), r#"{"items":[]}"#),
         },
         ("POST", "/v1/kv-lease") => {
-            let asked: Value = serde_json::from_slice(&request.body).ok()?;
-            let millis = asked["ttlMs"].as_u64()?;
-            json!({"lease": kept.grant(millis), "ttlMs": millis})
+            let grant: Value = serde_json::from_slice(&request.body).ok()?;
+            let millis = grant["ttlMs"].as_u64()?;
+            json!({"lease": state.grant(millis), "ttlMs": millis})
         }
         ("POST", path) if path.starts_with("/v1/kv-keep/") => {
             let lease = path.rsplit('/').next()?.parse().ok()?;
-            if kept.renew(lease).is_none() {
-                return write(stream, 404, &kept.era(), "{}");
+            if state.renew(lease).is_none() {
+                return write(stream, 404, &state.era(), "{}");
             }
-            *kept.renewed.entry(lease).or_default() += 1;
+            *state.renewals.entry(lease).or_default() += 1;
             json!({})
         }
         ("DELETE", path) if path.starts_with("/v1/kv-lease-end/") => {
-            kept.end(path.rsplit('/').next()?.parse().ok()?);
+            state.end(path.rsplit('/').next()?.parse().ok()?);
             changed.notify_all();
             json!({})
         }
         _ => json!({}),
     };
-    let era = kept.era();
-    drop(kept);
+    let era = state.era();
+    drop(state);
     write(stream, 200, &era, &answer.to_string())
 }
 
 #[derive(Default)]
-struct Asked {
+struct EngineState {
     stage: Option<String>,
-    seen: Vec<(String, String, Vec<u8>)>,
+    requests: Vec<(String, String, Vec<u8>)>,
     /// Limit that its answers name, as it is written.
     limit: Option<String>,
     /// Events after which the next stream breaks off.
-    breaks: Option<u64>,
+    break_after: Option<u64>,
     /// Id under which the next answer is given.
-    other: Option<String>,
+    answer_id: Option<String>,
     held: bool,
     /// Time that each answer, and each event of a stream, takes.
-    takes: Duration,
+    delay: Duration,
     /// Whether the process is gone.
-    dead: bool,
+    crashed: bool,
     /// Orders accepted yet.
     orders: u64,
     /// Highest fencing number seen.
@@ -540,7 +552,7 @@
 pub struct Engine {
     pub id: String,
     addr: SocketAddr,
-    asked: Arc<(Mutex<Asked>, Condvar)>,
+    state: Arc<(Mutex<EngineState>, Condvar)>,
 }
 
 /// Returns the events of a stream.
@@ -559,68 +571,78 @@
     }
 
     fn start(id: &str, stage: Option<String>) -> Self {
-        let asked = Asked {
+        let state = EngineState {
             stage,
-            ..Asked::default()
+            ..EngineState::default()
         };
-        let asked = Arc::new((Mutex::new(asked), Condvar::new()));
-        let (shared, name) = (Arc::clone(&asked), id.to_owned());
-        let addr = listen(move |request, stream| engine(&shared, &name, request, stream));
+        let state = Arc::new((Mutex::new(state), Condvar::new()));
+        let (shared, name) = (Arc::clone(&state), id.to_owned());
+        let addr = listen(move |request, stream| serve_engine(&shared, &name, request, stream));
         Self {
             id: id.to_owned(),
             addr,
-            asked,
+            state,
         }
     }
 
     /// Returns the entry by which it registers.
     pub fn entry(&self, state: &str) -> Value {
-        let part = self.asked.0.lock().expect("the engine").stage.clone();
-        let service = if part.is_some() { "model" } else { "plain" };
+        let stage = self.state.0.lock().expect("the engine").stage.clone();
+        let service = if stage.is_some() { "model" } else { "plain" };
         json!({"service": service, "address": self.addr.to_string(), "zone": "z", "version": "v1",
-            "slots": 8, "state": state, "coldRemainingMs": 0, "stage": part, "sequence": 1,
+            "slots": 8, "state": state, "coldRemainingMs": 0, "stage": stage, "sequence": 1,
             "born": 1})
     }
 
     /// Returns the heads of the requests that came for a path.
-    pub fn seen(&self, path: &str) -> Vec<String> {
-        let asked = self.asked.0.lock().expect("the engine");
-        let seen = asked.seen.iter().filter(|(seen, ..)| seen == path);
-        seen.map(|(_, head, _)| head.clone()).collect()
+    pub fn request_heads(&self, path: &str) -> Vec<String> {
+        let state = self.state.0.lock().expect("the engine");
+        let matching = state
+            .requests
+            .iter()
+            .filter(|(requested, ..)| requested == path);
+        matching.map(|(_, head, _)| head.clone()).collect()
     }
 
     /// Returns the bodies that came for a path.
-    pub fn bodies(&self, path: &str) -> Vec<Value> {
-        let asked = self.asked.0.lock().expect("the engine");
-        let seen = asked.seen.iter().filter(|(seen, ..)| seen == path);
-        seen.filter_map(|(.., body)| serde_json::from_slice(body).ok())
+    pub fn request_bodies(&self, path: &str) -> Vec<Value> {
+        let state = self.state.0.lock().expect("the engine");
+        let matching = state
+            .requests
+            .iter()
+            .filter(|(requested, ..)| requested == path);
+        matching
+            .filter_map(|(.., body)| serde_json::from_slice(body).ok())
             .collect()
     }
 
     /// Breaks the next stream that begins anew off after so many events, in the middle of one.
     pub fn break_after(&self, events: u64) {
-        self.asked.0.lock().expect("the engine").breaks = Some(events);
+        self.state.0.lock().expect("the engine").break_after = Some(events);
     }
 
     /// Breaks no stream off any more.
-    pub fn break_none(&self) {
-        self.asked.0.lock().expect("the engine").breaks = None;
+    pub fn clear_break(&self) {
+        self.state.0.lock().expect("the engine").break_after = None;
     }
 
     /// Names a limit in each answer from now on.
-    pub fn limit(&self, rate: &str) {
-        self.asked.0.lock().expect("the engine").limit = Some(rate.to_owned());
+    pub fn set_limit(&self, rate: &str) {
+        self.state.0.lock().expect("the engine").limit = Some(rate.to_owned());
     }
 
     /// Answers the next request under another id.
     pub fn answer_as(&self, id: &str) {
-        self.asked.0.lock().expect("the engine").other = Some(id.to_owned());
+        self.state.0.lock().expect("the engine").answer_id = Some(id.to_owned());
     }
 
     /// Returns all requests but reports: path, head and body.
-    pub fn all(&self) -> Vec<(String, String, Vec<u8>)> {
-        let asked = self.asked.0.lock().expect("the engine");
-        let all = asked.seen.iter().filter(|(path, ..)| path != "/v1/report");
+    pub fn requests(&self) -> Vec<(String, String, Vec<u8>)> {
+        let state = self.state.0.lock().expect("the engine");
+        let all = state
+            .requests
+            .iter()
+            .filter(|(path, ..)| path != "/v1/report");
         all.cloned().collect()
     }
 
@@ -630,118 +652,122 @@
     }
 
     /// Sets the time that each answer, and each event of a stream, takes.
-    pub fn take(&self, time: Duration) {
-        self.asked.0.lock().expect("the engine").takes = time;
+    pub fn set_delay(&self, delay: Duration) {
+        self.state.0.lock().expect("the engine").delay = delay;
     }
 
     /// Breaks everything off, now and from now on.
-    pub fn die(&self) {
-        self.asked.0.lock().expect("the engine").dead = true;
+    pub fn crash(&self) {
+        self.state.0.lock().expect("the engine").crashed = true;
     }
 
     /// Holds the ends of streams back.
-    pub fn hold(&self) {
-        self.asked.0.lock().expect("the engine").held = true;
+    pub fn hold_streams(&self) {
+        self.state.0.lock().expect("the engine").held = true;
     }
 
     /// Lets streams end.
-    pub fn release(&self) {
-        self.asked.0.lock().expect("the engine").held = false;
-        self.asked.1.notify_all();
+    pub fn release_streams(&self) {
+        self.state.0.lock().expect("the engine").held = false;
+        self.state.1.notify_all();
     }
 }
 
-fn engine(
-    shared: &Arc<(Mutex<Asked>, Condvar)>,
+fn serve_engine(
+    shared: &Arc<(Mutex<EngineState>, Condvar)>,
     id: &str,
     request: &Request,
     stream: &mut TcpStream,
 ) -> Option<()> {
-    let mut asked = shared.0.lock().expect("the engine");
-    if asked.dead {
+    let mut state = shared.0.lock().expect("the engine");
+    if state.crashed {
         return None;
     }
     if request
         .header("x-chiveway-expect-instance")
-        .is_some_and(|other| other != id)
+        .is_some_and(|instance| instance != id)
     {
-        drop(asked);
+        drop(state);
         return write(stream, 421, "", "");
     }
-    let takes = asked.takes;
-    let seen = (
+    let delay = state.delay;
+    let received = (
         request.path.clone(),
         request.head.clone(),
         request.body.clone(),
     );
-    asked.seen.push(seen);
+    state.requests.push(received);
     let own = request
         .header("x-chiveway-attempt-id")
         .unwrap_or_default()
         .to_owned();
-    let attempt = asked.other.take().unwrap_or(own);
+    let attempt = state.answer_id.take().unwrap_or(own);
     let mut headers = format!(
         "x-chiveway-attempt-id: {attempt}\r\nx-chiveway-server-stamp: {id}\r\nkeep-alive: timeout=5\r\n"
     );
-    if let Some(rate) = &asked.limit {
+    if let Some(rate) = &state.limit {
         // Writing to a string does not fail.
         let _ = write!(headers, "server-limit: {rate}\r\n");
     }
     match request.path.as_str() {
         "/v1/report" => {
-            let body = json!({"stage": asked.stage, "busy": false, "sequence": asked.orders});
+            let body = json!({"stage": state.stage, "busy": false, "sequence": state.orders});
             return write(stream, 200, "", &body.to_string());
         }
-        "/v1/order" => return write(stream, order(&mut asked, &request.body)?, "", "{}"),
+        "/v1/order" => return write(stream, apply_order(&mut state, &request.body)?, "", "{}"),
         _ => {}
     }
-    if asked.stage.is_none() {
+    if state.stage.is_none() {
         let body = String::from_utf8_lossy(&request.body);
         let body = format!("{id} {} {body}", request.path);
-        drop(asked);
-        std::thread::sleep(takes);
+        drop(state);
+        std::thread::sleep(delay);
         return write(stream, 200, &headers, &body);
     }
     if request.header("x-chiveway-serving-stage") == Some("prefill") {
-        drop(asked);
-        std::thread::sleep(takes);
+        drop(state);
+        std::thread::sleep(delay);
         let body = json!({"kvHandle": "h1", "tokenCount": 1, "version": 1}).to_string();
         return write(stream, 200, &headers, &body);
     }
-    let fresh = request.header("last-event-id").is_none();
-    let breaks = if fresh { asked.breaks.take() } else { None };
-    drop(asked);
+    let is_new = request.header("last-event-id").is_none();
+    let break_after = if is_new {
+        state.break_after.take()
+    } else {
+        None
+    };
+    drop(state);
     let last = request
         .header("last-event-id")
         .and_then(|last| last.parse().ok());
-    stream_events(shared, id, &headers, breaks, last.unwrap_or(0), stream)
+    stream_events(shared, id, &headers, break_after, last.unwrap_or(0), stream)
 }
 
 /// Takes an order; returns the status.
-fn order(asked: &mut Asked, body: &[u8]) -> Option<u16> {
+fn apply_order(state: &mut EngineState, body: &[u8]) -> Option<u16> {
     let order: Value = serde_json::from_slice(body).ok()?;
     let fence = order["fencingToken"].as_u64()?;
-    if fence < asked.fence {
+    if fence < state.fence {
         return Some(412);
     }
-    asked.fence = fence;
+    state.fence = fence;
     if order["expectedRevision"]
         .as_u64()
-        .is_some_and(|orders| orders != asked.orders)
+        .is_some_and(|orders| orders != state.orders)
     {
         return Some(409);
     }
-    asked.orders += 1;
-    asked.stage = order["stage"].as_str().map(ToOwned::to_owned);
+    state.orders += 1;
+    state.stage = order["stage"].as_str().map(ToOwned::to_owned);
     Some(202)
 }
 
 /// Streams the events after `last`; breaks off in the middle of one where it is to.
 fn stream_events(
-    shared: &Arc<(Mutex<Asked>, Condvar)>,
+    shared: &Arc<(Mutex<EngineState>, Condvar)>,
     id: &str,
     headers: &str,
-    breaks: Option<u64>,
+    break_after: Option<u64>,
     last: u64,
     stream: &mut TcpStream,
 ) -> Option<()> {
@@ -755,21 +781,21 @@
         stream.write_all(text.as_bytes()).ok()
     };
     for number in last + 1..=4 {
-        if breaks.is_some_and(|breaks| number > breaks) {
+        if break_after.is_some_and(|break_after| number > break_after) {
             chunk(&format!("id: {number}\nda"))?;
             return None;
         }
-        let asked = shared.0.lock().expect("the engine");
-        let (dead, takes) = (asked.dead, asked.takes);
-        drop(asked);
-        if dead {
+        let state = shared.0.lock().expect("the engine");
+        let (crashed, delay) = (state.crashed, state.delay);
+        drop(state);
+        if crashed {
             return None;
         }
-        std::thread::sleep(takes);
+        std::thread::sleep(delay);
         chunk(&events(id, number..=number))?;
     }
-    let asked = shared.0.lock().expect("the engine");
-    let waited = shared.1.wait_while(asked, |asked| asked.held);
+    let state = shared.0.lock().expect("the engine");
+    let waited = shared.1.wait_while(state, |state| state.held);
     drop(waited.expect("the engine"));
     chunk("")
 }
@@ -805,12 +831,12 @@
 }
 
 /// Headers of a long prompt.
-pub const LONG: [(&str, &str); 2] = [
+pub const LONG_PROMPT: [(&str, &str); 2] = [
     ("x-chiveway-token-usage", "17000,20"),
     ("x-chiveway-prompt-prefix", "aa:13000,bb:4000"),
 ];
 /// Headers of a short prompt.
-pub const SHORT: [(&str, &str); 2] = [
+pub const SHORT_PROMPT: [(&str, &str); 2] = [
     ("x-chiveway-token-usage", "300,8"),
     ("x-chiveway-prompt-prefix", "cc:50,dd:250"),
 ];
--- a/tests/relay/stop.rs
+++ b/tests/relay/stop.rs
@@ -5,30 +5,32 @@
 
 use serde_json::Value;
 
-use super::standin::{Engine, SHORT};
-use super::{LIMIT, Site, http, wait_for};
+use super::standin::{Engine, SHORT_PROMPT};
+use super::{Site, WAIT_TIMEOUT, http, wait_for};
 
 /// A caller's connection that stays open between requests.
-struct Kept {
+struct Connection {
     reader: BufReader<TcpStream>,
 }
 
-impl Kept {
+impl Connection {
     /// Opens a connection and has one request answered on it.
     fn open(site: &Site) -> Self {
         let stream = TcpStream::connect(site.callers).expect("a connection");
-        stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
-        let mut kept = Self {
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a time limit");
+        let mut connection = Self {
             reader: BufReader::new(stream),
         };
-        kept.write("first");
-        assert_eq!(kept.head().expect("an answer").status, 200);
-        kept
+        connection.write_request("first");
+        assert_eq!(connection.read_answer().expect("an answer").status, 200);
+        connection
     }
 
     /// Writes a request whose answer is one event, as far as the host still takes it.
-    fn write(&mut self, id: &str) {
-        let usage = SHORT.map(|(name, value)| format!("{name}: {value}\r\n"));
+    fn write_request(&mut self, id: &str) {
+        let usage = SHORT_PROMPT.map(|(name, value)| format!("{name}: {value}\r\n"));
         let text = format!(
             "POST /once/x HTTP/1.1\r\nhost: 127.0.0.1\r\nx-chiveway-attempt-id: {id}\r\n\
              x-chiveway-deadline-ms: 8000\r\n{}content-length: 0\r\n\r\n",
@@ -39,12 +41,12 @@
     }
 
     /// Reads an answer with its body; `None` where the connection was closed without one.
-    fn head(&mut self) -> Option<Head> {
+    fn read_answer(&mut self) -> Option<Response> {
         let first = http::line(&mut self.reader)?;
         let status = first.split(' ').nth(1)?.parse().ok()?;
-        let mut head = Head {
+        let mut head = Response {
             status,
-            ..Head::default()
+            ..Response::default()
         };
         let mut length = 0;
         loop {
@@ -62,7 +64,7 @@
     }
 
     /// Waits until the host closes the connection; returns whether it did so without a word.
-    fn closed(&mut self) -> bool {
+    fn closes_without_data(&mut self) -> bool {
         let mut rest = Vec::new();
         // A reset is an end, too.
         let _reset = self.reader.read_until(0, &mut rest);
@@ -71,7 +73,7 @@
 }
 
 #[derive(Default)]
-struct Head {
+struct Response {
     status: u16,
     /// Whether the host is going to close the connection.
     closes: bool,
@@ -86,7 +88,7 @@
     lines.filter(|line: &Value| line["event"] == name).collect()
 }
 
-fn wait_refusing(site: &Site) {
+fn wait_until_refusing(site: &Site) {
     wait_for("the end of new connections", || {
         TcpStream::connect(site.callers).is_err()
     });
@@ -95,12 +97,12 @@
 /// A caller keeps its connection open and sends nothing while the host is asked to stop. The host
 /// closes the connection and ends, long before it would be killed, and its log says so.
 #[test]
-fn a_stop_waits_for_no_idle_connection() {
+fn a_stop_closes_idle_connections() {
     let plain = Engine::plain("s-1");
     let mut site = Site::ready(&[&plain]);
-    let mut kept = Kept::open(&site);
+    let mut connection = Connection::open(&site);
     site.host.term();
-    assert!(kept.closed(), "nothing is sent unasked");
+    assert!(connection.closes_without_data(), "nothing is sent unasked");
     assert!(site.host.ended().success());
     let stopped = events(&site, "host.stopped");
     assert_eq!(stopped.len(), 1, "{}", site.log());
@@ -112,33 +114,37 @@
 /// Answered late in the stop, its stream would be cut when the host is killed. It is told that
 /// nothing ran, and to go elsewhere, or finds the connection closed.
 #[test]
-fn a_request_late_in_a_stop_runs_nowhere() {
+fn a_request_late_in_a_stop_is_refused_or_closed() {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
     let mut site = Site::ready(&[&plain, &decode]);
-    let mut kept = Kept::open(&site);
-    decode.hold();
+    let mut connection = Connection::open(&site);
+    decode.hold_streams();
     let running = site.stream("running", &decode);
     site.host.term();
-    wait_refusing(&site);
-    kept.write("late");
-    if let Some(head) = kept.head() {
+    wait_until_refusing(&site);
+    connection.write_request("late");
+    if let Some(head) = connection.read_answer() {
         assert_eq!((head.status, head.closes), (503, true));
     }
-    decode.release();
+    decode.release_streams();
     let answer = running.join().expect("a caller").expect("an answer");
     assert!(answer.whole && answer.status == 200);
     assert!(site.host.ended().success());
-    assert_eq!(plain.seen("/once/x").len(), 1, "only the first ran");
+    assert_eq!(
+        plain.request_heads("/once/x").len(),
+        1,
+        "only the first ran"
+    );
 }
 
 /// A stream lasts longer than the host may take to stop. Its log says which request that was, and
 /// the host ends by itself: killed, it would leave no word of what it was doing.
 #[test]
-fn a_stop_that_reaches_its_bound_says_what_ran() {
+fn a_stop_at_its_time_limit_logs_the_running_request() {
     let decode = Engine::model("d-1", "decode");
     let mut site = Site::with_grace("2s");
     site.configure(&[&decode]);
-    decode.hold();
+    decode.hold_streams();
     let running = site.stream("endless", &decode);
     site.host.term();
     assert!(site.host.ended().success());
@@ -151,31 +157,33 @@
     assert_eq!(cut[0]["id"], "endless");
     let stopped = events(&site, "host.stopped");
     assert_eq!(stopped[0]["why"], "the bound is reached");
-    decode.release();
+    decode.release_streams();
 }
 
 /// Streams end one after the other while the host stops. Each caller gets its last bytes before
 /// the process is gone, also the one whose end lets the process go.
 #[test]
-fn the_last_answer_of_a_stop_is_whole() {
+fn the_last_answers_of_a_stop_are_complete() {
     let decode = Engine::model("d-1", "decode");
     let mut site = Site::ready(&[&decode]);
     // The first connection ends before the stop: what counts connections has been at none once.
-    drop(site.send("/short/x", "before", &SHORT));
-    decode.hold();
+    drop(site.send("/short/x", "before", &SHORT_PROMPT));
+    decode.hold_streams();
     let callers = site.callers;
     let send = |id: &'static str| {
         std::thread::spawn(move || {
             let mut headers = vec![("x-chiveway-attempt-id", id)];
-            headers.extend(SHORT);
+            headers.extend(SHORT_PROMPT);
             http::send(callers, "POST", "/short/x", &headers, b"body")
         })
     };
     let running = [send("one"), send("two"), send("three")];
-    wait_for("the streams", || decode.seen("/short/x").len() >= 3);
+    wait_for("the streams", || {
+        decode.request_heads("/short/x").len() >= 3
+    });
     site.host.term();
-    wait_refusing(&site);
-    decode.release();
+    wait_until_refusing(&site);
+    decode.release_streams();
     for caller in running {
         let answer = caller.join().expect("a caller").expect("an answer");
         assert!(answer.whole, "{:?}", answer.status);
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -7,30 +7,33 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::check::{Kind, Seen};
-use crate::standin::{LONG, SHORT};
-use crate::world::{CALLERS, Door, HOSTS, World};
-use crate::{LIMIT, http};
+use crate::check::{Observation, RequestKind};
+use crate::cluster::{CALLER_COUNT, Cluster, HOST_COUNT, Incarnation};
+use crate::standin::{LONG_PROMPT, SHORT_PROMPT};
+use crate::{WAIT_TIMEOUT, http};
 
 /// Renewals of a host's lease, four seconds apart, within which it must know what the store knows.
-const RENEWALS: u32 = 2;
+const MAX_RENEWALS: u32 = 2;
 /// Pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(15);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
-impl World {
+impl Cluster {
     /// Watches which configuration a host has in force, until the play is over.
-    pub fn probe(&self, host: usize) {
+    pub fn probe_versions(&self, host: usize) {
         let mut count = 0;
-        while !self.over.load(Ordering::SeqCst) {
+        while !self.finished.load(Ordering::SeqCst) {
             let newest = self.version.load(Ordering::SeqCst);
-            let door = self.door(host);
+            let incarnation = self.incarnation(host);
             for version in (1..=newest).rev() {
                 count += 1;
                 let id = format!("probe-{host}-{count}");
                 let path = format!("/v{version}/x");
-                if send(&door, &path, &id, &[]).is_some_and(|answer| answer.status == 200) {
-                    let mut known = self.known.lock().expect("no panic");
-                    known.entry(door.name.clone()).or_default().push(version);
+                if send(&incarnation, &path, &id, &[]).is_some_and(|answer| answer.status == 200) {
+                    let mut versions = self.served_versions.lock().expect("no panic");
+                    versions
+                        .entry(incarnation.name.clone())
+                        .or_default()
+                        .push(version);
                     break;
                 }
             }
@@ -38,80 +41,83 @@
         }
     }
 
-    fn door(&self, host: usize) -> Door {
-        self.doors.lock().expect("no panic")[host].clone()
+    fn incarnation(&self, host: usize) -> Incarnation {
+        self.incarnations.lock().expect("no panic")[host].clone()
     }
 
     /// Sends requests until the play is over.
-    pub fn call(&self, seed: u64, number: u64) {
-        let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(CALLERS) + number);
+    pub fn send_requests(&self, seed: u64, number: u64) {
+        let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(CALLER_COUNT) + number);
         let mut count = 0;
-        while !self.over.load(Ordering::SeqCst) {
+        while !self.finished.load(Ordering::SeqCst) {
             count += 1;
-            let door = self.door(rng.random_range(0..HOSTS));
-            let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
-            self.request(&door, kind, &format!("c{number}-{count}"));
-            thread::sleep(PAUSE);
+            let incarnation = self.incarnation(rng.random_range(0..HOST_COUNT));
+            let kind = RequestKind::ALL[rng.random_range(0..RequestKind::ALL.len())];
+            self.request(&incarnation, kind, &format!("c{number}-{count}"));
+            thread::sleep(REQUEST_INTERVAL);
         }
     }
 
     /// Sends a request and notes what came of it; returns whether it was served whole.
-    fn request(&self, door: &Door, kind: Kind, id: &str) -> bool {
-        let wild = |count: &AtomicU64| count.load(Ordering::SeqCst);
-        let all = self.known.lock().expect("no panic");
-        let knows = all.get(&door.name).and_then(|all| all.last()).copied();
-        drop(all);
-        let before = (wild(&self.wild.0), wild(&self.wild.1));
-        let more: &[(&str, &str)] = match kind {
-            Kind::Once | Kind::Again => &[],
-            Kind::Long => &LONG,
-            Kind::Short => &SHORT,
+    fn request(&self, incarnation: &Incarnation, kind: RequestKind, id: &str) -> bool {
+        let load = |count: &AtomicU64| count.load(Ordering::SeqCst);
+        let versions = self.served_versions.lock().expect("no panic");
+        let known_version = versions
+            .get(&incarnation.name)
+            .and_then(|seen| seen.last())
+            .copied();
+        drop(versions);
+        let before = (load(&self.unplanned.0), load(&self.unplanned.1));
+        let extra_headers: &[(&str, &str)] = match kind {
+            RequestKind::Once | RequestKind::Again => &[],
+            RequestKind::Long => &LONG_PROMPT,
+            RequestKind::Short => &SHORT_PROMPT,
         };
-        let answer = send(door, kind.path(), id, more);
-        let after = (wild(&self.wild.0), wild(&self.wild.1));
+        let answer = send(incarnation, kind.path(), id, extra_headers);
+        let after = (load(&self.unplanned.0), load(&self.unplanned.1));
         let header = |name: &str| Some(answer.as_ref()?.header(name)?.to_owned());
-        let seen = Seen {
+        let observation = Observation {
             id: id.to_owned(),
             kind,
             status: answer.as_ref().map(|answer| answer.status),
-            echo: header("x-chiveway-attempt-id"),
-            stamp: header("x-chiveway-server-stamp"),
+            answered_id: header("x-chiveway-attempt-id"),
+            server_stamp: header("x-chiveway-server-stamp"),
             body: answer.as_ref().map_or(String::new(), http::Answer::text),
-            whole: answer.as_ref().is_some_and(|answer| answer.whole),
-            calm: before.0 == 0 && before == after,
+            is_complete: answer.as_ref().is_some_and(|answer| answer.whole),
+            planned_only: before.0 == 0 && before == after,
         };
-        let served = seen.status == Some(200) && seen.whole;
-        self.seen
+        let served = observation.status == Some(200) && observation.is_complete;
+        self.observations
             .lock()
             .expect("no panic")
-            .push((seen, knows.unwrap_or(0)));
+            .push((observation, known_version.unwrap_or(0)));
         served
     }
 
     /// Returns the kinds of requests that a host does not serve again in time.
-    pub fn served_within(&self, round: &str, host: usize, limit: Duration) -> Vec<String> {
+    pub fn unserved_within(&self, round: &str, host: usize, limit: Duration) -> Vec<String> {
         let start = Instant::now();
         let mut missing = Vec::new();
-        for kind in Kind::ALL {
+        for kind in RequestKind::ALL {
             let mut count = 0;
             loop {
                 count += 1;
-                let door = self.door(host);
-                let id = format!("r{}-{kind:?}-{count}-{round}", door.name);
-                if self.request(&door, kind, &id) {
+                let incarnation = self.incarnation(host);
+                let id = format!("r{}-{kind:?}-{count}-{round}", incarnation.name);
+                if self.request(&incarnation, kind, &id) {
                     break;
                 }
                 if start.elapsed() > limit {
-                    let over = self.hosts[host].lock().expect("no panic").process.is_over();
-                    let state = if over { "has ended" } else { "lives" };
+                    let ended = self.hosts[host].lock().expect("no panic").process.is_over();
+                    let state = if ended { "has ended" } else { "is running" };
                     missing.push(format!(
                         "{} {}, its process {state}",
-                        door.name,
+                        incarnation.name,
                         kind.path()
                     ));
                     break;
                 }
-                thread::sleep(PAUSE);
+                thread::sleep(REQUEST_INTERVAL);
             }
         }
         missing
@@ -119,9 +125,10 @@
 
     /// Returns what hosts do not serve, or do not know, once every fault has ended.
     pub fn unrecovered(&self) -> Vec<String> {
-        let outdated = (0..HOSTS).filter_map(|host| self.outdated(host));
+        let outdated = (0..HOST_COUNT).filter_map(|host| self.outdated(host));
         let outdated: Vec<String> = outdated.collect();
-        let unserved = (0..HOSTS).flat_map(|host| self.served_within("end", host, LIMIT));
+        let unserved =
+            (0..HOST_COUNT).flat_map(|host| self.unserved_within("end", host, WAIT_TIMEOUT));
         unserved.chain(outdated).collect()
     }
 
@@ -130,27 +137,32 @@
     fn outdated(&self, host: usize) -> Option<String> {
         let newest = self.version.load(Ordering::SeqCst);
         let key = format!("chiveway/hosts/host-{host}");
-        let (start, end) = (Instant::now(), self.store.renewed(&key) + RENEWALS);
+        let (start, end) = (Instant::now(), self.store.renewals(&key) + MAX_RENEWALS);
         let mut count = 0;
-        while self.store.renewed(&key) < end && start.elapsed() < LIMIT {
+        while self.store.renewals(&key) < end && start.elapsed() < WAIT_TIMEOUT {
             count += 1;
-            let door = self.door(host);
+            let incarnation = self.incarnation(host);
             let id = format!("probe-{host}-newest-{count}");
-            let answer = send(&door, &format!("/v{newest}/x"), &id, &[]);
+            let answer = send(&incarnation, &format!("/v{newest}/x"), &id, &[]);
             if answer.is_some_and(|answer| answer.status == 200) {
                 return None;
             }
-            thread::sleep(PAUSE);
+            thread::sleep(REQUEST_INTERVAL);
         }
         Some(format!("host-{host} does not know version {newest}"))
     }
 }
 
-fn send(door: &Door, path: &str, id: &str, more: &[(&str, &str)]) -> Option<http::Answer> {
+fn send(
+    incarnation: &Incarnation,
+    path: &str,
+    id: &str,
+    extra_headers: &[(&str, &str)],
+) -> Option<http::Answer> {
     let mut headers = vec![
         ("x-chiveway-attempt-id", id),
         ("x-chiveway-deadline-ms", "2500"),
     ];
-    headers.extend(more);
-    http::send(door.callers, "POST", path, &headers, id.as_bytes())
+    headers.extend(extra_headers);
+    http::send(incarnation.callers, "POST", path, &headers, id.as_bytes())
 }
--- a/tests/soak/planted.rs
+++ b/tests/soak/planted.rs
@@ -1,22 +1,22 @@
 //! Faults planted in a record: a checker that finds none of them would pass anything.
 
-use crate::check::{Kind, Order, Record, Run, Seen, check};
+use crate::check::{Observation, Order, Record, RequestKind, Run, check};
 use crate::standin;
 
-fn seen(kind: Kind) -> Seen {
+fn observation(kind: RequestKind) -> Observation {
     let body = match kind {
-        Kind::Once | Kind::Again => format!("s-1 {} id-1", kind.path()),
-        Kind::Long | Kind::Short => standin::events("s-1", 1..=4),
+        RequestKind::Once | RequestKind::Again => format!("s-1 {} id-1", kind.path()),
+        RequestKind::Long | RequestKind::Short => standin::events("s-1", 1..=4),
     };
-    Seen {
+    Observation {
         id: "id-1".to_owned(),
         kind,
         status: Some(200),
-        echo: Some("id-1".to_owned()),
+        answered_id: Some("id-1".to_owned()),
         body,
-        whole: true,
-        stamp: Some("s-1".to_owned()),
-        calm: true,
+        is_complete: true,
+        server_stamp: Some("s-1".to_owned()),
+        planned_only: true,
     }
 }
 
@@ -27,9 +27,9 @@
     }
 }
 
-fn record(seen: Seen, runs: &[&str]) -> Record {
+fn record(observation: Observation, runs: &[&str]) -> Record {
     Record {
-        seen: vec![seen],
+        observations: vec![observation],
         runs: runs.iter().map(|server| run(server)).collect(),
         ..Record::default()
     }
@@ -45,84 +45,84 @@
 
 /// Defines one test a case: a record, and words of the fault that it must be found to hold.
 macro_rules! planted {
-    ($($name:ident: $record:expr => $words:expr;)*) => {$(
+    ($($name:ident: $record:expr => $message:expr;)*) => {$(
         #[test]
         fn $name() {
             let faults = check(&$record);
-            let words: &str = $words;
-            assert!(faults.iter().any(|fault| fault.contains(words)), "{faults:?}");
+            let message: &str = $message;
+            assert!(faults.iter().any(|fault| fault.contains(message)), "{faults:?}");
         }
     )*};
 }
 
 #[test]
-fn what_is_right_passes() {
-    for kind in Kind::ALL {
-        let faults = check(&record(seen(kind), &["s-1"]));
+fn a_correct_record_passes() {
+    for kind in RequestKind::ALL {
+        let faults = check(&record(observation(kind), &["s-1"]));
         assert!(faults.is_empty(), "{faults:?}");
     }
-    let refused = Seen {
+    let refused = Observation {
         status: Some(503),
-        echo: None,
-        stamp: None,
-        ..seen(Kind::Once)
+        answered_id: None,
+        server_stamp: None,
+        ..observation(RequestKind::Once)
     };
     let faults = check(&record(refused, &[]));
     assert!(faults.is_empty(), "{faults:?}");
 }
 
 planted! {
-    a_call_that_ran_twice: record(seen(Kind::Once), &["s-1", "s-2"]) => "ran twice";
-    a_refusal_that_is_not_true: record(Seen {
+    a_non_retryable_call_that_ran_twice: record(observation(RequestKind::Once), &["s-1", "s-2"]) => "ran twice";
+    a_false_not_run_refusal: record(Observation {
         status: Some(503),
-        stamp: None,
-        ..seen(Kind::Long)
+        server_stamp: None,
+        ..observation(RequestKind::Long)
     }, &["s-1"]) => "refused as not run";
-    an_answer_to_another: record(Seen {
-        echo: Some("id-2".to_owned()),
-        ..seen(Kind::Again)
+    an_answer_to_another_request: record(Observation {
+        answered_id: Some("id-2".to_owned()),
+        ..observation(RequestKind::Again)
     }, &["s-1"]) => "an answer to another";
-    an_answer_that_was_cut_and_looks_whole: record(Seen {
+    a_truncated_answer_that_looks_complete: record(Observation {
         body: "s-1 /once".to_owned(),
-        ..seen(Kind::Once)
+        ..observation(RequestKind::Once)
     }, &["s-1"]) => "whole answer";
-    a_stream_with_a_piece_twice: record(Seen {
+    a_stream_with_a_duplicate_event: record(Observation {
         body: standin::events("s-1", 1..=2) + &standin::events("s-1", 2..=4),
-        ..seen(Kind::Short)
+        ..observation(RequestKind::Short)
     }, &["s-1"]) => "whole answer";
-    a_stream_with_a_hole: record(Seen {
+    a_stream_with_a_missing_event: record(Observation {
         body: standin::events("s-1", 1..=1) + &standin::events("s-1", 3..=4),
-        ..seen(Kind::Short)
+        ..observation(RequestKind::Short)
     }, &["s-1"]) => "whole answer";
-    a_proper_request_that_is_turned_down: record(Seen {
+    a_valid_request_that_is_rejected: record(Observation {
         status: Some(404),
-        ..seen(Kind::Again)
+        ..observation(RequestKind::Again)
     }, &[]) => "turned down";
-    an_answer_cut_by_a_planned_stop: record(Seen {
+    an_answer_cut_by_a_planned_stop: record(Observation {
         status: None,
-        ..seen(Kind::Again)
+        ..observation(RequestKind::Again)
     }, &["s-1"]) => "planned stop";
-    a_run_that_nobody_asked_for: Record {
+    a_run_without_a_request: Record {
         runs: vec![run("s-1")],
         ..Record::default()
     } => "never asked for";
-    two_holders_with_one_number: Record {
+    two_holders_with_one_fencing_token: Record {
         orders: vec![order("host-1", 4), order("host-2", 4)],
         ..Record::default()
     } => "conflicting";
-    a_lower_number_after_a_higher: Record {
+    a_fencing_token_that_decreases: Record {
         orders: vec![order("host-1", 5), order("host-2", 4)],
         ..Record::default()
     } => "conflicting";
-    a_configuration_that_goes_back: Record {
+    a_configuration_that_is_rolled_back: Record {
         versions: [("host-1.1".to_owned(), vec![1, 3, 2])].into(),
         ..Record::default()
     } => "went back";
-    work_for_a_server_that_leaves: Record {
-        after_leaving: vec!["id-1 at s-1".to_owned()],
+    a_request_to_a_draining_server: Record {
+        after_drain: vec!["id-1 at s-1".to_owned()],
         ..Record::default()
     } => "that leaves";
-    what_does_not_come_back: Record {
+    a_service_that_does_not_recover: Record {
         unrecovered: vec!["host-1 /once/x".to_owned()],
         ..Record::default()
     } => "after all had healed";
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -5,25 +5,28 @@
 use serde_json::Value;
 
 use crate::check::{Order, Record, Run};
-use crate::world::{Server, World};
+use crate::cluster::{Cluster, Server};
 
-impl World {
+impl Cluster {
     /// Puts together what callers and servers saw.
     pub fn record(&self, unrecovered: Vec<String>) -> Record {
-        let seen = self.seen.lock().expect("no panic").clone();
-        let knows: BTreeMap<String, u64> = seen
+        let observations = self.observations.lock().expect("no panic").clone();
+        let known_versions: BTreeMap<String, u64> = observations
             .iter()
-            .map(|(seen, knows)| (seen.id.clone(), *knows))
+            .map(|(observation, known)| (observation.id.clone(), *known))
             .collect();
         let mut record = Record {
-            seen: seen.into_iter().map(|(seen, _)| seen).collect(),
-            versions: self.known.lock().expect("no panic").clone(),
+            observations: observations
+                .into_iter()
+                .map(|(observation, _)| observation)
+                .collect(),
+            versions: self.served_versions.lock().expect("no panic").clone(),
             unrecovered,
             ..Record::default()
         };
         for server in &*self.servers.lock().expect("no panic") {
-            for (path, head, body) in server.engine.all() {
-                take(&mut record, server, &path, &head, &body, &knows);
+            for (path, head, body) in server.engine.requests() {
+                add_request(&mut record, server, &path, &head, &body, &known_versions);
             }
         }
         record
@@ -31,13 +34,13 @@
 }
 
 /// Takes one request that a server got into the record.
-fn take(
+fn add_request(
     record: &mut Record,
     server: &Server,
     path: &str,
     head: &str,
     body: &[u8],
-    knows: &BTreeMap<String, u64>,
+    known_versions: &BTreeMap<String, u64>,
 ) {
     let name = server.engine.id.clone();
     if path == "/v1/order" {
@@ -52,14 +55,17 @@
     let mut lines = head.lines();
     let id = lines.find_map(|line| line.strip_prefix("x-chiveway-attempt-id: "));
     let id = id.unwrap_or_default().to_owned();
-    let prefill = head.contains("x-chiveway-serving-stage: prefill");
-    if prefill || id.starts_with("probe-") || path.starts_with("/v1/") {
+    let is_prefill = head.contains("x-chiveway-serving-stage: prefill");
+    if is_prefill || id.starts_with("probe-") || path.starts_with("/v1/") {
         return;
     }
-    let version = knows.get(&id).copied().unwrap_or(0);
-    if server.left.is_some_and(|left| version >= left) {
+    let version = known_versions.get(&id).copied().unwrap_or(0);
+    if server
+        .drain_version
+        .is_some_and(|drained| version >= drained)
+    {
         record
-            .after_leaving
+            .after_drain
             .push(format!("{id} at {name}, known {version}"));
     }
     record.runs.push(Run { server: name, id });
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -20,17 +20,17 @@
 use tokio::sync::oneshot;
 
 /// Generous limit of a call that is expected to be answered.
-const PATIENT: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Limit of a call that is expected to get no answer.
-const HASTY: Duration = Duration::from_secs(2);
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the watch that falls silent may be so; progress is told forty times as often.
-const SILENCE: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Limit of a whole case, so that one that waits for nothing fails.
-const CASE: Duration = Duration::from_mins(1);
+const CASE_TIMEOUT: Duration = Duration::from_mins(1);
 
-fn drive(case: impl Future<Output = ()> + 'static) {
-    let case = async { tokio::time::timeout(CASE, case).await.unwrap() };
+fn run_case(case: impl Future<Output = ()> + 'static) {
+    let case = async { tokio::time::timeout(CASE_TIMEOUT, case).await.unwrap() };
     ntex::rt::System::new("test", ntex::rt::DefaultRuntime).block_on(case);
 }
 
@@ -38,7 +38,7 @@
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident($kv:ident) $body:block)*) => {
         $($(#[$doc])* #[test] fn $name() {
-            drive(async {
+            run_case(async {
                 let $kv = Standin::start().await;
                 $body
             });
@@ -55,15 +55,15 @@
 
 impl Standin {
     async fn start() -> Self {
-        let (tell, told) = oneshot::channel();
+        let (addr_sender, addr_receiver) = oneshot::channel();
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::spawn(move || {
-            drive(async move {
+            run_case(async move {
                 let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-                tell.send(listener.local_addr().unwrap()).unwrap();
+                addr_sender.send(listener.local_addr().unwrap()).unwrap();
                 let opts = Options::default()
-                    .progress_interval(SILENCE / 40)
-                    .lease_second(SILENCE / 40)
+                    .progress_interval(WATCH_TIMEOUT / 40)
+                    .lease_second(WATCH_TIMEOUT / 40)
                     .history(8);
                 tokio::select! {
                     () = kv::run(listener, opts) => (),
@@ -72,7 +72,7 @@
             });
         });
         Self {
-            addr: told.await.unwrap(),
+            addr: addr_receiver.await.unwrap(),
             stop: Some(stop),
             thread: Some(thread),
         }
@@ -81,10 +81,10 @@
     async fn store(&self, timeout: Duration) -> Store {
         Store::new(vec![self.addr], timeout)
             .await
-            .with_watch_timeout(PATIENT)
+            .with_watch_timeout(CALL_TIMEOUT)
     }
 
-    async fn ask(&self, method: Method, path: &str, body: Value) -> Value {
+    async fn request(&self, method: Method, path: &str, body: Value) -> Value {
         let url = format!("http://{}{path}", self.addr);
         let answer = Client::new()
             .await
@@ -97,8 +97,8 @@
         serde_json::from_slice(&answer.body().await.unwrap()).unwrap_or_default()
     }
 
-    async fn fault(&self, switches: Value) {
-        self.ask(Method::POST, "/fault", switches).await;
+    async fn set_faults(&self, faults: Value) {
+        self.request(Method::POST, "/fault", faults).await;
     }
 }
 
@@ -112,10 +112,10 @@
 }
 
 fn put(key: &str, value: &[u8]) -> Op {
-    leased(key, value, 0)
+    put_with_lease(key, value, 0)
 }
 
-fn leased(key: &str, value: &[u8], lease: i64) -> Op {
+fn put_with_lease(key: &str, value: &[u8], lease: i64) -> Op {
     Op::Put {
         key: key.into(),
         value: Bytes::copy_from_slice(value),
@@ -123,14 +123,14 @@
     }
 }
 
-fn only(op: Op) -> Txn {
+fn single_op(op: Op) -> Txn {
     Txn {
         then: vec![op],
         ..Txn::default()
     }
 }
 
-fn key(name: &str) -> Span {
+fn key_span(name: &str) -> Span {
     Span::Key(name.into())
 }
 
@@ -142,7 +142,7 @@
 }
 
 /// Waits for the next changes, past progress notifications.
-async fn changes(watch: &mut Watch) -> Result<Vec<Change>, StoreError> {
+async fn next_changes(watch: &mut Watch) -> Result<Vec<Change>, StoreError> {
     loop {
         let batch = watch.next().await?;
         if !batch.changes.is_empty() {
@@ -152,8 +152,8 @@
 }
 
 cases! {
-    swaps_only_what_it_read(kv) {
-        let store = kv.store(PATIENT).await;
+    transaction_applies_only_if_its_compares_hold(kv) {
+        let store = kv.store(CALL_TIMEOUT).await;
         let create = Txn {
             compare: vec![Compare::Absent { key: "p/a".into() }],
             then: vec![put("p/a", b"1"), put("p/b", b"1")],
@@ -174,7 +174,7 @@
                 Compare::Modified { key: "p/a".into(), revision: at },
                 Compare::Value { key: "p/b".into(), value: Bytes::from_static(b"1") },
             ],
-            then: vec![put("p/a", to), Op::Delete(key("p/b"))],
+            then: vec![put("p/a", to), Op::Delete(key_span("p/b"))],
             otherwise: Vec::new(),
         };
         let won = store.txn(swap(first.revision, b"2")).await.unwrap();
@@ -187,165 +187,165 @@
 
     /// The service takes a write and the connection dies before the answer. A client that
     /// repeats it by itself writes twice; one that reports a failure makes its caller do so.
-    lost_answer_is_unknown_and_not_repeated(kv) {
-        let store = Store::new(vec![kv.addr, kv.addr], PATIENT).await;
-        kv.fault(json!({"lose_answers": 1, "lose_key": "a"})).await;
-        store.txn(only(put("b", b"1"))).await.unwrap();
-        let lost = store.txn(only(put("a", b"1"))).await.unwrap_err();
+    lost_reply_is_unknown_and_not_retried(kv) {
+        let store = Store::new(vec![kv.addr, kv.addr], CALL_TIMEOUT).await;
+        kv.set_faults(json!({"lose_answers": 1, "lose_key": "a"})).await;
+        store.txn(single_op(put("b", b"1"))).await.unwrap();
+        let lost = store.txn(single_op(put("a", b"1"))).await.unwrap_err();
         assert_matches!(lost, StoreError::Unknown { .. });
         assert_eq!(lost.ran(), Ran::Unknown);
-        let found = store.range(key("a")).await.unwrap();
+        let found = store.range(key_span("a")).await.unwrap();
         assert_eq!(values(&found.pairs), [("a", &b"1"[..])]);
-        assert_eq!(kv.ask(Method::GET, "/calls", json!(null)).await["txn"], 2);
+        assert_eq!(kv.request(Method::GET, "/calls", json!(null)).await["txn"], 2);
         assert_eq!((store.calls().txn, store.calls().unknown), (2, 1));
     }
 
     /// The service has no leader: at first it says so, later it does not even answer. A host
     /// that takes the silent case for a refusal gives the same order twice.
     outage_refuses_or_hangs(kv) {
-        let store = kv.store(PATIENT).await;
-        let mut watch = store.watch(key("a"), 1).await.unwrap();
-        kv.fault(json!({"down": true})).await;
-        assert_matches!(changes(&mut watch).await, Err(StoreError::Ended { .. }));
-        let err = store.txn(only(put("a", b"1"))).await.unwrap_err();
+        let store = kv.store(CALL_TIMEOUT).await;
+        let mut watch = store.watch(key_span("a"), 1).await.unwrap();
+        kv.set_faults(json!({"down": true})).await;
+        assert_matches!(next_changes(&mut watch).await, Err(StoreError::Ended { .. }));
+        let err = store.txn(single_op(put("a", b"1"))).await.unwrap_err();
         assert_matches!(err, StoreError::Refused { status: 503, .. });
         assert_eq!(err.ran(), Ran::No);
-        kv.fault(json!({"down": "hang"})).await;
-        let hasty = kv.store(HASTY).await;
-        let err = hasty.txn(only(put("a", b"2"))).await.unwrap_err();
+        kv.set_faults(json!({"down": "hang"})).await;
+        let short_timeout = kv.store(SHORT_CALL_TIMEOUT).await;
+        let err = short_timeout.txn(single_op(put("a", b"2"))).await.unwrap_err();
         assert_eq!(err.ran(), Ran::Unknown);
-        kv.fault(json!({"down": false})).await;
-        assert!(store.range(key("a")).await.unwrap().pairs.is_empty());
+        kv.set_faults(json!({"down": false})).await;
+        assert!(store.range(key_span("a")).await.unwrap().pairs.is_empty());
     }
 
-    moves_on_from_a_dead_endpoint(kv) {
+    fails_over_from_an_unreachable_endpoint(kv) {
         // Bound and not listening: the port stays taken and refuses connections.
-        let dead = TcpSocket::new_v4().unwrap();
-        dead.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        let dead_addr = dead.local_addr().unwrap();
-        let store = Store::new(vec![dead_addr, kv.addr], PATIENT).await;
-        store.txn(only(put("a", b"1"))).await.unwrap();
-        store.range(key("a")).await.unwrap();
+        let unreachable = TcpSocket::new_v4().unwrap();
+        unreachable.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+        let unreachable_addr = unreachable.local_addr().unwrap();
+        let store = Store::new(vec![unreachable_addr, kv.addr], CALL_TIMEOUT).await;
+        store.txn(single_op(put("a", b"1"))).await.unwrap();
+        store.range(key_span("a")).await.unwrap();
         assert_eq!((store.calls().txn, store.calls().range, store.calls().refused), (2, 1, 1));
-        let none = Store::new(vec![dead_addr], PATIENT).await;
-        let err = none.txn(only(put("a", b"2"))).await.unwrap_err();
+        let unreachable_only = Store::new(vec![unreachable_addr], CALL_TIMEOUT).await;
+        let err = unreachable_only.txn(single_op(put("a", b"2"))).await.unwrap_err();
         assert_matches!(err, StoreError::Unsent { .. });
     }
 
-    lease_takes_its_keys_along(kv) {
-        let store = kv.store(PATIENT).await;
+    ended_lease_deletes_its_keys(kv) {
+        let store = kv.store(CALL_TIMEOUT).await;
         let kept = store.grant(Duration::from_secs(10_000)).await.unwrap();
         assert_eq!(store.keepalive(kept).await.unwrap(), Some(Duration::from_secs(10_000)));
-        store.txn(only(leased("b", b"1", kept))).await.unwrap();
+        store.txn(single_op(put_with_lease("b", b"1", kept))).await.unwrap();
         store.revoke(kept).await.unwrap();
         store.revoke(kept).await.unwrap();
-        assert!(store.range(key("b")).await.unwrap().pairs.is_empty());
+        assert!(store.range(key_span("b")).await.unwrap().pairs.is_empty());
 
         // On a busy machine the lease may lapse before it is used: try until one was used.
         let (lease, written) = loop {
             let lease = store.grant(Duration::from_secs(10)).await.unwrap();
-            if let Ok(written) = store.txn(only(leased("a", b"1", lease))).await {
+            if let Ok(written) = store.txn(single_op(put_with_lease("a", b"1", lease))).await {
                 break (lease, written);
             }
         };
-        let mut watch = store.watch(key("a"), written.revision + 1).await.unwrap();
-        let gone = changes(&mut watch).await.unwrap();
-        assert_matches!(&*gone, [Change { value: None, .. }]);
+        let mut watch = store.watch(key_span("a"), written.revision + 1).await.unwrap();
+        let deleted = next_changes(&mut watch).await.unwrap();
+        assert_matches!(&*deleted, [Change { value: None, .. }]);
         assert_eq!(store.keepalive(lease).await.unwrap(), None);
     }
 
-    watch_starts_in_the_past(kv) {
-        let store = kv.store(PATIENT).await;
-        let first = store.txn(only(put("p/a", b"1"))).await.unwrap().revision;
-        store.txn(only(put("q", b"1"))).await.unwrap();
-        store.txn(only(Op::Delete(key("p/a")))).await.unwrap();
+    watch_starts_at_a_past_revision(kv) {
+        let store = kv.store(CALL_TIMEOUT).await;
+        let first = store.txn(single_op(put("p/a", b"1"))).await.unwrap().revision;
+        store.txn(single_op(put("q", b"1"))).await.unwrap();
+        store.txn(single_op(Op::Delete(key_span("p/a")))).await.unwrap();
         let mut watch = store.watch(Span::Prefix("p/".into()), first).await.unwrap();
         assert_eq!(store.calls().open_watches, 1);
         for (value, modified) in [(Some(Bytes::from_static(b"1")), first), (None, first + 2)] {
             let change = Change { key: "p/a".into(), value, mod_revision: modified };
-            assert_eq!(changes(&mut watch).await.unwrap(), [change]);
+            assert_eq!(next_changes(&mut watch).await.unwrap(), [change]);
         }
         let quiet = watch.next().await.unwrap();
         assert_eq!((quiet.revision, quiet.changes.len()), (first + 2, 0));
         drop(watch);
         assert_eq!(store.calls().open_watches, 0);
-        while kv.ask(Method::GET, "/calls", json!(null)).await["waiting"] != 0 {
+        while kv.request(Method::GET, "/calls", json!(null)).await["waiting"] != 0 {
             tokio::task::yield_now().await;
         }
 
         for _ in 0..8 {
-            store.txn(only(put("q", b"1"))).await.unwrap();
+            store.txn(single_op(put("q", b"1"))).await.unwrap();
         }
-        let mut late = store.watch(key("q"), first).await.unwrap();
-        assert_matches!(late.next().await, Err(StoreError::Compacted { oldest }) => {
+        let mut compacted = store.watch(key_span("q"), first).await.unwrap();
+        assert_matches!(compacted.next().await, Err(StoreError::Compacted { oldest }) => {
             assert!(oldest > first);
         });
     }
 
     /// Something between the two ends loses track of a connection: it stays open and nothing
     /// comes through. A host would go on with old lists, with no error to see.
-    frozen_watch_is_noticed(kv) {
-        let store = kv.store(PATIENT).await;
-        let brief = store.clone().with_watch_timeout(SILENCE);
-        let mut watch = brief.watch(key("a"), 1).await.unwrap();
-        kv.fault(json!({"freeze_watches": true})).await;
-        let written = store.txn(only(put("a", b"1"))).await.unwrap().revision;
-        assert_matches!(changes(&mut watch).await, Err(StoreError::WatchTimeout { .. }));
-        let mut anew = store.watch(key("a"), written).await.unwrap();
-        assert_eq!(changes(&mut anew).await.unwrap()[0].mod_revision, written);
+    frozen_watch_times_out(kv) {
+        let store = kv.store(CALL_TIMEOUT).await;
+        let short_timeout = store.clone().with_watch_timeout(WATCH_TIMEOUT);
+        let mut watch = short_timeout.watch(key_span("a"), 1).await.unwrap();
+        kv.set_faults(json!({"freeze_watches": true})).await;
+        let written = store.txn(single_op(put("a", b"1"))).await.unwrap().revision;
+        assert_matches!(next_changes(&mut watch).await, Err(StoreError::WatchTimeout { .. }));
+        let mut reopened = store.watch(key_span("a"), written).await.unwrap();
+        assert_eq!(next_changes(&mut reopened).await.unwrap()[0].mod_revision, written);
     }
 
     /// Watches hold their connections for good. With a small pool the calls behind them wait
     /// for a free one until they time out, and the store looks down.
-    watches_leave_room_for_calls(kv) {
-        let store = kv.store(PATIENT).await;
+    watches_do_not_exhaust_the_connection_pool(kv) {
+        let store = kv.store(CALL_TIMEOUT).await;
         let mut open = Vec::new();
         for _ in 0..20 {
-            open.push(store.watch(key("a"), 1).await.unwrap());
+            open.push(store.watch(key_span("a"), 1).await.unwrap());
         }
         let calls = (0..20).map(async |turns| {
             // One starts while the connection of the one before is being made.
             for _ in 0..turns {
                 tokio::task::yield_now().await;
             }
-            store.range(key("a")).await
+            store.range(key_span("a")).await
         });
         for found in futures_util::future::join_all(calls).await {
             assert!(found.unwrap().pairs.is_empty());
         }
-        assert_eq!(kv.ask(Method::GET, "/calls", json!(null)).await["waiting"], 20);
+        assert_eq!(kv.request(Method::GET, "/calls", json!(null)).await["waiting"], 20);
     }
 
     values_up_to_a_megabyte(kv) {
-        let store = kv.store(PATIENT).await;
+        let store = kv.store(CALL_TIMEOUT).await;
         let mut value = vec![7; 1024 * 1024];
-        store.txn(only(put("a", &value))).await.unwrap();
-        assert_eq!(store.range(key("a")).await.unwrap().pairs[0].value, value);
+        store.txn(single_op(put("a", &value))).await.unwrap();
+        assert_eq!(store.range(key_span("a")).await.unwrap().pairs[0].value, value);
         value.push(7);
-        let err = store.txn(only(put("a", &value))).await.unwrap_err();
+        let err = store.txn(single_op(put("a", &value))).await.unwrap_err();
         assert_matches!(err, StoreError::Refused { status: 400, .. });
     }
 
     lists_hosts_and_servers(kv) {
-        let store = kv.store(PATIENT).await;
+        let store = kv.store(CALL_TIMEOUT).await;
         let list = json!([
             {"name": "h1", "kind": "host", "addr": "127.0.0.1:1", "domain": "d1", "state": "live"},
             {"name": "e1", "kind": "engine", "pool": "p", "addr": "127.0.0.1:2", "domain": "d2",
              "state": "leaving"},
         ]);
-        kv.ask(Method::PUT, "/hosts", list).await;
+        kv.request(Method::PUT, "/hosts", list).await;
         let listed = store.hosts(kv.addr).await.unwrap();
         assert_eq!((&*listed[0].name, listed[0].kind), ("h1", ListEntryKind::Host));
         assert_eq!((&*listed[1].pool, listed[1].state), ("p", ListEntryState::Leaving));
-        kv.fault(json!({"lag_ms": 3_600_000})).await;
+        kv.set_faults(json!({"lag_ms": 3_600_000})).await;
         assert!(store.hosts(kv.addr).await.unwrap().is_empty());
-        kv.fault(json!({"hosts_down": true})).await;
+        kv.set_faults(json!({"hosts_down": true})).await;
         assert_matches!(store.hosts(kv.addr).await, Err(StoreError::Refused { .. }));
     }
 }
 
 /// Answers every connection with `answer` and closes it; counts the connections.
-async fn broken(answer: String) -> (SocketAddr, std::rc::Rc<std::cell::Cell<usize>>) {
+async fn malformed_server(answer: String) -> (SocketAddr, std::rc::Rc<std::cell::Cell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let count = std::rc::Rc::new(std::cell::Cell::new(0));
@@ -353,11 +353,11 @@
     ntex::rt::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             seen.set(seen.get() + 1);
-            let mut asked = Vec::new();
+            let mut request = Vec::new();
             // The calls here end with their JSON body.
-            while !asked.ends_with(b"}") {
-                let got = stream.read_buf(&mut asked).await.unwrap();
-                assert!(got > 0, "the request was cut short");
+            while !request.ends_with(b"}") {
+                let read = stream.read_buf(&mut request).await.unwrap();
+                assert!(read > 0, "the request was cut short");
             }
             stream.write_all(answer.as_bytes()).await.unwrap();
         }
@@ -366,37 +366,37 @@
 }
 
 /// Runs one write against a broken answer; it must be sent once and end as `$want`.
-macro_rules! broken {
-    ($($name:ident($status:expr, $body:expr) => $want:pat,)*) => {
+macro_rules! malformed {
+    ($($name:ident($status:expr, $body:expr) => $expected:pat,)*) => {
         $(#[test] fn $name() {
-            drive(async {
+            run_case(async {
                 let length = $body.len();
                 let answer = format!("HTTP/1.1 {}\r\ncontent-length: {length}\r\n\r\n{}", $status, $body);
                 let answer = if $status.is_empty() { $body.to_string() } else { answer };
-                let (addr, count) = broken(answer).await;
-                let store = Store::new(vec![addr, addr], PATIENT).await;
-                let done = store.txn(only(put("a", b"1"))).await;
-                assert_matches!(done, Err($want));
+                let (addr, count) = malformed_server(answer).await;
+                let store = Store::new(vec![addr, addr], CALL_TIMEOUT).await;
+                let done = store.txn(single_op(put("a", b"1"))).await;
+                assert_matches!(done, Err($expected));
                 assert_eq!(count.get(), 1);
             });
         })*
     };
 }
 
-broken! {
+malformed! {
     no_answer("", "") => StoreError::Unknown { .. },
     not_http("", "hello\r\n\r\n") => StoreError::Malformed { .. },
     cut_short("", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{") => StoreError::Unknown { .. },
     not_json("200 OK", "hello") => StoreError::Malformed { .. },
     no_header("200 OK", "{}") => StoreError::Malformed { .. },
-    too_few_answers("200 OK", r#"{"header":{"revision":"2"},"succeeded":true}"#)
+    missing_responses("200 OK", r#"{"header":{"revision":"2"},"succeeded":true}"#)
         => StoreError::Malformed { .. },
-    other_answer("200 OK", r#"{"header":{"revision":2},"succeeded":true,
+    wrong_response_type("200 OK", r#"{"header":{"revision":2},"succeeded":true,
         "responses":[{"response_range":{}}]}"#) => StoreError::Malformed { .. },
-    odd_number("200 OK", r#"{"header":{"revision":"two"}}"#) => StoreError::Malformed { .. },
+    non_numeric_revision("200 OK", r#"{"header":{"revision":"two"}}"#) => StoreError::Malformed { .. },
     server_error("503 Busy", r#"{"message":"etcdserver: request timed out","code":14}"#)
         => StoreError::Unknown { .. },
     redirect("307 Elsewhere\r\nlocation: /", "") => StoreError::Unknown { .. },
-    too_old("400 Bad", r#"{"message":"required revision has been compacted","code":11}"#)
+    compacted_revision("400 Bad", r#"{"message":"required revision has been compacted","code":11}"#)
         => StoreError::Compacted { .. },
 }
