--- a/tests/relay/era.rs
+++ b/tests/relay/era.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy: what was written since is lost, and revisions are given out again.
+//! Restores of the store from an older copy: later writes are lost, and their revisions are assigned again.
 
 use serde_json::Value;
 
@@ -6,10 +6,10 @@
 use super::standin::{Engine, SHORT_PROMPT, config};
 use super::{Site, is_listed_as, is_listed_ready, wait_for};
 
-/// Requests by which a host shows which servers it uses.
+/// Requests sent to find out which servers a host uses.
 const REQUESTS: usize = 20;
 
-/// Returns how many of some requests a server gets.
+/// Sends [`REQUESTS`] requests; returns how many reach the server.
 fn count_served(site: &Site, server: &Engine) -> usize {
     let before = server.request_heads("/once/x").len();
     for _ in 0..REQUESTS {
@@ -18,35 +18,35 @@
     server.request_heads("/once/x").len() - before
 }
 
-/// A server reports that it leaves, and the store comes back from a copy in which it is ready. Guards against
-/// sending it requests by that.
+/// A server reports that it is draining, and the store is restored from a copy in which it is ready.
+/// Guards against a host that uses the restored entry and sends it requests again.
 #[test]
 fn a_draining_server_gets_no_requests_after_a_restore() {
     let (one, two) = (Engine::plain("s-1"), Engine::plain("s-2"));
     let site = Site::ready(&[&one, &two]);
-    let copy = site.store.revision();
+    let restore_revision = site.store.revision();
     site.store.put("servers/s-1", &one.entry("draining"));
-    // A faster server gets all requests before the change is read, too: the record shows that it was read.
-    wait_for("the server's leaving", || {
+    // The other server may be faster and get every request before the change is read: the log shows the read.
+    wait_for("the first server to be listed as leaving", || {
         is_listed_as(&site.log(), "s-1", "leaving") && count_served(&site, &one) == 0
     });
-    site.store.restore(copy);
-    // The host has read the copy once it knows a server that came after it.
+    site.store.restore(restore_revision);
+    // The host has read the restored copy once it lists a server added after the restore.
     let three = Engine::plain("s-3");
     site.store.put("servers/s-3", &three.entry("ready"));
-    let known = holds_within_renewals(&site, || is_listed_ready(&site.log(), "s-3"));
-    assert!(known, "the copy is never read:\n{}", site.log());
-    // A slower server is chosen second: the other one leaves, so that nothing else could be chosen.
+    let applied = holds_within_renewals(&site, || is_listed_ready(&site.log(), "s-3"));
+    assert!(applied, "the restored copy was not read:\n{}", site.log());
+    // The other server drains, too: if it is faster, the first one would get no requests even if used.
     site.store.put("servers/s-2", &two.entry("draining"));
-    wait_for("the other's leaving", || {
+    wait_for("the second server to be listed as leaving", || {
         is_listed_as(&site.log(), "s-2", "leaving") && count_served(&site, &two) == 0
     });
     assert_eq!(count_served(&site, &one), 0, "{}", site.log());
     assert_eq!(count_served(&site, &three), REQUESTS);
 }
 
-/// The store comes back from an older copy, and other writes use up the revisions that the host knows. Guards
-/// against a watch that goes on from there and misses what they wrote.
+/// The store is restored from an older copy, and new writes reuse revisions that the host has already read.
+/// Guards against a watch that continues from its last revision and misses those writes.
 #[test]
 fn a_change_at_a_reused_revision_is_applied() {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
@@ -58,24 +58,28 @@
     for _ in 0..4 {
         site.store.put("servers/s-1", &plain.entry("ready"));
     }
-    wait_for("a later change", || {
+    wait_for("a configuration at a later revision", || {
         site.store.put("op/config", &config(2, "/second/"));
         status("/second/x") == Some(200)
     });
-    let known = site.store.revision();
+    let last_read = site.store.revision();
     site.store.go_down();
     site.store.restore(0);
     site.store.rewrite_lost();
     site.store.put("op/config", &config(3, "/new/"));
-    while site.store.revision() <= known {
+    while site.store.revision() <= last_read {
         site.store.put("servers/s-1", &plain.entry("ready"));
     }
     site.store.recover();
-    let known = holds_within_renewals(&site, || status("/new/x") == Some(200));
-    assert!(known, "the change is never known:\n{}", site.log());
+    let applied = holds_within_renewals(&site, || status("/new/x") == Some(200));
+    assert!(
+        applied,
+        "the change was not applied after the restore:\n{}",
+        site.log()
+    );
 }
 
-/// The store holds an older configuration for a moment after it came back. Guards against putting that in force.
+/// The store holds an older configuration after a restore. Guards against a host that puts it in force.
 #[test]
 fn a_restore_does_not_roll_back_the_configuration() {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
@@ -84,29 +88,29 @@
         site.send(path, "id", &SHORT_PROMPT)
             .map(|answer| answer.status)
     };
-    let copy = site.store.revision();
+    let restore_revision = site.store.revision();
     site.store.put("op/config", &config(2, "/new/"));
     wait_for("the new route", || status("/new/x") == Some(200));
-    site.store.restore(copy);
+    site.store.restore(restore_revision);
     let two = Engine::plain("s-2");
     site.store.put("servers/s-2", &two.entry("ready"));
-    let known = holds_within_renewals(&site, || {
+    let applied = holds_within_renewals(&site, || {
         assert_eq!(status("/new/x"), Some(200));
         is_listed_ready(&site.log(), "s-2")
     });
-    assert!(known, "the copy is never read:\n{}", site.log());
+    assert!(applied, "the restored copy was not read:\n{}", site.log());
     assert_eq!(status("/new/x"), Some(200));
 }
 
-/// Engines have seen the host's fencing number, and the store goes back to revisions below it. Guards against orders
-/// that engines refuse for good, or that go back behind earlier ones.
+/// Engines have seen the host's fencing token, and a restore takes the store to lower revisions. Guards against
+/// tokens below earlier ones: engines would reject every later order.
 #[test]
 fn fencing_tokens_increase_across_a_restore() {
     let engines: Vec<Engine> = (1..=4)
         .map(|n| Engine::model(&format!("d-{n}"), "decode"))
         .collect();
     let site = Site::new();
-    // The copy that the store comes back from is older than the authority.
+    // These writes give the authority a higher revision than the store has after the restore.
     for n in 0..50 {
         site.store
             .put("servers/none", &serde_json::json!({ "n": n }));
@@ -120,12 +124,12 @@
             .filter_map(|order: Value| order["fencingToken"].as_u64())
             .collect()
     };
-    wait_for("an order", || !fencing_tokens().is_empty());
+    wait_for("a stage order", || !fencing_tokens().is_empty());
     let highest = fencing_tokens().into_iter().max().expect("an order");
     let before = fencing_tokens().len();
     site.store.restore(0);
     site.store.rewrite_lost();
-    // More engines decode than should, so that some are ordered again.
+    // Too many engines decode, so that the host orders some to prefill.
     let more: Vec<Engine> = (5..=12)
         .map(|n| Engine::model(&format!("d-{n}"), "decode"))
         .collect();
@@ -144,10 +148,10 @@
             .chain(later)
             .collect()
     };
-    wait_for("another order", || !later().is_empty());
+    wait_for("a stage order after the restore", || !later().is_empty());
     assert!(
         later().iter().all(|fence| *fence > highest),
-        "{:?} after {highest}",
+        "fencing tokens {:?}, expected all above {highest}",
         later()
     );
 }
--- a/tests/relay/hang.rs
+++ b/tests/relay/hang.rs
@@ -1,43 +1,43 @@
-//! A store that falls silent: it takes calls and answers none, and the connections on which they came
-//! live on and bring nothing, also after it answers again.
+//! A store that hangs: it accepts calls and answers none. Connections opened meanwhile stay open without
+//! data, also after the store has recovered.
 
 use serde_json::Value;
 
 use super::standin::{Engine, SHORT_PROMPT, config};
 use super::{Site, wait_for};
 
-/// Writes a key while the store is silent, and has it answer again once the host's watch is lost.
+/// Writes a key while the store hangs, and lets the store recover once the host's watch hangs, too.
 fn put_while_hung(site: &Site, key: &str, value: &Value) {
     let before = site.store.hung_watches();
     site.store.hang();
     site.store.put(key, value);
-    wait_for("a lost watch", || site.store.hung_watches() > before);
+    wait_for("a hung watch", || site.store.hung_watches() > before);
     site.store.recover();
 }
 
-/// Key of the host's registration, whose lease it renews each four seconds.
+/// Key of the host's registration; the host renews its lease every four seconds.
 const HOST_KEY: &str = "chiveway/hosts/host-1";
-/// Renewals after the store's return before which the host must know what the store knows. The
-/// first may come at any moment.
+/// Lease renewals after the store's recovery within which the host must read the current state. The first
+/// may follow at once.
 const MAX_RENEWALS: u32 = 2;
 
-/// Waits until the store has answered those renewals, or something holds; tells whether it held.
+/// Waits until `holds` returns true or the store has answered [`MAX_RENEWALS`]; returns whether it held.
 pub fn holds_within_renewals(site: &Site, mut holds: impl FnMut() -> bool) -> bool {
-    // A store that came back from an older copy may have lost the lease, and its renewals with it.
-    wait_for("the registration", || {
+    // A restored store may have lost the lease, and the count of its renewals with it.
+    wait_for("the registration of the host", || {
         site.store.created(HOST_KEY).is_some()
     });
     let end = site.store.renewals(HOST_KEY) + MAX_RENEWALS;
     let mut held = false;
-    wait_for("the renewals", || {
+    wait_for("the lease renewals", || {
         held = holds();
         held || site.store.renewals(HOST_KEY) >= end
     });
     held
 }
 
-/// The store falls silent, and the operator changes the configuration meanwhile. A watch that was lost
-/// then kept the old version in force, and refused an added route as unknown.
+/// The operator changes the configuration while the store hangs. Guards against a host that waits on its
+/// hung watch, keeps the old version in force and answers 404 on a new route.
 #[test]
 fn a_change_made_while_the_store_hangs_is_applied() {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
@@ -48,16 +48,16 @@
     };
     assert_eq!(status("/new/x"), Some(404));
     put_while_hung(&site, "op/config", &config(2, "/new/"));
-    let known = holds_within_renewals(&site, || status("/new/x") == Some(200));
+    let applied = holds_within_renewals(&site, || status("/new/x") == Some(200));
     assert!(
-        known,
-        "the watch that was lost still waits:\n{}",
+        applied,
+        "the host still waits on the hung watch:\n{}",
         site.log()
     );
 }
 
-/// The store falls silent, and a backend server announces meanwhile that it leaves. Callers were still
-/// sent to the server when it ended, and their requests failed: the same lost watch.
+/// A backend server starts to drain while the store hangs. Guards against a host that waits on its hung
+/// watch and sends requests to the server when it ends, so that they fail.
 #[test]
 fn a_server_draining_while_the_store_hangs_gets_no_new_requests() {
     let (one, two) = (Engine::plain("s-1"), Engine::plain("s-2"));
@@ -69,9 +69,13 @@
         }
         server.request_heads("/once/x").len() - before
     };
-    let leaving = if count_served(&one) > 0 { &one } else { &two };
-    let key = format!("servers/{}", leaving.id);
-    put_while_hung(&site, &key, &leaving.entry("draining"));
-    let left = holds_within_renewals(&site, || count_served(leaving) == 0);
-    assert!(left, "the watch that was lost still waits:\n{}", site.log());
+    let draining = if count_served(&one) > 0 { &one } else { &two };
+    let key = format!("servers/{}", draining.id);
+    put_while_hung(&site, &key, &draining.entry("draining"));
+    let drained = holds_within_renewals(&site, || count_served(draining) == 0);
+    assert!(
+        drained,
+        "the host still waits on the hung watch:\n{}",
+        site.log()
+    );
 }
--- a/tests/relay/limit.rs
+++ b/tests/relay/limit.rs
@@ -1,4 +1,4 @@
-//! Two hosts before servers of which one names a limit.
+//! Two hosts in front of two servers, one of which sets a rate limit.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,14 @@
 use super::watcher::SecondHost;
 use super::{LOG_FILE, Site, http, is_listed_ready, wait_for};
 
-/// Requests at each host.
+/// Requests sent to each host.
 const REQUESTS: usize = 30;
-/// Time that an answer of the slower server takes.
+/// Response time of the slower server.
 const SLOW_DELAY: Duration = Duration::from_millis(60);
-/// Seconds between two requests by which it is learned whether a limit of zero has ended.
+/// Seconds between probe requests to a server whose limit is zero.
 const RECHECK_INTERVAL_SECS: u64 = 10;
 
-/// Returns where a host's log says that a server's limit is known from.
+/// Returns the source of a server's limit, as logged by a host.
 fn limit_source(log: &str, id: &str) -> Option<String> {
     let events = log
         .lines()
@@ -25,20 +25,20 @@
     Some(limit["source"].as_str()?.to_owned())
 }
 
-/// A server names a limit of zero in an answer to one host. Guards against the other host sending it requests
-/// because nobody named the limit to it.
+/// A server sends a limit of zero in an answer to one host. Guards against the other host, which has not
+/// received the limit, sending it requests.
 #[test]
 fn a_limit_sent_to_one_host_applies_at_both() {
-    let (limited, free) = (Engine::plain("s-1"), Engine::plain("s-2"));
-    let site = Site::ready(&[&limited, &free]);
+    let (limited, unlimited) = (Engine::plain("s-1"), Engine::plain("s-2"));
+    let site = Site::ready(&[&limited, &unlimited]);
     let second = SecondHost::start(&site);
-    wait_for("the second host's view", || {
+    wait_for("both servers in the second host's view", || {
         let log = second.folder.read(LOG_FILE);
         is_listed_ready(&log, "s-1") && is_listed_ready(&log, "s-2")
     });
     limited.set_limit("0");
     // The other server is slower, so that requests go to the limited one first.
-    free.set_delay(SLOW_DELAY);
+    unlimited.set_delay(SLOW_DELAY);
     wait_for("the limit at the first host", || {
         site.send("/once/x", "id", &[]).expect("an answer");
         limit_source(&site.log(), "s-1").is_some()
@@ -50,7 +50,7 @@
         limit_source(&second.folder.read(LOG_FILE), "s-1").as_deref(),
         Some("host-1")
     );
-    free.set_delay(Duration::ZERO);
+    unlimited.set_delay(Duration::ZERO);
     let start = Instant::now();
     let before = limited.request_heads("/once/x").len();
     let headers = [
@@ -65,5 +65,8 @@
     }
     let sent = limited.request_heads("/once/x").len() - before;
     let allowed = 1 + start.elapsed().as_secs() / RECHECK_INTERVAL_SECS;
-    assert!(sent as u64 <= allowed, "{sent} sent, {allowed} allowed");
+    assert!(
+        sent as u64 <= allowed,
+        "{sent} requests sent to the limited server, {allowed} allowed"
+    );
 }
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -1,5 +1,5 @@
-//! The real program as a relaying host, before stand-ins of a store, of engines and of a plain
-//! server that speak the users' platform's protocol.
+//! Runs the real program as a relaying host in front of stand-ins of a store, engines and a plain server
+//! that implement the platform's protocol.
 
 mod era;
 mod hang;
@@ -24,28 +24,31 @@
 use process::{Folder, Process};
 use standin::{Engine, LONG_PROMPT, SHORT_PROMPT, Store, config, settings};
 
-/// Bound of any wait; far above what a test waits for.
+/// Time limit of any wait; far above what a test needs.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until something holds.
+/// Polls until `holds` returns true.
 ///
 /// # Panics
 ///
-/// When it does not in [`LIMIT`].
+/// If it does not hold within [`WAIT_TIMEOUT`].
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "{what} did not come about");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Returns whether a host has logged that the list names this backend server as ready.
+/// Returns whether a host has logged this backend server as listed and ready.
 fn is_listed_ready(log: &str, id: &str) -> bool {
     is_listed_as(log, id, "ready")
 }
 
-/// Returns whether a host has logged that the list names this backend server in a state.
+/// Returns whether a host has logged this backend server as listed in a state.
 fn is_listed_as(log: &str, id: &str, state: &str) -> bool {
     let events = log
         .lines()
@@ -54,7 +57,7 @@
     listed.any(|event| event["backend"] == id && event["state"] == state)
 }
 
-/// A host before its stand-ins.
+/// A host and its store.
 struct Site {
     store: Store,
     host: Process,
@@ -63,7 +66,7 @@
     folder: Folder,
 }
 
-/// Name of the file that takes a host's log lines.
+/// File name of a host's log.
 const LOG_FILE: &str = "host.log";
 
 impl Site {
@@ -71,7 +74,7 @@
         Self::with_grace("8s")
     }
 
-    /// Starts a host that is killed so long after it was asked to stop.
+    /// Starts a host with this grace period for a stop.
     fn with_grace(grace: &str) -> Self {
         let store = Store::start();
         let folder = Folder::new();
@@ -98,10 +101,10 @@
         site
     }
 
-    /// Puts a configuration in force and waits until the host is ready and knows every engine.
+    /// Writes a configuration and waits until the host is ready and has every engine listed.
     ///
-    /// A host is ready with the first backend server that it knows; the store may tell of another one
-    /// in its next answer, and a request for that one's service is refused until then.
+    /// A host is ready with its first backend server. The next one may arrive with a later answer of the
+    /// store; requests for its service are refused until then.
     fn configure(&self, engines: &[&Engine]) {
         self.store.put("op/config", &config(1, "/short/"));
         for engine in engines {
@@ -109,7 +112,7 @@
                 .put(&format!("servers/{}", engine.id), &engine.entry("ready"));
         }
         self.wait_ready();
-        wait_for("every engine", || {
+        wait_for("every engine in the list", || {
             let log = self.log();
             engines
                 .iter()
@@ -117,7 +120,7 @@
         });
     }
 
-    /// Returns what the host has logged.
+    /// Returns the host's log.
     fn log(&self) -> String {
         self.folder.read(LOG_FILE)
     }
@@ -129,7 +132,7 @@
         });
     }
 
-    /// Has a caller ask for a stream from an engine, and waits until it is there.
+    /// Requests a stream from another thread, and waits until it has reached the engine.
     fn stream(&self, id: &'static str, engine: &Engine) -> JoinHandle<Option<http::Answer>> {
         let callers = self.callers;
         let running = std::thread::spawn(move || {
@@ -137,7 +140,9 @@
             headers.extend(SHORT_PROMPT);
             http::send(callers, "POST", "/short/x", &headers, b"body")
         });
-        wait_for("the stream", || engine.request_heads("/short/x").len() == 1);
+        wait_for("the stream to reach the engine", || {
+            engine.request_heads("/short/x").len() == 1
+        });
         running
     }
 
@@ -175,18 +180,18 @@
     assert_eq!(
         prefill.request_heads("/long/x").len(),
         1,
-        "the prompt was prefilled apart"
+        "the prompt was not prefilled at the prefill engine"
     );
-    let taken = decode.request_heads("/long/x");
-    assert!(taken[0].contains("x-chiveway-kv-source: "), "{taken:?}");
+    let heads = decode.request_heads("/long/x");
+    assert!(heads[0].contains("x-chiveway-kv-source: "), "{heads:?}");
     let answer = site
         .send("/short/x", "id-3", &SHORT_PROMPT)
         .expect("an answer");
     assert!(answer.whole && answer.text().contains("id: 4"));
 }
 
-/// Callers forge the headers by which hosts speak to engines. Passed on, they would skip the
-/// prefill or take a KV cache of another caller.
+/// A caller sends headers that hosts use internally towards engines. Guards against forwarding them: the
+/// request could skip the prefill or read another caller's KV cache.
 #[test]
 fn internal_headers_from_callers_are_not_forwarded() {
     let plain = Engine::plain("s-1");
@@ -208,7 +213,7 @@
     assert!(!head.contains("kv-fetch"), "{head}");
 }
 
-/// The operator adds a route and drops another. Both are in force soon after the store took it.
+/// The operator adds a route and removes another. Guards against a host that keeps the old routes.
 #[test]
 fn a_new_configuration_replaces_the_routes() {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
@@ -224,18 +229,18 @@
     assert_eq!(status("/short/x"), Some(404));
 }
 
-/// A backend server reports that it is about to end. What was on its way is finished, and nothing
-/// more goes there once the store has told.
+/// A backend server reports that it is draining. Guards against a host that has read this from the store and
+/// still sends it requests, which fail when the server ends.
 #[test]
 fn a_draining_backend_server_gets_no_new_requests() {
     let (one, two) = (Engine::plain("s-1"), Engine::plain("s-2"));
     let site = Site::ready(&[&one, &two]);
     site.store.put("servers/s-1", &one.entry("draining"));
-    // The change is known once a later one is.
+    // The host reads changes in order: it has read this one once a later one is applied.
     site.store.put("op/config", &config(2, "/new/"));
     let decode = Engine::model("d-1", "decode");
     site.store.put("servers/d-1", &decode.entry("ready"));
-    wait_for("the later change", || {
+    wait_for("the later change to be applied", || {
         site.send("/new/x", "id", &SHORT_PROMPT)
             .is_some_and(|answer| answer.status == 200)
     });
@@ -247,8 +252,8 @@
     assert_eq!(two.request_heads("/once/x").len(), 20);
 }
 
-/// All engines decode. The host that holds the authority has some prefill, with a fencing number
-/// that the store gave and the count of orders that the engine told.
+/// All engines decode, so the authority's holder orders some to prefill. Guards against an order without the
+/// fencing token from the store or the order count that the engine reported: it would not be fenced.
 #[test]
 fn stage_orders_carry_the_fencing_token() {
     let engines: Vec<Engine> = (1..=4)
@@ -261,23 +266,23 @@
             .flat_map(|engine| engine.request_bodies("/v1/order"))
             .collect()
     };
-    wait_for("an order", || !orders().is_empty());
+    wait_for("a stage order", || !orders().is_empty());
     let order = orders().remove(0);
     assert_eq!(order["operation"], "stage");
     assert_eq!(order["stage"], "prefill");
     assert_eq!(order["holder"], "host-1");
     assert_eq!(order["expectedRevision"], 0);
-    let fence = order["fencingToken"].as_i64().expect("a fencing number");
+    let fence = order["fencingToken"].as_i64().expect("a fencing token");
     let created = site
         .store
         .created("chiveway/planner")
         .expect("the authority");
-    // The store is in its first era.
+    // The token is the store's era, 1 here, shifted by 40 bits, plus the revision.
     assert_eq!(fence, (1 << 40) + created);
 }
 
-/// An engine breaks off in the middle of an event. A stream that may go on does so elsewhere with
-/// no piece missing or twice; one that may not must look cut.
+/// An engine breaks a stream off in the middle of an event. Guards against missing or duplicate events in a
+/// resumable stream, and against any other stream that looks complete.
 #[test]
 fn a_broken_stream_resumes_or_ends_incomplete() {
     let (one, two) = (
@@ -291,7 +296,7 @@
         .send("/long/x", "id-1", &LONG_PROMPT)
         .expect("an answer");
     assert_eq!((answer.status, answer.whole), (200, false));
-    // Which engine it goes to is the host's choice; the one that goes on does not break off.
+    // The host may choose either engine; a resumed stream does not break off again.
     one.break_after(2);
     two.break_after(2);
     let answer = site
@@ -308,7 +313,7 @@
     assert!(heads.iter().any(|head| head.contains("last-event-id: 2")));
 }
 
-/// A backend server answers a request that it was never asked for in place of this one. Its answer
+/// A backend server answers with the id of another request. Guards against forwarding an answer that
 /// belongs to another caller.
 #[test]
 fn an_answer_to_another_request_is_not_forwarded() {
@@ -320,7 +325,7 @@
     assert!(!answer.text().contains("s-1 /once/x"));
 }
 
-/// The host is asked to stop while a stream runs. The stream is finished, and the process ends.
+/// The host receives SIGTERM while a stream runs. Guards against a stop that cuts the stream or never ends.
 #[test]
 fn a_planned_stop_finishes_running_streams() {
     let decode = Engine::model("d-1", "decode");
@@ -328,30 +333,30 @@
     decode.hold_streams();
     let running = site.stream("id-1", &decode);
     site.host.term();
-    wait_for("unreadiness", || {
+    wait_for("the host to report that it is not ready", || {
         let answer = http::send(site.readiness, "GET", "/v1/readyz", &[], b"");
         answer.is_none_or(|answer| answer.status != 200)
     });
     decode.release_streams();
     let answer = running.join().expect("a caller").expect("an answer");
     assert!(answer.whole && answer.status == 200);
-    wait_for("the end of the process", || site.host.is_over());
+    wait_for("the process to exit", || site.host.is_over());
 }
 
-/// A host's settings change just after its start. It must not end of that: callers that it had
-/// accepted would be cut.
+/// A host receives SIGHUP just after its start. Guards against the signal ending the process, which would cut
+/// accepted connections.
 #[test]
 fn a_reload_just_after_start_does_not_end_the_host() {
     for _ in 0..10 {
         let mut site = Site::new();
         site.host.hup();
         let answer = site.send("/once/x", "id-1", &[]).expect("an answer");
-        assert_eq!(answer.status, 503, "it lives and knows nothing yet");
+        assert_eq!(answer.status, 503, "the host runs without a configuration");
         assert!(!site.host.is_over());
     }
 }
 
-/// A body is larger than the operator allows.
+/// A body exceeds the operator's limit. Guards against sending it to a server all the same.
 #[test]
 fn an_oversized_body_is_rejected_before_it_runs() {
     let plain = Engine::plain("s-1");
@@ -362,8 +367,8 @@
     assert!(plain.request_heads("/once/x").is_empty());
 }
 
-/// The store is away when the host starts. It is not ready, and what it cannot know it does not
-/// call unknown.
+/// The store is down when the host starts. Guards against reporting readiness, and against answering 404 for
+/// a route that the host has not been able to read.
 #[test]
 fn a_host_without_a_store_refuses_with_retry_after() {
     let site = Site::new();
--- a/tests/relay/standin.rs
+++ b/tests/relay/standin.rs
@@ -1,7 +1,7 @@
-//! Stand-ins that speak the platform's protocol: a store, engines, a plain server.
+//! Stand-ins of the platform's services: a store, engines and a plain server.
 //!
-//! A thread for each connection, and a lock around what all of them know: a test drives a handful
-//! of requests, and reads as a script.
+//! Each connection has a thread, and a lock guards the shared state: a test sends few requests and needs no
+//! async runtime.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -15,7 +15,7 @@
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
 
-/// A request as it came.
+/// A received request.
 struct Request {
     method: String,
     path: String,
@@ -74,7 +74,7 @@
     stream.write_all(text.as_bytes()).ok()
 }
 
-/// Serves each connection with a thread; `serve` returns `None` to close the connection.
+/// Serves each connection on its own thread; `serve` returns `None` to close the connection.
 fn listen(
     serve: impl Fn(&Request, &mut TcpStream) -> Option<()> + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -99,16 +99,16 @@
     addr
 }
 
-/// One write: key, value (`None` for a removal), revision, revision of the creation.
+/// One write: key, value (`None` for a deletion), revision, creation revision.
 type Change = (String, Option<Vec<u8>>, i64, i64);
 
-/// Time between two looks at the leases.
+/// Time between two checks for expired leases.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Start of the keys that the operator and the servers write.
+/// Prefixes of the keys that the operator and the servers write.
 const EXTERNAL_KEY_PREFIXES: [&str; 2] = ["op/", "servers/"];
 
-/// What the store held at a moment.
+/// A snapshot of the store.
 #[derive(Clone, Default)]
 struct Backup {
     revision: i64,
@@ -123,26 +123,26 @@
     revision: i64,
     keys: BTreeMap<String, (Vec<u8>, i64, i64)>,
     history: Vec<Change>,
-    /// Times that it came back from an older copy.
+    /// Number of restores.
     restores: u64,
-    /// Copies of itself, oldest first.
+    /// Snapshots, oldest first.
     backups: Vec<(Instant, Backup)>,
-    /// What the operator and the servers wrote and a restore lost: key and value, `None` for a removal.
+    /// Writes of the operator and the servers that a restore lost: key and value, `None` for a deletion.
     lost_writes: BTreeMap<String, Option<Vec<u8>>>,
     down: bool,
-    /// Whether calls and answers are swallowed, and their connections live on.
+    /// Whether calls and answers are discarded, with their connections left open.
     hung: bool,
-    /// Watches that were swallowed.
+    /// Watches that were discarded.
     hung_watches: u32,
-    /// Renewals answered, by lease.
+    /// Answered renewals, by lease.
     renewals: BTreeMap<i64, u32>,
-    /// Writes that are done and not answered from now on.
+    /// Number of next writes to apply without an answer.
     lost_replies: u32,
-    /// Leases granted yet.
+    /// Id of the last granted lease.
     last_lease: i64,
-    /// Life and end of each lease.
+    /// Duration and expiry of each lease.
     leases: BTreeMap<i64, (Duration, Instant)>,
-    /// Keys that go with a lease.
+    /// Lease of each key that a transaction wrote; 0 for none.
     key_leases: BTreeMap<String, i64>,
 }
 
@@ -156,7 +156,7 @@
         self.last_lease
     }
 
-    /// Keeps a copy of what it holds now.
+    /// Saves a snapshot of the present state.
     fn save_backup(&mut self) {
         let backup = Backup {
             revision: self.revision,
@@ -172,7 +172,7 @@
         self.backups.push((Instant::now(), backup));
     }
 
-    /// Goes back to what it held at a revision, or at its start.
+    /// Restores the snapshot of a revision, or the empty state.
     fn restore(&mut self, revision: i64) {
         let now = Instant::now();
         let older = |(_, backup): &&(Instant, Backup)| backup.revision <= revision;
@@ -208,7 +208,7 @@
             }
         }
         for (key, value) in lost {
-            // What an earlier restore lost is newer than what that one left.
+            // A write that an earlier restore lost is newer than the one that it restored.
             self.lost_writes.entry(key).or_insert(value);
         }
         self.revision = backup.revision;
@@ -220,7 +220,7 @@
             .collect();
     }
 
-    /// Has the operator and the servers write again what a restore lost.
+    /// Repeats the writes of the operator and the servers that a restore lost.
     fn rewrite_lost(&mut self) {
         for (key, value) in std::mem::take(&mut self.lost_writes).into_iter().rev() {
             match value {
@@ -279,7 +279,7 @@
         self.save_backup();
     }
 
-    /// Returns the header that all its answers bear.
+    /// Returns the era header of every answer.
     fn era(&self) -> String {
         format!("store-era: {}\r\n", self.restores + 1)
     }
@@ -319,25 +319,25 @@
         self.state.1.notify_all();
     }
 
-    /// Answers again; what was swallowed meanwhile stays without an answer.
+    /// Answers new calls again; discarded ones remain without an answer.
     pub fn recover(&self) {
         let mut state = self.state.0.lock().expect("the store");
         state.down = false;
         state.hung = false;
     }
 
-    /// Takes every call from now on and answers none, also of those that wait: their connections
-    /// live on and bring nothing, also after the store answers again.
+    /// Accepts every call from now on and answers none, pending ones included: their connections stay open
+    /// without data, also after the store has recovered.
     pub fn hang(&self) {
         self.state.0.lock().expect("the store").hung = true;
     }
 
-    /// Returns how many watches were swallowed.
+    /// Returns how many watches were discarded.
     pub fn hung_watches(&self) -> u32 {
         self.state.0.lock().expect("the store").hung_watches
     }
 
-    /// Returns how many renewals were answered of the lease that a key goes with.
+    /// Returns the number of answered renewals of a key's lease.
     pub fn renewals(&self, key: &str) -> u32 {
         let state = self.state.0.lock().expect("the store");
         let lease = state.key_leases.get(key);
@@ -345,7 +345,7 @@
         renewals.copied().unwrap_or(0)
     }
 
-    /// Carries the next writes out without an answer.
+    /// Applies the next writes without an answer.
     pub fn drop_replies(&self, writes: u32) {
         self.state.0.lock().expect("the store").lost_replies = writes;
     }
@@ -366,14 +366,14 @@
         state.keys.get(key).map(|(.., created)| *created)
     }
 
-    /// Comes back from its copy of a revision; what was written since is lost.
+    /// Restores the snapshot of a revision; later writes are lost.
     pub fn restore(&self, revision: i64) {
         let (state, changed) = &*self.state;
         state.lock().expect("the store").restore(revision);
         changed.notify_all();
     }
 
-    /// Returns the revision that it had so long ago, or 0.
+    /// Returns the revision of `ago` before now, or 0.
     pub fn revision_before(&self, ago: Duration) -> i64 {
         let state = self.state.0.lock().expect("the store");
         let mut backups = state.backups.iter().rev();
@@ -381,7 +381,7 @@
         older.map_or(0, |(_, backup)| backup.revision)
     }
 
-    /// Has the operator and the servers write again what a restore lost, in another order.
+    /// Repeats the writes of the operator and the servers that a restore lost, in another order.
     pub fn rewrite_lost(&self) {
         let (state, changed) = &*self.state;
         state.lock().expect("the store").rewrite_lost();
@@ -393,7 +393,7 @@
         self.state.0.lock().expect("the store").revision
     }
 
-    /// Closes every connection that asks something from now on.
+    /// Closes every connection on its next request.
     pub fn go_down(&self) {
         self.state.0.lock().expect("the store").down = true;
     }
@@ -403,14 +403,14 @@
     json!({"key": key, "value": STANDARD.encode(value), "revision": revision, "created": created})
 }
 
-/// Reads and drops what comes on a connection until the other side closes it.
+/// Reads and discards data on a connection until the peer closes it.
 fn discard(stream: &mut TcpStream) -> Option<()> {
-    // A connection that is reset has ended, too.
+    // A reset also ends the connection.
     let _ended = std::io::copy(stream, &mut std::io::sink());
     None
 }
 
-/// Carries out a transaction; returns the status where it does nothing.
+/// Applies a transaction; returns the status code if it is rejected.
 fn txn(state: &mut StoreState, body: &[u8]) -> Option<Result<(), u16>> {
     let txn: Value = serde_json::from_slice(body).ok()?;
     let holds = txn["expectedRevision"].as_array()?.iter().all(|row| {
@@ -531,20 +531,20 @@
 struct EngineState {
     stage: Option<String>,
     requests: Vec<(String, String, Vec<u8>)>,
-    /// Limit that its answers name, as it is written.
+    /// Value of the limit header in its answers.
     limit: Option<String>,
-    /// Events after which the next stream breaks off.
+    /// Number of events after which the next new stream breaks off.
     break_after: Option<u64>,
-    /// Id under which the next answer is given.
+    /// Request id of the next answer, in place of the real one.
     answer_id: Option<String>,
     held: bool,
-    /// Time that each answer, and each event of a stream, takes.
+    /// Delay of each answer and of each event of a stream.
     delay: Duration,
-    /// Whether the process is gone.
+    /// Whether the process has crashed.
     crashed: bool,
-    /// Orders accepted yet.
+    /// Number of accepted orders.
     orders: u64,
-    /// Highest fencing number seen.
+    /// Highest fencing token received.
     fence: u64,
 }
 
@@ -585,7 +585,7 @@
         }
     }
 
-    /// Returns the entry by which it registers.
+    /// Returns its entry in the store.
     pub fn entry(&self, state: &str) -> Value {
         let stage = self.state.0.lock().expect("the engine").stage.clone();
         let service = if stage.is_some() { "model" } else { "plain" };
@@ -594,7 +594,7 @@
             "born": 1})
     }
 
-    /// Returns the heads of the requests that came for a path.
+    /// Returns the heads of the requests received on a path.
     pub fn request_heads(&self, path: &str) -> Vec<String> {
         let state = self.state.0.lock().expect("the engine");
         let matching = state
@@ -604,7 +604,7 @@
         matching.map(|(_, head, _)| head.clone()).collect()
     }
 
-    /// Returns the bodies that came for a path.
+    /// Returns the JSON bodies received on a path.
     pub fn request_bodies(&self, path: &str) -> Vec<Value> {
         let state = self.state.0.lock().expect("the engine");
         let matching = state
@@ -616,27 +616,27 @@
             .collect()
     }
 
-    /// Breaks the next stream that begins anew off after so many events, in the middle of one.
+    /// Breaks the next new stream off in the middle of the event after `events`.
     pub fn break_after(&self, events: u64) {
         self.state.0.lock().expect("the engine").break_after = Some(events);
     }
 
-    /// Breaks no stream off any more.
+    /// Cancels [`break_after`](Self::break_after).
     pub fn clear_break(&self) {
         self.state.0.lock().expect("the engine").break_after = None;
     }
 
-    /// Names a limit in each answer from now on.
+    /// Adds a limit header to each answer from now on.
     pub fn set_limit(&self, rate: &str) {
         self.state.0.lock().expect("the engine").limit = Some(rate.to_owned());
     }
 
-    /// Answers the next request under another id.
+    /// Answers the next request with another request's id.
     pub fn answer_as(&self, id: &str) {
         self.state.0.lock().expect("the engine").answer_id = Some(id.to_owned());
     }
 
-    /// Returns all requests but reports: path, head and body.
+    /// Returns all requests except load reports: path, head and body.
     pub fn requests(&self) -> Vec<(String, String, Vec<u8>)> {
         let state = self.state.0.lock().expect("the engine");
         let all = state
@@ -646,27 +646,27 @@
         all.cloned().collect()
     }
 
-    /// Returns where it listens.
+    /// Returns its address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets the time that each answer, and each event of a stream, takes.
+    /// Sets the delay of each answer and of each event of a stream.
     pub fn set_delay(&self, delay: Duration) {
         self.state.0.lock().expect("the engine").delay = delay;
     }
 
-    /// Breaks everything off, now and from now on.
+    /// Breaks all streams off and closes every connection on its next request.
     pub fn crash(&self) {
         self.state.0.lock().expect("the engine").crashed = true;
     }
 
-    /// Holds the ends of streams back.
+    /// Holds back the ends of streams.
     pub fn hold_streams(&self) {
         self.state.0.lock().expect("the engine").held = true;
     }
 
-    /// Lets streams end.
+    /// Releases the ends of streams.
     pub fn release_streams(&self) {
         self.state.0.lock().expect("the engine").held = false;
         self.state.1.notify_all();
@@ -743,7 +743,7 @@
     stream_events(shared, id, &headers, break_after, last.unwrap_or(0), stream)
 }
 
-/// Takes an order; returns the status.
+/// Applies an order; returns the status code.
 fn apply_order(state: &mut EngineState, body: &[u8]) -> Option<u16> {
     let order: Value = serde_json::from_slice(body).ok()?;
     let fence = order["fencingToken"].as_u64()?;
@@ -762,7 +762,7 @@
     Some(202)
 }
 
-/// Streams the events after `last`; breaks off in the middle of one where it is to.
+/// Streams the events after `last`; breaks off in the middle of the one after `break_after`.
 fn stream_events(
     shared: &Arc<(Mutex<EngineState>, Condvar)>,
     id: &str,
@@ -800,7 +800,7 @@
     chunk("")
 }
 
-/// Settings of a host that follows the store at this address.
+/// Settings of a host that uses the store at this address.
 pub fn settings(name: &str, store: SocketAddr) -> String {
     format!(
         "[relay]\nname = {name}\nregion = r\ndomain = z\ncallers = 127.0.0.1:0\n\
@@ -809,7 +809,7 @@
     )
 }
 
-/// A configuration with a route for each kind of request; the short streams stand at `short`.
+/// A configuration with a route for each kind of request; `short` is the route of resumable streams.
 pub fn config(version: u64, short: &str) -> Value {
     let route = |prefix: &str, kind: &str, service: &str| {
         json!({"name": prefix, "hostname": "127.0.0.1", "prefix": prefix, "type": kind,
--- a/tests/relay/stop.rs
+++ b/tests/relay/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops of a relaying host, as callers that keep their connections open see them.
+//! Planned stops of a relaying host, seen by callers with keep-alive connections.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -8,13 +8,13 @@
 use super::standin::{Engine, SHORT_PROMPT};
 use super::{Site, WAIT_TIMEOUT, http, wait_for};
 
-/// A caller's connection that stays open between requests.
+/// A caller's keep-alive connection.
 struct Connection {
     reader: BufReader<TcpStream>,
 }
 
 impl Connection {
-    /// Opens a connection and has one request answered on it.
+    /// Opens a connection and completes one request on it.
     fn open(site: &Site) -> Self {
         let stream = TcpStream::connect(site.callers).expect("a connection");
         stream
@@ -28,23 +28,23 @@
         connection
     }
 
-    /// Writes a request whose answer is one event, as far as the host still takes it.
+    /// Writes a request; a closed connection is ignored.
     fn write_request(&mut self, id: &str) {
-        let usage = SHORT_PROMPT.map(|(name, value)| format!("{name}: {value}\r\n"));
+        let prompt_headers = SHORT_PROMPT.map(|(name, value)| format!("{name}: {value}\r\n"));
         let text = format!(
             "POST /once/x HTTP/1.1\r\nhost: 127.0.0.1\r\nx-chiveway-attempt-id: {id}\r\n\
              x-chiveway-deadline-ms: 8000\r\n{}content-length: 0\r\n\r\n",
-            usage.concat()
+            prompt_headers.concat()
         );
-        // A host that has closed the connection is seen when the answer is read.
+        // Reading the answer shows a closed connection.
         let _closed = self.reader.get_mut().write_all(text.as_bytes());
     }
 
-    /// Reads an answer with its body; `None` where the connection was closed without one.
+    /// Reads an answer with its body; `None` if the connection was closed without one.
     fn read_answer(&mut self) -> Option<Response> {
         let first = http::line(&mut self.reader)?;
         let status = first.split(' ').nth(1)?.parse().ok()?;
-        let mut head = Response {
+        let mut response = Response {
             status,
             ..Response::default()
         };
@@ -57,16 +57,16 @@
             if let Some(value) = line.strip_prefix("content-length: ") {
                 length = value.parse().ok()?;
             }
-            head.closes |= line == "connection: close";
+            response.closes |= line == "connection: close";
         }
         self.reader.read_exact(&mut vec![0; length]).ok()?;
-        Some(head)
+        Some(response)
     }
 
-    /// Waits until the host closes the connection; returns whether it did so without a word.
+    /// Waits until the host closes the connection; returns whether it sent no data before.
     fn closes_without_data(&mut self) -> bool {
         let mut rest = Vec::new();
-        // A reset is an end, too.
+        // A reset also closes the connection.
         let _reset = self.reader.read_until(0, &mut rest);
         rest.is_empty()
     }
@@ -75,11 +75,11 @@
 #[derive(Default)]
 struct Response {
     status: u16,
-    /// Whether the host is going to close the connection.
+    /// Whether the host announced `connection: close`.
     closes: bool,
 }
 
-/// Returns the fields of all log events of this name.
+/// Returns all log events of this name.
 fn events(site: &Site, name: &str) -> Vec<Value> {
     let log = site.log();
     let lines = log
@@ -89,20 +89,23 @@
 }
 
 fn wait_until_refusing(site: &Site) {
-    wait_for("the end of new connections", || {
+    wait_for("the host to refuse new connections", || {
         TcpStream::connect(site.callers).is_err()
     });
 }
 
-/// A caller keeps its connection open and sends nothing while the host is asked to stop. The host
-/// closes the connection and ends, long before it would be killed, and its log says so.
+/// A caller keeps an idle connection open while the host stops. Guards against a stop that waits for the
+/// connection until the grace period ends, and against a log without the reason of the end.
 #[test]
 fn a_stop_closes_idle_connections() {
     let plain = Engine::plain("s-1");
     let mut site = Site::ready(&[&plain]);
     let mut connection = Connection::open(&site);
     site.host.term();
-    assert!(connection.closes_without_data(), "nothing is sent unasked");
+    assert!(
+        connection.closes_without_data(),
+        "the host sent data without a request"
+    );
     assert!(site.host.ended().success());
     let stopped = events(&site, "host.stopped");
     assert_eq!(stopped.len(), 1, "{}", site.log());
@@ -110,9 +113,9 @@
     assert!(events(&site, "host.stop_bound").is_empty());
 }
 
-/// A caller sends on a connection that it kept, after the host has stopped taking connections.
-/// Answered late in the stop, its stream would be cut when the host is killed. It is told that
-/// nothing ran, and to go elsewhere, or finds the connection closed.
+/// A caller sends a request on a keep-alive connection after the host has stopped accepting connections.
+/// Guards against running it: an answer late in the stop would be cut when the host is killed. The host
+/// refuses it as not run and closes the connection, or has closed it already.
 #[test]
 fn a_request_late_in_a_stop_is_refused_or_closed() {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
@@ -123,8 +126,8 @@
     site.host.term();
     wait_until_refusing(&site);
     connection.write_request("late");
-    if let Some(head) = connection.read_answer() {
-        assert_eq!((head.status, head.closes), (503, true));
+    if let Some(response) = connection.read_answer() {
+        assert_eq!((response.status, response.closes), (503, true));
     }
     decode.release_streams();
     let answer = running.join().expect("a caller").expect("an answer");
@@ -133,12 +136,12 @@
     assert_eq!(
         plain.request_heads("/once/x").len(),
         1,
-        "only the first ran"
+        "the late request ran"
     );
 }
 
-/// A stream lasts longer than the host may take to stop. Its log says which request that was, and
-/// the host ends by itself: killed, it would leave no word of what it was doing.
+/// A stream lasts longer than the grace period. Guards against a host that is killed while it waits, which
+/// would leave no log of the running request; it ends by itself and logs the request.
 #[test]
 fn a_stop_at_its_time_limit_logs_the_running_request() {
     let decode = Engine::model("d-1", "decode");
@@ -150,9 +153,9 @@
     assert!(site.host.ended().success());
     let answer = running.join().expect("a caller");
     assert!(answer.is_none_or(|answer| !answer.whole));
-    let bound = events(&site, "host.stop_bound");
-    assert_eq!(bound.len(), 1, "{}", site.log());
-    assert_eq!(bound[0]["running"], "1");
+    let time_limit = events(&site, "host.stop_bound");
+    assert_eq!(time_limit.len(), 1, "{}", site.log());
+    assert_eq!(time_limit[0]["running"], "1");
     let cut = events(&site, "request.cut");
     assert_eq!(cut[0]["id"], "endless");
     let stopped = events(&site, "host.stopped");
@@ -160,13 +163,13 @@
     decode.release_streams();
 }
 
-/// Streams end one after the other while the host stops. Each caller gets its last bytes before
-/// the process is gone, also the one whose end lets the process go.
+/// Streams end one after the other while the host stops. Guards against a process that exits before the last
+/// bytes of the last stream are sent.
 #[test]
 fn the_last_answers_of_a_stop_are_complete() {
     let decode = Engine::model("d-1", "decode");
     let mut site = Site::ready(&[&decode]);
-    // The first connection ends before the stop: what counts connections has been at none once.
+    // One connection ends before the stop, so that the count of connections has been zero once.
     drop(site.send("/short/x", "before", &SHORT_PROMPT));
     decode.hold_streams();
     let callers = site.callers;
@@ -178,7 +181,7 @@
         })
     };
     let running = [send("one"), send("two"), send("three")];
-    wait_for("the streams", || {
+    wait_for("three running streams", || {
         decode.request_heads("/short/x").len() >= 3
     });
     site.host.term();
--- a/tests/relay/watcher.rs
+++ b/tests/relay/watcher.rs
@@ -1,4 +1,4 @@
-//! Two hosts of one failure domain, of which the first follows the store for both.
+//! Two hosts of one failure domain; the first is the watcher of the store for both.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use super::standin::{Engine, SHORT_PROMPT, config, settings};
 use super::{LOG_FILE, Site, wait_for};
 
-/// Renewals of the second host's lease, each four seconds, before which it must know a change. The
-/// first may come at any moment.
+/// Renewals of the second host's lease, one every four seconds, within which it must apply a change. The
+/// first may follow at once.
 const MAX_RENEWALS: u32 = 2;
 
-/// Time between two changes, in which a host learns of one.
+/// Time between two changes, in which the second host reads one.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A second host beside a site's first.
+/// A second host at the store of a [`Site`].
 pub struct SecondHost {
     _host: Process,
     pub callers: SocketAddr,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Tells whether the log names the first host as where the view comes from.
+    /// Returns whether the log names the first host as the source of the view.
     fn uses_first_host(&self) -> bool {
         let log = self.folder.read(LOG_FILE);
         let events = log
@@ -50,7 +50,7 @@
         sources.any(|event| event["source"] == "host-1")
     }
 
-    /// Tells whether a path is served.
+    /// Returns whether a request on a path is served.
     fn serves(&self, path: &str) -> bool {
         let mut headers = vec![
             ("x-chiveway-attempt-id", "id"),
@@ -62,14 +62,14 @@
     }
 }
 
-/// Has the second host learn of changes by the first, then stops that one as given and changes the
+/// Waits until the second host gets changes from the first, then runs `stop` on the first and changes the
 /// configuration.
 fn change_config_after(stop: impl FnOnce(&mut Process)) {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
     let mut site = Site::ready(&[&plain, &decode]);
     let second = SecondHost::start(&site);
     let mut version = 1;
-    wait_for("a change by way of the first host", || {
+    wait_for("a view from the first host", || {
         version += 1;
         site.store.put("op/config", &config(version, "/short/"));
         std::thread::sleep(CHANGE_INTERVAL);
@@ -79,12 +79,12 @@
     stop(&mut site.host);
     site.store.put("op/config", &config(version + 1, "/new/"));
     let end = site.store.renewals("chiveway/hosts/host-2") + MAX_RENEWALS;
-    let mut known = false;
-    wait_for("the renewals", || {
-        known = second.serves("/new/x");
-        known || site.store.renewals("chiveway/hosts/host-2") >= end
+    let mut applied = false;
+    wait_for("the lease renewals", || {
+        applied = second.serves("/new/x");
+        applied || site.store.renewals("chiveway/hosts/host-2") >= end
     });
-    assert!(known, "{}", second.folder.read(LOG_FILE));
+    assert!(applied, "{}", second.folder.read(LOG_FILE));
 }
 
 macro_rules! changes {
@@ -94,8 +94,8 @@
 }
 
 changes! {
-    /// The host that follows the store is killed, and nobody tells the other what changes next.
+    /// The watcher is killed. Guards against the other host waiting for changes that no host sends.
     a_change_after_the_watcher_crashes_is_applied: Process::kill;
-    /// The host that follows the store stands still, and its watch with it.
+    /// The watcher is frozen and its watch with it. Guards against the other host waiting for its changes.
     a_change_while_the_watcher_is_frozen_is_applied: |host: &mut Process| host.freeze();
 }
