--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a play: they send all the while, and note what came of each request.
+//! Callers that send requests throughout the run of a seed and record the answers.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
@@ -12,13 +12,13 @@
 use crate::standin::{LONG_PROMPT, SHORT_PROMPT};
 use crate::{WAIT_TIMEOUT, http};
 
-/// Renewals of a host's lease, four seconds apart, within which it must know what the store knows.
+/// Renewals of a host's lease, one every four seconds, within which it must read the current state.
 const MAX_RENEWALS: u32 = 2;
-/// Pause of a caller between two requests.
+/// Time between two requests of a caller.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
 impl Cluster {
-    /// Watches which configuration a host has in force, until the play is over.
+    /// Probes which configuration version a host has in force, until the run is over.
     pub fn probe_versions(&self, host: usize) {
         let mut count = 0;
         while !self.finished.load(Ordering::SeqCst) {
@@ -45,7 +45,7 @@
         self.incarnations.lock().expect("no panic")[host].clone()
     }
 
-    /// Sends requests until the play is over.
+    /// Sends requests until the run is over.
     pub fn send_requests(&self, seed: u64, number: u64) {
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(CALLER_COUNT) + number);
         let mut count = 0;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Sends a request and notes what came of it; returns whether it was served whole.
+    /// Sends a request and records the answer; returns whether it was served completely.
     fn request(&self, incarnation: &Incarnation, kind: RequestKind, id: &str) -> bool {
         let load = |count: &AtomicU64| count.load(Ordering::SeqCst);
         let versions = self.served_versions.lock().expect("no panic");
@@ -94,7 +94,7 @@
         served
     }
 
-    /// Returns the kinds of requests that a host does not serve again in time.
+    /// Returns the kinds of requests that a host does not serve within `limit`.
     pub fn unserved_within(&self, round: &str, host: usize, limit: Duration) -> Vec<String> {
         let start = Instant::now();
         let mut missing = Vec::new();
@@ -123,7 +123,7 @@
         missing
     }
 
-    /// Returns what hosts do not serve, or do not know, once every fault has ended.
+    /// Returns the services and versions that hosts lack once every fault has ended.
     pub fn unrecovered(&self) -> Vec<String> {
         let outdated = (0..HOST_COUNT).filter_map(|host| self.outdated(host));
         let outdated: Vec<String> = outdated.collect();
@@ -132,8 +132,8 @@
         unserved.chain(outdated).collect()
     }
 
-    /// Tells whether a host still does not know the newest configuration once the store has answered
-    /// some renewals of its lease.
+    /// Returns a message if a host does not serve the newest configuration by the time the store has
+    /// answered [`MAX_RENEWALS`] of its lease.
     fn outdated(&self, host: usize) -> Option<String> {
         let newest = self.version.load(Ordering::SeqCst);
         let key = format!("chiveway/hosts/host-{host}");
@@ -149,7 +149,7 @@
             }
             thread::sleep(REQUEST_INTERVAL);
         }
-        Some(format!("host-{host} does not know version {newest}"))
+        Some(format!("host-{host} does not serve version {newest}"))
     }
 }
 
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -1,10 +1,10 @@
-//! What is promised, checked from what callers and backend servers saw.
+//! Checks the guarantees on the requests recorded by callers and backend servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::standin;
 
-/// Kinds of requests, by the start of their paths.
+/// Kinds of requests; each has its own route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestKind {
     Once,
@@ -25,7 +25,7 @@
         }
     }
 
-    fn streams(self) -> bool {
+    fn is_streaming(self) -> bool {
         matches!(self, Self::Long | Self::Short)
     }
 
@@ -35,25 +35,25 @@
     }
 }
 
-/// What a caller saw of one request.
+/// A request as its caller observed it.
 #[derive(Debug, Clone)]
 pub struct Observation {
     pub id: String,
     pub kind: RequestKind,
-    /// Status; `None` where the connection ended without one.
+    /// Status code; `None` if the connection ended without one.
     pub status: Option<u16>,
-    /// Id that the answer is for.
+    /// Request id in the answer.
     pub answered_id: Option<String>,
     pub body: String,
-    /// Whether the answer came to its end.
+    /// Whether the answer arrived up to its end.
     pub is_complete: bool,
-    /// Server that signed it.
+    /// Server named in the answer's stamp.
     pub server_stamp: Option<String>,
-    /// Whether the host was only asked to stop while it ran, and nothing else went wrong.
+    /// Whether no fault other than a planned one was active meanwhile.
     pub planned_only: bool,
 }
 
-/// A run at a backend server.
+/// A request run by a backend server.
 #[derive(Debug, Clone)]
 pub struct Run {
     pub server: String,
@@ -68,46 +68,49 @@
     pub fence: u64,
 }
 
-/// All that was seen in one play.
+/// Everything recorded in the run of one seed.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
     pub observations: Vec<Observation>,
     pub runs: Vec<Run>,
     pub orders: Vec<Order>,
-    /// Versions in force by host and incarnation, in the order in which they were seen.
+    /// Configuration versions in force by host incarnation, in the order of observation.
     pub versions: BTreeMap<String, Vec<u64>>,
-    /// Runs at a server by requests that a host sent on after it knew that the server leaves.
+    /// Runs at a draining server, sent by a host that had read of the drain.
     pub after_drain: Vec<String>,
-    /// What was not served after everything had healed.
+    /// Services and versions that were missing after all faults had ended.
     pub unrecovered: Vec<String>,
 }
 
-/// Returns every broken promise.
+/// Returns every violation of a guarantee.
 pub fn check(record: &Record) -> Vec<String> {
     let mut runs: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for run in &record.runs {
         runs.entry(&run.id).or_default().push(&run.server);
     }
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for observation in &record.observations {
         let ran = runs.get(&*observation.id).map_or(&[][..], Vec::as_slice);
-        faults.extend(
+        violations.extend(
             check_request(observation, ran)
-                .map(|fault| format!("{fault}: {observation:?}, ran at {ran:?}")),
+                .map(|violation| format!("{violation}: {observation:?}, ran at {ran:?}")),
         );
     }
-    faults.extend(unrequested_runs(record));
-    faults.extend(conflicting_orders(&record.orders));
+    violations.extend(unrequested_runs(record));
+    violations.extend(conflicting_orders(&record.orders));
     for (host, versions) in &record.versions {
         if !versions.is_sorted() {
-            faults.push(format!("{host} went back in {versions:?}"));
+            violations.push(format!(
+                "{host} went back to an older version: {versions:?}"
+            ));
         }
     }
     let late = record.after_drain.iter();
-    faults.extend(late.map(|run| format!("sent to a server that leaves: {run}")));
+    violations.extend(late.map(|run| format!("sent to a draining server: {run}")));
     let unserved = record.unrecovered.iter();
-    faults.extend(unserved.map(|what| format!("not served after all had healed: {what}")));
-    faults
+    violations
+        .extend(unserved.map(|what| format!("not served after all faults had ended: {what}")));
+    violations
 }
 
 fn check_request(observation: &Observation, ran: &[&str]) -> Option<&'static str> {
@@ -117,13 +120,13 @@
     let says_not_run = matches!(observation.status, Some(408 | 421 | 429 | 503))
         && observation.server_stamp.is_none();
     if says_not_run && !observation.kind.is_retryable() && !ran.is_empty() {
-        return Some("refused as not run, and ran");
+        return Some("refused as not run, but ran");
     }
     if matches!(
         observation.status,
         Some(400..=407 | 409..=420 | 422..=428 | 430..=499)
     ) {
-        return Some("a proper request was turned down");
+        return Some("a valid request was rejected");
     }
     if observation.status == Some(200) {
         if observation.answered_id.as_deref() != Some(&*observation.id)
@@ -132,16 +135,16 @@
             return Some("an answer to another request");
         }
         if observation.is_complete && !matches_server_answer(observation, ran) {
-            return Some("not the server's whole answer");
+            return Some("not the server's complete answer");
         }
     }
-    let cut = observation.status.is_none() || !observation.is_complete;
-    (observation.planned_only && cut && !ran.is_empty()).then_some("cut by a planned stop")
+    let is_cut = observation.status.is_none() || !observation.is_complete;
+    (observation.planned_only && is_cut && !ran.is_empty()).then_some("cut by a planned stop")
 }
 
-/// Tells whether a whole answer is what a server gave.
+/// Returns whether a complete answer is the one that a server sent.
 fn matches_server_answer(observation: &Observation, ran: &[&str]) -> bool {
-    if !observation.kind.streams() {
+    if !observation.kind.is_streaming() {
         let text =
             |server: &&str| format!("{server} {} {}", observation.kind.path(), observation.id);
         return ran.iter().any(|server| text(server) == observation.body);
@@ -154,7 +157,7 @@
         })
 }
 
-/// Runs that no caller asked for.
+/// Returns runs of requests that no caller sent.
 fn unrequested_runs(record: &Record) -> Vec<String> {
     let requested: BTreeSet<&str> = record
         .observations
@@ -163,22 +166,22 @@
         .collect();
     let runs = record.runs.iter();
     runs.filter(|run| !requested.contains(&*run.id))
-        .map(|run| format!("ran and was never asked for: {run:?}"))
+        .map(|run| format!("ran without a request: {run:?}"))
         .collect()
 }
 
-/// Orders of one engine that two holders gave with one number, or with a lower one later.
+/// Returns orders of one engine that share a fencing token between two holders, or whose token decreases.
 fn conflicting_orders(orders: &[Order]) -> Vec<String> {
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     let mut last: BTreeMap<&str, &Order> = BTreeMap::new();
     for order in orders {
-        if let Some(before) = last.insert(&order.engine, order) {
-            let lower = order.fence < before.fence;
-            let shared = order.fence == before.fence && order.holder != before.holder;
-            if lower || shared {
-                faults.push(format!("conflicting orders: {before:?}, then {order:?}"));
+        if let Some(previous) = last.insert(&order.engine, order) {
+            let is_lower = order.fence < previous.fence;
+            let is_shared = order.fence == previous.fence && order.holder != previous.holder;
+            if is_lower || is_shared {
+                violations.push(format!("conflicting orders: {previous:?}, then {order:?}"));
             }
         }
     }
-    faults
+    violations
 }
--- a/tests/soak/cluster.rs
+++ b/tests/soak/cluster.rs
@@ -1,4 +1,4 @@
-//! One play: hosts, a store and servers, callers that go on all the while, and a series of faults.
+//! The run of one seed: hosts, a store, servers and callers, with a series of injected faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,9 +17,9 @@
 use crate::standin::{Engine, Store, config, settings};
 use crate::{SEEDS_WITHOUT_HANG, SEEDS_WITHOUT_RESTORES, WAIT_TIMEOUT};
 
-/// Hosts of a play.
+/// Number of hosts.
 pub const HOST_COUNT: usize = 3;
-/// Stages of the servers at the start; none for a plain server. Hosts have some of them change.
+/// Initial stages of the servers; `None` for a plain server. Hosts order some to change.
 const SERVER_STAGES: [Option<&str>; 6] = [
     None,
     None,
@@ -28,27 +28,27 @@
     Some("decode"),
     Some("decode"),
 ];
-/// Callers that send at once.
+/// Number of concurrent callers.
 pub const CALLER_COUNT: u64 = 6;
-/// Time that an answer, or an event of one, takes at a server.
+/// Delay of an answer, or of an event of a stream, at a server.
 const SERVER_DELAY: Duration = Duration::from_millis(5);
-/// Writes without an answer in one fault.
+/// Writes without an answer in one [`FaultKind::StoreDropsReplies`].
 const DROPPED_REPLIES: u32 = 3;
 
-/// A host's process and what stands before it.
+/// A host's process and how often it has been started.
 pub struct Host {
     pub process: Process,
     starts: u32,
 }
 
-/// Where a host's present process listens, and which start of it that is.
+/// Address and name of the current process of a host; the name ends with the number of its start.
 #[derive(Debug, Clone)]
 pub struct Incarnation {
     pub callers: SocketAddr,
     pub name: String,
 }
 
-/// A server, its forwarder, and the version of the configuration that was written after it left.
+/// A server, its forwarder, and the configuration version written after its drain.
 pub struct Server {
     pub engine: Engine,
     pub forwarder: Cut,
@@ -64,21 +64,21 @@
     pub hosts: Vec<Mutex<Host>>,
     pub incarnations: Mutex<Vec<Incarnation>>,
     pub servers: Mutex<Vec<Server>>,
-    /// The present server of each place.
+    /// Index of the current server of each position.
     pub positions: Mutex<Vec<usize>>,
     pub version: AtomicU64,
-    /// Held while the operator or a server writes, and from a restore of the store until both have written again: what
-    /// a host knows of a version tells what it knows of servers only if they come back together.
+    /// Held during writes of the operator or a server, and from a restore until the lost writes are repeated:
+    /// a host's version shows which server entries it has read only if all of them are restored together.
     writes: Mutex<()>,
-    /// Version known to be in force, by start of a host.
+    /// Versions observed in force, by host incarnation.
     pub served_versions: Mutex<BTreeMap<String, Vec<u64>>>,
-    /// Faults in force that a planned stop does not excuse, and all that were yet.
+    /// Number of active faults that are not planned, and of all of them so far.
     pub unplanned: (AtomicU64, AtomicU64),
     pub observations: Mutex<Vec<(Observation, u64)>>,
     pub finished: AtomicBool,
 }
 
-/// Says that a play is over once it is dropped.
+/// Sets a flag when dropped.
 struct FinishOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for FinishOnDrop<'_> {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Plays a seed; returns what broke, and what was done.
+/// Runs a seed; returns the violations and a summary.
 pub fn run_seed(seed: u64) -> (Vec<String>, String) {
     let cluster = Cluster::new(seed);
     let mut faults = series(seed, HOST_COUNT, SERVER_STAGES.len());
@@ -106,7 +106,7 @@
             scope.spawn(move || cluster.probe_versions(host));
         }
         scope.spawn(|| cluster.update_entries());
-        // Callers must end also where causing a fault panics.
+        // Callers must also end if injecting a fault panics.
         let _finish = FinishOnDrop(&cluster.finished);
         thread::scope(|injections| {
             for fault in &faults {
@@ -137,7 +137,7 @@
 
 impl Cluster {
     fn new(seed: u64) -> Self {
-        // Another soak of the same tree may play the same seed, and removes its folder at the end.
+        // Another soak of the same tree may run the same seed and remove its folder at the end.
         let name = format!("soak-{seed}-{}", std::process::id());
         let logs = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&logs).expect("a folder for logs");
@@ -204,13 +204,13 @@
         self.incarnations.lock().expect("no panic")[index] = incarnation;
     }
 
-    /// Puts the next configuration in force; each has a route of its own. Returns its version.
+    /// Writes the next configuration, which has a route of its own; returns its version.
     fn configure(&self) -> u64 {
         let _writes = self.writes.lock().expect("no panic");
         self.write_version()
     }
 
-    /// Writes the next configuration, with the writes held.
+    /// Writes the next configuration; `writes` must be held.
     fn write_version(&self) -> u64 {
         let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
         let mut config = config(version, "/short/");
@@ -243,19 +243,19 @@
         servers.len() - 1
     }
 
-    /// Puts another server in the place of one.
+    /// Adds a server and makes it the current one of a position.
     fn replace(&self, position: usize) {
         let new = self.add_server(SERVER_STAGES[position]);
         self.positions.lock().expect("no panic")[position] = new;
     }
 
-    /// Does something with the present server of a place.
+    /// Runs `act` on the current server of a position.
     fn with_server<T>(&self, position: usize, act: impl FnOnce(&mut Server) -> T) -> T {
         let index = self.positions.lock().expect("no panic")[position];
         act(&mut self.servers.lock().expect("no panic")[index])
     }
 
-    /// Causes one fault, and ends it after its time.
+    /// Injects one fault, and ends it after its duration.
     fn inject(&self, fault: Fault) {
         let planned = matches!(
             fault.kind,
@@ -349,7 +349,7 @@
             FaultKind::BreakStream(position) => {
                 self.with_server(position, |server| server.engine.break_after(2));
                 thread::sleep(fault.duration);
-                // Another server may stand there by now; a stream that broke has been long over.
+                // The position may have another server by now, so every server is reset.
                 for server in &*self.servers.lock().expect("no panic") {
                     server.engine.clear_break();
                 }
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Has a server leave; a configuration written after it tells which hosts know of that.
+    /// Drains a server; a configuration written after it shows which hosts have read of the drain.
     fn drain_and_replace(&self, position: usize) {
         let index = self.positions.lock().expect("no panic")[position];
         self.replace(position);
@@ -387,7 +387,7 @@
         self.servers.lock().expect("no panic")[index].drain_version = Some(version);
     }
 
-    /// Registers engines anew whose stage has changed, until the play is over.
+    /// Updates the entries of engines whose stage has changed, until the run is over.
     fn update_entries(&self) {
         let mut last: BTreeMap<usize, Value> = BTreeMap::new();
         while !self.finished.load(Ordering::SeqCst) {
@@ -410,7 +410,7 @@
     }
 }
 
-/// Returns the entry by which a server registers: behind its forwarder.
+/// Returns a server's entry, with the address of its forwarder.
 fn entry(server: &Server, state: &str) -> Value {
     let mut entry = server.engine.entry(state);
     entry["address"] = json!(server.forwarder.addr.to_string());
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,73 +1,73 @@
-//! Series of faults, drawn by a seed.
+//! Series of faults, drawn from a seed.
 
 use std::time::Duration;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Trouble of one kind; numbers name a host or a server.
+/// A kind of fault; the number is the index of a host or of a server's position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A host's process is killed; another starts.
+    /// A host's process is killed and restarted.
     Kill(usize),
-    /// All hosts are killed at once.
+    /// All hosts are killed at once and restarted.
     KillAll,
-    /// A host is asked to stop; another starts once it has ended.
+    /// A host receives SIGTERM and is restarted once it has exited.
     Stop(usize),
-    /// A host stands still.
+    /// A host's process is frozen.
     Freeze(usize),
-    /// A host's settings are read again.
+    /// A host receives SIGHUP and reads its settings again.
     Reload(usize),
-    /// A host's way to the store holds everything back.
+    /// A host's connections to the store pass no data.
     StoreLinkSilent(usize),
-    /// The store's answers to a host are held back.
+    /// A host's connections to the store pass requests and no answers.
     StoreLinkOneWay(usize),
-    /// A host cannot reach the store.
+    /// A host's connections to the store are refused.
     StoreLinkRefuses(usize),
-    /// Connections to the store end; new ones work.
+    /// A host's connections to the store are reset; new ones work.
     StoreLinkReset(usize),
-    /// The store is away.
+    /// The store is down.
     StoreDown,
-    /// The store takes calls and answers none, and the configuration changes meanwhile.
+    /// The store accepts calls and answers none; the configuration changes meanwhile.
     StoreHang,
-    /// The store is away for a moment and comes back from an older copy; what that lacks is written again later.
+    /// The store goes down and is restored from an older copy; the lost writes are repeated later.
     StoreRestored,
-    /// Writes at the store take effect without an answer.
+    /// The store applies writes without an answer.
     StoreDropsReplies,
-    /// A server's connections hold everything back.
+    /// A server's connections pass no data.
     ServerSilent(usize),
-    /// A server's answers are held back.
+    /// A server's connections pass requests and no answers.
     ServerOneWay(usize),
-    /// A server answers late.
+    /// A server's connections are delayed.
     ServerDelay(usize),
-    /// A server's connections end; new ones work.
+    /// A server's connections are reset; new ones work.
     ServerReset(usize),
-    /// A server dies; another takes its place.
+    /// A server crashes and is replaced.
     ServerCrash(usize),
-    /// A server reports that it leaves, and another takes its place.
+    /// A server drains and is replaced.
     ServerDrain(usize),
     /// The configuration changes.
     Configure,
-    /// A stream breaks off in the middle of an event.
+    /// A server's next stream breaks off in the middle of an event.
     BreakStream(usize),
 }
 
 /// One fault of a series.
 #[derive(Debug, Clone, Copy)]
 pub struct Fault {
-    /// Pause before it.
+    /// Time since the previous fault.
     pub delay: Duration,
     pub kind: FaultKind,
-    /// Time that it lasts, where it does.
+    /// How long it lasts, for kinds that last.
     pub duration: Duration,
 }
 
-/// Sets the restores of a seed apart from its other draws.
+/// Separates the draws of restores from a seed's other draws.
 const RESTORE_SEED_MASK: u64 = 0x5eed;
-/// Faults in a series.
+/// Number of faults in a series.
 const FAULT_COUNT: usize = 14;
 
-/// Returns the series of a seed.
+/// Draws the series of a seed.
 pub fn series(seed: u64, hosts: usize, servers: usize) -> Vec<Fault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let draw_fault = |rng: &mut StdRng| {
@@ -102,9 +102,9 @@
     (0..FAULT_COUNT).map(|_| draw_fault(&mut rng)).collect()
 }
 
-/// Adds one silence of the store at any place of a series.
+/// Inserts one hang of the store at a random position of a series.
 ///
-/// It is drawn apart, so that a seed's other faults stay what they were before there was this one.
+/// It has its own random generator, so that the seed's other faults do not depend on it.
 pub fn with_hang(seed: u64, mut series: Vec<Fault>) -> Vec<Fault> {
     let mut rng = StdRng::seed_from_u64(!seed);
     let fault = Fault {
@@ -116,7 +116,7 @@
     series
 }
 
-/// Adds two restores of the store, each at any place of a series, drawn apart likewise.
+/// Inserts two restores of the store at random positions of a series, with their own random generator.
 pub fn with_restores(seed: u64, mut series: Vec<Fault>) -> Vec<Fault> {
     let mut rng = StdRng::seed_from_u64(seed ^ RESTORE_SEED_MASK);
     for _ in 0..2 {
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,12 +1,13 @@
-//! A randomized soak: real hosts as processes before stand-ins, with faults injected from outside.
+//! A randomized soak test: host processes in front of stand-ins, with faults injected from outside.
 //!
-//! Each seed draws a series of overlapping faults: hosts are killed, frozen, stopped and started
-//! again, connections are silenced, cut one way, delayed and reset, the store goes away or loses
-//! answers, engines die, leave and come back, the configuration changes. What callers and backend
-//! servers saw is then checked against what is promised (`check`).
+//! Each seed draws a series of overlapping faults: hosts are killed, frozen, stopped and restarted;
+//! connections hang, pass data one way, are delayed and reset; the store is down, hangs, drops answers or
+//! is restored from an older copy; engines crash, drain and are replaced; the configuration changes. The
+//! requests recorded by callers and backend servers are then checked against the guarantees (`check`).
 //!
-//! Two seeds run by default. `SOAK_SEEDS=50 SOAK_FROM=1 cargo test --release --test soak seeds`
-//! runs fifty, `SOAK_JOBS` of them at a time; every failed seed is printed with what it broke.
+//! Two seeds run by default, besides the regression seeds.
+//! `SOAK_SEEDS=50 SOAK_FROM=1 cargo test --release --test soak seeds` runs fifty, `SOAK_JOBS` of them at a
+//! time; every failed seed is printed with its violations.
 
 #[path = "../fleet/support/cut.rs"]
 mod cut;
@@ -34,29 +35,32 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Bound of any wait; far above what a test waits for.
+/// Time limit of any wait; far above what a test needs.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Seeds that once broke a promise; each stays, with the cause.
+/// Seeds that have found a violation, each with its cause.
 ///
-/// 7: a host was asked to read its settings again just after its start, and ended of it.
-/// 3: hosts waited for a watch that was lost in a silence of the store, and knew nothing newer.
+/// 7: a host that received SIGHUP just after its start exited.
+/// 3: hosts waited on a watch that hung with the store, and read no later change.
 const REGRESSION_SEEDS: [u64; 2] = [7, 3];
-/// Those of them that failed before the store fell silent in every seed; their series stay as they were.
+/// Regression seeds without a hang of the store: it would change the series that failed.
 const SEEDS_WITHOUT_HANG: [u64; 1] = [7];
 
-/// Those that failed before the store came back from older copies in every seed.
+/// Regression seeds without restores of the store: they would change the series that failed.
 const SEEDS_WITHOUT_RESTORES: [u64; 2] = [7, 3];
 
-/// Waits until something holds.
+/// Polls until `holds` returns true.
 ///
 /// # Panics
 ///
-/// When it does not in [`LIMIT`].
+/// If it does not hold within [`WAIT_TIMEOUT`].
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "{what} did not come about");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -69,7 +73,7 @@
         .unwrap_or(default)
 }
 
-/// Plays seeds, some at a time; returns those that broke something.
+/// Runs seeds, `jobs` at a time; returns those with violations.
 fn run_seeds(seeds: &[u64], jobs: u64) -> Vec<(u64, Vec<String>)> {
     let next = AtomicU64::new(0);
     let failed = Mutex::new(Vec::new());
@@ -92,8 +96,8 @@
     failed.into_inner().expect("no panic")
 }
 
-/// Trouble of every kind comes at any moment, overlapping and twice. Callers never see a call run
-/// twice, a refusal that was not true, another's answer, or a stream with a hole.
+/// Faults of every kind overlap and repeat at random times. Guards against calls that run twice, requests
+/// refused as not run that did run, answers to other callers and streams with missing events.
 #[test]
 fn seeds_keep_every_promise() {
     let from = env_number("SOAK_FROM", 1);
--- a/tests/soak/planted.rs
+++ b/tests/soak/planted.rs
@@ -1,4 +1,4 @@
-//! Faults planted in a record: a checker that finds none of them would pass anything.
+//! Records with planted violations. Guards against a checker that misses them, and so passes any run.
 
 use crate::check::{Observation, Order, Record, RequestKind, Run, check};
 use crate::standin;
@@ -43,14 +43,14 @@
     }
 }
 
-/// Defines one test a case: a record, and words of the fault that it must be found to hold.
+/// Defines one test for each case: a record, and a part of the violation that the checker must report.
 macro_rules! planted {
     ($($name:ident: $record:expr => $message:expr;)*) => {$(
         #[test]
         fn $name() {
-            let faults = check(&$record);
+            let violations = check(&$record);
             let message: &str = $message;
-            assert!(faults.iter().any(|fault| fault.contains(message)), "{faults:?}");
+            assert!(violations.iter().any(|violation| violation.contains(message)), "{violations:?}");
         }
     )*};
 }
@@ -58,8 +58,8 @@
 #[test]
 fn a_correct_record_passes() {
     for kind in RequestKind::ALL {
-        let faults = check(&record(observation(kind), &["s-1"]));
-        assert!(faults.is_empty(), "{faults:?}");
+        let violations = check(&record(observation(kind), &["s-1"]));
+        assert!(violations.is_empty(), "{violations:?}");
     }
     let refused = Observation {
         status: Some(503),
@@ -67,8 +67,8 @@
         server_stamp: None,
         ..observation(RequestKind::Once)
     };
-    let faults = check(&record(refused, &[]));
-    assert!(faults.is_empty(), "{faults:?}");
+    let violations = check(&record(refused, &[]));
+    assert!(violations.is_empty(), "{violations:?}");
 }
 
 planted! {
@@ -85,19 +85,19 @@
     a_truncated_answer_that_looks_complete: record(Observation {
         body: "s-1 /once".to_owned(),
         ..observation(RequestKind::Once)
-    }, &["s-1"]) => "whole answer";
+    }, &["s-1"]) => "complete answer";
     a_stream_with_a_duplicate_event: record(Observation {
         body: standin::events("s-1", 1..=2) + &standin::events("s-1", 2..=4),
         ..observation(RequestKind::Short)
-    }, &["s-1"]) => "whole answer";
+    }, &["s-1"]) => "complete answer";
     a_stream_with_a_missing_event: record(Observation {
         body: standin::events("s-1", 1..=1) + &standin::events("s-1", 3..=4),
         ..observation(RequestKind::Short)
-    }, &["s-1"]) => "whole answer";
+    }, &["s-1"]) => "complete answer";
     a_valid_request_that_is_rejected: record(Observation {
         status: Some(404),
         ..observation(RequestKind::Again)
-    }, &[]) => "turned down";
+    }, &[]) => "was rejected";
     an_answer_cut_by_a_planned_stop: record(Observation {
         status: None,
         ..observation(RequestKind::Again)
@@ -105,7 +105,7 @@
     a_run_without_a_request: Record {
         runs: vec![run("s-1")],
         ..Record::default()
-    } => "never asked for";
+    } => "without a request";
     two_holders_with_one_fencing_token: Record {
         orders: vec![order("host-1", 4), order("host-2", 4)],
         ..Record::default()
@@ -121,9 +121,9 @@
     a_request_to_a_draining_server: Record {
         after_drain: vec!["id-1 at s-1".to_owned()],
         ..Record::default()
-    } => "that leaves";
+    } => "draining server";
     a_service_that_does_not_recover: Record {
         unrecovered: vec!["host-1 /once/x".to_owned()],
         ..Record::default()
-    } => "after all had healed";
+    } => "after all faults had ended";
 }
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -1,4 +1,4 @@
-//! What callers and servers saw in a play, put together to be checked.
+//! Collects the requests recorded by callers and servers for the check.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::cluster::{Cluster, Server};
 
 impl Cluster {
-    /// Puts together what callers and servers saw.
+    /// Returns the record of callers and servers.
     pub fn record(&self, unrecovered: Vec<String>) -> Record {
         let observations = self.observations.lock().expect("no panic").clone();
         let known_versions: BTreeMap<String, u64> = observations
@@ -33,7 +33,7 @@
     }
 }
 
-/// Takes one request that a server got into the record.
+/// Adds one request received by a server to the record.
 fn add_request(
     record: &mut Record,
     server: &Server,
@@ -66,7 +66,7 @@
     {
         record
             .after_drain
-            .push(format!("{id} at {name}, known {version}"));
+            .push(format!("{id} at {name}, host had version {version}"));
     }
     record.runs.push(Run { server: name, id });
 }
