--- a/tests/engine/answers.rs
+++ b/tests/engine/answers.rs
@@ -1,4 +1,4 @@
-//! Answers, orders and faults of an engine.
+//! Streams, orders, cache and faults of the engine stand-in.
 
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
         assert_eq!(text, expected("model", &prompt, 8));
     }
 
-    /// A connection breaks in the middle of an answer. The caller must get the rest, and the
-    /// engine must not run the request again.
+    /// A connection breaks in the middle of an answer. Guards against a caller that does not get the
+    /// rest, and against a second run of the request.
     a_broken_stream_is_resumed: |c| {
         let e = start_engine(Options { reader_grace: TEST_TIMEOUT, ..slow_options() });
         set_fault(c, e.addr, json!({"drop_after": 7})).await;
@@ -62,8 +62,8 @@
         assert_matches!(unknown, Err(CallError::Status { status: 404, .. }));
     }
 
-    /// An engine dies with an answer half delivered. Another engine goes on at the next token, so
-    /// that the caller sees one unbroken answer.
+    /// An engine crashes in the middle of an answer and another one continues. Guards against missing
+    /// or duplicate tokens at the point of the crash.
     another_engine_continues: |c| {
         let e = start_engine(Options::default());
         let start = expected("model", "a draft", 12);
@@ -96,15 +96,15 @@
         assert_eq!(text, expected("model", "low", 3));
     }
 
-    /// A process that has lost its authority still gives orders. An engine that checks fencing
-    /// numbers must refuse them; one that ignores them shows the harm.
+    /// A process that has lost its authority still sends orders. Guards against obeying them at
+    /// an engine that checks fencing tokens; one that ignores tokens obeys, as the second case shows.
     stale_orders_are_fenced: |c| {
         let (drain, resume) = (Action::Drain, Action::Resume);
         for (fencing, is_accepted) in [(Fencing::Checks, false), (Fencing::Ignores, true)] {
             let e = start_engine(Options { fencing, ..Options::default() });
             send_order(c, e.addr, 6, 1, "h2", &drain).await.expect("order");
             send_order(c, e.addr, 7, 1, "h1", &resume).await.expect("order");
-            send_order(c, e.addr, 7, 1, "h1", &resume).await.expect("repeat");
+            send_order(c, e.addr, 7, 1, "h1", &resume).await.expect("repeated order");
             for (fence, number) in [(6, 1), (6, 9), (7, 1)] {
                 let stale = send_order(c, e.addr, fence, number, "h2", &drain).await;
                 if is_accepted {
@@ -120,8 +120,8 @@
         }
     }
 
-    /// An engine changes its role while it answers. The answer is cut, and new work is refused as
-    /// not run until the change is over.
+    /// An engine changes its role while it answers. Guards against a stream that hangs instead of being
+    /// cut, and against requests during the change that are not refused as not run.
     a_role_change_cuts_streams_and_refuses_requests: |c| {
         let e = start_engine(Options { change_duration: Duration::from_millis(300), ..slow_options() });
         let mut s = open_stream(c, e.addr, "a draft", LONG_ANSWER_TOKENS, "a1").await;
@@ -147,7 +147,7 @@
             let stats = get_json(c, e.addr, "/stats").await;
             steps.push(stats["prefill_steps"].as_u64().expect("steps"));
         }
-        // 8,000 tokens at 2,048 a step; the second time all four pieces are held.
+        // 8,000 tokens at 2,048 a step; the second time all four blocks are cached.
         assert_eq!(steps, [0, 4, 4]);
         let list = fetch_cache_events(c, e.addr, 0).await.expect("events");
         assert_eq!(list.iter().map(|event| event.seq).collect::<Vec<_>>(), [1, 3]);
@@ -173,15 +173,15 @@
         assert_matches!(unknown, Err(CallError::Status { status: 424, ran: Ran::No, .. }));
     }
 
-    /// One request crashes each engine that runs it. Its stream breaks with those of all others
-    /// there; while the engine is away nothing runs, and it comes back with nothing kept.
+    /// A poison request crashes the engine that runs it. Guards against other streams there that hang
+    /// instead of breaking, and against an engine that keeps attempts or fencing tokens over its restart.
     a_poison_request_crashes_its_engine: |c| {
         let crash = Crash::Restart(Duration::from_millis(200));
         let e = start_engine(Options { crash, ..slow_options() });
         set_fault(c, e.addr, json!({"crash_on": "poison"})).await;
         send_order(c, e.addr, 7, 1, "h1", &Action::Resume).await.expect("order");
         let mut other = open_stream(c, e.addr, "a draft", LONG_ANSWER_TOKENS, "a1").await;
-        // The engine may break the connection before or after the head of its answer.
+        // The connection may close before or after the head of the answer.
         if let Ok(mut s) = open(c, e.addr, COMPLETIONS_PATH, completion_body("poison", 9), "a2", None, 0).await {
             assert_matches!(read_tokens(&mut s, usize::MAX).await, Err(ReadError::Lost));
         }
@@ -191,15 +191,15 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(TEST_TIMEOUT, recovered).await.expect("back in time");
+        timeout(TEST_TIMEOUT, recovered).await.expect("restart in time");
         assert_eq!(fetch_load(c, e.addr).await.expect("load").fence_seen, 0);
         let unknown = open(c, e.addr, COMPLETIONS_PATH, Bytes::new(), "a1", Some(0), 0).await;
         assert_matches!(unknown, Err(CallError::Status { status: 404, .. }));
         assert_eq!(get_json(c, e.addr, "/log").await["runs"][0]["end"], "crashed");
     }
 
-    /// An engine dies halfway through a change of role. It must come back in its old role, not
-    /// in one that nobody finished putting into force.
+    /// An engine crashes during a role change. Guards against a restart in the new role,
+    /// although the change had not finished.
     a_crash_during_a_role_change_keeps_the_old_role: |c| {
         let crash = Crash::Restart(Duration::from_millis(50));
         let change = Duration::from_millis(50);
@@ -212,13 +212,14 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(TEST_TIMEOUT, crashed).await.expect("back in time");
+        timeout(TEST_TIMEOUT, crashed).await.expect("restart in time");
         let load = fetch_load(c, e.addr).await.expect("load");
         assert_eq!((&*load.role, load.changing), ("both", false));
         assert_eq!(get_json(c, e.addr, "/stats").await["crashes"], 1);
     }
 
-    /// Reports come late, so that a busy engine looks idle and a full cache empty.
+    /// Load reports and cache events are delayed. Guards against a stand-in that reports a busy engine
+    /// and a filled cache at once, which would hide faults of hosts with outdated reports.
     load_reports_and_cache_events_can_lag: |c| {
         let cache = CacheOptions { event_lag: TEST_TIMEOUT, ..CacheOptions::default() };
         let e = start_engine(Options { load_lag: TEST_TIMEOUT, cache, ..slow_options() });
@@ -229,15 +230,15 @@
         assert_eq!(fetch_cache_events(c, e.addr, 0).await, Ok(vec![]));
     }
 
-    /// Something between the two ends loses track of the open connections. They bring nothing
-    /// more, neither data nor an end, while a new connection works.
+    /// A middlebox drops the state of open connections. Guards against a stand-in that still sends data
+    /// or an end on them, or that refuses new connections.
     open_streams_can_hang: |c| {
         let e = start_engine(slow_options());
         let mut s = open_stream(c, e.addr, "a draft", 100, "a1").await;
         read_tokens(&mut s, 1).await.expect("read");
         set_fault(c, e.addr, json!({"silent": true})).await;
         wait_for_field(c, e.addr, "/log", "/runs/0/end", "done".into()).await;
-        // All that the engine would ever send, it has sent by now.
+        // The engine has finished the run, so it sends nothing more.
         let rest = timeout(Duration::from_millis(300), async {
             while let Ok(Some(_)) = s.next().await {}
         });
@@ -248,8 +249,8 @@
         assert_eq!(text, expected("model", "a clause", 5));
     }
 
-    /// An engine repeats chunks, swaps them and mixes in one of another request. Offsets must
-    /// tell the order, and the stray chunk must not reach the caller.
+    /// An engine duplicates and reorders chunks and adds one of another request. Guards against chunks
+    /// without their offset, and against the foreign chunk reaching the caller.
     chunks_can_be_duplicated_reordered_and_foreign: |c| {
         let e = start_engine(Options::default());
         let faults = json!({"repeat_chunk": true, "reorder_chunks": true, "wrong_attempt": true});
--- a/tests/engine/calls.rs
+++ b/tests/engine/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that fail, and what the client may say of them.
+//! Failed calls, and whether the client reports them as run.
 
 use std::time::Duration;
 
@@ -34,12 +34,11 @@
         assert_eq!(get_json(c, s.addr, "/counts").await, json!({"POST /book k1": 2}));
     }
 
-    /// A service does its work and the connection breaks before the answer. A client that tried
-    /// again by itself would book twice; one that took the broken connection for one never made
-    /// would say "not run".
+    /// A service runs a call and the connection breaks before the answer. Guards against a retry by the
+    /// client, which would run the call twice, and against reporting the call as not run.
     a_lost_answer_is_not_retried: |c| {
         let s = start_service();
-        // The second call uses a pooled connection, where libraries like to try again.
+        // The second call uses a pooled connection, on which HTTP libraries often retry.
         for count in 1..=2 {
             get_json(c, s.addr, "/counts").await;
             set_fault(c, s.addr, json!({"lose_answers": 1})).await;
@@ -52,8 +51,8 @@
         }
     }
 
-    /// The right to order ends while the connection is being made. The engine must get no byte;
-    /// the next order, given in time, arrives.
+    /// The authority to order ends while the client connects. Guards against sending the order all the
+    /// same; the next order, sent in time, arrives.
     an_order_past_its_deadline_is_not_sent: |c| {
         let e = start_engine(Options::default());
         for (until, expected) in [(0, Err(CallError::Connect)), (1, Ok(()))] {
@@ -69,7 +68,8 @@
         assert_eq!(log["orders"][0]["order"], 2);
     }
 
-    /// A service answers with a redirect. Following it would repeat a call that may not repeat.
+    /// A service answers with a redirect. Guards against following it, which would run a non-idempotent
+    /// call twice.
     a_redirect_is_not_followed: |c| {
         let s = start_service();
         set_fault(c, s.addr, json!({"redirect": true})).await;
@@ -78,9 +78,10 @@
         assert_eq!(get_json(c, s.addr, "/counts").await, json!({"POST /charge k1": 1}));
     }
 
-    /// Nothing listens where a back end should be. The caller may be told "not run".
+    /// A backend server refuses connections. Guards against reporting the call as possibly run, which
+    /// would prevent a retry.
     a_refused_connection_did_not_run: |c| {
-        // Bound, so that nobody else gets the port, but not listening.
+        // Bound but not listening: the port stays reserved and refuses connections.
         let socket = tokio::net::TcpSocket::new_v4().expect("socket");
         socket.bind(([127, 0, 0, 1], 0).into()).expect("bind");
         let addr = socket.local_addr().expect("address");
@@ -89,8 +90,8 @@
         assert_eq!((&refused, refused.ran()), (&CallError::Connect, Ran::No));
     }
 
-    /// A back end takes a request and falls silent before the head of its answer. The request may
-    /// have run, so the caller must not be told otherwise.
+    /// A backend server accepts a connection and sends no response head in time. Guards against reporting
+    /// the request as not run, although it may have run.
     a_request_without_a_head_in_time_may_have_run: |_c| {
         let head = Duration::from_millis(50);
         let options = ClientOptions { connect_timeout: TEST_TIMEOUT, head_timeout: head, ..ClientOptions::default() };
@@ -101,8 +102,8 @@
         assert_eq!((&late, late.ran()), (&CallError::Timeout, Ran::Unknown));
     }
 
-    /// A connection older than the setting is not used again, so that a fault between the two
-    /// ends that kills old connections meets few of them.
+    /// A middlebox may drop old connections. Guards against reusing a connection older than the maximum
+    /// age.
     old_connections_are_retired: |c| {
         let age = Duration::from_secs(1);
         let short_lived = &Client::new(ClientOptions { max_age: age, ..ClientOptions::default() }).await.expect("client");
@@ -116,24 +117,24 @@
         }
     }
 
-    /// Many requests want a connection to one back end at once, and the library makes one at a
-    /// time. None of them may be left asleep.
+    /// Many requests need a connection to one backend server at once, and the library opens one at a
+    /// time. Guards against a waiting request that is never woken.
     concurrent_first_calls_all_connect: |c| {
         let e = start_engine(Options::default());
         let calls = (0..50).map(async |turn| {
-            // Some come while the library is making a connection for those before.
+            // Some calls start while the library is still connecting for earlier ones.
             for _ in 0..turn {
                 tokio::task::yield_now().await;
             }
             fetch_load(c, e.addr).await
         });
-        let all = timeout(TEST_TIMEOUT, futures_util::future::join_all(calls));
-        let all = all.await.expect("all answers in time");
-        assert!(all.iter().all(Result::is_ok));
+        let results = timeout(TEST_TIMEOUT, futures_util::future::join_all(calls));
+        let results = results.await.expect("all answers in time");
+        assert!(results.iter().all(Result::is_ok));
     }
 
-    /// Two requests want connections while the back end closes each before it answers. Both were
-    /// written, so neither may be called "not run".
+    /// A backend server reads two requests and closes both connections without an answer. Guards against
+    /// reporting either as not run.
     a_closed_connection_may_have_run: |c| {
         let listener = web::listen(([127, 0, 0, 1], 0).into()).await.expect("listen");
         let addr = listener.local_addr().expect("address");
--- a/tests/engine/main.rs
+++ b/tests/engine/main.rs
@@ -1,4 +1,4 @@
-//! The client towards back ends against the stand-ins, over real sockets.
+//! Tests the client of backend servers against the stand-ins, over real sockets.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -29,13 +29,13 @@
 mod answers;
 mod calls;
 
-/// Generous bound of any wait in a test.
+/// Time limit of any wait in a test; far above what it needs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const COMPLETIONS_PATH: &str = "/v1/completions";
-/// Long enough that no test finishes an answer it means to interrupt.
+/// Tokens of an answer that is interrupted: too many to finish before.
 const LONG_ANSWER_TOKENS: u64 = 5000;
 
-/// A stand-in on a thread of its own; dropping it ends it like a killed process.
+/// A stand-in on its own thread; when dropped, it stops like a killed process.
 struct Standin {
     addr: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
@@ -46,7 +46,7 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("the stand-in panicked");
+            thread.join().expect("the stand-in ends without a panic");
         }
     }
 }
@@ -85,7 +85,7 @@
     start_standin(move |listener| service::run(listener, service::Options { name }))
 }
 
-/// One millisecond a step, so that answers take a while.
+/// Returns options with steps of one millisecond, so that answers take a while.
 fn slow_options() -> Options {
     let costs = StepCosts {
         base: Duration::from_millis(1),
@@ -154,7 +154,7 @@
     stream.expect("stream")
 }
 
-/// Reads up to `n` tokens, or to the end; returns the text, the last offset and the end reached.
+/// Reads up to `max_tokens` tokens; returns the text, the last offset and whether the stream has ended.
 async fn read_tokens(
     stream: &mut Stream,
     max_tokens: usize,
@@ -181,7 +181,7 @@
     Ok((text, last, false))
 }
 
-/// Waits until a field of an engine's figures has a value.
+/// Polls a JSON path of an engine until a field has a value.
 async fn wait_for_field(client: &Client, addr: SocketAddr, path: &str, field: &str, value: Value) {
     let reached = async {
         while get_json(client, addr, path).await.pointer(field) != Some(&value) {
@@ -190,5 +190,5 @@
     };
     timeout(TEST_TIMEOUT, reached)
         .await
-        .expect("the figure in time");
+        .expect("the value in time");
 }
