--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Whole-program tests of the commands, against a fake operators' listener where one is needed.
+//! Runs the commands of the real program, against a fake operators' listener where one is needed.
 
 mod common;
 
@@ -11,14 +11,14 @@
 const PLANS: &str = "[customer Sønderborg Kunstforening]\nplan = guld\n";
 const SERVICE_SETTINGS: &str = "[plan guld]\nrequests = 50/s\n";
 
-/// Returns a file of this test in the build's own folder for temporary files.
+/// Writes a file to the build's temporary folder; returns its path.
 fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).unwrap();
     path
 }
 
-/// Names each case: arguments and what must be on standard output.
+/// Defines one test for each case: arguments, and a text expected on standard output.
 macro_rules! prints {
     ($($name:ident: $args:literal => $text:expr;)+) => {
         $(#[test]
@@ -47,7 +47,7 @@
     buzkulube_uses: "use check --file examples/buzkulube/use.ini" => "no fault";
 }
 
-/// Names each case: wrong arguments and what must be on standard error.
+/// Defines one test for each case: wrong arguments, and a text expected on standard error.
 macro_rules! usage_errors {
     ($($name:ident: $args:literal => $text:expr;)+) => {
         $(#[test]
@@ -79,15 +79,15 @@
 
 #[test]
 fn check_prints_every_fault_of_every_file() {
-    let one = write_file(
+    let first = write_file(
         "check-one.ini",
         "[host]\nname = ærø\nnom = x\n[pool a]\nmodel = m\nfencing = maybe\n",
     );
-    let two = write_file("check-two.ini", "[platform\n");
+    let second = write_file("check-two.ini", "[platform\n");
     let done = chiveway()
         .args("check")
-        .arg(one.to_str().unwrap())
-        .arg(two.to_str().unwrap())
+        .arg(first.to_str().unwrap())
+        .arg(second.to_str().unwrap())
         .ends(1)
         .stdout_contains(
             "check-one.ini: [host] nom given an unknown key, allowed only the keys name,",
@@ -153,8 +153,8 @@
         .stdout_contains("[customer Çıldır]\nplan = guld\n");
 }
 
-/// Two operators fetch the same revision and both apply. If the second went through, the first
-/// edit would vanish without a word; the second operator must see what came first.
+/// Two operators fetch the same revision and both apply an edit. Guards against the second overwriting the
+/// first: it is refused, with the difference to the first edit.
 #[test]
 fn second_of_two_concurrent_edits_gets_a_diff() {
     let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::None);
@@ -176,8 +176,8 @@
         .stderr_contains("- customer Ålborg\n+ customer Ærø\n");
 }
 
-/// The host takes an edit and its answer is lost. The operator applies the file again and would
-/// see a conflict with a rival who does not exist.
+/// The host accepts an edit and its answer is lost. Guards against a conflict with the operator's own edit
+/// when the file is applied again.
 #[test]
 fn edit_with_a_lost_answer_can_be_retried() {
     let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::LostAnswer);
@@ -194,7 +194,7 @@
         .stdout_contains("revision 2 is accepted\n");
 }
 
-/// Names each case: a file, how the host answers, the exit code's message.
+/// Defines one test for each case: a file, the host's fault, a key, and the expected message.
 macro_rules! refused {
     ($($name:ident: $text:literal, $fault:ident, $key:expr => $message:literal;)+) => {
         $(#[test]
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store client against the stand-in of the key-value service, and against broken answers.
+//! Tests the store client against the stand-in of the key-value service and against malformed answers.
 
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
@@ -19,14 +19,14 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::oneshot;
 
-/// Generous limit of a call that is expected to be answered.
+/// Time limit of calls that are answered; far above what they need.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// Limit of a call that is expected to get no answer.
+/// Time limit of calls that get no answer.
 const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the watch that falls silent may be so; progress is told forty times as often.
+/// Idle timeout of the watch that is frozen; progress notifications are sent forty times as often.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Limit of a whole case, so that one that waits for nothing fails.
+/// Time limit of a test case, so that one that hangs fails.
 const CASE_TIMEOUT: Duration = Duration::from_mins(1);
 
 fn run_case(case: impl Future<Output = ()> + 'static) {
@@ -34,7 +34,7 @@
     ntex::rt::System::new("test", ntex::rt::DefaultRuntime).block_on(case);
 }
 
-/// Names each case and runs it on a runtime of its own.
+/// Defines one test for each case and runs it on its own runtime.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident($kv:ident) $body:block)*) => {
         $($(#[$doc])* #[test] fn $name() {
@@ -46,7 +46,7 @@
     };
 }
 
-/// The stand-in on a thread of its own, ended when dropped.
+/// The stand-in on its own thread; it stops when dropped.
 struct Standin {
     addr: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
@@ -141,7 +141,7 @@
         .collect()
 }
 
-/// Waits for the next changes, past progress notifications.
+/// Waits for the next changes; skips progress notifications.
 async fn next_changes(watch: &mut Watch) -> Result<Vec<Change>, StoreError> {
     loop {
         let batch = watch.next().await?;
@@ -185,8 +185,8 @@
         assert_eq!((all.revision, values(&all.pairs)), (won.revision, vec![("p/a", &b"2"[..])]));
     }
 
-    /// The service takes a write and the connection dies before the answer. A client that
-    /// repeats it by itself writes twice; one that reports a failure makes its caller do so.
+    /// The service applies a write and the connection closes before the answer. Guards against a
+    /// second write, by a retry of the client, or of its caller if the client reports that nothing ran.
     lost_reply_is_unknown_and_not_retried(kv) {
         let store = Store::new(vec![kv.addr, kv.addr], CALL_TIMEOUT).await;
         kv.set_faults(json!({"lose_answers": 1, "lose_key": "a"})).await;
@@ -200,8 +200,8 @@
         assert_eq!((store.calls().txn, store.calls().unknown), (2, 1));
     }
 
-    /// The service has no leader: at first it says so, later it does not even answer. A host
-    /// that takes the silent case for a refusal gives the same order twice.
+    /// The service has no leader: it refuses calls, then hangs. Guards against reporting a call that
+    /// timed out as refused, after which a host would send the same order twice.
     outage_refuses_or_hangs(kv) {
         let store = kv.store(CALL_TIMEOUT).await;
         let mut watch = store.watch(key_span("a"), 1).await.unwrap();
@@ -219,7 +219,7 @@
     }
 
     fails_over_from_an_unreachable_endpoint(kv) {
-        // Bound and not listening: the port stays taken and refuses connections.
+        // Bound but not listening: the port stays reserved and refuses connections.
         let unreachable = TcpSocket::new_v4().unwrap();
         unreachable.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let unreachable_addr = unreachable.local_addr().unwrap();
@@ -241,7 +241,7 @@
         store.revoke(kept).await.unwrap();
         assert!(store.range(key_span("b")).await.unwrap().pairs.is_empty());
 
-        // On a busy machine the lease may lapse before it is used: try until one was used.
+        // On a busy machine the lease may expire before the write, so the write is retried.
         let (lease, written) = loop {
             let lease = store.grant(Duration::from_secs(10)).await.unwrap();
             if let Ok(written) = store.txn(single_op(put_with_lease("a", b"1", lease))).await {
@@ -265,8 +265,8 @@
             let change = Change { key: "p/a".into(), value, mod_revision: modified };
             assert_eq!(next_changes(&mut watch).await.unwrap(), [change]);
         }
-        let quiet = watch.next().await.unwrap();
-        assert_eq!((quiet.revision, quiet.changes.len()), (first + 2, 0));
+        let progress = watch.next().await.unwrap();
+        assert_eq!((progress.revision, progress.changes.len()), (first + 2, 0));
         drop(watch);
         assert_eq!(store.calls().open_watches, 0);
         while kv.request(Method::GET, "/calls", json!(null)).await["waiting"] != 0 {
@@ -282,8 +282,8 @@
         });
     }
 
-    /// Something between the two ends loses track of a connection: it stays open and nothing
-    /// comes through. A host would go on with old lists, with no error to see.
+    /// A middlebox drops the state of a connection, which stays open without data. Guards against a
+    /// watch that hangs without an error while the host uses outdated state.
     frozen_watch_times_out(kv) {
         let store = kv.store(CALL_TIMEOUT).await;
         let short_timeout = store.clone().with_watch_timeout(WATCH_TIMEOUT);
@@ -295,8 +295,8 @@
         assert_eq!(next_changes(&mut reopened).await.unwrap()[0].mod_revision, written);
     }
 
-    /// Watches hold their connections for good. With a small pool the calls behind them wait
-    /// for a free one until they time out, and the store looks down.
+    /// Each watch holds a connection. Guards against a pool so small that calls wait for a free
+    /// connection until they time out, as if the store were down.
     watches_do_not_exhaust_the_connection_pool(kv) {
         let store = kv.store(CALL_TIMEOUT).await;
         let mut open = Vec::new();
@@ -304,7 +304,7 @@
             open.push(store.watch(key_span("a"), 1).await.unwrap());
         }
         let calls = (0..20).map(async |turns| {
-            // One starts while the connection of the one before is being made.
+            // Some calls start while earlier ones are still connecting.
             for _ in 0..turns {
                 tokio::task::yield_now().await;
             }
@@ -344,17 +344,17 @@
     }
 }
 
-/// Answers every connection with `answer` and closes it; counts the connections.
+/// Answers every connection with `answer` and closes it; returns the address and a connection count.
 async fn malformed_server(answer: String) -> (SocketAddr, std::rc::Rc<std::cell::Cell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let count = std::rc::Rc::new(std::cell::Cell::new(0));
-    let seen = std::rc::Rc::clone(&count);
+    let counter = std::rc::Rc::clone(&count);
     ntex::rt::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            seen.set(seen.get() + 1);
+            counter.set(counter.get() + 1);
             let mut request = Vec::new();
-            // The calls here end with their JSON body.
+            // The requests end with their JSON body.
             while !request.ends_with(b"}") {
                 let read = stream.read_buf(&mut request).await.unwrap();
                 assert!(read > 0, "the request was cut short");
@@ -365,7 +365,7 @@
     (addr, count)
 }
 
-/// Runs one write against a broken answer; it must be sent once and end as `$want`.
+/// Defines one test for each malformed answer: a write must be sent once and fail with `$expected`.
 macro_rules! malformed {
     ($($name:ident($status:expr, $body:expr) => $expected:pat,)*) => {
         $(#[test] fn $name() {
@@ -375,8 +375,8 @@
                 let answer = if $status.is_empty() { $body.to_string() } else { answer };
                 let (addr, count) = malformed_server(answer).await;
                 let store = Store::new(vec![addr, addr], CALL_TIMEOUT).await;
-                let done = store.txn(single_op(put("a", b"1"))).await;
-                assert_matches!(done, Err($expected));
+                let result = store.txn(single_op(put("a", b"1"))).await;
+                assert_matches!(result, Err($expected));
                 assert_eq!(count.get(), 1);
             });
         })*
