--- a/tests/relay/era.rs
+++ b/tests/relay/era.rs
@@ -7,12 +7,12 @@
 use super::{Site, is_listed_as, is_listed_ready, wait_for};
 
 /// Requests sent to find out which servers a host uses.
-const REQUESTS: usize = 20;
+const REQUEST_COUNT: usize = 20;
 
-/// Sends [`REQUESTS`] requests; returns how many reach the server.
+/// Sends [`REQUEST_COUNT`] requests; returns how many reach the server.
 fn count_served(site: &Site, server: &Engine) -> usize {
     let before = server.request_heads("/once/x").len();
-    for _ in 0..REQUESTS {
+    for _ in 0..REQUEST_COUNT {
         site.send("/once/x", "id", &[]).expect("an answer");
     }
     server.request_heads("/once/x").len() - before
@@ -42,7 +42,7 @@
         is_listed_as(&site.log(), "s-2", "leaving") && count_served(&site, &two) == 0
     });
     assert_eq!(count_served(&site, &one), 0, "{}", site.log());
-    assert_eq!(count_served(&site, &three), REQUESTS);
+    assert_eq!(count_served(&site, &three), REQUEST_COUNT);
 }
 
 /// The store is restored from an older copy, and new writes reuse revisions that the host has already read.
--- a/tests/relay/limit.rs
+++ b/tests/relay/limit.rs
@@ -9,7 +9,7 @@
 use super::{LOG_FILE, Site, http, is_listed_ready, wait_for};
 
 /// Requests sent to each host.
-const REQUESTS: usize = 30;
+const REQUEST_COUNT: usize = 30;
 /// Response time of the slower server.
 const SLOW_DELAY: Duration = Duration::from_millis(60);
 /// Seconds between probe requests to a server whose limit is zero.
@@ -57,7 +57,7 @@
         ("x-chiveway-attempt-id", "id"),
         ("x-chiveway-deadline-ms", "8000"),
     ];
-    for _ in 0..REQUESTS {
+    for _ in 0..REQUEST_COUNT {
         let one = site.send("/once/x", "id", &[]);
         let two = http::send(second.callers, "POST", "/once/x", &headers, b"body");
         assert_eq!(one.map(|answer| answer.status), Some(200));
--- a/tests/relay/standin.rs
+++ b/tests/relay/standin.rs
@@ -180,7 +180,7 @@
         let backup = found.map_or_else(Backup::default, |(_, backup)| backup.clone());
         self.restores += 1;
         self.backups
-            .retain(|(_, older)| older.revision <= backup.revision);
+            .retain(|(_, snapshot)| snapshot.revision <= backup.revision);
         self.history
             .retain(|(.., revision, _)| *revision <= backup.revision);
         let before = std::mem::replace(&mut self.keys, backup.keys);
@@ -208,7 +208,7 @@
             }
         }
         for (key, value) in lost {
-            // A write that an earlier restore lost is newer than the one that it restored.
+            // The write that an earlier restore lost is newer than the value that this one lost.
             self.lost_writes.entry(key).or_insert(value);
         }
         self.revision = backup.revision;
@@ -552,7 +552,7 @@
 pub struct Engine {
     pub id: String,
     addr: SocketAddr,
-    state: Arc<(Mutex<EngineState>, Condvar)>,
+    shared: Arc<(Mutex<EngineState>, Condvar)>,
 }
 
 /// Returns the events of a stream.
@@ -571,32 +571,32 @@
     }
 
     fn start(id: &str, stage: Option<String>) -> Self {
-        let state = EngineState {
+        let initial = EngineState {
             stage,
             ..EngineState::default()
         };
-        let state = Arc::new((Mutex::new(state), Condvar::new()));
-        let (shared, name) = (Arc::clone(&state), id.to_owned());
-        let addr = listen(move |request, stream| serve_engine(&shared, &name, request, stream));
+        let shared = Arc::new((Mutex::new(initial), Condvar::new()));
+        let (handle, name) = (Arc::clone(&shared), id.to_owned());
+        let addr = listen(move |request, stream| serve_engine(&handle, &name, request, stream));
         Self {
             id: id.to_owned(),
             addr,
-            state,
+            shared,
         }
     }
 
     /// Returns its entry in the store.
-    pub fn entry(&self, state: &str) -> Value {
-        let stage = self.state.0.lock().expect("the engine").stage.clone();
+    pub fn entry(&self, reported_state: &str) -> Value {
+        let stage = self.shared.0.lock().expect("the engine").stage.clone();
         let service = if stage.is_some() { "model" } else { "plain" };
         json!({"service": service, "address": self.addr.to_string(), "zone": "z", "version": "v1",
-            "slots": 8, "state": state, "coldRemainingMs": 0, "stage": stage, "sequence": 1,
+            "slots": 8, "state": reported_state, "coldRemainingMs": 0, "stage": stage, "sequence": 1,
             "born": 1})
     }
 
     /// Returns the heads of the requests received on a path.
     pub fn request_heads(&self, path: &str) -> Vec<String> {
-        let state = self.state.0.lock().expect("the engine");
+        let state = self.shared.0.lock().expect("the engine");
         let matching = state
             .requests
             .iter()
@@ -606,7 +606,7 @@
 
     /// Returns the JSON bodies received on a path.
     pub fn request_bodies(&self, path: &str) -> Vec<Value> {
-        let state = self.state.0.lock().expect("the engine");
+        let state = self.shared.0.lock().expect("the engine");
         let matching = state
             .requests
             .iter()
@@ -618,27 +618,27 @@
 
     /// Breaks the next new stream off in the middle of the event after `events`.
     pub fn break_after(&self, events: u64) {
-        self.state.0.lock().expect("the engine").break_after = Some(events);
+        self.shared.0.lock().expect("the engine").break_after = Some(events);
     }
 
     /// Cancels [`break_after`](Self::break_after).
     pub fn clear_break(&self) {
-        self.state.0.lock().expect("the engine").break_after = None;
+        self.shared.0.lock().expect("the engine").break_after = None;
     }
 
     /// Adds a limit header to each answer from now on.
     pub fn set_limit(&self, rate: &str) {
-        self.state.0.lock().expect("the engine").limit = Some(rate.to_owned());
+        self.shared.0.lock().expect("the engine").limit = Some(rate.to_owned());
     }
 
     /// Answers the next request with another request's id.
     pub fn answer_as(&self, id: &str) {
-        self.state.0.lock().expect("the engine").answer_id = Some(id.to_owned());
+        self.shared.0.lock().expect("the engine").answer_id = Some(id.to_owned());
     }
 
     /// Returns all requests except load reports: path, head and body.
     pub fn requests(&self) -> Vec<(String, String, Vec<u8>)> {
-        let state = self.state.0.lock().expect("the engine");
+        let state = self.shared.0.lock().expect("the engine");
         let all = state
             .requests
             .iter()
@@ -653,23 +653,23 @@
 
     /// Sets the delay of each answer and of each event of a stream.
     pub fn set_delay(&self, delay: Duration) {
-        self.state.0.lock().expect("the engine").delay = delay;
+        self.shared.0.lock().expect("the engine").delay = delay;
     }
 
     /// Breaks all streams off and closes every connection on its next request.
     pub fn crash(&self) {
-        self.state.0.lock().expect("the engine").crashed = true;
+        self.shared.0.lock().expect("the engine").crashed = true;
     }
 
     /// Holds back the ends of streams.
     pub fn hold_streams(&self) {
-        self.state.0.lock().expect("the engine").held = true;
+        self.shared.0.lock().expect("the engine").held = true;
     }
 
     /// Releases the ends of streams.
     pub fn release_streams(&self) {
-        self.state.0.lock().expect("the engine").held = false;
-        self.state.1.notify_all();
+        self.shared.0.lock().expect("the engine").held = false;
+        self.shared.1.notify_all();
     }
 }
 
--- a/tests/soak/cluster.rs
+++ b/tests/soak/cluster.rs
@@ -72,7 +72,7 @@
     writes: Mutex<()>,
     /// Versions observed in force, by host incarnation.
     pub served_versions: Mutex<BTreeMap<String, Vec<u64>>>,
-    /// Number of active faults that are not planned, and of all of them so far.
+    /// Number of unplanned faults: active now, and injected so far.
     pub unplanned: (AtomicU64, AtomicU64),
     pub observations: Mutex<Vec<(Observation, u64)>>,
     pub finished: AtomicBool,
@@ -357,15 +357,15 @@
         }
     }
 
-    fn kill(&self, which: &[usize]) {
-        let mut hosts: Vec<_> = which
+    fn kill(&self, indices: &[usize]) {
+        let mut hosts: Vec<_> = indices
             .iter()
             .map(|host| self.hosts[*host].lock().expect("no panic"))
             .collect();
         for host in &mut hosts {
             host.process.kill();
         }
-        for (index, host) in which.iter().zip(&mut hosts) {
+        for (index, host) in indices.iter().zip(&mut hosts) {
             self.restart(*index, host);
         }
     }
