--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Whole-program tests of the commands, against a fake operators' listener where one is needed.
+//! Runs the commands of the real program, against a fake operators' listener where one is needed.
 
 mod common;
 
@@ -9,16 +9,16 @@
 use common::console::{Console, Fault, KEY};
 
 const PLANS: &str = "[customer Sønderborg Kunstforening]\nplan = guld\n";
-const USES: &str = "[plan guld]\nrequests = 50/s\n";
+const SERVICE_SETTINGS: &str = "[plan guld]\nrequests = 50/s\n";
 
-/// Returns a file of this test in the build's own folder for temporary files.
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a file to the build's temporary folder; returns its path.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).unwrap();
     path
 }
 
-/// Names each case: arguments and what must be on standard output.
+/// Defines one test for each case: arguments, and a text expected on standard output.
 macro_rules! prints {
     ($($name:ident: $args:literal => $text:expr;)+) => {
         $(#[test]
@@ -31,7 +31,7 @@
 prints! {
     help_lists_commands: "--help" => "explain          Explains how a request was handled, and why\n";
     short_help: "-h" => "Exit codes: 0 done, 1 failed, 2 wrong usage.";
-    help_of_a_noun: "plans --help" => "  plans apply  Puts a file of customers' plans in force\n";
+    help_of_a_command_group: "plans --help" => "  plans apply  Puts a file of customers' plans in force\n";
     help_of_host: "host --help" => "  --config FILE  Settings of the host; also -c\n";
     help_shows_defaults: "try --help" => "  --hosts N  Hosts to run [default: 3]\n";
     help_lists_settings: "check --help" => "  refresh  Time between two reads of the list [default: 1s]\n";
@@ -47,8 +47,8 @@
     buzkulube_uses: "use check --file examples/buzkulube/use.ini" => "no fault";
 }
 
-/// Names each case: wrong arguments and what must be on standard error.
-macro_rules! misused {
+/// Defines one test for each case: wrong arguments, and a text expected on standard error.
+macro_rules! usage_errors {
     ($($name:ident: $args:literal => $text:expr;)+) => {
         $(#[test]
         fn $name() {
@@ -58,7 +58,7 @@
     };
 }
 
-misused! {
+usage_errors! {
     no_command: "" => "error: Name one of the commands: host, check, plans get,";
     unknown_command: "serve" => "Unknown command \"serve\"; use one of host, check,";
     unknown_verb: "plans put" => "use one of plans get, plans edit, plans check, plans diff, plans apply.\nFor help: chiveway plans --help\n";
@@ -79,15 +79,15 @@
 
 #[test]
 fn check_prints_every_fault_of_every_file() {
-    let one = file(
+    let first = write_file(
         "check-one.ini",
         "[host]\nname = ærø\nnom = x\n[pool a]\nmodel = m\nfencing = maybe\n",
     );
-    let two = file("check-two.ini", "[platform\n");
+    let second = write_file("check-two.ini", "[platform\n");
     let done = chiveway()
         .args("check")
-        .arg(one.to_str().unwrap())
-        .arg(two.to_str().unwrap())
+        .arg(first.to_str().unwrap())
+        .arg(second.to_str().unwrap())
         .ends(1)
         .stdout_contains(
             "check-one.ini: [host] nom given an unknown key, allowed only the keys name,",
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn check_names_a_file_that_is_not_there() {
+fn check_names_a_missing_file() {
     let done = chiveway().args("check no-such.ini").ends(1);
     done.stderr_contains("error: cannot read no-such.ini: ");
 }
@@ -120,9 +120,9 @@
 
 #[test]
 fn list_is_fetched_edited_compared_and_applied() {
-    let console = Console::start(PLANS, USES, Fault::None);
+    let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::None);
     let access = console.access();
-    let path = file("edited.ini", "");
+    let path = write_file("edited.ini", "");
     let on_file = |verb: &str| {
         let run = chiveway().args(&format!("plans {verb} {access} --file"));
         run.arg(path.to_str().unwrap()).key(KEY)
@@ -153,17 +153,17 @@
         .stdout_contains("[customer Çıldır]\nplan = guld\n");
 }
 
-/// Two operators fetch the same revision and both apply. If the second went through, the first
-/// edit would vanish without a word; the second operator must see what came first.
+/// Two operators fetch the same revision and both apply an edit. Guards against the second overwriting the
+/// first: it is refused, with the difference to the first edit.
 #[test]
-fn second_of_two_racing_edits_is_told_what_changed() {
-    let console = Console::start(PLANS, USES, Fault::None);
+fn second_of_two_concurrent_edits_gets_a_diff() {
+    let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::None);
     let apply = |path: &PathBuf| {
         let run = chiveway().args(&format!("plans apply {} --file", console.access()));
         run.arg(path.to_str().unwrap()).key(KEY)
     };
-    let first = file("first.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
-    let second = file(
+    let first = write_file("first.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
+    let second = write_file(
         "second.ini",
         "# revision 1\n[customer Ålborg]\nplan = guld\n",
     );
@@ -176,12 +176,12 @@
         .stderr_contains("- customer Ålborg\n+ customer Ærø\n");
 }
 
-/// The host takes an edit and its answer is lost. The operator applies the file again and would
-/// see a conflict with a rival who does not exist.
+/// The host accepts an edit and its answer is lost. Guards against a conflict with the operator's own edit
+/// when the file is applied again.
 #[test]
-fn edit_whose_answer_was_lost_can_be_applied_again() {
-    let console = Console::start(PLANS, USES, Fault::LostAnswer);
-    let path = file("lost.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
+fn edit_with_a_lost_answer_can_be_retried() {
+    let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::LostAnswer);
+    let path = write_file("lost.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
     let apply = || {
         let run = chiveway().args(&format!("plans apply {} --file", console.access()));
         run.arg(path.to_str().unwrap()).key(KEY)
@@ -194,13 +194,13 @@
         .stdout_contains("revision 2 is accepted\n");
 }
 
-/// Names each case: a file, how the host answers, the exit code's message.
+/// Defines one test for each case: a file, the host's fault, a key, and the expected message.
 macro_rules! refused {
     ($($name:ident: $text:literal, $fault:ident, $key:expr => $message:literal;)+) => {
         $(#[test]
         fn $name() {
-            let console = Console::start(PLANS, USES, Fault::$fault);
-            let path = file(concat!(stringify!($name), ".ini"), $text);
+            let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::$fault);
+            let path = write_file(concat!(stringify!($name), ".ini"), $text);
             chiveway()
                 .args(&format!("plans apply {} --file", console.access()))
                 .arg(path.to_str().unwrap())
@@ -230,8 +230,8 @@
 
 #[test]
 fn explanation_is_printed_as_text_or_json() {
-    let console = Console::start(PLANS, USES, Fault::None);
-    let key_file = file("key.txt", &format!("{KEY}\n"));
+    let console = Console::start(PLANS, SERVICE_SETTINGS, Fault::None);
+    let key_file = write_file("key.txt", &format!("{KEY}\n"));
     let explain = |args: &str| {
         let run = chiveway().args(&format!("explain {args} {} --key-file", console.access()));
         run.arg(key_file.to_str().unwrap())
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -1,8 +1,8 @@
-//! The real program as a relaying host, before stand-ins of a store, of engines and of a plain
-//! server that speak the users' platform's protocol.
+//! Runs the real program as a relaying host in front of stand-ins of a store, engines and a plain server
+//! that implement the platform's protocol.
 
 mod era;
-mod follow;
+mod hang;
 #[path = "../common/http.rs"]
 #[expect(dead_code, reason = "shared with the fleet tests, which use all of it")]
 mod http;
@@ -10,10 +10,10 @@
 #[path = "../fleet/support/process.rs"]
 #[expect(dead_code, reason = "shared with the fleet tests, which use all of it")]
 mod process;
-mod silence;
 #[expect(dead_code, reason = "shared with the soak, which uses all of it")]
 mod standin;
 mod stop;
+mod watcher;
 
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
@@ -22,31 +22,34 @@
 use serde_json::Value;
 
 use process::{Folder, Process};
-use standin::{Engine, LONG, SHORT, Store, config, settings};
+use standin::{Engine, LONG_PROMPT, SHORT_PROMPT, Store, config, settings};
 
-/// Bound of any wait; far above what a test waits for.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Time limit of any wait; far above what a test needs.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until something holds.
+/// Polls until `holds` returns true.
 ///
 /// # Panics
 ///
-/// When it does not in [`LIMIT`].
+/// If it does not hold within [`WAIT_TIMEOUT`].
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LIMIT, "{what} did not come about");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Returns whether a host has logged that the list names this backend server as ready.
-fn lists(log: &str, id: &str) -> bool {
-    listed_as(log, id, "ready")
+/// Returns whether a host has logged this backend server as listed and ready.
+fn is_listed_ready(log: &str, id: &str) -> bool {
+    is_listed_as(log, id, "ready")
 }
 
-/// Returns whether a host has logged that the list names this backend server in a state.
-fn listed_as(log: &str, id: &str, state: &str) -> bool {
+/// Returns whether a host has logged this backend server as listed in a state.
+fn is_listed_as(log: &str, id: &str, state: &str) -> bool {
     let events = log
         .lines()
         .filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -54,7 +57,7 @@
     listed.any(|event| event["backend"] == id && event["state"] == state)
 }
 
-/// A host before its stand-ins.
+/// A host and its store.
 struct Site {
     store: Store,
     host: Process,
@@ -63,22 +66,22 @@
     folder: Folder,
 }
 
-/// Name of the file that takes a host's log lines.
-const LOG: &str = "host.log";
+/// File name of a host's log.
+const LOG_FILE: &str = "host.log";
 
 impl Site {
     fn new() -> Self {
         Self::with_grace("8s")
     }
 
-    /// Starts a host that is killed so long after it was asked to stop.
+    /// Starts a host with this grace period for a stop.
     fn with_grace(grace: &str) -> Self {
         let store = Store::start();
         let folder = Folder::new();
         let settings = settings("host-1", store.addr).replace("8s", grace);
         let config = folder.write("host.ini", &settings);
         let config = config.to_str().expect("a path").to_owned();
-        let log = folder.write(LOG, "");
+        let log = folder.write(LOG_FILE, "");
         let host = Process::logged(&["host", "-c", &config], &log);
         let line: Value = serde_json::from_str(&host.line).expect("a JSON line");
         let addr = |name: &str| line[name].as_str().and_then(|addr| addr.parse().ok());
@@ -98,10 +101,10 @@
         site
     }
 
-    /// Puts a configuration in force and waits until the host is ready and knows every engine.
+    /// Writes a configuration and waits until the host is ready and has every engine listed.
     ///
-    /// A host is ready with the first backend server that it knows; the store may tell of another one
-    /// in its next answer, and a request for that one's service is refused until then.
+    /// A host is ready with its first backend server. The next one may arrive with a later answer of the
+    /// store; requests for its service are refused until then.
     fn configure(&self, engines: &[&Engine]) {
         self.store.put("op/config", &config(1, "/short/"));
         for engine in engines {
@@ -109,15 +112,17 @@
                 .put(&format!("servers/{}", engine.id), &engine.entry("ready"));
         }
         self.wait_ready();
-        wait_for("every engine", || {
+        wait_for("every engine in the list", || {
             let log = self.log();
-            engines.iter().all(|engine| lists(&log, &engine.id))
+            engines
+                .iter()
+                .all(|engine| is_listed_ready(&log, &engine.id))
         });
     }
 
-    /// Returns what the host has logged.
+    /// Returns the host's log.
     fn log(&self) -> String {
-        self.folder.read(LOG)
+        self.folder.read(LOG_FILE)
     }
 
     fn wait_ready(&self) {
@@ -127,15 +132,17 @@
         });
     }
 
-    /// Has a caller ask for a stream from an engine, and waits until it is there.
+    /// Requests a stream from another thread, and waits until it has reached the engine.
     fn stream(&self, id: &'static str, engine: &Engine) -> JoinHandle<Option<http::Answer>> {
         let callers = self.callers;
         let running = std::thread::spawn(move || {
             let mut headers = vec![("x-chiveway-attempt-id", id)];
-            headers.extend(SHORT);
+            headers.extend(SHORT_PROMPT);
             http::send(callers, "POST", "/short/x", &headers, b"body")
         });
-        wait_for("the stream", || engine.seen("/short/x").len() == 1);
+        wait_for("the stream to reach the engine", || {
+            engine.request_heads("/short/x").len() == 1
+        });
         running
     }
 
@@ -150,7 +157,7 @@
 }
 
 #[test]
-fn a_request_of_each_kind_is_served_whole() {
+fn each_kind_of_request_gets_a_complete_answer() {
     let (plain, prefill, decode) = (
         Engine::plain("s-1"),
         Engine::model("p-1", "prefill"),
@@ -165,24 +172,28 @@
         );
         assert_eq!(answer.header("x-chiveway-server-stamp"), Some("s-1"));
     }
-    let answer = site.send("/long/x", "id-2", &LONG).expect("an answer");
+    let answer = site
+        .send("/long/x", "id-2", &LONG_PROMPT)
+        .expect("an answer");
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.text(), standin::events("d-1", 1..=4));
     assert_eq!(
-        prefill.seen("/long/x").len(),
+        prefill.request_heads("/long/x").len(),
         1,
-        "the prompt was prefilled apart"
+        "the prompt was not prefilled at the prefill engine"
     );
-    let taken = decode.seen("/long/x");
-    assert!(taken[0].contains("x-chiveway-kv-source: "), "{taken:?}");
-    let answer = site.send("/short/x", "id-3", &SHORT).expect("an answer");
+    let heads = decode.request_heads("/long/x");
+    assert!(heads[0].contains("x-chiveway-kv-source: "), "{heads:?}");
+    let answer = site
+        .send("/short/x", "id-3", &SHORT_PROMPT)
+        .expect("an answer");
     assert!(answer.whole && answer.text().contains("id: 4"));
 }
 
-/// Callers forge the headers by which hosts speak to engines. Passed on, they would skip the
-/// prefill or take a KV cache of another caller.
+/// A caller sends headers that hosts use internally towards engines. Guards against forwarding them: the
+/// request could skip the prefill or read another caller's KV cache.
 #[test]
-fn forged_headers_reach_no_backend_server() {
+fn internal_headers_from_callers_are_not_forwarded() {
     let plain = Engine::plain("s-1");
     let site = Site::ready(&[&plain]);
     let forged = [
@@ -193,7 +204,7 @@
         ("x-mine", "kept"),
     ];
     site.send("/once/x", "id-1", &forged).expect("an answer");
-    let head = plain.seen("/once/x").remove(0);
+    let head = plain.request_heads("/once/x").remove(0);
     assert!(head.contains("x-mine: kept") && head.contains("x-chiveway-expect-instance: s-1"));
     assert!(
         !head.contains("serving-stage") && !head.contains("kv-source"),
@@ -202,12 +213,15 @@
     assert!(!head.contains("kv-fetch"), "{head}");
 }
 
-/// The operator adds a route and drops another. Both are in force soon after the store took it.
+/// The operator adds a route and removes another. Guards against a host that keeps the old routes.
 #[test]
-fn a_configuration_comes_into_force() {
+fn a_new_configuration_replaces_the_routes() {
     let (plain, decode) = (Engine::plain("s-1"), Engine::model("d-1", "decode"));
     let site = Site::ready(&[&plain, &decode]);
-    let status = |path: &str| site.send(path, "id", &SHORT).map(|answer| answer.status);
+    let status = |path: &str| {
+        site.send(path, "id", &SHORT_PROMPT)
+            .map(|answer| answer.status)
+    };
     assert_eq!(status("/new/x"), Some(404));
     assert_eq!(status("/short/x"), Some(200));
     site.store.put("op/config", &config(2, "/new/"));
@@ -215,33 +229,33 @@
     assert_eq!(status("/short/x"), Some(404));
 }
 
-/// A backend server reports that it is about to end. What was on its way is finished, and nothing
-/// more goes there once the store has told.
+/// A backend server reports that it is draining. Guards against a host that has read this from the store and
+/// still sends it requests, which fail when the server ends.
 #[test]
-fn a_leaving_backend_server_gets_nothing_more() {
+fn a_draining_backend_server_gets_no_new_requests() {
     let (one, two) = (Engine::plain("s-1"), Engine::plain("s-2"));
     let site = Site::ready(&[&one, &two]);
     site.store.put("servers/s-1", &one.entry("draining"));
-    // The change is known once a later one is.
+    // The host reads changes in order: it has read this one once a later one is applied.
     site.store.put("op/config", &config(2, "/new/"));
     let decode = Engine::model("d-1", "decode");
     site.store.put("servers/d-1", &decode.entry("ready"));
-    wait_for("the later change", || {
-        site.send("/new/x", "id", &SHORT)
+    wait_for("the later change to be applied", || {
+        site.send("/new/x", "id", &SHORT_PROMPT)
             .is_some_and(|answer| answer.status == 200)
     });
-    let before = one.seen("/once/x").len();
+    let before = one.request_heads("/once/x").len();
     for _ in 0..20 {
         site.send("/once/x", "id", &[]).expect("an answer");
     }
-    assert_eq!(one.seen("/once/x").len(), before);
-    assert_eq!(two.seen("/once/x").len(), 20);
+    assert_eq!(one.request_heads("/once/x").len(), before);
+    assert_eq!(two.request_heads("/once/x").len(), 20);
 }
 
-/// All engines decode. The host that holds the authority has some prefill, with a fencing number
-/// that the store gave and the count of orders that the engine told.
+/// All engines decode, so the authority's holder orders some to prefill. Guards against an order without the
+/// fencing token from the store or the order count that the engine reported: it would not be fenced.
 #[test]
-fn engines_are_ordered_with_authority() {
+fn stage_orders_carry_the_fencing_token() {
     let engines: Vec<Engine> = (1..=4)
         .map(|n| Engine::model(&format!("d-{n}"), "decode"))
         .collect();
@@ -249,28 +263,28 @@
     let orders = || -> Vec<Value> {
         engines
             .iter()
-            .flat_map(|engine| engine.bodies("/v1/order"))
+            .flat_map(|engine| engine.request_bodies("/v1/order"))
             .collect()
     };
-    wait_for("an order", || !orders().is_empty());
+    wait_for("a stage order", || !orders().is_empty());
     let order = orders().remove(0);
     assert_eq!(order["operation"], "stage");
     assert_eq!(order["stage"], "prefill");
     assert_eq!(order["holder"], "host-1");
     assert_eq!(order["expectedRevision"], 0);
-    let fence = order["fencingToken"].as_i64().expect("a fencing number");
+    let fence = order["fencingToken"].as_i64().expect("a fencing token");
     let created = site
         .store
         .created("chiveway/planner")
         .expect("the authority");
-    // The store is in its first era.
+    // The token is the store's era, 1 here, shifted by 40 bits, plus the revision.
     assert_eq!(fence, (1 << 40) + created);
 }
 
-/// An engine breaks off in the middle of an event. A stream that may go on does so elsewhere with
-/// no piece missing or twice; one that may not must look cut.
+/// An engine breaks a stream off in the middle of an event. Guards against missing or duplicate events in a
+/// resumable stream, and against any other stream that looks complete.
 #[test]
-fn a_broken_stream_goes_on_or_looks_cut() {
+fn a_broken_stream_resumes_or_ends_incomplete() {
     let (one, two) = (
         Engine::model("d-1", "decode"),
         Engine::model("d-2", "decode"),
@@ -278,12 +292,16 @@
     let site = Site::ready(&[&one, &two]);
     one.break_after(2);
     two.break_after(2);
-    let answer = site.send("/long/x", "id-1", &LONG).expect("an answer");
+    let answer = site
+        .send("/long/x", "id-1", &LONG_PROMPT)
+        .expect("an answer");
     assert_eq!((answer.status, answer.whole), (200, false));
-    // Which engine it goes to is the host's choice; the one that goes on does not break off.
+    // The host may choose either engine; a resumed stream does not break off again.
     one.break_after(2);
     two.break_after(2);
-    let answer = site.send("/short/x", "id-2", &SHORT).expect("an answer");
+    let answer = site
+        .send("/short/x", "id-2", &SHORT_PROMPT)
+        .expect("an answer");
     assert!(answer.whole, "{}", answer.text());
     let text = answer.text();
     let ids: Vec<&str> = text
@@ -291,14 +309,14 @@
         .filter(|line| line.starts_with("id:"))
         .collect();
     assert_eq!(ids, ["id: 1", "id: 2", "id: 3", "id: 4"]);
-    let heads = [one.seen("/short/x"), two.seen("/short/x")].concat();
+    let heads = [one.request_heads("/short/x"), two.request_heads("/short/x")].concat();
     assert!(heads.iter().any(|head| head.contains("last-event-id: 2")));
 }
 
-/// A backend server answers a request that it was never asked for in place of this one. Its answer
+/// A backend server answers with the id of another request. Guards against forwarding an answer that
 /// belongs to another caller.
 #[test]
-fn an_answer_to_another_request_is_not_passed_on() {
+fn an_answer_to_another_request_is_not_forwarded() {
     let plain = Engine::plain("s-1");
     let site = Site::ready(&[&plain]);
     plain.answer_as("another");
@@ -307,54 +325,54 @@
     assert!(!answer.text().contains("s-1 /once/x"));
 }
 
-/// The host is asked to stop while a stream runs. The stream is finished, and the process ends.
+/// The host receives SIGTERM while a stream runs. Guards against a stop that cuts the stream or never ends.
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_planned_stop_finishes_running_streams() {
     let decode = Engine::model("d-1", "decode");
     let mut site = Site::ready(&[&decode]);
-    decode.hold();
+    decode.hold_streams();
     let running = site.stream("id-1", &decode);
     site.host.term();
-    wait_for("unreadiness", || {
+    wait_for("the host to report that it is not ready", || {
         let answer = http::send(site.readiness, "GET", "/v1/readyz", &[], b"");
         answer.is_none_or(|answer| answer.status != 200)
     });
-    decode.release();
+    decode.release_streams();
     let answer = running.join().expect("a caller").expect("an answer");
     assert!(answer.whole && answer.status == 200);
-    wait_for("the end of the process", || site.host.is_over());
+    wait_for("the process to exit", || site.host.is_over());
 }
 
-/// A host's settings change just after its start. It must not end of that: callers that it had
-/// accepted would be cut.
+/// A host receives SIGHUP just after its start. Guards against the signal ending the process, which would cut
+/// accepted connections.
 #[test]
-fn a_reload_just_after_the_start_ends_nothing() {
+fn a_reload_just_after_start_does_not_end_the_host() {
     for _ in 0..10 {
         let mut site = Site::new();
         site.host.hup();
         let answer = site.send("/once/x", "id-1", &[]).expect("an answer");
-        assert_eq!(answer.status, 503, "it lives and knows nothing yet");
+        assert_eq!(answer.status, 503, "the host runs without a configuration");
         assert!(!site.host.is_over());
     }
 }
 
-/// A body is larger than the operator allows.
+/// A body exceeds the operator's limit. Guards against sending it to a server all the same.
 #[test]
-fn a_body_that_is_too_large_runs_nowhere() {
+fn an_oversized_body_is_rejected_before_it_runs() {
     let plain = Engine::plain("s-1");
     let site = Site::ready(&[&plain]);
     let headers = [("x-chiveway-attempt-id", "id-1")];
     let answer = http::send(site.callers, "POST", "/once/x", &headers, &[b'x'; 5000]);
     assert_eq!(answer.map(|answer| answer.status), Some(413));
-    assert!(plain.seen("/once/x").is_empty());
+    assert!(plain.request_heads("/once/x").is_empty());
 }
 
-/// The store is away when the host starts. It is not ready, and what it cannot know it does not
-/// call unknown.
+/// The store is down when the host starts. Guards against reporting readiness, and against answering 404 for
+/// a route that the host has not been able to read.
 #[test]
-fn a_host_without_a_store_refuses_with_a_time_to_come_back() {
+fn a_host_without_a_store_refuses_with_retry_after() {
     let site = Site::new();
-    site.store.stop_answering();
+    site.store.go_down();
     let answer = site.send("/once/x", "id-1", &[]).expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
--- /dev/null
+++ b/tests/soak/cluster.rs
@@ -0,0 +1,418 @@
+//! The run of one seed: hosts, a store, servers and callers, with a series of injected faults.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::thread;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+
+use crate::check::{self, Observation};
+use crate::cut::Cut;
+use crate::faults::{Fault, FaultKind, series, with_hang, with_restores};
+use crate::process::{Folder, Process};
+use crate::standin::{Engine, Store, config, settings};
+use crate::{SEEDS_WITHOUT_HANG, SEEDS_WITHOUT_RESTORES, WAIT_TIMEOUT};
+
+/// Number of hosts.
+pub const HOST_COUNT: usize = 3;
+/// Initial stages of the servers; `None` for a plain server. Hosts order some to change.
+const SERVER_STAGES: [Option<&str>; 6] = [
+    None,
+    None,
+    Some("prefill"),
+    Some("decode"),
+    Some("decode"),
+    Some("decode"),
+];
+/// Number of concurrent callers.
+pub const CALLER_COUNT: u64 = 6;
+/// Delay of an answer, or of an event of a stream, at a server.
+const SERVER_DELAY: Duration = Duration::from_millis(5);
+/// Writes without an answer in one [`FaultKind::StoreDropsReplies`].
+const DROPPED_REPLIES: u32 = 3;
+
+/// A host's process and how often it has been started.
+pub struct Host {
+    pub process: Process,
+    starts: u32,
+}
+
+/// Address and name of the current process of a host; the name ends with the number of its start.
+#[derive(Debug, Clone)]
+pub struct Incarnation {
+    pub callers: SocketAddr,
+    pub name: String,
+}
+
+/// A server, its forwarder, and the configuration version written after its drain.
+pub struct Server {
+    pub engine: Engine,
+    pub forwarder: Cut,
+    pub drain_version: Option<u64>,
+}
+
+pub struct Cluster {
+    pub folder: Folder,
+    pub logs: PathBuf,
+    pub store: Store,
+    /// A forwarder to the store for each host.
+    pub store_forwarders: Vec<Cut>,
+    pub hosts: Vec<Mutex<Host>>,
+    pub incarnations: Mutex<Vec<Incarnation>>,
+    pub servers: Mutex<Vec<Server>>,
+    /// Index of the current server of each position.
+    pub positions: Mutex<Vec<usize>>,
+    pub version: AtomicU64,
+    /// Held during writes of the operator or a server, and from a restore until the lost writes are repeated:
+    /// a host's version shows which server entries it has read only if all of them are restored together.
+    writes: Mutex<()>,
+    /// Versions observed in force, by host incarnation.
+    pub served_versions: Mutex<BTreeMap<String, Vec<u64>>>,
+    /// Number of unplanned faults: active now, and injected so far.
+    pub unplanned: (AtomicU64, AtomicU64),
+    pub observations: Mutex<Vec<(Observation, u64)>>,
+    pub finished: AtomicBool,
+}
+
+/// Sets a flag when dropped.
+struct FinishOnDrop<'a>(&'a AtomicBool);
+
+impl Drop for FinishOnDrop<'_> {
+    fn drop(&mut self) {
+        self.0.store(true, Ordering::SeqCst);
+    }
+}
+
+/// Runs a seed; returns the violations and a summary.
+pub fn run_seed(seed: u64) -> (Vec<String>, String) {
+    let cluster = Cluster::new(seed);
+    let mut faults = series(seed, HOST_COUNT, SERVER_STAGES.len());
+    if !SEEDS_WITHOUT_HANG.contains(&seed) {
+        faults = with_hang(seed, faults);
+    }
+    if !SEEDS_WITHOUT_RESTORES.contains(&seed) {
+        faults = with_restores(seed, faults);
+    }
+    thread::scope(|scope| {
+        let cluster = &cluster;
+        for number in 0..CALLER_COUNT {
+            scope.spawn(move || cluster.send_requests(seed, number));
+        }
+        for host in 0..HOST_COUNT {
+            scope.spawn(move || cluster.probe_versions(host));
+        }
+        scope.spawn(|| cluster.update_entries());
+        // Callers must also end if injecting a fault panics.
+        let _finish = FinishOnDrop(&cluster.finished);
+        thread::scope(|injections| {
+            for fault in &faults {
+                thread::sleep(fault.delay);
+                injections.spawn(move || cluster.inject(*fault));
+            }
+        });
+    });
+    let unrecovered = cluster.unrecovered();
+    let record = cluster.record(unrecovered);
+    let served = record
+        .observations
+        .iter()
+        .filter(|seen| seen.status == Some(200));
+    let summary = format!(
+        "{} requests, {} served, {} runs, {} orders",
+        record.observations.len(),
+        served.count(),
+        record.runs.len(),
+        record.orders.len()
+    );
+    let violations = check::check(&record);
+    if violations.is_empty() {
+        drop(std::fs::remove_dir_all(&cluster.logs));
+    }
+    (violations, summary)
+}
+
+impl Cluster {
+    fn new(seed: u64) -> Self {
+        // Another soak of the same tree may run the same seed and remove its folder at the end.
+        let name = format!("soak-{seed}-{}", std::process::id());
+        let logs = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+        std::fs::create_dir_all(&logs).expect("a folder for logs");
+        let store = Store::start();
+        let store_forwarders: Vec<Cut> = (0..HOST_COUNT).map(|_| Cut::before(store.addr)).collect();
+        let mut cluster = Self {
+            folder: Folder::new(),
+            logs,
+            store,
+            store_forwarders,
+            hosts: Vec::new(),
+            incarnations: Mutex::default(),
+            servers: Mutex::default(),
+            positions: Mutex::default(),
+            version: AtomicU64::new(0),
+            writes: Mutex::default(),
+            served_versions: Mutex::default(),
+            unplanned: (AtomicU64::new(0), AtomicU64::new(0)),
+            observations: Mutex::default(),
+            finished: AtomicBool::new(false),
+        };
+        cluster.configure();
+        for stage in SERVER_STAGES {
+            let server = cluster.add_server(stage);
+            cluster.positions.lock().expect("no panic").push(server);
+        }
+        for host in 0..HOST_COUNT {
+            let (process, incarnation) = cluster.start(host, 1);
+            cluster.hosts.push(Mutex::new(Host { process, starts: 1 }));
+            cluster
+                .incarnations
+                .lock()
+                .expect("no panic")
+                .push(incarnation);
+        }
+        for host in 0..HOST_COUNT {
+            let unserved = cluster.unserved_within("start", host, WAIT_TIMEOUT);
+            assert!(unserved.is_empty(), "not served at the start: {unserved:?}");
+        }
+        cluster
+    }
+
+    /// Starts a host's process.
+    fn start(&self, host: usize, starts: u32) -> (Process, Incarnation) {
+        let name = format!("host-{host}");
+        let text = settings(&name, self.store_forwarders[host].addr);
+        let path = self.folder.write(&format!("{name}.ini"), &text);
+        let log = self.logs.join(format!("{name}.{starts}.log"));
+        let path = path.to_str().expect("a path");
+        let process = Process::logged(&["host", "-c", path], &log);
+        let line: Value = serde_json::from_str(&process.line).expect("a JSON line");
+        let callers = line["callers"].as_str().and_then(|addr| addr.parse().ok());
+        let incarnation = Incarnation {
+            callers: callers.expect("the callers' listener"),
+            name: format!("{name}.{starts}"),
+        };
+        (process, incarnation)
+    }
+
+    fn restart(&self, index: usize, host: &mut Host) {
+        host.starts += 1;
+        let (process, incarnation) = self.start(index, host.starts);
+        host.process = process;
+        self.incarnations.lock().expect("no panic")[index] = incarnation;
+    }
+
+    /// Writes the next configuration, which has a route of its own; returns its version.
+    fn configure(&self) -> u64 {
+        let _writes = self.writes.lock().expect("no panic");
+        self.write_version()
+    }
+
+    /// Writes the next configuration; `writes` must be held.
+    fn write_version(&self) -> u64 {
+        let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
+        let mut config = config(version, "/short/");
+        let mut route = config["routes"][1].clone();
+        route["prefix"] = json!(format!("/v{version}/"));
+        route["name"] = route["prefix"].clone();
+        if let Some(routes) = config["routes"].as_array_mut() {
+            routes.push(route);
+        }
+        self.store.put("op/config", &config);
+        version
+    }
+
+    fn add_server(&self, stage: Option<&str>) -> usize {
+        let mut servers = self.servers.lock().expect("no panic");
+        let id = format!("s-{}", servers.len() + 1);
+        let engine = stage.map_or_else(|| Engine::plain(&id), |stage| Engine::model(&id, stage));
+        engine.set_delay(SERVER_DELAY);
+        let forwarder = Cut::before(engine.addr());
+        let server = Server {
+            engine,
+            forwarder,
+            drain_version: None,
+        };
+        let writes = self.writes.lock().expect("no panic");
+        self.store
+            .put(&format!("servers/{id}"), &entry(&server, "ready"));
+        drop(writes);
+        servers.push(server);
+        servers.len() - 1
+    }
+
+    /// Adds a server and makes it the current one of a position.
+    fn replace(&self, position: usize) {
+        let new = self.add_server(SERVER_STAGES[position]);
+        self.positions.lock().expect("no panic")[position] = new;
+    }
+
+    /// Runs `act` on the current server of a position.
+    fn with_server<T>(&self, position: usize, act: impl FnOnce(&mut Server) -> T) -> T {
+        let index = self.positions.lock().expect("no panic")[position];
+        act(&mut self.servers.lock().expect("no panic")[index])
+    }
+
+    /// Injects one fault, and ends it after its duration.
+    fn inject(&self, fault: Fault) {
+        let planned = matches!(
+            fault.kind,
+            FaultKind::Stop(_)
+                | FaultKind::Reload(_)
+                | FaultKind::Configure
+                | FaultKind::ServerDrain(_)
+        );
+        if !planned {
+            self.unplanned.0.fetch_add(1, Ordering::SeqCst);
+            self.unplanned.1.fetch_add(1, Ordering::SeqCst);
+        }
+        self.apply(fault);
+        if !planned {
+            self.unplanned.0.fetch_sub(1, Ordering::SeqCst);
+        }
+    }
+
+    fn apply(&self, fault: Fault) {
+        let lasting = |forwarder: &Cut, begin: fn(&Cut)| {
+            begin(forwarder);
+            thread::sleep(fault.duration);
+            forwarder.heal();
+        };
+        let forwarder = |position| self.with_server(position, |server| server.forwarder.clone());
+        match fault.kind {
+            FaultKind::Kill(host) => self.kill(&[host]),
+            FaultKind::KillAll => self.kill(&(0..HOST_COUNT).collect::<Vec<_>>()),
+            FaultKind::Stop(index) => {
+                let mut host = self.hosts[index].lock().expect("no panic");
+                host.process.term();
+                host.process.ended();
+                self.restart(index, &mut host);
+            }
+            FaultKind::Freeze(host) => {
+                let host = self.hosts[host].lock().expect("no panic");
+                host.process.freeze();
+                thread::sleep(fault.duration);
+                host.process.thaw();
+            }
+            FaultKind::Reload(host) => self.hosts[host].lock().expect("no panic").process.hup(),
+            FaultKind::StoreLinkSilent(host) => lasting(&self.store_forwarders[host], Cut::silence),
+            FaultKind::StoreLinkOneWay(host) => lasting(&self.store_forwarders[host], Cut::one_way),
+            FaultKind::StoreLinkRefuses(host) => lasting(&self.store_forwarders[host], Cut::refuse),
+            FaultKind::StoreLinkReset(host) => self.store_forwarders[host].reset(),
+            FaultKind::StoreDown => {
+                self.store.go_down();
+                thread::sleep(fault.duration);
+                self.store.recover();
+            }
+            FaultKind::StoreHang => {
+                self.store.hang();
+                thread::sleep(fault.duration / 2);
+                self.configure();
+                thread::sleep(fault.duration / 2);
+                self.store.recover();
+            }
+            FaultKind::StoreRestored => {
+                let _writes = self.writes.lock().expect("no panic");
+                let revision = self.store.revision_before(fault.duration);
+                self.store.go_down();
+                thread::sleep(fault.duration / 10);
+                self.store.restore(revision);
+                self.store.recover();
+                thread::sleep(fault.duration / 2);
+                self.store.rewrite_lost();
+            }
+            FaultKind::StoreDropsReplies => self.store.drop_replies(DROPPED_REPLIES),
+            FaultKind::ServerSilent(position) => lasting(&forwarder(position), Cut::silence),
+            FaultKind::ServerOneWay(position) => lasting(&forwarder(position), Cut::one_way),
+            FaultKind::ServerDelay(position) => lasting(&forwarder(position), Cut::delay),
+            FaultKind::ServerReset(position) => forwarder(position).reset(),
+            FaultKind::ServerCrash(position) => {
+                let id = self.with_server(position, |server| {
+                    server.engine.crash();
+                    server.forwarder.refuse();
+                    server.engine.id.clone()
+                });
+                thread::sleep(fault.duration);
+                let writes = self.writes.lock().expect("no panic");
+                self.store.remove(&format!("servers/{id}"));
+                drop(writes);
+                self.replace(position);
+            }
+            FaultKind::ServerDrain(position) => {
+                self.drain_and_replace(position);
+            }
+            FaultKind::Configure => {
+                self.configure();
+            }
+            FaultKind::BreakStream(position) => {
+                self.with_server(position, |server| server.engine.break_after(2));
+                thread::sleep(fault.duration);
+                // The position may have another server by now, so every server is reset.
+                for server in &*self.servers.lock().expect("no panic") {
+                    server.engine.clear_break();
+                }
+            }
+        }
+    }
+
+    fn kill(&self, indices: &[usize]) {
+        let mut hosts: Vec<_> = indices
+            .iter()
+            .map(|host| self.hosts[*host].lock().expect("no panic"))
+            .collect();
+        for host in &mut hosts {
+            host.process.kill();
+        }
+        for (index, host) in indices.iter().zip(&mut hosts) {
+            self.restart(*index, host);
+        }
+    }
+
+    /// Drains a server; a configuration written after it shows which hosts have read of the drain.
+    fn drain_and_replace(&self, position: usize) {
+        let index = self.positions.lock().expect("no panic")[position];
+        self.replace(position);
+        let (key, entry) = {
+            let servers = self.servers.lock().expect("no panic");
+            let server = &servers[index];
+            let key = format!("servers/{}", server.engine.id);
+            (key, entry(server, "draining"))
+        };
+        let writes = self.writes.lock().expect("no panic");
+        self.store.put(&key, &entry);
+        let version = self.write_version();
+        drop(writes);
+        self.servers.lock().expect("no panic")[index].drain_version = Some(version);
+    }
+
+    /// Updates the entries of engines whose stage has changed, until the run is over.
+    fn update_entries(&self) {
+        let mut last: BTreeMap<usize, Value> = BTreeMap::new();
+        while !self.finished.load(Ordering::SeqCst) {
+            let positions = self.positions.lock().expect("no panic").clone();
+            for position in positions {
+                let servers = self.servers.lock().expect("no panic");
+                let (id, current) = (
+                    servers[position].engine.id.clone(),
+                    entry(&servers[position], "ready"),
+                );
+                drop(servers);
+                let before = last.insert(position, current.clone());
+                if before.is_some_and(|before| before != current) {
+                    let _writes = self.writes.lock().expect("no panic");
+                    self.store.put(&format!("servers/{id}"), &current);
+                }
+            }
+            thread::sleep(Duration::from_millis(50));
+        }
+    }
+}
+
+/// Returns a server's entry, with the address of its forwarder.
+fn entry(server: &Server, state: &str) -> Value {
+    let mut entry = server.engine.entry(state);
+    entry["address"] = json!(server.forwarder.addr.to_string());
+    entry
+}
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,129 +1,129 @@
-//! Series of faults, drawn by a seed.
+//! Series of faults, drawn from a seed.
 
 use std::time::Duration;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Trouble of one kind; numbers name a host or a server.
+/// A kind of fault; the number is the index of a host or of a server's position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
-    /// A host's process is killed; another starts.
+pub enum FaultKind {
+    /// A host's process is killed and restarted.
     Kill(usize),
-    /// All hosts are killed at once.
+    /// All hosts are killed at once and restarted.
     KillAll,
-    /// A host is asked to stop; another starts once it has ended.
+    /// A host receives SIGTERM and is restarted once it has exited.
     Stop(usize),
-    /// A host stands still.
+    /// A host's process is frozen.
     Freeze(usize),
-    /// A host's settings are read again.
+    /// A host receives SIGHUP and reads its settings again.
     Reload(usize),
-    /// A host's way to the store holds everything back.
-    StoreSilent(usize),
-    /// The store's answers to a host are held back.
-    StoreOneWay(usize),
-    /// A host cannot reach the store.
-    StoreRefuses(usize),
-    /// Connections to the store end; new ones work.
-    StoreReset(usize),
-    /// The store is away.
-    StoreAway,
-    /// The store takes calls and answers none, and the configuration changes meanwhile.
-    StoreMute,
-    /// The store is away for a moment and comes back from an older copy; what that lacks is written again later.
+    /// A host's connections to the store pass no data.
+    StoreLinkSilent(usize),
+    /// A host's connections to the store pass requests and no answers.
+    StoreLinkOneWay(usize),
+    /// A host's connections to the store are refused.
+    StoreLinkRefuses(usize),
+    /// A host's connections to the store are reset; new ones work.
+    StoreLinkReset(usize),
+    /// The store is down.
+    StoreDown,
+    /// The store accepts calls and answers none; the configuration changes meanwhile.
+    StoreHang,
+    /// The store goes down and is restored from an older copy; the lost writes are repeated later.
     StoreRestored,
-    /// Writes at the store take effect without an answer.
-    StoreLoses,
-    /// A server's connections hold everything back.
-    Silent(usize),
-    /// A server's answers are held back.
-    OneWay(usize),
-    /// A server answers late.
-    Delay(usize),
-    /// A server's connections end; new ones work.
-    Reset(usize),
-    /// A server dies; another takes its place.
-    Crash(usize),
-    /// A server reports that it leaves, and another takes its place.
-    Leave(usize),
+    /// The store applies writes without an answer.
+    StoreDropsReplies,
+    /// A server's connections pass no data.
+    ServerSilent(usize),
+    /// A server's connections pass requests and no answers.
+    ServerOneWay(usize),
+    /// A server's connections are delayed.
+    ServerDelay(usize),
+    /// A server's connections are reset; new ones work.
+    ServerReset(usize),
+    /// A server crashes and is replaced.
+    ServerCrash(usize),
+    /// A server drains and is replaced.
+    ServerDrain(usize),
     /// The configuration changes.
     Configure,
-    /// A stream breaks off in the middle of an event.
-    Break(usize),
+    /// A server's next stream breaks off in the middle of an event.
+    BreakStream(usize),
 }
 
 /// One fault of a series.
 #[derive(Debug, Clone, Copy)]
 pub struct Fault {
-    /// Pause before it.
-    pub after: Duration,
-    pub trouble: Trouble,
-    /// Time that it lasts, where it does.
-    pub lasts: Duration,
+    /// Time since the previous fault.
+    pub delay: Duration,
+    pub kind: FaultKind,
+    /// How long it lasts, for kinds that last.
+    pub duration: Duration,
 }
 
-/// Sets the restores of a seed apart from its other draws.
-const RESTORES: u64 = 0x5eed;
-/// Faults in a series.
-const COUNT: usize = 14;
+/// Separates the draws of restores from a seed's other draws.
+const RESTORE_SEED_MASK: u64 = 0x5eed;
+/// Number of faults in a series.
+const FAULT_COUNT: usize = 14;
 
-/// Returns the series of a seed.
+/// Draws the series of a seed.
 pub fn series(seed: u64, hosts: usize, servers: usize) -> Vec<Fault> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let draw = |rng: &mut StdRng| {
+    let draw_fault = |rng: &mut StdRng| {
         let (host, server) = (rng.random_range(0..hosts), rng.random_range(0..servers));
-        let trouble = match rng.random_range(0..22) {
-            0 | 1 => Trouble::Kill(host),
-            2 => Trouble::KillAll,
-            3 | 4 => Trouble::Stop(host),
-            5 => Trouble::Freeze(host),
-            6 => Trouble::Reload(host),
-            7 => Trouble::StoreSilent(host),
-            8 => Trouble::StoreOneWay(host),
-            9 => Trouble::StoreRefuses(host),
-            10 => Trouble::StoreReset(host),
-            11 => Trouble::StoreAway,
-            12 => Trouble::StoreLoses,
-            13 => Trouble::Silent(server),
-            14 => Trouble::OneWay(server),
-            15 => Trouble::Delay(server),
-            16 => Trouble::Reset(server),
-            17 => Trouble::Crash(server),
-            18 | 19 => Trouble::Leave(server),
-            20 => Trouble::Configure,
-            _ => Trouble::Break(server),
+        let kind = match rng.random_range(0..22) {
+            0 | 1 => FaultKind::Kill(host),
+            2 => FaultKind::KillAll,
+            3 | 4 => FaultKind::Stop(host),
+            5 => FaultKind::Freeze(host),
+            6 => FaultKind::Reload(host),
+            7 => FaultKind::StoreLinkSilent(host),
+            8 => FaultKind::StoreLinkOneWay(host),
+            9 => FaultKind::StoreLinkRefuses(host),
+            10 => FaultKind::StoreLinkReset(host),
+            11 => FaultKind::StoreDown,
+            12 => FaultKind::StoreDropsReplies,
+            13 => FaultKind::ServerSilent(server),
+            14 => FaultKind::ServerOneWay(server),
+            15 => FaultKind::ServerDelay(server),
+            16 => FaultKind::ServerReset(server),
+            17 => FaultKind::ServerCrash(server),
+            18 | 19 => FaultKind::ServerDrain(server),
+            20 => FaultKind::Configure,
+            _ => FaultKind::BreakStream(server),
         };
         Fault {
-            after: Duration::from_millis(rng.random_range(20..500)),
-            trouble,
-            lasts: Duration::from_millis(rng.random_range(200..1500)),
+            delay: Duration::from_millis(rng.random_range(20..500)),
+            kind,
+            duration: Duration::from_millis(rng.random_range(200..1500)),
         }
     };
-    (0..COUNT).map(|_| draw(&mut rng)).collect()
+    (0..FAULT_COUNT).map(|_| draw_fault(&mut rng)).collect()
 }
 
-/// Adds one silence of the store at any place of a series.
+/// Inserts one hang of the store at a random position of a series.
 ///
-/// It is drawn apart, so that a seed's other faults stay what they were before there was this one.
-pub fn with_silence(seed: u64, mut series: Vec<Fault>) -> Vec<Fault> {
+/// It has its own random generator, so that the seed's other faults do not depend on it.
+pub fn with_hang(seed: u64, mut series: Vec<Fault>) -> Vec<Fault> {
     let mut rng = StdRng::seed_from_u64(!seed);
     let fault = Fault {
-        after: Duration::from_millis(rng.random_range(20..500)),
-        trouble: Trouble::StoreMute,
-        lasts: Duration::from_millis(rng.random_range(200..3000)),
+        delay: Duration::from_millis(rng.random_range(20..500)),
+        kind: FaultKind::StoreHang,
+        duration: Duration::from_millis(rng.random_range(200..3000)),
     };
     series.insert(rng.random_range(0..=series.len()), fault);
     series
 }
 
-/// Adds two restores of the store, each at any place of a series, drawn apart likewise.
+/// Inserts two restores of the store at random positions of a series, with their own random generator.
 pub fn with_restores(seed: u64, mut series: Vec<Fault>) -> Vec<Fault> {
-    let mut rng = StdRng::seed_from_u64(seed ^ RESTORES);
+    let mut rng = StdRng::seed_from_u64(seed ^ RESTORE_SEED_MASK);
     for _ in 0..2 {
         let fault = Fault {
-            after: Duration::from_millis(rng.random_range(20..500)),
-            trouble: Trouble::StoreRestored,
-            lasts: Duration::from_millis(rng.random_range(200..2500)),
+            delay: Duration::from_millis(rng.random_range(20..500)),
+            kind: FaultKind::StoreRestored,
+            duration: Duration::from_millis(rng.random_range(200..2500)),
         };
         series.insert(rng.random_range(0..=series.len()), fault);
     }
