--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use common::chiveway;
-use common::console::{Console, Fault, KEY};
+use common::operator_api::{FakeOperatorApi, Fault, KEY};
 
 const PLANS: &str = "[customer Sønderborg Kunstforening]\nplan = guld\n";
 const USES: &str = "[plan guld]\nrequests = 50/s\n";
@@ -52,7 +52,7 @@
     ($($name:ident: $args:literal => $text:expr;)+) => {
         $(#[test]
         fn $name() {
-            let done = chiveway().args($args).ends(2).stderr_contains($text);
+            let done = chiveway().args($args).exits_with(2).stderr_contains($text);
             assert_eq!(done.stdout(), "");
         })+
     };
@@ -88,7 +88,7 @@
         .args("check")
         .arg(one.to_str().unwrap())
         .arg(two.to_str().unwrap())
-        .ends(1)
+        .exits_with(1)
         .stdout_contains(
             "check-one.ini: [host] nom given an unknown key, allowed only the keys name,",
         )
@@ -103,7 +103,7 @@
 
 #[test]
 fn check_names_a_file_that_is_not_there() {
-    let done = chiveway().args("check no-such.ini").ends(1);
+    let done = chiveway().args("check no-such.ini").exits_with(1);
     done.stderr_contains("error: cannot read no-such.ini: ");
 }
 
@@ -114,14 +114,14 @@
     assert_eq!(done.stdout(), format!("{hash}\n"));
     chiveway()
         .args("hash")
-        .ends(1)
+        .exits_with(1)
         .stderr_contains("no key on standard input");
 }
 
 #[test]
 fn list_is_fetched_edited_compared_and_applied() {
-    let console = Console::start(PLANS, USES, Fault::None);
-    let access = console.access();
+    let console = FakeOperatorApi::start(PLANS, USES, Fault::None);
+    let access = console.cli_args();
     let path = file("edited.ini", "");
     let on_file = |verb: &str| {
         let run = chiveway().args(&format!("plans {verb} {access} --file"));
@@ -141,7 +141,7 @@
         .succeeds()
         .stdout_contains("+ customer Çıldır\n");
     on_file("check")
-        .ends(1)
+        .exits_with(1)
         .stderr_contains("plans: [customer Çıldır] plan given the unknown plan sølv, allowed");
     fs::write(&path, format!("{text}\n[customer Çıldır]\nplan = guld\n")).unwrap();
     on_file("check").succeeds().stdout_contains("no fault");
@@ -157,9 +157,9 @@
 /// edit would vanish without a word; the second operator must see what came first.
 #[test]
 fn second_of_two_racing_edits_is_told_what_changed() {
-    let console = Console::start(PLANS, USES, Fault::None);
+    let console = FakeOperatorApi::start(PLANS, USES, Fault::None);
     let apply = |path: &PathBuf| {
-        let run = chiveway().args(&format!("plans apply {} --file", console.access()));
+        let run = chiveway().args(&format!("plans apply {} --file", console.cli_args()));
         run.arg(path.to_str().unwrap()).key(KEY)
     };
     let first = file("first.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
@@ -171,7 +171,7 @@
         .succeeds()
         .stdout_contains("revision 2 is accepted\n");
     apply(&second)
-        .ends(1)
+        .exits_with(1)
         .stderr_contains("error: revision 2 came first; nothing was changed. From your file to")
         .stderr_contains("- customer Ålborg\n+ customer Ærø\n");
 }
@@ -180,14 +180,14 @@
 /// see a conflict with a rival who does not exist.
 #[test]
 fn edit_whose_answer_was_lost_can_be_applied_again() {
-    let console = Console::start(PLANS, USES, Fault::LostAnswer);
+    let console = FakeOperatorApi::start(PLANS, USES, Fault::LostAnswer);
     let path = file("lost.ini", "# revision 1\n[customer Ærø]\nplan = guld\n");
     let apply = || {
-        let run = chiveway().args(&format!("plans apply {} --file", console.access()));
+        let run = chiveway().args(&format!("plans apply {} --file", console.cli_args()));
         run.arg(path.to_str().unwrap()).key(KEY)
     };
     apply()
-        .ends(1)
+        .exits_with(1)
         .stderr_contains("the edit may have been accepted");
     apply()
         .succeeds()
@@ -199,22 +199,22 @@
     ($($name:ident: $text:literal, $fault:ident, $key:expr => $message:literal;)+) => {
         $(#[test]
         fn $name() {
-            let console = Console::start(PLANS, USES, Fault::$fault);
+            let console = FakeOperatorApi::start(PLANS, USES, Fault::$fault);
             let path = file(concat!(stringify!($name), ".ini"), $text);
             chiveway()
-                .args(&format!("plans apply {} --file", console.access()))
+                .args(&format!("plans apply {} --file", console.cli_args()))
                 .arg(path.to_str().unwrap())
                 .key($key)
-                .ends(1)
+                .exits_with(1)
                 .stderr_contains($message);
-            let get = chiveway().args(&format!("plans get {}", console.access()));
+            let get = chiveway().args(&format!("plans get {}", console.cli_args()));
             assert_eq!(get.key(KEY).succeeds().stdout(), PLANS);
         })+
     };
 }
 
 refused! {
-    faults_found_by_the_host: "# revision 1\n[customer a]\nplan = b\n", Faults, KEY =>
+    faults_found_by_the_host: "# revision 1\n[customer a]\nplan = b\n", InvalidLists, KEY =>
         "correct these faults and try again:\nplans: first fault\nplans: second fault\n";
     faults_found_before_sending: "# revision 1\n[customer a]\n", None, KEY =>
         "[customer a] plan given nothing, allowed";
@@ -230,10 +230,10 @@
 
 #[test]
 fn explanation_is_printed_as_text_or_json() {
-    let console = Console::start(PLANS, USES, Fault::None);
+    let console = FakeOperatorApi::start(PLANS, USES, Fault::None);
     let key_file = file("key.txt", &format!("{KEY}\n"));
     let explain = |args: &str| {
-        let run = chiveway().args(&format!("explain {args} {} --key-file", console.access()));
+        let run = chiveway().args(&format!("explain {args} {} --key-file", console.cli_args()));
         run.arg(key_file.to_str().unwrap())
     };
     explain("rød/7")
@@ -246,6 +246,6 @@
     let value: serde_json::Value = serde_json::from_str(&json).unwrap();
     assert_eq!(value["id"], "rød/7");
     explain("gone")
-        .ends(1)
+        .exits_with(1)
         .stderr_contains("refused with status 404: The id has aged out.");
 }
--- a/tests/common/http.rs
+++ b/tests/common/http.rs
@@ -17,7 +17,7 @@
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
     /// Whether the body came to its end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Answer {
@@ -42,7 +42,7 @@
 
 /// An answer whose body is still to be read.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenAnswer {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     reader: BufReader<TcpStream>,
@@ -57,7 +57,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-) -> Option<Open> {
+) -> Option<OpenAnswer> {
     let mut stream = TcpStream::connect_timeout(&addr, LIMIT).ok()?;
     stream.set_read_timeout(Some(LIMIT)).ok()?;
     stream.set_write_timeout(Some(LIMIT)).ok()?;
@@ -69,11 +69,11 @@
     stream.write_all(head.as_bytes()).ok()?;
     stream.write_all(body).ok()?;
     let mut reader = BufReader::new(stream);
-    let first = line(&mut reader)?;
+    let first = read_line(&mut reader)?;
     let status = first.split(' ').nth(1)?.parse().ok()?;
     let mut headers = Vec::new();
     loop {
-        let next = line(&mut reader)?;
+        let next = read_line(&mut reader)?;
         if next.is_empty() {
             break;
         }
@@ -83,7 +83,7 @@
     let find = |name: &str| headers.iter().find(|(key, _)| key == name);
     let chunked = find("transfer-encoding").is_some_and(|(_, value)| value == "chunked");
     let left = find("content-length").and_then(|(_, value)| value.parse().ok());
-    Some(Open {
+    Some(OpenAnswer {
         status,
         headers,
         reader,
@@ -92,21 +92,21 @@
     })
 }
 
-pub fn line(reader: &mut impl BufRead) -> Option<String> {
+pub fn read_line(reader: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     let read = reader.read_line(&mut line).ok()?;
     (read > 0).then(|| line.trim_end().to_owned())
 }
 
-impl Open {
+impl OpenAnswer {
     /// Reads the next part of the body; `None` at its end, an error when it is cut.
-    pub fn part(&mut self) -> Result<Option<Vec<u8>>, ()> {
+    pub fn next_chunk(&mut self) -> Result<Option<Vec<u8>>, ()> {
         if !self.chunked {
             let mut body = vec![0; self.left.take().unwrap_or(0)];
             self.reader.read_exact(&mut body).map_err(|_cut| ())?;
             return Ok((!body.is_empty()).then_some(body));
         }
-        let size = line(&mut self.reader).ok_or(())?;
+        let size = read_line(&mut self.reader).ok_or(())?;
         let size = usize::from_str_radix(&size, 16).map_err(|_cut| ())?;
         let mut part = vec![0; size + 2];
         self.reader.read_exact(&mut part).map_err(|_cut| ())?;
@@ -118,7 +118,7 @@
     pub fn rest(mut self) -> Answer {
         let mut body = Vec::new();
         let whole = loop {
-            match self.part() {
+            match self.next_chunk() {
                 Ok(Some(part)) => body.extend(part),
                 Ok(None) => break true,
                 Err(()) => break false,
@@ -128,7 +128,7 @@
             status: self.status,
             headers: self.headers,
             body,
-            whole,
+            complete: whole,
         }
     }
 }
@@ -141,5 +141,5 @@
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> Option<Answer> {
-    open(addr, method, path, headers, body).map(Open::rest)
+    open(addr, method, path, headers, body).map(OpenAnswer::rest)
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Runs the real binary and checks what it prints, so that a test reads as a script.
 
-pub mod console;
+pub mod operator_api;
 
 use std::io::Write as _;
 use std::process::{Command, Output, Stdio};
@@ -14,7 +14,7 @@
 
 /// What a run left.
 #[derive(Debug)]
-pub struct Done {
+pub struct RunOutput {
     output: Output,
 }
 
@@ -58,25 +58,25 @@
     }
 
     /// Runs to the end, which must be success.
-    pub fn succeeds(self) -> Done {
-        self.ends(0)
+    pub fn succeeds(self) -> RunOutput {
+        self.exits_with(0)
     }
 
     /// Runs to the end, which must have this exit code.
-    pub fn ends(mut self, code: i32) -> Done {
+    pub fn exits_with(mut self, code: i32) -> RunOutput {
         let mut child = self.command.spawn().expect("the program starts");
         let mut stdin = child.stdin.take().expect("standard input is piped");
         // A program that reads nothing may have closed its end.
         let _ = stdin.write_all(self.stdin.as_bytes());
         drop(stdin);
         let output = child.wait_with_output().expect("the program ends");
-        let done = Done { output };
+        let done = RunOutput { output };
         assert_eq!(done.output.status.code(), Some(code), "{}", done.all());
         done
     }
 }
 
-impl Done {
+impl RunOutput {
     /// Checks that standard output holds `text`.
     pub fn stdout_contains(self, text: &str) -> Self {
         assert!(
--- a/tests/common/console.rs
+++ b/tests/common/operator_api.rs
@@ -31,14 +31,14 @@
     /// It takes the edit, and the answer breaks off.
     LostAnswer,
     /// It finds faults.
-    Faults,
+    InvalidLists,
     /// The key-value service is down.
     StoreDown,
 }
 
 /// A running fake.
 #[derive(Debug)]
-pub struct Console {
+pub struct FakeOperatorApi {
     addr: SocketAddr,
     stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
@@ -52,7 +52,7 @@
     polls: u32,
 }
 
-impl Console {
+impl FakeOperatorApi {
     /// Starts a fake that holds two lists at revision 1.
     pub fn start(plans: &str, uses: &str, fault: Fault) -> Self {
         let (plans, uses) = (plans.into(), uses.into());
@@ -85,12 +85,12 @@
     }
 
     /// Returns the options that lead the program here.
-    pub fn access(&self) -> String {
+    pub fn cli_args(&self) -> String {
         format!("--operators {}", self.addr)
     }
 }
 
-impl Drop for Console {
+impl Drop for FakeOperatorApi {
     fn drop(&mut self) {
         self.stop.send_replace(true);
         if let Some(thread) = self.thread.take() {
@@ -141,7 +141,7 @@
 
 fn edit(state: &mut State, tag: &str, text: &str) -> Response {
     let fault = std::mem::replace(&mut state.fault, Fault::None);
-    if fault == Fault::Faults {
+    if fault == Fault::InvalidLists {
         let faults = json!({"faults": ["plans: first fault", "plans: second fault"]});
         return reply(StatusCode::UNPROCESSABLE_ENTITY, &faults);
     }
--- a/tests/fleet/doors.rs
+++ b/tests/fleet/access.rs
@@ -9,7 +9,8 @@
 
 use crate::support::http::{Answer, Raw, send};
 use crate::support::{
-    CUSTOMER_KEY, Fleet, MODEL, OPERATOR_KEY, Plan, SECRET, call, complete, runs, wait_for,
+    CUSTOMER_KEY, Fleet, FleetConfig, MODEL, OPERATOR_KEY, PEER_SECRET, call_service, complete,
+    runs, wait_for,
 };
 
 /// A prompt that must not be seen in any log.
@@ -17,13 +18,13 @@
 /// Limit of a caller's body in these tests, in bytes.
 const BODY: usize = 1 << 20;
 
-fn plan(hosts: usize) -> Plan {
-    Plan {
+fn plan(hosts: usize) -> FleetConfig {
+    FleetConfig {
         hosts,
         engines: 1,
         services: 1,
         limits: "body = 1MiB\nbody-time = 1s\n".into(),
-        ..Plan::default()
+        ..FleetConfig::default()
     }
 }
 
@@ -80,12 +81,12 @@
 }
 
 turned_away! {
-    no_key: |addr| post(addr, None, &body("p")).status => 401,
+    missing_key: |addr| post(addr, None, &body("p")).status => 401,
     wrong_key: |addr| post(addr, Some("wrong"), &body("p")).status => 401,
-    operators_key: |addr| post(addr, Some(OPERATOR_KEY), &body("p")).status => 401,
+    operator_key: |addr| post(addr, Some(OPERATOR_KEY), &body("p")).status => 401,
     bad_json: |addr| post(addr, Some(CUSTOMER_KEY), b"{\"model\": ").status => 400,
-    not_utf8: |addr| post(addr, Some(CUSTOMER_KEY), b"{\"model\": \"\xff\xfe\"}").status => 400,
-    deep_json: |addr| {
+    invalid_utf8: |addr| post(addr, Some(CUSTOMER_KEY), b"{\"model\": \"\xff\xfe\"}").status => 400,
+    deeply_nested_json: |addr| {
         post(addr, Some(CUSTOMER_KEY), "[".repeat(500_000).as_bytes()).status
     } => 400,
     unknown_model: |addr| {
@@ -96,20 +97,20 @@
         let body = json!({"model": MODEL, "prompt": "p", "max_tokens": u64::MAX}).to_string();
         post(addr, Some(CUSTOMER_KEY), body.as_bytes()).status
     } => 400,
-    long_body: |addr| post(addr, Some(CUSTOMER_KEY), &body(&"p".repeat(BODY))).status => 413,
+    oversized_body: |addr| post(addr, Some(CUSTOMER_KEY), &body(&"p".repeat(BODY))).status => 413,
     slow_body: |addr| {
         let auth = format!("authorization: Bearer {CUSTOMER_KEY}");
         let head = "POST /v1/completions HTTP/1.1\r\nhost: h\r\ncontent-length: 100";
         raw(addr, format!("{head}\r\n{auth}\r\n\r\n{{").as_bytes())
     } => 408,
-    wrong_key_is_not_waited_for: |addr| {
+    wrong_key_is_refused_before_the_body: |addr| {
         raw(addr, b"POST /v1/completions HTTP/1.1\r\nhost: h\r\nauthorization: Bearer wrong\r\n\
             content-length: 100\r\n\r\n{")
     } => 401,
-    many_headers: |addr| raw(addr, &headers(200, 1)) => 431,
-    long_headers: |addr| raw(addr, &headers(60, 4096)) => 431,
+    too_many_headers: |addr| raw(addr, &headers(200, 1)) => 431,
+    oversized_headers: |addr| raw(addr, &headers(60, 4096)) => 431,
     not_http: |addr| raw(addr, b"\x16\x03\x01 hello\r\n\r\n") => 400,
-    two_lengths: |addr| {
+    duplicate_content_length: |addr| {
         raw(addr, b"POST /v1/completions HTTP/1.1\r\nhost: h\r\ncontent-length: 1\r\n\
             content-length: 2\r\n\r\n{}")
     } => 400,
@@ -118,7 +119,7 @@
 /// Someone who found the operators' listener tries its paths without the key, with a customer's,
 /// and with a wrong one.
 #[test]
-fn operators_door_is_shut() {
+fn operator_api_requires_the_operator_key() {
     let fleet = Fleet::start(plan(1));
     let addr = fleet.hosts[0].operators;
     let before = fleet.status(0)["revision"].clone();
@@ -147,11 +148,11 @@
 /// A process that does not know the secret registers as a host and speaks to the others. Heard,
 /// it could lend shares that do not exist or call requests engine-killers.
 #[test]
-fn peer_without_the_secret_is_not_heard() {
+fn peer_without_the_secret_is_refused() {
     let mut fleet = Fleet::start(plan(2));
     let text = fleet
         .settings("host-9")
-        .replace(SECRET, "another secret of a stranger");
+        .replace(PEER_SECRET, "another secret of a stranger");
     fleet.add_host_with("host-9", &text);
     wait_for("the stranger was refused", || {
         fleet.log("host-1").contains("did not prove who it is")
@@ -170,7 +171,7 @@
 /// Connections to the peers' listener that send garbage, a frame of four gigabytes, or nothing,
 /// more of them than are let in at once. The peers must go on to hear each other.
 #[test]
-fn garbage_at_the_peers_door() {
+fn garbage_on_the_peer_listener() {
     let fleet = Fleet::start(plan(2));
     let addr = fleet.hosts[0].peers;
     let mut open = Vec::new();
@@ -206,28 +207,28 @@
 #[test]
 fn no_secret_in_the_log() {
     for level in ["debug", "trace"] {
-        let mut fleet = Fleet::start(Plan {
+        let mut fleet = Fleet::start(FleetConfig {
             limits: format!("[log]\nlevel = {level}\n"),
             ..plan(2)
         });
         let addr = fleet.hosts[0].callers;
         assert!(complete(addr, PRIVATE, 8, true).is_some());
         assert!(complete(addr, PRIVATE, 8, false).is_some());
-        assert!(call(addr, "POST", "/extensions", "private-key", PRIVATE).is_some());
+        assert!(call_service(addr, "POST", "/extensions", "private-key", PRIVATE).is_some());
         assert_eq!(runs(&fleet, "private-key"), 1);
         post(addr, Some("a wrong caller's key"), &body(PRIVATE));
         post(addr, Some(CUSTOMER_KEY), PRIVATE.as_bytes());
         fleet.backends[0].process.kill();
         complete(addr, PRIVATE, 8, true);
         fleet.hosts[0].process.term();
-        fleet.hosts[0].process.ended();
+        fleet.hosts[0].process.wait_for_exit();
         for name in ["host-1", "host-2"] {
             let log = fleet.log(name);
             assert!(log.contains("host.stopp") || name == "host-2", "{log}");
             for secret in [
                 CUSTOMER_KEY,
                 OPERATOR_KEY,
-                SECRET,
+                PEER_SECRET,
                 PRIVATE,
                 "a wrong caller's key",
             ] {
--- a/tests/fleet/accounting.rs
+++ b/tests/fleet/accounting.rs
@@ -7,48 +7,50 @@
 use chiveway::standin::engine::expected;
 use serde_json::json;
 
-use crate::support::account::{Books, Fault, Sent, Wanted, patient};
+use crate::support::account::{
+    Exchange, Observations, RequestKind, Violation, retry_while_throttled,
+};
 use crate::support::http::Answer;
-use crate::support::{Fleet, MODEL, Plan, call, complete, wait_for};
+use crate::support::{Fleet, FleetConfig, MODEL, call_service, complete, wait_for};
 
-fn streamed(id: &str, prompt: &str, tokens: u64) -> Sent {
+fn streamed(id: &str, prompt: &str, tokens: u64) -> Exchange {
     let mut body = String::new();
     for piece in expected(MODEL, prompt, tokens).split_inclusive(' ') {
         let event = json!({"choices": [{"text": piece}]});
         writeln!(body, "data: {event}\n").expect("a string takes it");
     }
     body += "data: [DONE]\n\n";
-    let wanted = Wanted::Text(prompt.into(), tokens);
+    let wanted = RequestKind::Completion(prompt.into(), tokens);
     answered(id, wanted, 200, body)
 }
 
-fn called(id: &str, key: &str, status: u16, ran: &str) -> Sent {
+fn called(id: &str, key: &str, status: u16, ran: &str) -> Exchange {
     let body = json!({"key": key, "ran": ran}).to_string();
-    answered(id, Wanted::Call(key.into()), status, body)
+    answered(id, RequestKind::Call(key.into()), status, body)
 }
 
-fn answered(id: &str, wanted: Wanted, status: u16, body: String) -> Sent {
+fn answered(id: &str, wanted: RequestKind, status: u16, body: String) -> Exchange {
     let answer = Answer {
         status,
         headers: vec![("x-request-id".into(), id.into())],
         body: body.into_bytes(),
-        whole: true,
+        complete: true,
     };
-    Sent {
+    Exchange {
         wanted,
         answer: Some(answer),
     }
 }
 
-/// Books in which everything adds up: a stream, a call and a call that was refused.
-fn books() -> Books {
-    let mut books = Books {
+/// Observations in which everything adds up: a stream, a call and a call that was refused.
+fn books() -> Observations {
+    let mut books = Observations {
         sent: vec![
             streamed("s", "a clause", 8),
             called("c", "k-1", 200, ""),
             called("r", "k-2", 503, "no"),
         ],
-        ..Books::default()
+        ..Observations::default()
     };
     books.attempts.insert("s".into(), 1);
     books.runs.insert("k-1".into(), 1);
@@ -60,8 +62,8 @@
 }
 
 #[test]
-fn books_that_add_up_have_no_fault() {
-    assert_eq!(books().faults(), []);
+fn consistent_observations_have_no_violation() {
+    assert_eq!(books().violations(), []);
 }
 
 /// Names each case: a fault planted into books that add up, and what the checker must find.
@@ -72,43 +74,43 @@
         $(#[test]
         fn $name() {
             let mut books = books();
-            let plant: fn(&mut Books) = $plant;
+            let plant: fn(&mut Observations) = $plant;
             plant(&mut books);
-            assert_eq!(books.faults(), [$(Fault::$fault($id.into())),+]);
+            assert_eq!(books.violations(), [$(Violation::$fault($id.into())),+]);
         })+
     };
 }
 
-fn body(books: &mut Books, at: usize) -> &mut Vec<u8> {
+fn body(books: &mut Observations, at: usize) -> &mut Vec<u8> {
     &mut books.sent[at].answer.as_mut().expect("an answer").body
 }
 
 planted! {
-    anothers_answer: |b| b.sent[0].wanted = Wanted::Text("another".into(), 8) => [WrongAnswer "s"];
+    answer_of_another_request: |b| b.sent[0].wanted = RequestKind::Completion("another".into(), 8) => [WrongAnswer "s"];
     lost_token: |b| { let text = body(b, 0); let cut = text.len() / 2; *text = text.split_off(cut); }
         => [WrongAnswer "s"];
     missing_end_marker: |b| { let text = body(b, 0); text.truncate(text.len() - 14); }
-        => [Unfinished "s"];
-    anothers_call: |b| *body(b, 1) = json!({"key": "k-9"}).to_string().into_bytes()
+        => [MissingEndMarker "s"];
+    answer_of_another_call: |b| *body(b, 1) = json!({"key": "k-9"}).to_string().into_bytes()
         => [WrongAnswer "c"];
     ran_after_not_run: |b| {
         b.runs.insert("k-2".into(), 1);
         b.records.get_mut("r").expect("a record")["attempts"] = json!([{"ran": "yes"}]);
-    } => [RanAfterAll "r"];
+    } => [RanAfterNotRun "r"];
     stream_ran_after_not_run: |b| {
         *body(b, 0) = b"event: error\ndata: {\"ran\":\"no\"}\n\n".to_vec();
         b.records.get_mut("s").expect("a record")["ran"] = json!("no");
-    } => [RanAfterAll "s"];
-    answered_without_a_run: |b| { b.runs.clear(); } => [NeverRan "c"];
-    stream_without_a_run: |b| { b.attempts.clear(); } => [NeverRan "s"];
+    } => [RanAfterNotRun "s"];
+    call_answered_without_run: |b| { b.runs.clear(); } => [NeverRan "c"];
+    stream_answered_without_run: |b| { b.attempts.clear(); } => [NeverRan "s"];
     call_ran_twice: |b| { b.runs.insert("k-1".into(), 2); } => [RanTwice "k-1"];
-    no_explanation: |b| { b.records.remove("c"); } => [Unexplained "c"];
-    other_explanation: |b| b.records.get_mut("r").expect("a record")["ran"] = json!("yes")
-        => [ToldOtherwise "r"];
-    run_that_nobody_asked_for: |b| { b.runs.insert("k-7".into(), 1); } => [Unasked "k-7"];
+    missing_record: |b| { b.records.remove("c"); } => [Unexplained "c"];
+    contradicting_record: |b| b.records.get_mut("r").expect("a record")["ran"] = json!("yes")
+        => [ContradictingRecord "r"];
+    run_without_request: |b| { b.runs.insert("k-7".into(), 1); } => [RunWithoutRequest "k-7"];
 }
 
-fn traffic(fleet: &Fleet) -> Vec<thread::JoinHandle<Vec<Sent>>> {
+fn traffic(fleet: &Fleet) -> Vec<thread::JoinHandle<Vec<Exchange>>> {
     let addrs: Vec<_> = fleet.hosts.iter().map(|host| host.callers).collect();
     let client = |client: usize| {
         let addrs = addrs.clone();
@@ -116,16 +118,18 @@
             let one = |number: usize| {
                 let addr = addrs[(client + number) % addrs.len()];
                 let wanted = if number.is_multiple_of(2) {
-                    Wanted::Text(format!("clause {client} {number}"), 60)
+                    RequestKind::Completion(format!("clause {client} {number}"), 60)
                 } else {
                     // Each filing is sent by two clients, as a member's portal does.
-                    Wanted::Call(format!("k-{}-{number}", client / 2))
+                    RequestKind::Call(format!("k-{}-{number}", client / 2))
                 };
-                let answers = patient(|| match &wanted {
-                    Wanted::Text(prompt, tokens) => complete(addr, prompt, *tokens, true),
-                    Wanted::Call(key) => call(addr, "POST", "/extensions", key, "{}"),
+                let answers = retry_while_throttled(|| match &wanted {
+                    RequestKind::Completion(prompt, tokens) => {
+                        complete(addr, prompt, *tokens, true)
+                    }
+                    RequestKind::Call(key) => call_service(addr, "POST", "/extensions", key, "{}"),
                 });
-                let sent = answers.into_iter().map(|answer| Sent {
+                let sent = answers.into_iter().map(|answer| Exchange {
                     wanted: wanted.clone(),
                     answer,
                 });
@@ -142,28 +146,28 @@
 /// run and explanation is held against the others.
 #[test]
 fn everything_is_accounted_for_after_kills_and_freezes() {
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetConfig {
         hosts: 4,
-        engine: vec!["--speed".into(), "4".into()],
-        ..Plan::default()
+        engine_args: vec!["--speed".into(), "4".into()],
+        ..FleetConfig::default()
     });
     let clients = traffic(&fleet);
     let pause = || thread::sleep(Duration::from_millis(150));
-    fleet.kv_fault(&json!({"lose_answers": 2, "lose_key": "chiveway/d/once/"}));
+    fleet.inject_kv_fault(&json!({"lose_answers": 2, "lose_key": "chiveway/d/once/"}));
     pause();
     fleet.hosts[1].process.freeze();
     pause();
     fleet.backends[0].process.kill();
-    fleet.kv_fault(&json!({"down": true}));
+    fleet.inject_kv_fault(&json!({"down": true}));
     pause();
-    fleet.kv_fault(&json!({"down": false}));
+    fleet.inject_kv_fault(&json!({"down": false}));
     fleet.hosts[1].process.thaw();
     fleet.hosts[2].process.kill();
     let mut sent = Vec::new();
     for client in clients {
         sent.extend(client.join().expect("a client ends"));
     }
-    let whole = |sent: &&Sent| sent.answer.as_ref().is_some_and(|a| a.status == 200);
+    let whole = |sent: &&Exchange| sent.answer.as_ref().is_some_and(|a| a.status == 200);
     assert!(
         sent.iter().filter(whole).count() > 100,
         "the fleet went on serving"
@@ -174,6 +178,6 @@
             .as_array()
             .is_some_and(|hosts| hosts.len() == 3)
     });
-    let books = Books::collect(&fleet, 3, sent);
-    assert_eq!(books.faults(), []);
+    let books = Observations::collect(&fleet, 3, sent);
+    assert_eq!(books.violations(), []);
 }
--- a/tests/fleet/drain.rs
+++ b/tests/fleet/drain.rs
@@ -2,9 +2,11 @@
 
 use serde_json::json;
 
-use crate::support::cut::Cut;
 use crate::support::http::send;
-use crate::support::{Fleet, MODEL, Plan, call, complete, open_completion, wait_for};
+use crate::support::proxy::FaultProxy;
+use crate::support::{
+    Fleet, FleetConfig, MODEL, call_service, complete, open_completion, wait_for,
+};
 
 /// Returns the attempts that an engine's log names for a prompt.
 fn runs(fleet: &Fleet, engine: usize, prompt: &str) -> usize {
@@ -30,21 +32,21 @@
 /// list and learns it from its peers. A caller's running answer is whole, and nobody's new
 /// request goes there.
 #[test]
-fn a_leaving_back_end_gets_no_new_work_and_keeps_what_it_has() {
-    let mut fleet = Fleet::start(Plan {
+fn leaving_backend_gets_no_new_work_and_finishes_running() {
+    let mut fleet = Fleet::start(FleetConfig {
         hosts: 2,
         engines: 2,
-        engine: vec!["--decode-cost".into(), "5ms".into()],
-        ..Plan::default()
+        engine_args: vec!["--decode-cost".into(), "5ms".into()],
+        ..FleetConfig::default()
     });
     // It takes effect at once, and the list it then gives may be empty for as long as it lags.
-    fleet.kv_fault(&json!({"lag_ms": 300}));
-    let list = Cut::before(fleet.kv_addr);
+    fleet.inject_kv_fault(&json!({"lag_ms": 300}));
+    let list = FaultProxy::start(fleet.kv_addr);
     let own = format!("list = {}", fleet.kv_addr);
     let text = fleet.settings("host-3");
     let text = text.replace(&own, &format!("list = {}", list.addr));
     fleet.add_host_with("host-3", &text);
-    fleet.ready(2);
+    fleet.wait_until_ready(2);
 
     let prompt = "a long briefing";
     let running: Vec<_> = (0..6)
@@ -53,7 +55,7 @@
         .collect();
 
     list.refuse();
-    fleet.list(|name| {
+    fleet.publish_listing(|name| {
         if name.ends_with("-1") {
             "leaving"
         } else {
@@ -74,7 +76,7 @@
             assert_eq!(answer.status, 200, "{}", answer.text());
             assert_eq!((runs(&fleet, 0, &text), runs(&fleet, 1, &text)), (0, 1));
             let key = format!("key {at} {turn}");
-            let answer = call(host.callers, "POST", "/extensions", &key, "{}");
+            let answer = call_service(host.callers, "POST", "/extensions", &key, "{}");
             assert_eq!(answer.map(|answer| answer.status), Some(200));
         }
     }
@@ -99,20 +101,20 @@
 /// The list no longer names an engine at all. It gets no new work either, and its running answer
 /// is whole.
 #[test]
-fn a_back_end_that_vanished_from_the_list_keeps_what_it_has() {
-    let fleet = Fleet::start(Plan {
+fn delisted_backend_gets_no_new_work_and_finishes_running() {
+    let fleet = Fleet::start(FleetConfig {
         hosts: 1,
         engines: 2,
         services: 0,
-        engine: vec!["--decode-cost".into(), "5ms".into()],
-        ..Plan::default()
+        engine_args: vec!["--decode-cost".into(), "5ms".into()],
+        ..FleetConfig::default()
     });
     let prompt = "a long briefing";
     let running: Vec<_> = (0..6)
         .map(|_| open_completion(fleet.hosts[0].callers, prompt, 200, true))
         .map(|answer| answer.expect("the host answers"))
         .collect();
-    fleet.list(|name| if name.ends_with("-1") { "gone" } else { "live" });
+    fleet.publish_listing(|name| if name.ends_with("-1") { "gone" } else { "live" });
     wait_for("the host knows that it is gone", || {
         listed(&fleet, 0, "raadgiver-1") != "serving"
     });
--- a/tests/fleet/path.rs
+++ b/tests/fleet/end_to_end.rs
@@ -8,13 +8,15 @@
 use serde_json::json;
 
 use crate::support::http::send;
-use crate::support::{CUSTOMER, CUSTOMER_KEY, Fleet, MODEL, Plan, call, complete, runs, wait_for};
+use crate::support::{
+    CUSTOMER, CUSTOMER_KEY, Fleet, FleetConfig, MODEL, call_service, complete, runs, wait_for,
+};
 
 /// Everything works: a streamed and a collected answer, a call of the service, and each is
 /// explained by a host that did not serve it.
 #[test]
-fn a_request_is_served_and_explained_elsewhere() {
-    let fleet = Fleet::start(Plan::default());
+fn requests_are_explained_by_another_host() {
+    let fleet = Fleet::start(FleetConfig::default());
     let wanted = expected(MODEL, "a clause", 40);
 
     let streamed = complete(fleet.hosts[0].callers, "a clause", 40, true).expect("an answer");
@@ -24,7 +26,7 @@
     let collected = complete(fleet.hosts[1].callers, "a clause", 40, false).expect("an answer");
     assert_eq!(collected.json()["choices"][0]["text"], wanted.as_str());
 
-    let called = call(fleet.hosts[2].callers, "POST", "/extensions", "k-1", "{}");
+    let called = call_service(fleet.hosts[2].callers, "POST", "/extensions", "k-1", "{}");
     assert_eq!(called.as_ref().map(|answer| answer.status), Some(200));
     assert_eq!(runs(&fleet, "k-1"), 1);
 
@@ -43,7 +45,7 @@
 
 /// The one command of the README's first page, on a machine with nothing else set up.
 #[test]
-fn the_trial_finds_everything_as_it_should_be() {
+fn trial_command_succeeds() {
     let output = Command::new(env!("CARGO_BIN_EXE_chiveway"))
         .args(["try", "--once"])
         .output()
@@ -55,8 +57,8 @@
 
 /// The users' hosts forbid `io_uring`; a library that falls back to it would open a ring.
 #[test]
-fn a_host_that_serves_opens_no_ring() {
-    let fleet = Fleet::start(Plan::default());
+fn host_opens_no_io_uring() {
+    let fleet = Fleet::start(FleetConfig::default());
     let answer = complete(fleet.hosts[0].callers, "a clause", 4, true).expect("an answer");
     assert_eq!(answer.status, 200);
     let folder = format!("/proc/{}/fd", fleet.hosts[0].process.id());
@@ -75,7 +77,7 @@
 /// Client libraries of the usual kind ask for the models first and then chat.
 #[test]
 fn models_are_listed_and_chats_are_answered() {
-    let fleet = Fleet::start(Plan::default());
+    let fleet = Fleet::start(FleetConfig::default());
     let host = &fleet.hosts[0];
     let auth = format!("Bearer {CUSTOMER_KEY}");
     let headers = [("authorization", auth.as_str())];
@@ -108,10 +110,10 @@
 
 /// A request leaves its traces in the histograms that operators look at.
 #[test]
-fn metrics_tell_of_a_request() {
-    let fleet = Fleet::start(Plan::default());
+fn metrics_include_a_served_request() {
+    let fleet = Fleet::start(FleetConfig::default());
     complete(fleet.hosts[0].callers, "a clause", 4, true).expect("an answer");
-    let metrics = fleet.operator(0, "/metrics").expect("an answer").text();
+    let metrics = fleet.get_operator(0, "/metrics").expect("an answer").text();
     for name in [
         "chiveway_first_token_seconds_count",
         "chiveway_between_tokens_seconds_count",
--- a/tests/fleet/explain.rs
+++ b/tests/fleet/explain.rs
@@ -1,16 +1,18 @@
 //! Explanations through real processes, when the hosts that wrote them are gone.
 
-use crate::support::account::patient;
-use crate::support::{Fleet, Plan, call, complete, wait_for};
+use crate::support::account::retry_while_throttled;
+use crate::support::{Fleet, FleetConfig, call_service, complete, wait_for};
 
 /// Every host is replaced, one after the other died. A support engineer asks a new host what
 /// became of a filing and of an ordinary answer: the filing is explained in full, the other is
 /// said to be gone with its hosts, and neither is passed off as never made.
 #[test]
-fn a_filing_is_explained_by_hosts_that_never_saw_it() {
-    let mut fleet = Fleet::start(Plan::default());
-    let filed = patient(|| call(fleet.hosts[0].callers, "POST", "/extensions", "k-1", "{}"));
-    let read = patient(|| complete(fleet.hosts[1].callers, "a clause", 5, true));
+fn non_retryable_call_is_explained_after_its_hosts_are_gone() {
+    let mut fleet = Fleet::start(FleetConfig::default());
+    let filed = retry_while_throttled(|| {
+        call_service(fleet.hosts[0].callers, "POST", "/extensions", "k-1", "{}")
+    });
+    let read = retry_while_throttled(|| complete(fleet.hosts[1].callers, "a clause", 5, true));
     let id = |answers: Vec<Option<crate::support::http::Answer>>| {
         let last = answers.into_iter().flatten().last().expect("an answer");
         assert_eq!(last.status, 200, "{}", last.text());
--- a/tests/fleet/killer.rs
+++ b/tests/fleet/killer.rs
@@ -8,20 +8,20 @@
 use serde_json::json;
 
 use crate::support::http::Answer;
-use crate::support::{Fleet, MODEL, Plan, complete, fault_at, open_completion};
+use crate::support::{Fleet, FleetConfig, MODEL, complete, inject_fault, open_completion};
 
 const POISON: &str = "a clause that no engine survives";
 
 fn start(hosts: usize, engines: usize) -> Fleet {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetConfig {
         hosts,
         engines,
         services: 0,
-        engine: Vec::new(),
-        ..Plan::default()
+        engine_args: Vec::new(),
+        ..FleetConfig::default()
     });
     for engine in fleet.engines() {
-        fault_at(engine.addr, &json!({"crash_on": POISON}));
+        inject_fault(engine.addr, &json!({"crash_on": POISON}));
     }
     fleet
 }
@@ -30,7 +30,7 @@
 fn dead(fleet: &mut Fleet) -> usize {
     let engines = fleet.backends.iter_mut();
     engines
-        .filter_map(|engine| engine.process.is_over().then_some(()))
+        .filter_map(|engine| engine.process.has_exited().then_some(()))
         .count()
 }
 
@@ -63,7 +63,10 @@
         .map(|at| {
             let prompt = format!("an innocent clause {at}");
             let mut open = open_completion(addrs[at % 3], &prompt, 250, true).expect("an answer");
-            let first = open.part().expect("the stream goes on").expect("a part");
+            let first = open
+                .next_chunk()
+                .expect("the stream goes on")
+                .expect("a part");
             (prompt, first, open)
         })
         .collect();
@@ -95,7 +98,7 @@
 /// The host that saw the engines die is gone, and its place is taken by one that keeps nothing.
 /// The caller tries again there, and would take two more engines.
 #[test]
-fn new_host_knows_the_killer() {
+fn new_host_refuses_a_known_poison_request() {
     let mut fleet = start(2, 4);
     let first = complete(fleet.hosts[0].callers, POISON, 20, true).expect("an answer");
     assert!(refused(&first), "{}", first.text());
@@ -103,7 +106,7 @@
     fleet.hosts.remove(0).process.kill();
     fleet.add_host("host-3");
     let new = fleet.hosts.len() - 1;
-    fleet.ready(new);
+    fleet.wait_until_ready(new);
     for host in &fleet.hosts {
         let again = complete(host.callers, POISON, 20, true).expect("an answer");
         assert!(refused(&again), "{}", again.text());
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,15 +1,15 @@
-//! Real processes on loopback: hosts and stand-ins, with failures caused on purpose.
+//! Tests of real processes on loopback: hosts and stand-ins, with injected failures.
 
+mod access;
 mod accounting;
-mod doors;
 mod drain;
+mod end_to_end;
 mod explain;
 mod killer;
-mod notrun;
+mod not_run;
 mod once;
 mod orders;
 mod outage;
-mod path;
 mod shares;
 mod stop;
 mod streams;
--- a/tests/fleet/notrun.rs
+++ b/tests/fleet/not_run.rs
@@ -7,7 +7,8 @@
 
 use crate::support::http::{Answer, Raw, send};
 use crate::support::{
-    CUSTOMER_KEY, Fleet, MODEL, Plan, SERVICE, call, complete, fault_at, open_completion, wait_for,
+    CUSTOMER_KEY, Fleet, FleetConfig, MODEL, SERVICE, call_service, complete, inject_fault,
+    open_completion, wait_for,
 };
 
 /// Returns how many attempts engines logged and calls services counted.
@@ -58,28 +59,28 @@
 /// Requests that are at fault themselves: the caller is told at once what to correct, and no
 /// engine or service sees them.
 #[test]
-fn faulty_requests_run_nowhere() {
-    let fleet = Fleet::start(Plan {
+fn invalid_requests_do_not_run() {
+    let fleet = Fleet::start(FleetConfig {
         limits: "body = 2KiB\nbody-time = 1s\n".into(),
-        ..Plan::default()
+        ..FleetConfig::default()
     });
     let host = fleet.hosts[0].callers;
     assert_eq!(
-        call(host, "POST", "/x", "used", "{}").map(|a| a.status),
+        call_service(host, "POST", "/x", "used", "{}").map(|a| a.status),
         Some(200)
     );
     let before = total(&fleet);
     let completions = "/v1/completions";
     let ask = |model: &str| json!({"model": model, "prompt": "p"}).to_string();
     refused(post(&fleet, completions, CUSTOMER_KEY, "{"), "malformed");
-    refused(call(host, "GET", "/a/../x", "", ""), "malformed");
+    refused(call_service(host, "GET", "/a/../x", "", ""), "malformed");
     refused(
-        call(host, "POST", "/x", &"k".repeat(300), "{}"),
+        call_service(host, "POST", "/x", &"k".repeat(300), "{}"),
         "malformed",
     );
     let long = "x".repeat(4096);
     refused(post(&fleet, completions, CUSTOMER_KEY, &long), "too-large");
-    refused(call(host, "POST", "/x", "k", &long), "too-large");
+    refused(call_service(host, "POST", "/x", "k", &long), "too-large");
     refused(post(&fleet, completions, "nobody", &ask(MODEL)), "bad-key");
     refused(
         post(&fleet, completions, CUSTOMER_KEY, &ask("none")),
@@ -89,9 +90,9 @@
         post(&fleet, "/services/none/x", CUSTOMER_KEY, "{}"),
         "not-found",
     );
-    refused(call(host, "POST", "/x", "", "{}"), "key-missing");
+    refused(call_service(host, "POST", "/x", "", "{}"), "key-missing");
     refused(
-        call(host, "POST", "/x", "used", "{\"other\":1}"),
+        call_service(host, "POST", "/x", "used", "{\"other\":1}"),
         "key-reused",
     );
     let mut slow = Raw::connect(host);
@@ -106,18 +107,18 @@
 
 /// The plan does not allow it, or has used its share.
 #[test]
-fn requests_beyond_the_plan_run_nowhere() {
-    let fleet = Fleet::start(Plan {
+fn requests_beyond_the_plan_do_not_run() {
+    let fleet = Fleet::start(FleetConfig {
         hosts: 1,
-        uses: format!(
+        use_list: format!(
             "[plan medlem]\nmodels = {MODEL}\nrequests = 0.01/s\n\
              [service {SERVICE}]\nrepeat = GET *\nonce = POST *\n"
         ),
-        ..Plan::default()
+        ..FleetConfig::default()
     });
     let host = fleet.hosts[0].callers;
     let before = total(&fleet);
-    refused(call(host, "POST", "/x", "k", "{}"), "not-allowed");
+    refused(call_service(host, "POST", "/x", "k", "{}"), "not-allowed");
     assert_eq!(total(&fleet), before);
     // What the plan has saved up is used up first.
     let mut before = before;
@@ -134,27 +135,27 @@
 /// Nothing can take the request: the host is full, engines and services are gone, the key-value
 /// service is down, and in the end the host is cut off from everyone.
 #[test]
-fn requests_that_nothing_takes_run_nowhere() {
-    let mut fleet = Fleet::start(Plan {
+fn requests_without_capacity_do_not_run() {
+    let mut fleet = Fleet::start(FleetConfig {
         hosts: 2,
         limits: "requests = 1\ncut-off = 1s\n".into(),
-        ..Plan::default()
+        ..FleetConfig::default()
     });
     let host = fleet.hosts[0].callers;
     for service in fleet.services() {
-        fault_at(service.addr, &json!({"slow_ms": 500}));
+        inject_fault(service.addr, &json!({"slow_ms": 500}));
     }
-    let full = thread::spawn(move || call(host, "GET", "/slow", "", ""));
+    let full = thread::spawn(move || call_service(host, "GET", "/slow", "", ""));
     wait_for("a request is open", || fleet.status(0)["requests"] == 1);
-    refused(call(host, "GET", "/x", "", ""), "overloaded");
+    refused(call_service(host, "GET", "/x", "", ""), "overloaded");
     drop(full.join());
     let before = total(&fleet);
-    fleet.kv_fault(&json!({"down": true}));
+    fleet.inject_kv_fault(&json!({"down": true}));
     wait_for("the host notices", || fleet.status(0)["store"] == "down");
-    refused(call(host, "POST", "/x", "k", "{}"), "store-down");
-    fleet.kv_fault(&json!({"down": false}));
+    refused(call_service(host, "POST", "/x", "k", "{}"), "store-down");
+    fleet.inject_kv_fault(&json!({"down": false}));
     wait_for("the host notices", || fleet.status(0)["store"] == "up");
-    fleet.list(|_| "leaving");
+    fleet.publish_listing(|_| "leaving");
     wait_for("the list is read", || {
         let status = fleet.status(0);
         let backends = status["backends"].as_array().cloned().unwrap_or_default();
@@ -163,8 +164,8 @@
             .all(|backend| backend["listed"] == "leaving")
     });
     refused(complete(host, "p", 5, false), "no-engine");
-    refused(call(host, "POST", "/x", "k", "{}"), "service-down");
-    fleet.kv_fault(&json!({"down": true}));
+    refused(call_service(host, "POST", "/x", "k", "{}"), "service-down");
+    fleet.inject_kv_fault(&json!({"down": true}));
     fleet.hosts[1].process.kill();
     wait_for("the host is cut off", || {
         fleet.status(0)["why"]
@@ -177,18 +178,18 @@
 
 /// A service instance dies; a call that was never sent to it is told so.
 #[test]
-fn calls_to_a_dead_service_run_nowhere() {
-    let mut fleet = Fleet::start(Plan {
+fn calls_to_a_crashed_service_do_not_run() {
+    let mut fleet = Fleet::start(FleetConfig {
         services: 1,
         engines: 1,
-        ..Plan::default()
+        ..FleetConfig::default()
     });
     let host = fleet.hosts[0].callers;
     let before = total(&fleet);
     for backend in &mut fleet.backends {
         backend.process.kill();
     }
-    refused(call(host, "POST", "/x", "k", "{}"), "service-down");
+    refused(call_service(host, "POST", "/x", "k", "{}"), "service-down");
     let answer = complete(host, "p", 5, false).expect("an answer");
     assert_eq!(answer.json()["ran"], "no", "{}", answer.text());
     assert_eq!(before, 0);
@@ -198,10 +199,10 @@
 /// served whole, refused, or never read; it must not run and be called "not run", and the running
 /// one is finished.
 #[test]
-fn requests_to_a_stopping_host_are_told_the_truth() {
-    let fleet = Fleet::start(Plan {
-        engine: Vec::new(),
-        ..Plan::default()
+fn request_to_a_stopping_host_runs_or_reports_not_run() {
+    let fleet = Fleet::start(FleetConfig {
+        engine_args: Vec::new(),
+        ..FleetConfig::default()
     });
     let host = &fleet.hosts[0];
     let mut kept = Raw::connect(host.callers);
--- a/tests/fleet/once.rs
+++ b/tests/fleet/once.rs
@@ -4,15 +4,15 @@
 
 use serde_json::json;
 
-use crate::support::account::patient;
+use crate::support::account::retry_while_throttled;
 use crate::support::http::Answer;
-use crate::support::{Fleet, Plan, call, fault_at, runs, wait_for};
+use crate::support::{Fleet, FleetConfig, call_service, inject_fault, runs, wait_for};
 
 /// Statuses that settle a repeat: the first answer, or that the call may have run.
 const SETTLED: [u16; 2] = [200, 409];
 
 fn file(fleet: &Fleet, at: usize, key: &str) -> Option<Answer> {
-    call(fleet.hosts[at].callers, "POST", "/extensions", key, "{}")
+    call_service(fleet.hosts[at].callers, "POST", "/extensions", key, "{}")
 }
 
 /// Repeats a key at a host until it gets an answer that settles it.
@@ -30,15 +30,15 @@
 
 fn services(fleet: &Fleet, fault: &serde_json::Value) {
     for service in fleet.services() {
-        fault_at(service.addr, fault);
+        inject_fault(service.addr, fault);
     }
 }
 
 /// A member's portal sends the same filing to every host at the same moment, and once more later.
 /// The funder must get one filing, and every answer must tell of that one.
 #[test]
-fn one_key_at_every_host_runs_once() {
-    let fleet = Fleet::start(Plan::default());
+fn same_key_at_every_host_runs_once() {
+    let fleet = Fleet::start(FleetConfig::default());
     services(&fleet, &json!({"slow_ms": 50}));
     thread::scope(|scope| {
         for at in 0..9 {
@@ -57,9 +57,9 @@
 /// The key-value service takes the record of the start and its answer is lost. The caller is told
 /// "not run"; the filing must not have gone out, and the member's next try must send it.
 #[test]
-fn a_record_whose_answer_is_lost_sends_nothing() {
-    let fleet = Fleet::start(Plan::default());
-    fleet.kv_fault(&json!({"lose_answers": 1, "lose_key": "chiveway/d/once/"}));
+fn lost_store_answer_prevents_send() {
+    let fleet = Fleet::start(FleetConfig::default());
+    fleet.inject_kv_fault(&json!({"lose_answers": 1, "lose_key": "chiveway/d/once/"}));
     let answer = file(&fleet, 0, "k-1").expect("an answer");
     assert_eq!(answer.status, 503, "{}", answer.text());
     assert_eq!(answer.json()["ran"], "no");
@@ -73,17 +73,17 @@
 /// The key-value service is down. A filing is refused at once and has not run, a question about a
 /// deadline is answered as ever, and filings go on when the service is back.
 #[test]
-fn an_outage_pauses_filings_only() {
-    let fleet = Fleet::start(Plan::default());
-    fleet.kv_fault(&json!({"down": true}));
+fn store_outage_refuses_only_non_retryable_calls() {
+    let fleet = Fleet::start(FleetConfig::default());
+    fleet.inject_kv_fault(&json!({"down": true}));
     wait_for("the hosts notice", || fleet.status(0)["store"] == "down");
     let answer = file(&fleet, 0, "k-1").expect("an answer");
     assert_eq!((answer.status, &answer.json()["ran"]), (503, &json!("no")));
     assert!(answer.header("retry-after").is_some());
     assert_eq!(runs(&fleet, "k-1"), 0);
-    let status = call(fleet.hosts[0].callers, "GET", "/deadlines", "", "");
+    let status = call_service(fleet.hosts[0].callers, "GET", "/deadlines", "", "");
     assert_eq!(status.map(|answer| answer.status), Some(200));
-    fleet.kv_fault(&json!({"down": false}));
+    fleet.inject_kv_fault(&json!({"down": false}));
     assert_eq!(settle(&fleet, 0, "k-1").status, 200);
     assert_eq!(runs(&fleet, "k-1"), 1);
 }
@@ -91,11 +91,11 @@
 /// The service refuses before it runs a call, at one instance or at all. Where one takes it the
 /// caller notices nothing; where none does the caller is told "not run" and may send it again.
 #[test]
-fn a_call_that_the_service_did_not_run_is_tried_elsewhere() {
-    let fleet = Fleet::start(Plan::default());
+fn call_not_run_is_retried_at_another_instance() {
+    let fleet = Fleet::start(FleetConfig::default());
     let first = fleet.services().next().expect("an instance").addr;
     for number in 0..4 {
-        fault_at(first, &json!({"fail_next": 1}));
+        inject_fault(first, &json!({"fail_next": 1}));
         let key = format!("k-{number}");
         assert_eq!(file(&fleet, 0, &key).map(|a| a.status), Some(200));
         assert_eq!(runs(&fleet, &key), 1);
@@ -113,18 +113,18 @@
 /// A rule lets deadline questions repeat. A path that the rule reads as such a question and the
 /// service as a filing is refused, and so is a method in small letters.
 #[test]
-fn a_path_with_two_readings_is_refused() {
-    let fleet = Fleet::start(Plan::default());
+fn ambiguous_path_is_refused() {
+    let fleet = Fleet::start(FleetConfig::default());
     for path in [
         "/deadlines/../extensions",
         "/deadlines/%2e%2e/extensions",
         "//extensions",
         "/%65xtensions",
     ] {
-        let answer = call(fleet.hosts[0].callers, "GET", path, "", "").expect("an answer");
+        let answer = call_service(fleet.hosts[0].callers, "GET", path, "", "").expect("an answer");
         assert_eq!(answer.status, 400, "{path}: {}", answer.text());
     }
-    let small = call(fleet.hosts[0].callers, "get", "/extensions", "", "");
+    let small = call_service(fleet.hosts[0].callers, "get", "/extensions", "", "");
     assert!(small.is_none_or(|answer| answer.status >= 400));
     assert_eq!(runs(&fleet, "extensions"), 0);
 }
@@ -150,15 +150,15 @@
 /// Strikes a host in the middle of a call that came in at host 0, and repeats the call elsewhere
 /// until it is settled; a frozen host then wakes with whatever it still meant to do.
 fn strike(victim: usize, blow: Blow, step: Step) {
-    let mut fleet = Fleet::start(Plan::default());
+    let mut fleet = Fleet::start(FleetConfig::default());
     match step {
-        Step::Recording => fleet.kv_fault(&json!({"slow_ms": 300})),
+        Step::Recording => fleet.inject_kv_fault(&json!({"slow_ms": 300})),
         Step::Running => services(&fleet, &json!({"slow_ms": 300})),
         Step::Answered => {}
     }
     let callers = fleet.hosts[0].callers;
     let writes = fleet.kv_calls()["txn"].as_u64();
-    let first = thread::spawn(move || call(callers, "POST", "/extensions", "k-1", "{}"));
+    let first = thread::spawn(move || call_service(callers, "POST", "/extensions", "k-1", "{}"));
     match step {
         // Half of the time that the record takes; earlier and later are right as well.
         Step::Recording => thread::sleep(std::time::Duration::from_millis(150)),
@@ -172,7 +172,7 @@
         Blow::Kill => fleet.hosts[victim].process.kill(),
         Blow::Freeze => fleet.hosts[victim].process.freeze(),
     }
-    fleet.kv_fault(&json!({"slow_ms": 0}));
+    fleet.inject_kv_fault(&json!({"slow_ms": 0}));
     let other = if victim == 1 { 2 } else { 1 };
     let answer = settle(&fleet, other, "k-1");
     assert!(runs(&fleet, "k-1") <= 1, "{}", answer.text());
@@ -202,21 +202,21 @@
 }
 
 strikes! {
-    server_killed_before_the_record: 0 Kill Recording;
-    server_killed_after_the_send: 0 Kill Running;
-    server_killed_after_the_answer: 0 Kill Answered;
-    server_frozen_before_the_record: 0 Freeze Recording;
-    server_frozen_after_the_send: 0 Freeze Running;
-    peer_killed_before_the_record: 1 Kill Recording;
-    peer_killed_after_the_send: 2 Kill Running;
-    peer_frozen_before_the_record: 2 Freeze Recording;
+    serving_host_killed_before_record: 0 Kill Recording;
+    serving_host_killed_after_send: 0 Kill Running;
+    serving_host_killed_after_answer: 0 Kill Answered;
+    serving_host_frozen_before_record: 0 Freeze Recording;
+    serving_host_frozen_after_send: 0 Freeze Running;
+    peer_killed_before_record: 1 Kill Recording;
+    peer_killed_after_send: 2 Kill Running;
+    peer_frozen_before_record: 2 Freeze Recording;
 }
 
 /// Hosts come and go while members file: one is stopped, one killed, one added. Each key runs at
 /// most once, and one that was answered ran.
 #[test]
-fn hosts_that_come_and_go_run_nothing_twice() {
-    let mut fleet = Fleet::start(Plan::default());
+fn no_key_runs_twice_while_hosts_change() {
+    let mut fleet = Fleet::start(FleetConfig::default());
     let callers: Vec<_> = fleet.hosts.iter().map(|host| host.callers).collect();
     let clients: Vec<_> = (0..6)
         .map(|client| {
@@ -226,7 +226,9 @@
                 for number in 0..60 {
                     let key = format!("k-{}-", number % 20);
                     let at = callers[(client + number) % callers.len()];
-                    let answers = patient(|| call(at, "POST", "/extensions", &key, "{}"));
+                    let answers = retry_while_throttled(|| {
+                        call_service(at, "POST", "/extensions", &key, "{}")
+                    });
                     let mut answers = answers.into_iter().flatten();
                     if answers.any(|answer| answer.status == 200) {
                         answered.push(key);
--- a/tests/fleet/orders.rs
+++ b/tests/fleet/orders.rs
@@ -6,9 +6,9 @@
 use chiveway::store::{Op, Span, Store, Txn};
 use serde_json::{Value, json};
 
-use crate::support::cut::Cut;
 use crate::support::http::send;
-use crate::support::{Fleet, MODEL, Plan, fault_at, open_completion, wait_for};
+use crate::support::proxy::FaultProxy;
+use crate::support::{Fleet, FleetConfig, MODEL, inject_fault, open_completion, wait_for};
 
 const ENGINE: &str = "raadgiver-1";
 const INTENTS: &str = "chiveway/d/intent/raadgiver/";
@@ -82,14 +82,14 @@
     });
 }
 
-fn plan(hosts: usize, engines: usize, fencing: &'static str) -> Plan {
-    Plan {
+fn plan(hosts: usize, engines: usize, fencing: &'static str) -> FleetConfig {
+    FleetConfig {
         hosts,
         engines,
         fencing,
         services: 0,
         limits: "cut-off = 1s\n".into(),
-        ..Plan::default()
+        ..FleetConfig::default()
     }
 }
 
@@ -98,18 +98,18 @@
 /// engine's own address and the forwarder that still has the order.
 ///
 /// On a busy machine the order may pass before the forwarder is silenced; then it begins anew.
-fn paused_holder(fencing: &'static str) -> (Fleet, SocketAddr, Cut) {
+fn paused_holder(fencing: &'static str) -> (Fleet, SocketAddr, FaultProxy) {
     let mut tries = std::iter::repeat_with(|| try_paused_holder(fencing)).take(TRIES);
     let held = tries.find_map(|held| held);
     held.expect("an order is held back")
 }
 
-fn try_paused_holder(fencing: &'static str) -> Option<(Fleet, SocketAddr, Cut)> {
+fn try_paused_holder(fencing: &'static str) -> Option<(Fleet, SocketAddr, FaultProxy)> {
     let mut fleet = Fleet::start(plan(1, 1, fencing));
     let engine = fleet.backends[0].addr;
-    let cut = Cut::before(engine);
+    let cut = FaultProxy::start(engine);
     fleet.backends[0].addr = cut.addr;
-    fleet.list(|_| "live");
+    fleet.publish_listing(|_| "live");
     wait_for("the host goes through the forwarder", || {
         backend(&fleet, 0, ENGINE)["addr"] == cut.addr.to_string()
     });
@@ -117,14 +117,14 @@
 
     // The lost answer delays the order, so that the forwarder can be silenced before it.
     inherit(&fleet, "prefill");
-    fleet.kv_fault(&json!({"lose_answers": 1, "lose_key": INTENTS}));
+    fleet.inject_kv_fault(&json!({"lose_answers": 1, "lose_key": INTENTS}));
     wait_for("the order is recorded", || {
         stored(&fleet, &format!("{INTENTS}{ENGINE}"))["fence"] == 2
     });
     cut.silence();
     for _ in 0..2 {
         wait_for("the order is sent", || {
-            let metrics = fleet.operator(0, "/metrics").expect("the host answers");
+            let metrics = fleet.get_operator(0, "/metrics").expect("the host answers");
             metrics
                 .text()
                 .lines()
@@ -136,7 +136,7 @@
     }
     fleet.hosts[0].process.freeze();
     fleet.backends[0].addr = engine;
-    fleet.list(|_| "live");
+    fleet.publish_listing(|_| "live");
     fleet.add_host("host-2");
     wait_for("the second host holds the pool", || {
         stored(&fleet, HOLDER)["host"] == "host-2"
@@ -154,7 +154,7 @@
             .iter()
             .any(|order| order["holder"] == "host-2")
     });
-    cut.heal();
+    cut.restore();
     wait_for("the late order arrives", || {
         orders(engine)
             .iter()
@@ -179,9 +179,9 @@
 /// The engine takes any order: the successor gives none while the paused process may still have
 /// one on its way, and none that differs once it is dead. The late order is the only one.
 #[test]
-fn a_late_order_is_the_only_one_at_an_engine_that_ignores() {
+fn late_order_is_the_only_one_at_an_engine_without_fencing() {
     let (mut fleet, engine, cut) = paused_holder("ignores");
-    cut.heal();
+    cut.restore();
     wait_for("the late order arrives", || !orders(engine).is_empty());
     assert!(backend(&fleet, 1, ENGINE)["routed"] == "withdrawn");
     fleet.hosts[0].process.kill();
@@ -201,7 +201,7 @@
 /// The answers to renewals and take-overs are lost while the writes take effect. The pool has one
 /// holder all the while, and each take-over has a number of its own.
 #[test]
-fn two_take_overs_in_a_row_with_lost_answers_leave_one_order() {
+fn two_takeovers_with_lost_answers_give_one_order() {
     let fleet = Fleet::start(plan(2, 1, "checks"));
     let engine = fleet.backends[0].addr;
     wait_for("a host holds the pool", || held(&fleet));
@@ -211,7 +211,7 @@
         assert!(fence > last, "{fence} after {last}");
         last = fence;
         // One answer is this test's own, the next that of the take-over.
-        fleet.kv_fault(&json!({"lose_answers": 2, "lose_key": HOLDER}));
+        fleet.inject_kv_fault(&json!({"lose_answers": 2, "lose_key": HOLDER}));
         inherit(&fleet, "decode");
         wait_for("a host holds the pool anew", || {
             stored(&fleet, HOLDER)["fence"].as_u64() > Some(last)
@@ -228,16 +228,16 @@
 /// role. The holder sees that role in its report and orders again, under a new number; callers go
 /// to other engines meanwhile.
 #[test]
-fn an_engine_that_crashes_halfway_is_ordered_again() {
+fn engine_crashed_during_change_is_ordered_again() {
     let mut fleet = Fleet::start(plan(1, 2, "checks"));
     let engine = fleet.backends[0].addr;
     wait_for("the host holds the pool", || held(&fleet));
-    fault_at(engine, &json!({"crash_mid_change": true}));
+    inject_fault(engine, &json!({"crash_mid_change": true}));
     inherit(&fleet, "decode");
-    fleet.backends[0].process.ended();
+    fleet.backends[0].process.wait_for_exit();
     fleet.add_engine(ENGINE);
     fleet.backends.swap_remove(0);
-    fleet.list(|_| "live");
+    fleet.publish_listing(|_| "live");
     back(&fleet, 0, "decode");
     let mut engines = fleet.engines().filter(|engine| engine.name == ENGINE);
     let orders = orders(engines.next().expect("it was added").addr);
@@ -248,7 +248,7 @@
 /// The key-value service goes down once the engine is withdrawn, and comes back. Callers are
 /// served by the other engine all the while; the change is finished afterwards.
 #[test]
-fn an_outage_halfway_is_made_good() {
+fn role_change_completes_after_a_store_outage() {
     let fleet = Fleet::start(plan(1, 2, "checks"));
     let engine = fleet.backends[0].addr;
     wait_for("the host holds the pool", || held(&fleet));
@@ -257,11 +257,11 @@
     wait_for("the engine is withdrawn", || {
         backend(&fleet, 0, ENGINE)["routed"] == "withdrawn"
     });
-    fleet.kv_fault(&json!({"down": true}));
+    fleet.inject_kv_fault(&json!({"down": true}));
     wait_for("the host has noticed", || {
         fleet.status(0)["store"] == "down"
     });
-    fleet.kv_fault(&json!({"down": false}));
+    fleet.inject_kv_fault(&json!({"down": false}));
     wait_for("the host has the service back", || {
         fleet.status(0)["store"] == "up"
     });
@@ -276,9 +276,9 @@
 /// A long answer runs when its engine is to change. Its caller gets it whole, and the engine's
 /// log shows the order after its end.
 #[test]
-fn a_running_answer_is_not_cut_by_a_change() {
+fn role_change_waits_for_running_answers() {
     let mut plan = plan(2, 1, "checks");
-    plan.engine = vec!["--decode-cost".into(), "5ms".into()];
+    plan.engine_args = vec!["--decode-cost".into(), "5ms".into()];
     let fleet = Fleet::start(plan);
     let engine = fleet.backends[0].addr;
     wait_for("a host holds the pool", || held(&fleet));
--- a/tests/fleet/outage.rs
+++ b/tests/fleet/outage.rs
@@ -3,7 +3,9 @@
 use serde_json::{Value, json};
 
 use crate::support::http::{Answer, send};
-use crate::support::{CUSTOMER_KEY, Fleet, OPERATOR_KEY, Plan, call, complete, runs, wait_for};
+use crate::support::{
+    CUSTOMER_KEY, Fleet, FleetConfig, OPERATOR_KEY, call_service, complete, runs, wait_for,
+};
 
 /// Puts a list on top of a revision.
 fn put(fleet: &Fleet, at: usize, base: u64, text: &str) -> Option<Answer> {
@@ -29,7 +31,7 @@
 }
 
 fn fault(fleet: &Fleet, switches: &Value) {
-    fleet.kv_fault(switches);
+    fleet.inject_kv_fault(switches);
 }
 
 /// Waits until every host has seen that the service is gone.
@@ -50,17 +52,18 @@
 /// go on; a filing is refused at once, as not run, with a time to come back; an edit is refused.
 /// On return everything works again, also the filing that was refused.
 fn goes_on(down: &Value) {
-    let fleet = Fleet::start(Plan::default());
+    let fleet = Fleet::start(FleetConfig::default());
     fault(&fleet, &json!({"down": down}));
     wait_down(&fleet);
     for at in 0..3 {
         let host = &fleet.hosts[at];
         let answer = complete(host.callers, "a clause", 10, true).expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.text());
-        let read = call(host.callers, "GET", "/deadlines", "", "").expect("an answer");
+        let read = call_service(host.callers, "GET", "/deadlines", "", "").expect("an answer");
         assert_eq!(read.status, 200, "{}", read.text());
         let key = format!("filing-{at}");
-        let filing = call(host.callers, "POST", "/extensions", &key, "{}").expect("an answer");
+        let filing =
+            call_service(host.callers, "POST", "/extensions", &key, "{}").expect("an answer");
         assert_eq!(filing.status, 503, "{}", filing.text());
         assert_eq!(filing.json()["ran"], "no");
         assert!(filing.header("retry-after").is_some());
@@ -73,7 +76,7 @@
     for at in 0..3 {
         let key = format!("filing-{at}");
         wait_for("the filing is taken", || {
-            call(fleet.hosts[at].callers, "POST", "/extensions", &key, "{}")
+            call_service(fleet.hosts[at].callers, "POST", "/extensions", &key, "{}")
                 .is_some_and(|answer| answer.status == 200)
         });
         assert_eq!(runs(&fleet, &key), 1);
@@ -90,22 +93,22 @@
 }
 
 outages! {
-    service_that_refuses: "refuse";
-    service_that_hangs: "hang";
+    store_refuses_connections: "refuse";
+    store_hangs: "hang";
 }
 
 /// A host starts while the service is down. It knows neither lists nor peers, and must not look
 /// ready: the balancer would send it callers that it can only turn away.
 #[test]
-fn host_started_in_an_outage_is_not_ready() {
-    let mut fleet = Fleet::start(Plan::default());
+fn host_started_during_store_outage_is_not_ready() {
+    let mut fleet = Fleet::start(FleetConfig::default());
     fault(&fleet, &json!({"down": "refuse"}));
     wait_down(&fleet);
     fleet.add_host("host-4");
     wait_for("the new host answers", || {
-        fleet.operator(3, "/status").is_some()
+        fleet.get_operator(3, "/status").is_some()
     });
-    let ready = fleet.operator(3, "/readyz").expect("an answer");
+    let ready = fleet.get_operator(3, "/readyz").expect("an answer");
     assert_eq!(ready.status, 503);
     assert_eq!(fleet.status(3)["revision"], 0);
     let early = complete(fleet.hosts[3].callers, "a clause", 5, false).expect("an answer");
@@ -126,13 +129,13 @@
 /// Every watch open now falls silent for good while the service works. An edit must be in force
 /// everywhere all the same, and a customer that lost access must be refused everywhere.
 #[test]
-fn edit_with_silent_watches_is_in_force_everywhere() {
-    let fleet = Fleet::start(Plan::default());
+fn edit_reaches_hosts_with_frozen_watches() {
+    let fleet = Fleet::start(FleetConfig::default());
     fault(&fleet, &json!({"freeze_watches": true}));
     let edit = put(&fleet, 0, 2, &plans("Another", "other-key")).expect("an answer");
     assert_eq!(edit.status, 200, "{}", edit.text());
     wait_for("the edit is in force everywhere", || {
-        let force = fleet.operator(0, "/lists/force?revision=3");
+        let force = fleet.get_operator(0, "/lists/force?revision=3");
         force.is_some_and(|answer| answer.json()["missing"] == json!([]))
     });
     for host in &fleet.hosts {
@@ -147,8 +150,8 @@
 
 /// The service is slow. Completions do not wait for it, and nobody is registered anew.
 #[test]
-fn slow_service_slows_no_completion() {
-    let fleet = Fleet::start(Plan::default());
+fn slow_store_fails_no_completion() {
+    let fleet = Fleet::start(FleetConfig::default());
     fault(&fleet, &json!({"slow_ms": 300}));
     for at in [0, 1, 2, 0, 1, 2] {
         let answer = complete(fleet.hosts[at].callers, "a clause", 10, false).expect("an answer");
@@ -161,10 +164,10 @@
 /// All hosts lose the service at the same moment and find it again at the same moment. The calls
 /// they make on return are counted: they must fit the budget of the service.
 #[test]
-fn return_is_no_stampede() {
-    let fleet = Fleet::start(Plan {
+fn store_recovery_stays_within_call_budget() {
+    let fleet = Fleet::start(FleetConfig {
         hosts: 4,
-        ..Plan::default()
+        ..FleetConfig::default()
     });
     fault(&fleet, &json!({"down": "refuse"}));
     wait_down(&fleet);
--- a/tests/fleet/shares.rs
+++ b/tests/fleet/shares.rs
@@ -4,24 +4,25 @@
 use std::time::Instant;
 
 use crate::support::http::send;
-use crate::support::{CUSTOMER_KEY, Fleet, MODEL, Plan, SERVICE, call, wait_for};
+use crate::support::{CUSTOMER_KEY, Fleet, FleetConfig, MODEL, SERVICE, call_service, wait_for};
 
 const RATE: f64 = 40.0;
 
-fn plan(hosts: usize) -> Plan {
-    Plan {
+fn plan(hosts: usize) -> FleetConfig {
+    FleetConfig {
         hosts,
-        uses: format!(
+        use_list: format!(
             "[plan medlem]\nmodels = {MODEL}\nservices = {SERVICE}\nrequests = 40/s\n\
              [service {SERVICE}]\nrepeat = GET *\nonce = POST *\n"
         ),
-        ..Plan::default()
+        ..FleetConfig::default()
     }
 }
 
 /// Asks a host `count` times, one after the other; returns how many were let in.
 fn ask(fleet: &Fleet, at: usize, count: usize) -> usize {
-    let answers = (0..count).map(|_| call(fleet.hosts[at].callers, "GET", "/deadlines", "", ""));
+    let answers =
+        (0..count).map(|_| call_service(fleet.hosts[at].callers, "GET", "/deadlines", "", ""));
     let statuses = answers.map(|answer| answer.map(|answer| answer.status));
     let mut let_in = 0;
     for status in statuses {
@@ -34,7 +35,7 @@
 /// The requests of one customer come by every host at once. Each host that let in the whole share
 /// would let in three times what was sold.
 #[test]
-fn one_share_over_all_hosts() {
+fn hosts_together_admit_one_share() {
     let fleet = Fleet::start(plan(3));
     let began = Instant::now();
     let let_in: usize = thread::scope(|scope| {
@@ -64,7 +65,7 @@
 /// A host that holds a part of the share is killed. The others go on with what is theirs, and with
 /// all of it once the host's place is taken.
 #[test]
-fn share_survives_the_death_of_a_host() {
+fn share_survives_host_crash() {
     let mut fleet = Fleet::start(plan(3));
     let gone = fleet.hosts.remove(0);
     let name = gone.name.clone();
@@ -74,7 +75,7 @@
         wait_for("the share is lent again", || ask(&fleet, at, 1) == 1);
     }
     fleet.add_host(&name);
-    fleet.ready(2);
+    fleet.wait_until_ready(2);
     for at in 0..3 {
         wait_for("the share is lent by all", || ask(&fleet, at, 1) == 1);
     }
@@ -82,7 +83,7 @@
 
 /// An edit takes a customer's key away. What runs goes on; what comes is refused at every host.
 #[test]
-fn lost_access_is_lost_everywhere() {
+fn revoked_key_is_refused_by_every_host() {
     let fleet = Fleet::start(plan(2));
     let auth = format!("Bearer {}", crate::support::OPERATOR_KEY);
     let headers = [("authorization", auth.as_str()), ("if-match", "\"2\"")];
@@ -97,7 +98,7 @@
     assert_eq!(answer.map(|answer| answer.status), Some(200));
     for host in &fleet.hosts {
         wait_for(&format!("{CUSTOMER_KEY} is refused"), || {
-            call(host.callers, "GET", "/deadlines", "", "").is_some_and(|a| a.status == 401)
+            call_service(host.callers, "GET", "/deadlines", "", "").is_some_and(|a| a.status == 401)
         });
     }
 }
--- a/tests/fleet/stop.rs
+++ b/tests/fleet/stop.rs
@@ -9,16 +9,16 @@
 use chiveway::trial::stream_text;
 
 use crate::support::http::{Raw, send};
-use crate::support::{Fleet, MODEL, Plan, open_completion, runs, wait_for};
+use crate::support::{Fleet, FleetConfig, MODEL, open_completion, runs, wait_for};
 
-fn paced(hosts: usize) -> Plan {
-    Plan {
+fn paced(hosts: usize) -> FleetConfig {
+    FleetConfig {
         hosts,
         engines: 2,
-        engine: Vec::new(),
+        engine_args: Vec::new(),
         // A host that does not give its registration back would be missed for an hour.
         platform: "lease = 1h\nrefresh = 200ms\n".into(),
-        ..Plan::default()
+        ..FleetConfig::default()
     }
 }
 
@@ -35,7 +35,7 @@
 /// is open and idle, and a third sends on a connection it has kept. None of them may notice more
 /// than a closed connection after its answer.
 #[test]
-fn stop_cuts_nothing() {
+fn stop_finishes_running_requests() {
     let mut fleet = Fleet::start(paced(2));
     let (addr, operators) = (fleet.hosts[0].callers, fleet.hosts[0].operators);
     let mut kept = Raw::connect(addr);
@@ -45,7 +45,10 @@
     idle.completion("first on an idle connection", 5, false);
     assert_eq!(idle.answer().map(|answer| answer.status), Some(200));
     let mut open = open_completion(addr, "a long briefing", 600, true).expect("an answer");
-    let first = open.part().expect("the stream goes on").expect("a part");
+    let first = open
+        .next_chunk()
+        .expect("the stream goes on")
+        .expect("a part");
 
     fleet.hosts[0].process.term();
     wait_for("the host is not ready", || {
@@ -60,18 +63,18 @@
     assert!(idle.rest().is_empty(), "closed with nothing more");
 
     let rest = open.rest();
-    assert!(rest.whole);
+    assert!(rest.complete);
     let body = [first, rest.body].concat();
     let wanted = expected(MODEL, "a long briefing", 600);
     assert_eq!(stream_text(&body), Some(wanted));
-    assert!(fleet.hosts[0].process.ended().success());
+    assert!(fleet.hosts[0].process.wait_for_exit().success());
     wait_for("the other host lets it go", || hosts_known(&fleet, 1) == 1);
 }
 
 /// A caller keeps its connection open without using it, as browsers do for minutes. The stop
 /// would wait for it to the end of its bound.
 #[test]
-fn idle_connections_do_not_hold_the_stop() {
+fn idle_connections_do_not_delay_stop() {
     let mut fleet = Fleet::start(paced(1));
     let addr = fleet.hosts[0].callers;
     let mut kept = Raw::connect(addr);
@@ -79,39 +82,43 @@
     assert_eq!(kept.answer().map(|answer| answer.status), Some(200));
     let silent = TcpStream::connect(addr).expect("a connection that never says anything");
     fleet.hosts[0].process.term();
-    assert!(fleet.hosts[0].process.ended().success());
+    assert!(fleet.hosts[0].process.wait_for_exit().success());
     drop((kept, silent));
 }
 
 /// A stream that outlasts the bound must not keep a host from being replaced.
 #[test]
-fn stop_ends_within_its_bound() {
-    let mut fleet = Fleet::start(Plan {
+fn stop_ends_within_its_limit() {
+    let mut fleet = Fleet::start(FleetConfig {
         limits: "stop = 2s\n".into(),
         ..paced(1)
     });
     let addr = fleet.hosts[0].callers;
     let mut open = open_completion(addr, "longer than the bound", 50_000, true).expect("an answer");
-    open.part().expect("the stream goes on").expect("a part");
+    open.next_chunk()
+        .expect("the stream goes on")
+        .expect("a part");
     fleet.hosts[0].process.term();
-    assert!(fleet.hosts[0].process.ended().success());
-    assert!(!open.rest().whole, "a cut answer does not look whole");
+    assert!(fleet.hosts[0].process.wait_for_exit().success());
+    assert!(!open.rest().complete, "a cut answer does not look whole");
 }
 
 /// An operator who cannot wait sends the signal again.
 #[test]
-fn second_signal_ends_at_once() {
+fn second_sigterm_exits_immediately() {
     let mut fleet = Fleet::start(paced(1));
     let host = &fleet.hosts[0];
     let mut open = open_completion(host.callers, "long", 50_000, true).expect("an answer");
-    open.part().expect("the stream goes on").expect("a part");
+    open.next_chunk()
+        .expect("the stream goes on")
+        .expect("a part");
     host.process.term();
     let operators = host.operators;
     wait_for("the stop has begun", || {
         send(operators, "GET", "/readyz", &[], &[]).is_some_and(|answer| answer.status == 503)
     });
     host.process.term();
-    assert_eq!(fleet.hosts[0].process.ended().code(), Some(130));
+    assert_eq!(fleet.hosts[0].process.wait_for_exit().code(), Some(130));
 }
 
 /// Sends requests until told to end; returns those that were not answered whole, and how many
@@ -155,7 +162,7 @@
 #[test]
 fn hosts_replaced_one_by_one_lose_nothing() {
     let mut plan = paced(3);
-    plan.uses = plan.uses.replace("requests = 100000/s\n", "");
+    plan.use_list = plan.use_list.replace("requests = 100000/s\n", "");
     replace_hosts(plan);
 }
 
@@ -166,9 +173,9 @@
     replace_hosts(paced(3));
 }
 
-fn replace_hosts(plan: Plan) {
+fn replace_hosts(plan: FleetConfig) {
     // Enough for all callers at once: what engines cannot take is refused, stop or no stop.
-    let mut fleet = Fleet::start(Plan { engines: 8, ..plan });
+    let mut fleet = Fleet::start(FleetConfig { engines: 8, ..plan });
     let addrs: Vec<_> = fleet.hosts.iter().map(|host| host.callers).collect();
     let addrs = Arc::new(Mutex::new(addrs));
     let end = Arc::new(AtomicBool::new(false));
@@ -180,12 +187,12 @@
         .collect();
     for old in 1..=3 {
         fleet.add_host(&format!("host-{}", old + 3));
-        fleet.ready(fleet.hosts.len() - 1);
+        fleet.wait_until_ready(fleet.hosts.len() - 1);
         let new = fleet.hosts.last().expect("it was added").callers;
         addrs.lock().expect("no panic").push(new);
         let mut host = fleet.hosts.remove(0);
         host.process.term();
-        assert!(host.process.ended().success());
+        assert!(host.process.wait_for_exit().success());
         addrs
             .lock()
             .expect("no panic")
--- a/tests/fleet/streams.rs
+++ b/tests/fleet/streams.rs
@@ -7,23 +7,25 @@
 use chiveway::trial::stream_text;
 use serde_json::{Value, json};
 
-use crate::support::http::{Answer, Open, send};
-use crate::support::{Fleet, MODEL, Plan, complete, fault_at, open_completion, wait_for};
+use crate::support::http::{Answer, OpenAnswer, send};
+use crate::support::{
+    Fleet, FleetConfig, MODEL, complete, inject_fault, open_completion, wait_for,
+};
 
 /// A deployment of one host whose engines take their time.
-fn paced(engines: usize) -> Plan {
-    Plan {
+fn paced(engines: usize) -> FleetConfig {
+    FleetConfig {
         hosts: 1,
         engines,
         services: 0,
-        engine: Vec::new(),
-        ..Plan::default()
+        engine_args: Vec::new(),
+        ..FleetConfig::default()
     }
 }
 
-fn instant(engines: usize) -> Plan {
-    Plan {
-        engine: vec!["--instant".into()],
+fn instant(engines: usize) -> FleetConfig {
+    FleetConfig {
+        engine_args: vec!["--instant".into()],
         ..paced(engines)
     }
 }
@@ -35,16 +37,18 @@
 }
 
 /// Reads until some of the answer has come.
-fn begun(open: &mut Open) -> Vec<u8> {
-    open.part().expect("the stream goes on").expect("a part")
+fn begun(open: &mut OpenAnswer) -> Vec<u8> {
+    open.next_chunk()
+        .expect("the stream goes on")
+        .expect("a part")
 }
 
 /// Reads the rest of a stream that has begun and puts it together.
-fn whole(first: Vec<u8>, open: Open) -> Option<String> {
+fn whole(first: Vec<u8>, open: OpenAnswer) -> Option<String> {
     let rest = open.rest();
     let mut body = first;
     body.extend(rest.body);
-    stream_text(&body).filter(|_| rest.whole)
+    stream_text(&body).filter(|_| rest.complete)
 }
 
 /// Returns the number of events in a stream that carry a finish reason.
@@ -66,7 +70,7 @@
             let fleet = Fleet::start(instant(2));
             for stream in [true, false] {
                 for engine in fleet.engines() {
-                    fault_at(engine.addr, &$fault);
+                    inject_fault(engine.addr, &$fault);
                 }
                 let prompt = format!("a clause, {stream}");
                 let wanted = expected(MODEL, &prompt, 40);
@@ -87,7 +91,7 @@
 whole_despite! {
     /// An engine sends each chunk twice, as one does whose buffer was flushed again. The caller
     /// would read every word twice.
-    chunks_sent_twice: json!({"repeat_chunk": true}),
+    duplicated_chunks: json!({"repeat_chunk": true}),
     /// Chunks overtake each other inside the engine. The caller would read a scrambled answer,
     /// or none at all.
     chunks_out_of_order: json!({"reorder_chunks": true}),
@@ -104,7 +108,7 @@
 /// An engine dies while it streams to several callers. Each of them would be left with half an
 /// answer; another engine goes on from the prompt and the text that each has seen.
 #[test]
-fn engine_killed_in_the_middle() {
+fn engine_killed_during_stream() {
     let mut fleet = Fleet::start(paced(2));
     let addr = fleet.hosts[0].callers;
     let mut open: Vec<_> = (0..20)
@@ -129,8 +133,8 @@
 /// open and carry nothing, while new ones work. Streams would hang for ever, and so would each
 /// request that is written to a connection kept from before.
 #[test]
-fn connections_gone_silent() {
-    let fleet = Fleet::start(Plan {
+fn silent_connections() {
+    let fleet = Fleet::start(FleetConfig {
         limits: "token-silence = 300ms\nfirst-silence = 1s\n".into(),
         ..paced(1)
     });
@@ -144,7 +148,7 @@
     }
     let mut open = open_completion(addr, "a long one", 100, true).expect("an answer");
     let first = begun(&mut open);
-    fault_at(engine, &json!({"silent": true}));
+    inject_fault(engine, &json!({"silent": true}));
     let after = complete(addr, "after it", 20, true).expect("an answer");
     assert_eq!(
         stream_text(&after.body),
@@ -158,7 +162,7 @@
 /// Two callers send the same prompt at the same moment. Each gets an answer of its own, and
 /// neither the other's.
 #[test]
-fn equal_prompts_at_once() {
+fn concurrent_equal_prompts() {
     let fleet = Fleet::start(paced(2));
     let addr = fleet.hosts[0].callers;
     let callers: Vec<_> = (0..6)
@@ -190,7 +194,7 @@
 /// An angler's phone loses its signal while the answer is read. The engine would go on to
 /// generate for nobody, and the places of those who wait would be taken.
 #[test]
-fn caller_leaves_in_the_middle() {
+fn caller_leaves_during_stream() {
     let fleet = Fleet::start(paced(1));
     let mut open = open_completion(fleet.hosts[0].callers, "long", 5000, true).expect("an answer");
     begun(&mut open);
@@ -201,8 +205,8 @@
 /// The caller is gone before the first token came: nothing is written to it yet that could fail.
 #[test]
 fn caller_leaves_before_the_first_byte() {
-    let fleet = Fleet::start(Plan {
-        engine: vec!["--prefill-cost".into(), "100ms".into()],
+    let fleet = Fleet::start(FleetConfig {
+        engine_args: vec!["--prefill-cost".into(), "100ms".into()],
         ..paced(1)
     });
     let addr = fleet.hosts[0].callers;
@@ -225,7 +229,7 @@
 /// A caller on a weak signal takes its long answer slowly while the engine is fast. What the
 /// caller has not taken would pile up in the host, and a few such callers end it.
 #[test]
-fn slow_caller_does_not_fill_the_host() {
+fn slow_caller_does_not_fill_host_memory() {
     const TOKENS: u64 = 100_000;
     const ROOM: u64 = 24 << 20;
     let fleet = Fleet::start(instant(1));
@@ -238,7 +242,7 @@
     });
     // Another request passes through meanwhile, so that what was to be read has been read.
     let other = complete(host.callers, "other", 20_000, true).expect("an answer");
-    assert!(other.whole);
+    assert!(other.complete);
     let grown = memory(host.process.id()).saturating_sub(before);
     assert!(grown < ROOM, "the host grew by {grown} bytes");
     let text = whole(first, open).expect("a whole answer");
--- a/tests/fleet/support/account.rs
+++ b/tests/fleet/support/account.rs
@@ -17,24 +17,24 @@
 
 /// What a request was for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wanted {
+pub enum RequestKind {
     /// A streamed completion of this prompt, with so many tokens.
-    Text(String, u64),
+    Completion(String, u64),
     /// A call that may not repeat, under this idempotency key.
     Call(String),
 }
 
 /// A request as its caller saw it; no answer where the connection broke before one.
 #[derive(Debug, Clone)]
-pub struct Sent {
-    pub wanted: Wanted,
+pub struct Exchange {
+    pub wanted: RequestKind,
     pub answer: Option<Answer>,
 }
 
 /// Everything that is compared.
 #[derive(Debug, Clone, Default)]
-pub struct Books {
-    pub sent: Vec<Sent>,
+pub struct Observations {
+    pub sent: Vec<Exchange>,
     /// Attempts that engines took on, by request id.
     pub attempts: BTreeMap<String, u64>,
     /// Runs of calls that may not repeat, by idempotency key.
@@ -47,13 +47,13 @@
 
 /// One thing that does not add up.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
+pub enum Violation {
     /// The answer is not what the request asked for.
     WrongAnswer(String),
     /// The answer ended without saying that it is not whole.
-    Unfinished(String),
+    MissingEndMarker(String),
     /// The caller was told "not run", and it ran.
-    RanAfterAll(String),
+    RanAfterNotRun(String),
     /// The caller was told that it ran, or got its answer, and it did not run.
     NeverRan(String),
     /// A call that may not repeat ran more than once.
@@ -61,9 +61,9 @@
     /// No host can say what became of it.
     Unexplained(String),
     /// The explanation says something else than the caller saw.
-    ToldOtherwise(String),
+    ContradictingRecord(String),
     /// Something ran that no caller asked for.
-    Unasked(String),
+    RunWithoutRequest(String),
 }
 
 /// Times a caller comes back when its plan's share is used up for now.
@@ -71,7 +71,7 @@
 
 /// Sends a request, and again as often as its plan's share is used up: no share is lent for a few
 /// seconds after hosts come or go, and callers are told to come back. Returns all answers.
-pub fn patient(mut send: impl FnMut() -> Option<Answer>) -> Vec<Option<Answer>> {
+pub fn retry_while_throttled(mut send: impl FnMut() -> Option<Answer>) -> Vec<Option<Answer>> {
     let mut answers = Vec::new();
     for _ in 0..COMES_BACK {
         let answer = send();
@@ -94,7 +94,7 @@
     Broken,
 }
 
-fn end(sent: &Sent, answer: &Answer) -> End {
+fn end(sent: &Exchange, answer: &Answer) -> End {
     if answer.status != 200 {
         let ran = answer.json()["ran"].as_str().unwrap_or_default().to_owned();
         return End::Refused(ran);
@@ -107,25 +107,25 @@
         return End::Refused(ran.to_owned());
     }
     let ended = match &sent.wanted {
-        Wanted::Text(..) => text.contains("data: [DONE]"),
-        Wanted::Call(_) => answer.whole,
+        RequestKind::Completion(..) => text.contains("data: [DONE]"),
+        RequestKind::Call(_) => answer.complete,
     };
     if ended { End::Whole } else { End::Broken }
 }
 
-fn right(sent: &Sent, answer: &Answer) -> bool {
+fn right(sent: &Exchange, answer: &Answer) -> bool {
     match &sent.wanted {
-        Wanted::Text(prompt, tokens) => {
+        RequestKind::Completion(prompt, tokens) => {
             stream_text(&answer.body) == Some(expected(MODEL, prompt, *tokens))
         }
-        Wanted::Call(key) => answer.json()["key"] == key.as_str(),
+        RequestKind::Call(key) => answer.json()["key"] == key.as_str(),
     }
 }
 
-impl Books {
+impl Observations {
     /// Returns everything that does not add up.
-    pub fn faults(&self) -> Vec<Fault> {
-        let mut faults: Vec<Fault> = Vec::new();
+    pub fn violations(&self) -> Vec<Violation> {
+        let mut faults: Vec<Violation> = Vec::new();
         for sent in &self.sent {
             // A connection that broke before the answer's head leaves no id to ask about; what
             // ran under its key or prompt is held against the other books below.
@@ -135,60 +135,60 @@
         }
         for (key, runs) in &self.runs {
             if *runs > 1 {
-                faults.push(Fault::RanTwice(key.clone()));
+                faults.push(Violation::RanTwice(key.clone()));
             }
-            let asked = |sent: &Sent| sent.wanted == Wanted::Call(key.clone());
+            let asked = |sent: &Exchange| sent.wanted == RequestKind::Call(key.clone());
             if !self.sent.iter().any(asked) {
-                faults.push(Fault::Unasked(key.clone()));
+                faults.push(Violation::RunWithoutRequest(key.clone()));
             }
         }
         faults
     }
 
-    fn compare(&self, sent: &Sent, answer: &Answer) -> Vec<Fault> {
+    fn compare(&self, sent: &Exchange, answer: &Answer) -> Vec<Violation> {
         let id = answer.id();
         let mut faults = Vec::new();
         let (runs, ended) = match &sent.wanted {
-            Wanted::Text(..) => (self.attempts.get(&id), end(sent, answer)),
-            Wanted::Call(key) => (self.runs.get(key), end(sent, answer)),
+            RequestKind::Completion(..) => (self.attempts.get(&id), end(sent, answer)),
+            RequestKind::Call(key) => (self.runs.get(key), end(sent, answer)),
         };
         let ran = runs.is_some_and(|runs| *runs > 0) || self.went_to_a_gone(&id);
         let outcome = match &ended {
             End::Whole => {
                 if !right(sent, answer) {
-                    faults.push(Fault::WrongAnswer(id.clone()));
+                    faults.push(Violation::WrongAnswer(id.clone()));
                 }
                 if !ran {
-                    faults.push(Fault::NeverRan(id.clone()));
+                    faults.push(Violation::NeverRan(id.clone()));
                 }
                 Some("yes")
             }
             End::Refused(word) => {
                 if word == "no" && self.ran_itself(sent, &id) {
-                    faults.push(Fault::RanAfterAll(id.clone()));
+                    faults.push(Violation::RanAfterNotRun(id.clone()));
                 }
                 if word == "yes" && !ran {
-                    faults.push(Fault::NeverRan(id.clone()));
+                    faults.push(Violation::NeverRan(id.clone()));
                 }
                 Some(word.as_str())
             }
             End::Broken => {
                 // The host died under it: the caller sees that the end marker is missing, and
                 // the explanation says the rest.
-                if answer.whole {
-                    faults.push(Fault::Unfinished(id.clone()));
+                if answer.complete {
+                    faults.push(Violation::MissingEndMarker(id.clone()));
                 }
                 None
             }
         };
         match self.records.get(&id) {
-            None => faults.push(Fault::Unexplained(id)),
+            None => faults.push(Violation::Unexplained(id)),
             Some(record) => {
                 let told = record["ran"].as_str();
                 // A host that died after its answer left leaves a record that cannot know.
                 let lost = record["outcome"] == "lost";
                 if outcome.is_some() && told != outcome && !lost {
-                    faults.push(Fault::ToldOtherwise(id));
+                    faults.push(Violation::ContradictingRecord(id));
                 }
             }
         }
@@ -206,10 +206,10 @@
     }
 
     /// Returns whether this very request was run, not another with its key.
-    fn ran_itself(&self, sent: &Sent, id: &str) -> bool {
+    fn ran_itself(&self, sent: &Exchange, id: &str) -> bool {
         match &sent.wanted {
-            Wanted::Text(..) => self.attempts.get(id).is_some_and(|runs| *runs > 0),
-            Wanted::Call(key) => {
+            RequestKind::Completion(..) => self.attempts.get(id).is_some_and(|runs| *runs > 0),
+            RequestKind::Call(key) => {
                 let attempts = self.records.get(id).map(|record| &record["attempts"]);
                 let tried = attempts.and_then(Value::as_array);
                 let sent = tried.is_none_or(|list| list.iter().any(|a| a["ran"] != "no"));
@@ -219,7 +219,7 @@
     }
 
     /// Collects the books of a fleet; `at` is the host that explains.
-    pub fn collect(fleet: &Fleet, at: usize, sent: Vec<Sent>) -> Self {
+    pub fn collect(fleet: &Fleet, at: usize, sent: Vec<Exchange>) -> Self {
         let mut books = Self {
             sent,
             ..Self::default()
--- a/tests/fleet/support/http.rs
+++ b/tests/fleet/support/http.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-pub use base::{Answer, Open, open, send};
+pub use base::{Answer, OpenAnswer, open, send};
 
 /// Bound of any single read or write; far above what a test waits for.
 const LIMIT: Duration = Duration::from_secs(30);
@@ -91,7 +91,7 @@
             status,
             headers,
             body,
-            whole: true,
+            complete: true,
         })
     }
 }
--- a/tests/fleet/support/mod.rs
+++ b/tests/fleet/support/mod.rs
@@ -1,9 +1,9 @@
 //! A small deployment of real processes on loopback, with kernel-chosen ports.
 
 pub mod account;
-pub mod cut;
 pub mod http;
 pub mod process;
+pub mod proxy;
 
 use std::net::SocketAddr;
 use std::thread;
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 use http::{Answer, send};
-use process::{Folder, Process};
+use process::{Process, TempDir};
 
 /// Generous bound of any wait.
 const LIMIT: Duration = Duration::from_secs(30);
@@ -24,7 +24,7 @@
 pub const CUSTOMER_KEY: &str = "customer-key";
 pub const MODEL: &str = "raadgiver";
 pub const SERVICE: &str = "fristportal";
-pub const SECRET: &str = "a secret for these tests only";
+pub const PEER_SECRET: &str = "a secret for these tests only";
 
 /// Waits until `look` holds, and fails with `what` after a generous bound.
 pub fn wait_for(what: &str, mut look: impl FnMut() -> bool) {
@@ -37,12 +37,12 @@
 
 /// What a deployment consists of.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct FleetConfig {
     pub hosts: usize,
     pub engines: usize,
     pub services: usize,
     /// More arguments of every stand-in engine.
-    pub engine: Vec<String>,
+    pub engine_args: Vec<String>,
     /// `checks` or `ignores`.
     pub fencing: &'static str,
     /// More lines for the hosts' settings, by section.
@@ -50,21 +50,21 @@
     pub limits: String,
     pub pool: String,
     /// Text of the second list.
-    pub uses: String,
+    pub use_list: String,
 }
 
-impl Default for Plan {
+impl Default for FleetConfig {
     fn default() -> Self {
         Self {
             hosts: 3,
             engines: 3,
             services: 2,
-            engine: vec!["--instant".into()],
+            engine_args: vec!["--instant".into()],
             fencing: "checks",
             platform: "lease = 2s\nrefresh = 200ms\n".into(),
             limits: String::new(),
             pool: String::new(),
-            uses: format!(
+            use_list: format!(
                 "[plan medlem]\nmodels = {MODEL}\nservices = {SERVICE}\nrequests = 100000/s\n\
                  [service {SERVICE}]\nrepeat = GET *\nonce = POST *\n"
             ),
@@ -94,17 +94,17 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Fleet {
-    pub plan: Plan,
+    pub plan: FleetConfig,
     pub kv: Process,
     pub kv_addr: SocketAddr,
     pub backends: Vec<Backend>,
     pub hosts: Vec<Host>,
-    folder: Folder,
+    folder: TempDir,
 }
 
 impl Fleet {
     /// Starts everything, puts the lists in force and waits until every host is ready.
-    pub fn start(plan: Plan) -> Self {
+    pub fn start(plan: FleetConfig) -> Self {
         let kv = Process::start(&["standin", "kv", "--listen", "127.0.0.1:0"], None);
         let kv_addr = kv.addr("on");
         let mut fleet = Self {
@@ -113,7 +113,7 @@
             kv_addr,
             backends: Vec::new(),
             hosts: Vec::new(),
-            folder: Folder::new(),
+            folder: TempDir::new(),
         };
         for at in 0..fleet.plan.engines {
             fleet.add_engine(&format!("{MODEL}-{}", at + 1));
@@ -121,13 +121,13 @@
         for at in 0..fleet.plan.services {
             fleet.add_service(&format!("{SERVICE}-{}", at + 1));
         }
-        fleet.list(|_| "live");
+        fleet.publish_listing(|_| "live");
         for at in 0..fleet.plan.hosts {
             fleet.add_host(&format!("host-{}", at + 1));
         }
         fleet.put_lists();
         for at in 0..fleet.hosts.len() {
-            fleet.ready(at);
+            fleet.wait_until_ready(at);
         }
         fleet
     }
@@ -136,7 +136,7 @@
         let mut args = vec!["standin", "engine", "--listen", "127.0.0.1:0"];
         args.extend(["--name", name, "--model", MODEL]);
         args.extend(["--fencing", self.plan.fencing]);
-        args.extend(self.plan.engine.iter().map(String::as_str));
+        args.extend(self.plan.engine_args.iter().map(String::as_str));
         let process = Process::start(&args, None);
         self.add("engine", name, process);
     }
@@ -174,7 +174,7 @@
     }
 
     /// Sets the platform's list; `state` gives `live`, `leaving` or `gone` for a name.
-    pub fn list(&self, state: impl Fn(&str) -> &'static str) {
+    pub fn publish_listing(&self, state: impl Fn(&str) -> &'static str) {
         let entries: Vec<Value> = self
             .backends
             .iter()
@@ -198,7 +198,7 @@
     /// Returns the settings of a host.
     pub fn settings(&self, name: &str) -> String {
         let operator = blake3::hash(OPERATOR_KEY.as_bytes()).to_hex();
-        let Plan {
+        let FleetConfig {
             platform,
             limits,
             pool,
@@ -209,7 +209,7 @@
         format!(
             "[host]\nname = {name}\nregion = dk-east\ndomain = {domain}\n\
              callers = 127.0.0.1:0\noperators = 127.0.0.1:0\npeers = 127.0.0.1:0\n\
-             secret = {SECRET}\noperator-key-hash = {operator}\n\
+             secret = {PEER_SECRET}\noperator-key-hash = {operator}\n\
              [platform]\nkv = {kv}\nlist = {kv}\n{platform}\
              [limits]\n{limits}\n\
              [pool {MODEL}]\nmodel = {MODEL}\nfencing = {fencing}\n{pool}\n\
@@ -250,7 +250,7 @@
         });
         let key = blake3::hash(CUSTOMER_KEY.as_bytes()).to_hex();
         let plans = format!("[customer {CUSTOMER}]\nplan = medlem\nkeys = {key}\n");
-        let uses = self.plan.uses.clone();
+        let uses = self.plan.use_list.clone();
         for (base, list, text) in [("\"0\"", "use", uses), ("\"1\"", "plans", plans)] {
             let auth = format!("Bearer {OPERATOR_KEY}");
             let headers = [("authorization", auth.as_str()), ("if-match", base)];
@@ -262,7 +262,7 @@
     }
 
     /// Waits until a host serves callers and knows all others.
-    pub fn ready(&self, at: usize) {
+    pub fn wait_until_ready(&self, at: usize) {
         wait_for(&format!("{} is ready", self.hosts[at].name), || {
             let status = self.status(at);
             let hosts = status["hosts"].as_array().map_or(0, Vec::len);
@@ -272,28 +272,28 @@
     }
 
     /// Asks a host's operators' listener.
-    pub fn operator(&self, at: usize, path: &str) -> Option<Answer> {
+    pub fn get_operator(&self, at: usize, path: &str) -> Option<Answer> {
         let auth = format!("Bearer {OPERATOR_KEY}");
         let headers = [("authorization", auth.as_str())];
         send(self.hosts[at].operators, "GET", path, &headers, &[])
     }
 
     pub fn status(&self, at: usize) -> Value {
-        self.operator(at, "/status")
+        self.get_operator(at, "/status")
             .map(|answer| answer.json())
             .unwrap_or_default()
     }
 
     /// Returns the record of a request as a host tells it.
     pub fn explain(&self, at: usize, id: &str) -> Value {
-        self.operator(at, &format!("/explain/{id}"))
+        self.get_operator(at, &format!("/explain/{id}"))
             .map(|answer| answer.json())
             .unwrap_or_default()
     }
 
     /// Sets switches of the key-value service.
-    pub fn kv_fault(&self, fault: &Value) {
-        fault_at(self.kv_addr, fault);
+    pub fn inject_kv_fault(&self, fault: &Value) {
+        inject_fault(self.kv_addr, fault);
     }
 
     /// Returns the key-value service's counts of calls.
@@ -304,7 +304,7 @@
 }
 
 /// Sets switches of a stand-in.
-pub fn fault_at(addr: SocketAddr, fault: &Value) {
+pub fn inject_fault(addr: SocketAddr, fault: &Value) {
     let answer = send(addr, "POST", "/fault", &[], fault.to_string().as_bytes());
     let answer = answer.expect("the stand-in answers");
     assert!(answer.status < 300, "{}", answer.text());
@@ -318,7 +318,7 @@
 
 /// Asks for a completion.
 pub fn complete(addr: SocketAddr, prompt: &str, tokens: u64, stream: bool) -> Option<Answer> {
-    open_completion(addr, prompt, tokens, stream).map(http::Open::rest)
+    open_completion(addr, prompt, tokens, stream).map(http::OpenAnswer::rest)
 }
 
 /// Asks for a completion and leaves its body to be read.
@@ -327,7 +327,7 @@
     prompt: &str,
     tokens: u64,
     stream: bool,
-) -> Option<http::Open> {
+) -> Option<http::OpenAnswer> {
     let body = json!({"model": MODEL, "prompt": prompt, "max_tokens": tokens, "stream": stream});
     let auth = format!("Bearer {CUSTOMER_KEY}");
     let headers = [("authorization", auth.as_str())];
@@ -336,7 +336,13 @@
 }
 
 /// Calls the plain service.
-pub fn call(addr: SocketAddr, method: &str, path: &str, key: &str, body: &str) -> Option<Answer> {
+pub fn call_service(
+    addr: SocketAddr,
+    method: &str,
+    path: &str,
+    key: &str,
+    body: &str,
+) -> Option<Answer> {
     let auth = format!("Bearer {CUSTOMER_KEY}");
     let mut headers = vec![("authorization", auth.as_str())];
     if !key.is_empty() {
--- a/tests/fleet/support/process.rs
+++ b/tests/fleet/support/process.rs
@@ -12,9 +12,9 @@
 
 /// A folder that is removed when it is dropped.
 #[derive(Debug)]
-pub struct Folder(PathBuf);
+pub struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     pub fn new() -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -33,7 +33,7 @@
     }
 }
 
-impl Folder {
+impl TempDir {
     /// Returns what a file holds, as far as it was written.
     pub fn read(&self, name: &str) -> String {
         let bytes = std::fs::read(self.0.join(name)).expect("a file of the test");
@@ -41,7 +41,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         drop(std::fs::remove_dir_all(&self.0));
     }
@@ -52,7 +52,7 @@
 pub struct Process {
     child: Child,
     /// First line it printed.
-    pub line: String,
+    pub first_line: String,
 }
 
 impl Process {
@@ -78,23 +78,26 @@
         BufReader::new(stdout)
             .read_line(&mut line)
             .expect("the program says where it listens");
-        Self { child, line }
+        Self {
+            child,
+            first_line: line,
+        }
     }
 
     /// Starts the program with its standard output in a file, and waits for its first line there.
-    pub fn logged(args: &[&str], log: &Path) -> Self {
+    pub fn start_with_stdout(args: &[&str], log: &Path) -> Self {
         let file = std::fs::File::create(log).expect("a log file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_chiveway"));
         let command = command.args(args).stdin(Stdio::null());
         let child = command.stdout(file).stderr(Stdio::null()).spawn();
         let mut process = Self {
             child: child.expect("the program starts"),
-            line: String::new(),
+            first_line: String::new(),
         };
         wait_for("the program says where it listens", || {
             let text = std::fs::read_to_string(log).unwrap_or_default();
             let line = text.split_inclusive('\n').next().unwrap_or_default();
-            line.clone_into(&mut process.line);
+            line.clone_into(&mut process.first_line);
             line.ends_with('\n')
         });
         process
@@ -102,10 +105,13 @@
 
     /// Returns the address after `word` in the first line.
     pub fn addr(&self, word: &str) -> SocketAddr {
-        let mut words = self.line.split_whitespace().skip_while(|w| *w != word);
+        let mut words = self
+            .first_line
+            .split_whitespace()
+            .skip_while(|w| *w != word);
         let addr = words.nth(1).map(|addr| addr.trim_end_matches(','));
         addr.and_then(|addr| addr.parse().ok())
-            .unwrap_or_else(|| panic!("no address after {word} in {:?}", self.line))
+            .unwrap_or_else(|| panic!("no address after {word} in {:?}", self.first_line))
     }
 
     pub fn id(&self) -> u32 {
@@ -113,7 +119,7 @@
     }
 
     /// Returns whether the process has ended by itself or was killed.
-    pub fn is_over(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().is_ok_and(|status| status.is_some())
     }
 
@@ -150,7 +156,7 @@
     }
 
     /// Waits for the process to end by itself.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_for("the process ends", || {
             status = self.child.try_wait().expect("the process can be asked");
--- a/tests/fleet/support/cut.rs
+++ b/tests/fleet/support/proxy.rs
@@ -23,7 +23,7 @@
 
 /// A forwarder in front of one address.
 #[derive(Debug, Clone)]
-pub struct Cut {
+pub struct FaultProxy {
     /// Where to connect instead of the address behind it.
     pub addr: SocketAddr,
     state: Arc<AtomicU8>,
@@ -60,9 +60,9 @@
     }
 }
 
-impl Cut {
+impl FaultProxy {
     /// Puts a forwarder in front of `target`.
-    pub fn before(target: SocketAddr) -> Self {
+    pub fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback can be bound");
         let addr = listener.local_addr().expect("an address");
         let state = Arc::new(AtomicU8::new(PASS));
@@ -87,7 +87,7 @@
     }
 
     /// Holds back what comes from the target.
-    pub fn one_way(&self) {
+    pub fn block_replies(&self) {
         self.state.store(ONE_WAY, Ordering::SeqCst);
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Passes everything on; what was held back meanwhile goes too.
-    pub fn heal(&self) {
+    pub fn restore(&self) {
         self.state.store(PASS, Ordering::SeqCst);
     }
 
--- a/tests/relay/follow.rs
+++ b/tests/relay/follow.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use super::http;
-use super::process::{Folder, Process};
+use super::process::{Process, TempDir};
 use super::standin::{Engine, SHORT, config, settings};
 use super::{LOG, Site, wait_for};
 
@@ -21,17 +21,17 @@
 pub struct Second {
     _host: Process,
     pub callers: SocketAddr,
-    pub folder: Folder,
+    pub folder: TempDir,
 }
 
 impl Second {
     pub fn start(site: &Site) -> Self {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let config = folder.write("host.ini", &settings("host-2", site.store.addr));
         let config = config.to_str().expect("a path").to_owned();
         let log = folder.write(LOG, "");
-        let host = Process::logged(&["host", "-c", &config], &log);
-        let line: Value = serde_json::from_str(&host.line).expect("a JSON line");
+        let host = Process::start_with_stdout(&["host", "-c", &config], &log);
+        let line: Value = serde_json::from_str(&host.first_line).expect("a JSON line");
         let callers = line["callers"].as_str().and_then(|addr| addr.parse().ok());
         Self {
             callers: callers.expect("the callers' listener"),
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -21,7 +21,7 @@
 
 use serde_json::Value;
 
-use process::{Folder, Process};
+use process::{Process, TempDir};
 use standin::{Engine, LONG, SHORT, Store, config, settings};
 
 /// Bound of any wait; far above what a test waits for.
@@ -60,7 +60,7 @@
     host: Process,
     callers: SocketAddr,
     readiness: SocketAddr,
-    folder: Folder,
+    folder: TempDir,
 }
 
 /// Name of the file that takes a host's log lines.
@@ -74,13 +74,13 @@
     /// Starts a host that is killed so long after it was asked to stop.
     fn with_grace(grace: &str) -> Self {
         let store = Store::start();
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let settings = settings("host-1", store.addr).replace("8s", grace);
         let config = folder.write("host.ini", &settings);
         let config = config.to_str().expect("a path").to_owned();
         let log = folder.write(LOG, "");
-        let host = Process::logged(&["host", "-c", &config], &log);
-        let line: Value = serde_json::from_str(&host.line).expect("a JSON line");
+        let host = Process::start_with_stdout(&["host", "-c", &config], &log);
+        let line: Value = serde_json::from_str(&host.first_line).expect("a JSON line");
         let addr = |name: &str| line[name].as_str().and_then(|addr| addr.parse().ok());
         Self {
             callers: addr("callers").expect("the callers' listener"),
@@ -166,7 +166,7 @@
         assert_eq!(answer.header("x-chiveway-server-stamp"), Some("s-1"));
     }
     let answer = site.send("/long/x", "id-2", &LONG).expect("an answer");
-    assert_eq!((answer.status, answer.whole), (200, true));
+    assert_eq!((answer.status, answer.complete), (200, true));
     assert_eq!(answer.text(), standin::events("d-1", 1..=4));
     assert_eq!(
         prefill.seen("/long/x").len(),
@@ -176,7 +176,7 @@
     let taken = decode.seen("/long/x");
     assert!(taken[0].contains("x-chiveway-kv-source: "), "{taken:?}");
     let answer = site.send("/short/x", "id-3", &SHORT).expect("an answer");
-    assert!(answer.whole && answer.text().contains("id: 4"));
+    assert!(answer.complete && answer.text().contains("id: 4"));
 }
 
 /// Callers forge the headers by which hosts speak to engines. Passed on, they would skip the
@@ -279,12 +279,12 @@
     one.break_after(2);
     two.break_after(2);
     let answer = site.send("/long/x", "id-1", &LONG).expect("an answer");
-    assert_eq!((answer.status, answer.whole), (200, false));
+    assert_eq!((answer.status, answer.complete), (200, false));
     // Which engine it goes to is the host's choice; the one that goes on does not break off.
     one.break_after(2);
     two.break_after(2);
     let answer = site.send("/short/x", "id-2", &SHORT).expect("an answer");
-    assert!(answer.whole, "{}", answer.text());
+    assert!(answer.complete, "{}", answer.text());
     let text = answer.text();
     let ids: Vec<&str> = text
         .lines()
@@ -321,8 +321,8 @@
     });
     decode.release();
     let answer = running.join().expect("a caller").expect("an answer");
-    assert!(answer.whole && answer.status == 200);
-    wait_for("the end of the process", || site.host.is_over());
+    assert!(answer.complete && answer.status == 200);
+    wait_for("the end of the process", || site.host.has_exited());
 }
 
 /// A host's settings change just after its start. It must not end of that: callers that it had
@@ -334,7 +334,7 @@
         site.host.hup();
         let answer = site.send("/once/x", "id-1", &[]).expect("an answer");
         assert_eq!(answer.status, 503, "it lives and knows nothing yet");
-        assert!(!site.host.is_over());
+        assert!(!site.host.has_exited());
     }
 }
 
--- a/tests/relay/stop.rs
+++ b/tests/relay/stop.rs
@@ -40,7 +40,7 @@
 
     /// Reads an answer with its body; `None` where the connection was closed without one.
     fn head(&mut self) -> Option<Head> {
-        let first = http::line(&mut self.reader)?;
+        let first = http::read_line(&mut self.reader)?;
         let status = first.split(' ').nth(1)?.parse().ok()?;
         let mut head = Head {
             status,
@@ -48,7 +48,7 @@
         };
         let mut length = 0;
         loop {
-            let line = http::line(&mut self.reader)?.to_lowercase();
+            let line = http::read_line(&mut self.reader)?.to_lowercase();
             if line.is_empty() {
                 break;
             }
@@ -101,7 +101,7 @@
     let mut kept = Kept::open(&site);
     site.host.term();
     assert!(kept.closed(), "nothing is sent unasked");
-    assert!(site.host.ended().success());
+    assert!(site.host.wait_for_exit().success());
     let stopped = events(&site, "host.stopped");
     assert_eq!(stopped.len(), 1, "{}", site.log());
     assert_eq!(stopped[0]["why"], "every request is finished");
@@ -126,8 +126,8 @@
     }
     decode.release();
     let answer = running.join().expect("a caller").expect("an answer");
-    assert!(answer.whole && answer.status == 200);
-    assert!(site.host.ended().success());
+    assert!(answer.complete && answer.status == 200);
+    assert!(site.host.wait_for_exit().success());
     assert_eq!(plain.seen("/once/x").len(), 1, "only the first ran");
 }
 
@@ -141,9 +141,9 @@
     decode.hold();
     let running = site.stream("endless", &decode);
     site.host.term();
-    assert!(site.host.ended().success());
+    assert!(site.host.wait_for_exit().success());
     let answer = running.join().expect("a caller");
-    assert!(answer.is_none_or(|answer| !answer.whole));
+    assert!(answer.is_none_or(|answer| !answer.complete));
     let bound = events(&site, "host.stop_bound");
     assert_eq!(bound.len(), 1, "{}", site.log());
     assert_eq!(bound[0]["running"], "1");
@@ -178,7 +178,7 @@
     decode.release();
     for caller in running {
         let answer = caller.join().expect("a caller").expect("an answer");
-        assert!(answer.whole, "{:?}", answer.status);
+        assert!(answer.complete, "{:?}", answer.status);
     }
-    assert!(site.host.ended().success());
+    assert!(site.host.wait_for_exit().success());
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -77,7 +77,7 @@
             echo: header("x-chiveway-attempt-id"),
             stamp: header("x-chiveway-server-stamp"),
             body: answer.as_ref().map_or(String::new(), http::Answer::text),
-            whole: answer.as_ref().is_some_and(|answer| answer.whole),
+            whole: answer.as_ref().is_some_and(|answer| answer.complete),
             calm: before.0 == 0 && before == after,
         };
         let served = seen.status == Some(200) && seen.whole;
@@ -102,7 +102,11 @@
                     break;
                 }
                 if start.elapsed() > limit {
-                    let over = self.hosts[host].lock().expect("no panic").process.is_over();
+                    let over = self.hosts[host]
+                        .lock()
+                        .expect("no panic")
+                        .process
+                        .has_exited();
                     let state = if over { "has ended" } else { "lives" };
                     missing.push(format!(
                         "{} {}, its process {state}",
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -8,7 +8,7 @@
 //! Two seeds run by default. `SOAK_SEEDS=50 SOAK_FROM=1 cargo test --release --test soak seeds`
 //! runs fifty, `SOAK_JOBS` of them at a time; every failed seed is printed with what it broke.
 
-#[path = "../fleet/support/cut.rs"]
+#[path = "../fleet/support/proxy.rs"]
 mod cut;
 #[path = "../common/http.rs"]
 #[expect(dead_code, reason = "shared with the fleet tests, which use all of it")]
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -11,9 +11,9 @@
 use serde_json::{Value, json};
 
 use crate::check::{self, Seen};
-use crate::cut::Cut;
+use crate::cut::FaultProxy;
 use crate::faults::{Fault, Trouble, series, with_restores, with_silence};
-use crate::process::{Folder, Process};
+use crate::process::{Process, TempDir};
 use crate::standin::{Engine, Store, config, settings};
 use crate::{LIMIT, WITHOUT_RESTORES, WITHOUT_SILENCE};
 
@@ -51,16 +51,16 @@
 /// A server, its forwarder, and the version of the configuration that was written after it left.
 pub struct Server {
     pub engine: Engine,
-    pub cut: Cut,
+    pub cut: FaultProxy,
     pub left: Option<u64>,
 }
 
 pub struct World {
-    pub folder: Folder,
+    pub folder: TempDir,
     pub logs: PathBuf,
     pub store: Store,
     /// A forwarder to the store for each host.
-    pub ways: Vec<Cut>,
+    pub ways: Vec<FaultProxy>,
     pub hosts: Vec<Mutex<Host>>,
     pub doors: Mutex<Vec<Door>>,
     pub servers: Mutex<Vec<Server>>,
@@ -139,9 +139,9 @@
         let logs = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&logs).expect("a folder for logs");
         let store = Store::start();
-        let ways: Vec<Cut> = (0..HOSTS).map(|_| Cut::before(store.addr)).collect();
+        let ways: Vec<FaultProxy> = (0..HOSTS).map(|_| FaultProxy::start(store.addr)).collect();
         let mut world = Self {
-            folder: Folder::new(),
+            folder: TempDir::new(),
             logs,
             store,
             ways,
@@ -180,8 +180,8 @@
         let path = self.folder.write(&format!("{name}.ini"), &text);
         let log = self.logs.join(format!("{name}.{starts}.log"));
         let path = path.to_str().expect("a path");
-        let process = Process::logged(&["host", "-c", path], &log);
-        let line: Value = serde_json::from_str(&process.line).expect("a JSON line");
+        let process = Process::start_with_stdout(&["host", "-c", path], &log);
+        let line: Value = serde_json::from_str(&process.first_line).expect("a JSON line");
         let callers = line["callers"].as_str().and_then(|addr| addr.parse().ok());
         let door = Door {
             callers: callers.expect("the callers' listener"),
@@ -222,7 +222,7 @@
         let id = format!("s-{}", servers.len() + 1);
         let engine = stage.map_or_else(|| Engine::plain(&id), |stage| Engine::model(&id, stage));
         engine.take(WORK);
-        let cut = Cut::before(engine.addr());
+        let cut = FaultProxy::start(engine.addr());
         let server = Server {
             engine,
             cut,
@@ -265,10 +265,10 @@
     }
 
     fn carry_out(&self, fault: Fault) {
-        let lasting = |cut: &Cut, begin: fn(&Cut)| {
+        let lasting = |cut: &FaultProxy, begin: fn(&FaultProxy)| {
             begin(cut);
             thread::sleep(fault.lasts);
-            cut.heal();
+            cut.restore();
         };
         let cut = |place| self.with(place, |server| server.cut.clone());
         match fault.trouble {
@@ -277,7 +277,7 @@
             Trouble::Stop(at) => {
                 let mut host = self.hosts[at].lock().expect("no panic");
                 host.process.term();
-                host.process.ended();
+                host.process.wait_for_exit();
                 self.start_again(at, &mut host);
             }
             Trouble::Freeze(host) => {
@@ -287,9 +287,9 @@
                 host.process.thaw();
             }
             Trouble::Reload(host) => self.hosts[host].lock().expect("no panic").process.hup(),
-            Trouble::StoreSilent(host) => lasting(&self.ways[host], Cut::silence),
-            Trouble::StoreOneWay(host) => lasting(&self.ways[host], Cut::one_way),
-            Trouble::StoreRefuses(host) => lasting(&self.ways[host], Cut::refuse),
+            Trouble::StoreSilent(host) => lasting(&self.ways[host], FaultProxy::silence),
+            Trouble::StoreOneWay(host) => lasting(&self.ways[host], FaultProxy::block_replies),
+            Trouble::StoreRefuses(host) => lasting(&self.ways[host], FaultProxy::refuse),
             Trouble::StoreReset(host) => self.ways[host].reset(),
             Trouble::StoreAway => {
                 self.store.stop_answering();
@@ -314,9 +314,9 @@
                 self.store.write_again();
             }
             Trouble::StoreLoses => self.store.lose_answers(LOST),
-            Trouble::Silent(place) => lasting(&cut(place), Cut::silence),
-            Trouble::OneWay(place) => lasting(&cut(place), Cut::one_way),
-            Trouble::Delay(place) => lasting(&cut(place), Cut::delay),
+            Trouble::Silent(place) => lasting(&cut(place), FaultProxy::silence),
+            Trouble::OneWay(place) => lasting(&cut(place), FaultProxy::block_replies),
+            Trouble::Delay(place) => lasting(&cut(place), FaultProxy::delay),
             Trouble::Reset(place) => cut(place).reset(),
             Trouble::Crash(place) => {
                 let id = self.with(place, |server| {
