--- a/tests/fleet/accounting.rs
+++ b/tests/fleet/accounting.rs
@@ -1,4 +1,4 @@
-//! After a scenario every request is accounted for; and the checker that says so is tested.
+//! Accounting for every request after a scenario with failures, and tests of the check itself.
 
 use std::fmt::Write as _;
 use std::thread;
@@ -15,13 +15,13 @@
 
 fn streamed(id: &str, prompt: &str, tokens: u64) -> Exchange {
     let mut body = String::new();
-    for piece in expected(MODEL, prompt, tokens).split_inclusive(' ') {
-        let event = json!({"choices": [{"text": piece}]});
+    for token in expected(MODEL, prompt, tokens).split_inclusive(' ') {
+        let event = json!({"choices": [{"text": token}]});
         writeln!(body, "data: {event}\n").expect("a string takes it");
     }
     body += "data: [DONE]\n\n";
-    let wanted = RequestKind::Completion(prompt.into(), tokens);
-    answered(id, wanted, 200, body)
+    let request = RequestKind::Completion(prompt.into(), tokens);
+    answered(id, request, 200, body)
 }
 
 fn called(id: &str, key: &str, status: u16, ran: &str) -> Exchange {
@@ -29,7 +29,7 @@
     answered(id, RequestKind::Call(key.into()), status, body)
 }
 
-fn answered(id: &str, wanted: RequestKind, status: u16, body: String) -> Exchange {
+fn answered(id: &str, request: RequestKind, status: u16, body: String) -> Exchange {
     let answer = Answer {
         status,
         headers: vec![("x-request-id".into(), id.into())],
@@ -37,56 +37,60 @@
         complete: true,
     };
     Exchange {
-        wanted,
+        request,
         answer: Some(answer),
     }
 }
 
-/// Observations in which everything adds up: a stream, a call and a call that was refused.
-fn books() -> Observations {
-    let mut books = Observations {
-        sent: vec![
+/// Consistent observations: a stream, a call and a refused call.
+fn consistent() -> Observations {
+    let mut observations = Observations {
+        exchanges: vec![
             streamed("s", "a clause", 8),
             called("c", "k-1", 200, ""),
             called("r", "k-2", 503, "no"),
         ],
         ..Observations::default()
     };
-    books.attempts.insert("s".into(), 1);
-    books.runs.insert("k-1".into(), 1);
+    observations.attempts.insert("s".into(), 1);
+    observations.runs.insert("k-1".into(), 1);
     for (id, ran) in [("s", "yes"), ("c", "yes"), ("r", "no")] {
         let record = json!({"id": id, "ran": ran, "outcome": "x", "attempts": []});
-        books.records.insert(id.into(), record);
+        observations.records.insert(id.into(), record);
     }
-    books
+    observations
 }
 
 #[test]
 fn consistent_observations_have_no_violation() {
-    assert_eq!(books().violations(), []);
+    assert_eq!(consistent().violations(), []);
 }
 
-/// Names each case: a fault planted into books that add up, and what the checker must find.
+/// Makes one test of each case: a violation planted in consistent observations must be found.
 ///
-/// A checker that finds nothing is worth nothing: a scenario would pass with a lost answer in it.
+/// A check that misses one would let a scenario pass with a lost answer.
 macro_rules! planted {
-    ($($name:ident: $plant:expr => [$($fault:ident $id:literal),+];)+) => {
+    ($($name:ident: $plant:expr => [$($violation:ident $id:literal),+];)+) => {
         $(#[test]
         fn $name() {
-            let mut books = books();
+            let mut observations = consistent();
             let plant: fn(&mut Observations) = $plant;
-            plant(&mut books);
-            assert_eq!(books.violations(), [$(Violation::$fault($id.into())),+]);
+            plant(&mut observations);
+            assert_eq!(observations.violations(), [$(Violation::$violation($id.into())),+]);
         })+
     };
 }
 
-fn body(books: &mut Observations, at: usize) -> &mut Vec<u8> {
-    &mut books.sent[at].answer.as_mut().expect("an answer").body
+fn body(observations: &mut Observations, index: usize) -> &mut Vec<u8> {
+    &mut observations.exchanges[index]
+        .answer
+        .as_mut()
+        .expect("the exchange has an answer")
+        .body
 }
 
 planted! {
-    answer_of_another_request: |b| b.sent[0].wanted = RequestKind::Completion("another".into(), 8) => [WrongAnswer "s"];
+    answer_of_another_request: |b| b.exchanges[0].request = RequestKind::Completion("another".into(), 8) => [WrongAnswer "s"];
     lost_token: |b| { let text = body(b, 0); let cut = text.len() / 2; *text = text.split_off(cut); }
         => [WrongAnswer "s"];
     missing_end_marker: |b| { let text = body(b, 0); text.truncate(text.len() - 14); }
@@ -95,55 +99,54 @@
         => [WrongAnswer "c"];
     ran_after_not_run: |b| {
         b.runs.insert("k-2".into(), 1);
-        b.records.get_mut("r").expect("a record")["attempts"] = json!([{"ran": "yes"}]);
+        b.records.get_mut("r").expect("the request has a record")["attempts"] = json!([{"ran": "yes"}]);
     } => [RanAfterNotRun "r"];
     stream_ran_after_not_run: |b| {
         *body(b, 0) = b"event: error\ndata: {\"ran\":\"no\"}\n\n".to_vec();
-        b.records.get_mut("s").expect("a record")["ran"] = json!("no");
+        b.records.get_mut("s").expect("the request has a record")["ran"] = json!("no");
     } => [RanAfterNotRun "s"];
     call_answered_without_run: |b| { b.runs.clear(); } => [NeverRan "c"];
     stream_answered_without_run: |b| { b.attempts.clear(); } => [NeverRan "s"];
     call_ran_twice: |b| { b.runs.insert("k-1".into(), 2); } => [RanTwice "k-1"];
     missing_record: |b| { b.records.remove("c"); } => [Unexplained "c"];
-    contradicting_record: |b| b.records.get_mut("r").expect("a record")["ran"] = json!("yes")
+    contradicting_record: |b| b.records.get_mut("r").expect("the request has a record")["ran"] = json!("yes")
         => [ContradictingRecord "r"];
     run_without_request: |b| { b.runs.insert("k-7".into(), 1); } => [RunWithoutRequest "k-7"];
 }
 
 fn traffic(fleet: &Fleet) -> Vec<thread::JoinHandle<Vec<Exchange>>> {
     let addrs: Vec<_> = fleet.hosts.iter().map(|host| host.callers).collect();
-    let client = |client: usize| {
+    let spawn = |client: usize| {
         let addrs = addrs.clone();
         thread::spawn(move || {
-            let one = |number: usize| {
+            let exchange = |number: usize| {
                 let addr = addrs[(client + number) % addrs.len()];
-                let wanted = if number.is_multiple_of(2) {
+                let request = if number.is_multiple_of(2) {
                     RequestKind::Completion(format!("clause {client} {number}"), 60)
                 } else {
-                    // Each filing is sent by two clients, as a member's portal does.
+                    // Two clients send each key.
                     RequestKind::Call(format!("k-{}-{number}", client / 2))
                 };
-                let answers = retry_while_throttled(|| match &wanted {
+                let answers = retry_while_throttled(|| match &request {
                     RequestKind::Completion(prompt, tokens) => {
                         complete(addr, prompt, *tokens, true)
                     }
                     RequestKind::Call(key) => call_service(addr, "POST", "/extensions", key, "{}"),
                 });
-                let sent = answers.into_iter().map(|answer| Exchange {
-                    wanted: wanted.clone(),
+                let exchanges = answers.into_iter().map(|answer| Exchange {
+                    request: request.clone(),
                     answer,
                 });
-                sent.collect::<Vec<_>>()
+                exchanges.collect::<Vec<_>>()
             };
-            (0..40).flat_map(one).collect()
+            (0..40).flat_map(exchange).collect()
         })
     };
-    (0..8).map(client).collect()
+    (0..8).map(spawn).collect()
 }
 
-/// Hosts are frozen, thawed and killed, an engine dies and the key-value service goes down and
-/// loses an answer, all while members read answers and file. Afterwards every answer, refusal,
-/// run and explanation is held against the others.
+/// Under traffic, hosts are frozen, thawed and killed, an engine is killed, and the key-value
+/// service loses answers and goes down. All answers, runs and records must then agree.
 #[test]
 fn everything_is_accounted_for_after_kills_and_freezes() {
     let mut fleet = Fleet::start(FleetConfig {
@@ -163,21 +166,21 @@
     fleet.inject_kv_fault(&json!({"down": false}));
     fleet.hosts[1].process.thaw();
     fleet.hosts[2].process.kill();
-    let mut sent = Vec::new();
+    let mut exchanges = Vec::new();
     for client in clients {
-        sent.extend(client.join().expect("a client ends"));
+        exchanges.extend(client.join().expect("the client does not panic"));
     }
-    let whole = |sent: &&Exchange| sent.answer.as_ref().is_some_and(|a| a.status == 200);
+    let served = |exchange: &&Exchange| exchange.answer.as_ref().is_some_and(|a| a.status == 200);
     assert!(
-        sent.iter().filter(whole).count() > 100,
-        "the fleet went on serving"
+        exchanges.iter().filter(served).count() > 100,
+        "at most 100 answers had status 200"
     );
-    wait_for("the dead host is known to be gone", || {
+    wait_for("host-4 lists three hosts", || {
         let status = fleet.status(3);
         status["hosts"]
             .as_array()
             .is_some_and(|hosts| hosts.len() == 3)
     });
-    let books = Observations::collect(&fleet, 3, sent);
-    assert_eq!(books.violations(), []);
+    let observations = Observations::collect(&fleet, 3, exchanges);
+    assert_eq!(observations.violations(), []);
 }
--- a/tests/fleet/support/account.rs
+++ b/tests/fleet/support/account.rs
@@ -1,8 +1,8 @@
-//! Accounting: every request that a caller sent is answered whole, refused truthfully or
-//! explainable, and none ran twice that may not.
+//! Accounting: every request got a complete answer, a truthful refusal or an explanation, and no
+//! call that may not be retried ran twice.
 //!
-//! The check is a pure function over what was collected, so that a planted fault of each kind
-//! tests it.
+//! The check is a pure function over the collected observations, so each kind of violation can be
+//! planted in them to test it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::thread;
@@ -15,69 +15,70 @@
 use super::http::{Answer, send};
 use super::{Fleet, MODEL};
 
-/// What a request was for.
+/// What a request asked for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A streamed completion of this prompt, with so many tokens.
+    /// A streamed completion of a prompt, with a number of tokens.
     Completion(String, u64),
-    /// A call that may not repeat, under this idempotency key.
+    /// A call that may not be retried, under an idempotency key.
     Call(String),
 }
 
-/// A request as its caller saw it; no answer where the connection broke before one.
+/// A request and its answer as the caller saw them; no answer if the connection broke before one.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    pub wanted: RequestKind,
+    pub request: RequestKind,
     pub answer: Option<Answer>,
 }
 
-/// Everything that is compared.
+/// Everything that the check compares.
 #[derive(Debug, Clone, Default)]
 pub struct Observations {
-    pub sent: Vec<Exchange>,
-    /// Attempts that engines took on, by request id.
+    pub exchanges: Vec<Exchange>,
+    /// Attempts that engines accepted, by request id.
     pub attempts: BTreeMap<String, u64>,
-    /// Runs of calls that may not repeat, by idempotency key.
+    /// Runs of calls that may not be retried, by idempotency key.
     pub runs: BTreeMap<String, u64>,
-    /// Back ends that were killed, and their counts with them; runs there can only be explained.
-    pub gone: BTreeSet<String>,
+    /// Killed backend servers. Their counts are lost, so only records show what ran there.
+    pub killed: BTreeSet<String>,
     /// Explanations by request id.
     pub records: BTreeMap<String, Value>,
 }
 
-/// One thing that does not add up.
+/// A contradiction between observations.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// The answer is not what the request asked for.
     WrongAnswer(String),
-    /// The answer ended without saying that it is not whole.
+    /// The body ended regularly, but without an end marker or an error.
     MissingEndMarker(String),
-    /// The caller was told "not run", and it ran.
+    /// The answer said "not run", but the request ran.
     RanAfterNotRun(String),
-    /// The caller was told that it ran, or got its answer, and it did not run.
+    /// The answer was complete or said that the request ran, but it did not run.
     NeverRan(String),
-    /// A call that may not repeat ran more than once.
+    /// A call that may not be retried ran more than once.
     RanTwice(String),
-    /// No host can say what became of it.
+    /// The queried host has no record of the request.
     Unexplained(String),
-    /// The explanation says something else than the caller saw.
+    /// The record differs from what the caller saw.
     ContradictingRecord(String),
-    /// Something ran that no caller asked for.
+    /// A call ran that no caller sent.
     RunWithoutRequest(String),
 }
 
-/// Times a caller comes back when its plan's share is used up for now.
-const COMES_BACK: usize = 8;
+/// Attempts of a request whose plan's share is used up.
+const MAX_ATTEMPTS: usize = 8;
 
-/// Sends a request, and again as often as its plan's share is used up: no share is lent for a few
-/// seconds after hosts come or go, and callers are told to come back. Returns all answers.
+/// Sends a request, and again after each answer 429. Returns all answers.
+///
+/// For a few seconds after hosts join or leave, no share is lent and requests are refused with 429.
 pub fn retry_while_throttled(mut send: impl FnMut() -> Option<Answer>) -> Vec<Option<Answer>> {
     let mut answers = Vec::new();
-    for _ in 0..COMES_BACK {
+    for _ in 0..MAX_ATTEMPTS {
         let answer = send();
-        let spent = answer.as_ref().is_some_and(|answer| answer.status == 429);
+        let throttled = answer.as_ref().is_some_and(|answer| answer.status == 429);
         answers.push(answer);
-        if !spent {
+        if !throttled {
             break;
         }
         thread::sleep(Duration::from_millis(500));
@@ -85,36 +86,40 @@
     answers
 }
 
-/// How a caller's answer ended.
-enum End {
-    Whole,
-    /// A refusal or an error event, with the word on whether it ran.
+/// How an answer ended.
+enum AnswerEnd {
+    Complete,
+    /// A refusal or an error event, with its value of `ran`.
     Refused(String),
-    /// Neither.
-    Broken,
+    /// Cut off: neither an end marker nor an error.
+    Truncated,
 }
 
-fn end(sent: &Exchange, answer: &Answer) -> End {
+fn answer_end(exchange: &Exchange, answer: &Answer) -> AnswerEnd {
     if answer.status != 200 {
         let ran = answer.json()["ran"].as_str().unwrap_or_default().to_owned();
-        return End::Refused(ran);
+        return AnswerEnd::Refused(ran);
     }
     let text = answer.text();
     let error = text.split("event: error\ndata: ").nth(1);
     if let Some(document) = error.and_then(|rest| rest.lines().next()) {
         let document: Value = serde_json::from_str(document).unwrap_or_default();
         let ran = document["ran"].as_str().unwrap_or_default();
-        return End::Refused(ran.to_owned());
+        return AnswerEnd::Refused(ran.to_owned());
     }
-    let ended = match &sent.wanted {
+    let ended = match &exchange.request {
         RequestKind::Completion(..) => text.contains("data: [DONE]"),
         RequestKind::Call(_) => answer.complete,
     };
-    if ended { End::Whole } else { End::Broken }
+    if ended {
+        AnswerEnd::Complete
+    } else {
+        AnswerEnd::Truncated
+    }
 }
 
-fn right(sent: &Exchange, answer: &Answer) -> bool {
-    match &sent.wanted {
+fn has_expected_body(exchange: &Exchange, answer: &Answer) -> bool {
+    match &exchange.request {
         RequestKind::Completion(prompt, tokens) => {
             stream_text(&answer.body) == Some(expected(MODEL, prompt, *tokens))
         }
@@ -123,118 +128,119 @@
 }
 
 impl Observations {
-    /// Returns everything that does not add up.
+    /// Returns all contradictions.
     pub fn violations(&self) -> Vec<Violation> {
-        let mut faults: Vec<Violation> = Vec::new();
-        for sent in &self.sent {
-            // A connection that broke before the answer's head leaves no id to ask about; what
-            // ran under its key or prompt is held against the other books below.
-            if let Some(answer) = &sent.answer {
-                faults.extend(self.compare(sent, answer));
+        let mut violations: Vec<Violation> = Vec::new();
+        for exchange in &self.exchanges {
+            // Without an answer's head there is no id to ask about; runs under the request's key
+            // are still compared below.
+            if let Some(answer) = &exchange.answer {
+                violations.extend(self.compare(exchange, answer));
             }
         }
         for (key, runs) in &self.runs {
             if *runs > 1 {
-                faults.push(Violation::RanTwice(key.clone()));
+                violations.push(Violation::RanTwice(key.clone()));
             }
-            let asked = |sent: &Exchange| sent.wanted == RequestKind::Call(key.clone());
-            if !self.sent.iter().any(asked) {
-                faults.push(Violation::RunWithoutRequest(key.clone()));
+            let requested =
+                |exchange: &Exchange| exchange.request == RequestKind::Call(key.clone());
+            if !self.exchanges.iter().any(requested) {
+                violations.push(Violation::RunWithoutRequest(key.clone()));
             }
         }
-        faults
+        violations
     }
 
-    fn compare(&self, sent: &Exchange, answer: &Answer) -> Vec<Violation> {
+    fn compare(&self, exchange: &Exchange, answer: &Answer) -> Vec<Violation> {
         let id = answer.id();
-        let mut faults = Vec::new();
-        let (runs, ended) = match &sent.wanted {
-            RequestKind::Completion(..) => (self.attempts.get(&id), end(sent, answer)),
-            RequestKind::Call(key) => (self.runs.get(key), end(sent, answer)),
+        let mut violations = Vec::new();
+        let (runs, end) = match &exchange.request {
+            RequestKind::Completion(..) => (self.attempts.get(&id), answer_end(exchange, answer)),
+            RequestKind::Call(key) => (self.runs.get(key), answer_end(exchange, answer)),
         };
-        let ran = runs.is_some_and(|runs| *runs > 0) || self.went_to_a_gone(&id);
-        let outcome = match &ended {
-            End::Whole => {
-                if !right(sent, answer) {
-                    faults.push(Violation::WrongAnswer(id.clone()));
+        let ran = runs.is_some_and(|runs| *runs > 0) || self.reached_killed_backend(&id);
+        let seen = match &end {
+            AnswerEnd::Complete => {
+                if !has_expected_body(exchange, answer) {
+                    violations.push(Violation::WrongAnswer(id.clone()));
                 }
                 if !ran {
-                    faults.push(Violation::NeverRan(id.clone()));
+                    violations.push(Violation::NeverRan(id.clone()));
                 }
                 Some("yes")
             }
-            End::Refused(word) => {
-                if word == "no" && self.ran_itself(sent, &id) {
-                    faults.push(Violation::RanAfterNotRun(id.clone()));
+            AnswerEnd::Refused(claim) => {
+                if claim == "no" && self.request_ran(exchange, &id) {
+                    violations.push(Violation::RanAfterNotRun(id.clone()));
                 }
-                if word == "yes" && !ran {
-                    faults.push(Violation::NeverRan(id.clone()));
+                if claim == "yes" && !ran {
+                    violations.push(Violation::NeverRan(id.clone()));
                 }
-                Some(word.as_str())
+                Some(claim.as_str())
             }
-            End::Broken => {
-                // The host died under it: the caller sees that the end marker is missing, and
-                // the explanation says the rest.
+            AnswerEnd::Truncated => {
+                // The host crashed while it sent the answer: the caller sees that the end marker
+                // is missing, and the record explains the rest.
                 if answer.complete {
-                    faults.push(Violation::MissingEndMarker(id.clone()));
+                    violations.push(Violation::MissingEndMarker(id.clone()));
                 }
                 None
             }
         };
         match self.records.get(&id) {
-            None => faults.push(Violation::Unexplained(id)),
+            None => violations.push(Violation::Unexplained(id)),
             Some(record) => {
-                let told = record["ran"].as_str();
-                // A host that died after its answer left leaves a record that cannot know.
+                let recorded = record["ran"].as_str();
+                // A host that crashed after it sent the answer leaves a record that says `lost`.
                 let lost = record["outcome"] == "lost";
-                if outcome.is_some() && told != outcome && !lost {
-                    faults.push(Violation::ContradictingRecord(id));
+                if seen.is_some() && recorded != seen && !lost {
+                    violations.push(Violation::ContradictingRecord(id));
                 }
             }
         }
-        faults
+        violations
     }
 
-    /// Returns whether a request went to a back end whose counts are lost.
-    fn went_to_a_gone(&self, id: &str) -> bool {
+    /// Returns whether a request may have run at a backend server whose counts are lost.
+    fn reached_killed_backend(&self, id: &str) -> bool {
         let attempts = self.records.get(id).map(|record| &record["attempts"]);
         let mut attempts = attempts.and_then(Value::as_array).into_iter().flatten();
         attempts.any(|attempt| {
             let backend = attempt["backend"].as_str().unwrap_or_default();
-            self.gone.contains(backend) && attempt["ran"] != "no"
+            self.killed.contains(backend) && attempt["ran"] != "no"
         })
     }
 
-    /// Returns whether this very request was run, not another with its key.
-    fn ran_itself(&self, sent: &Exchange, id: &str) -> bool {
-        match &sent.wanted {
+    /// Returns whether this request ran, rather than another one with the same key.
+    fn request_ran(&self, exchange: &Exchange, id: &str) -> bool {
+        match &exchange.request {
             RequestKind::Completion(..) => self.attempts.get(id).is_some_and(|runs| *runs > 0),
             RequestKind::Call(key) => {
                 let attempts = self.records.get(id).map(|record| &record["attempts"]);
-                let tried = attempts.and_then(Value::as_array);
-                let sent = tried.is_none_or(|list| list.iter().any(|a| a["ran"] != "no"));
+                let attempts = attempts.and_then(Value::as_array);
+                let sent = attempts.is_none_or(|list| list.iter().any(|a| a["ran"] != "no"));
                 sent && self.runs.get(key).is_some_and(|runs| *runs > 0)
             }
         }
     }
 
-    /// Collects the books of a fleet; `at` is the host that explains.
-    pub fn collect(fleet: &Fleet, at: usize, sent: Vec<Exchange>) -> Self {
-        let mut books = Self {
-            sent,
+    /// Collects the logs, counts and records of a fleet; the host `explainer` is asked for records.
+    pub fn collect(fleet: &Fleet, explainer: usize, exchanges: Vec<Exchange>) -> Self {
+        let mut observations = Self {
+            exchanges,
             ..Self::default()
         };
         for engine in fleet.engines() {
             let Some(answer) = send(engine.addr, "GET", "/log", &[], &[]) else {
-                books.gone.insert(engine.name.clone());
+                observations.killed.insert(engine.name.clone());
                 continue;
             };
             let log = answer.json();
             for line in log["runs"].as_array().into_iter().flatten() {
                 let label = line["attempt"].as_str().unwrap_or_default();
-                // An attempt's label is the request's id, a dot and the number of the try.
+                // An attempt's label is the request's id, a dot and the attempt's number.
                 let id = label.split('.').next().unwrap_or_default();
-                *books.attempts.entry(id.to_owned()).or_default() += 1;
+                *observations.attempts.entry(id.to_owned()).or_default() += 1;
             }
         }
         for service in fleet.services() {
@@ -242,16 +248,20 @@
             let counts = counts.map(|answer| answer.json()).unwrap_or_default();
             for (name, count) in counts.as_object().into_iter().flatten() {
                 let key = name.rsplit(' ').next().unwrap_or_default();
-                *books.runs.entry(key.to_owned()).or_default() += count.as_u64().unwrap_or(0);
+                *observations.runs.entry(key.to_owned()).or_default() +=
+                    count.as_u64().unwrap_or(0);
             }
         }
-        let answers = books.sent.iter().filter_map(|sent| sent.answer.as_ref());
+        let answers = observations
+            .exchanges
+            .iter()
+            .filter_map(|exchange| exchange.answer.as_ref());
         for id in answers.map(Answer::id) {
-            let record = fleet.explain(at, &id);
+            let record = fleet.explain(explainer, &id);
             if record["id"] == id.as_str() {
-                books.records.insert(id, record);
+                observations.records.insert(id, record);
             }
         }
-        books
+        observations
     }
 }
