--- a/tests/common/http.rs
+++ b/tests/common/http.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP/1.1 client over a blocking socket, so that a test reads as a script.
+//! A plain HTTP/1.1 client over a blocking socket.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,16 +7,16 @@
 
 use serde_json::Value;
 
-/// Bound of any single read or write; far above what a test waits for.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of connecting and of each read and write; far above what a test waits for.
+const IO_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What came back.
+/// An HTTP response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end.
     pub complete: bool,
 }
 
@@ -34,23 +34,23 @@
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Returns the request's id.
+    /// Returns the request id from the answer's head.
     pub fn id(&self) -> String {
         self.header("x-request-id").unwrap_or_default().to_owned()
     }
 }
 
-/// An answer whose body is still to be read.
+/// An HTTP response whose body has not been read to its end.
 #[derive(Debug)]
 pub struct OpenAnswer {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     reader: BufReader<TcpStream>,
     chunked: bool,
-    left: Option<usize>,
+    remaining: Option<usize>,
 }
 
-/// Sends a request and reads the answer's head; `None` when there is none.
+/// Sends a request and reads the answer's head; `None` if there is none.
 pub fn open(
     addr: SocketAddr,
     method: &str,
@@ -58,9 +58,9 @@
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> Option<OpenAnswer> {
-    let mut stream = TcpStream::connect_timeout(&addr, LIMIT).ok()?;
-    stream.set_read_timeout(Some(LIMIT)).ok()?;
-    stream.set_write_timeout(Some(LIMIT)).ok()?;
+    let mut stream = TcpStream::connect_timeout(&addr, IO_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(IO_TIMEOUT)).ok()?;
+    stream.set_write_timeout(Some(IO_TIMEOUT)).ok()?;
     let mut head = format!("{method} {path} HTTP/1.1\r\nhost: {addr}\r\n");
     for (name, value) in headers {
         write!(head, "{name}: {value}\r\n").ok()?;
@@ -69,26 +69,26 @@
     stream.write_all(head.as_bytes()).ok()?;
     stream.write_all(body).ok()?;
     let mut reader = BufReader::new(stream);
-    let first = read_line(&mut reader)?;
-    let status = first.split(' ').nth(1)?.parse().ok()?;
+    let status_line = read_line(&mut reader)?;
+    let status = status_line.split(' ').nth(1)?.parse().ok()?;
     let mut headers = Vec::new();
     loop {
-        let next = read_line(&mut reader)?;
-        if next.is_empty() {
+        let line = read_line(&mut reader)?;
+        if line.is_empty() {
             break;
         }
-        let (name, value) = next.split_once(':')?;
+        let (name, value) = line.split_once(':')?;
         headers.push((name.to_lowercase(), value.trim().to_owned()));
     }
     let find = |name: &str| headers.iter().find(|(key, _)| key == name);
     let chunked = find("transfer-encoding").is_some_and(|(_, value)| value == "chunked");
-    let left = find("content-length").and_then(|(_, value)| value.parse().ok());
+    let remaining = find("content-length").and_then(|(_, value)| value.parse().ok());
     Some(OpenAnswer {
         status,
         headers,
         reader,
         chunked,
-        left,
+        remaining,
     })
 }
 
@@ -99,27 +99,28 @@
 }
 
 impl OpenAnswer {
-    /// Reads the next part of the body; `None` at its end, an error when it is cut.
+    /// Reads the next chunk of the body, or the whole body if it is not chunked; `None` at its end,
+    /// an error if it is cut off.
     pub fn next_chunk(&mut self) -> Result<Option<Vec<u8>>, ()> {
         if !self.chunked {
-            let mut body = vec![0; self.left.take().unwrap_or(0)];
-            self.reader.read_exact(&mut body).map_err(|_cut| ())?;
+            let mut body = vec![0; self.remaining.take().unwrap_or(0)];
+            self.reader.read_exact(&mut body).map_err(|_err| ())?;
             return Ok((!body.is_empty()).then_some(body));
         }
         let size = read_line(&mut self.reader).ok_or(())?;
-        let size = usize::from_str_radix(&size, 16).map_err(|_cut| ())?;
-        let mut part = vec![0; size + 2];
-        self.reader.read_exact(&mut part).map_err(|_cut| ())?;
-        part.truncate(size);
-        Ok((size > 0).then_some(part))
+        let size = usize::from_str_radix(&size, 16).map_err(|_err| ())?;
+        let mut chunk = vec![0; size + 2];
+        self.reader.read_exact(&mut chunk).map_err(|_err| ())?;
+        chunk.truncate(size);
+        Ok((size > 0).then_some(chunk))
     }
 
     /// Reads the rest of the body.
     pub fn rest(mut self) -> Answer {
         let mut body = Vec::new();
-        let whole = loop {
+        let complete = loop {
             match self.next_chunk() {
-                Ok(Some(part)) => body.extend(part),
+                Ok(Some(chunk)) => body.extend(chunk),
                 Ok(None) => break true,
                 Err(()) => break false,
             }
@@ -128,12 +129,12 @@
             status: self.status,
             headers: self.headers,
             body,
-            complete: whole,
+            complete,
         }
     }
 }
 
-/// Sends a request and reads the whole answer; `None` when there is no head.
+/// Sends a request and reads the whole answer; `None` if it has no head.
 pub fn send(
     addr: SocketAddr,
     method: &str,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,18 +1,18 @@
-//! Runs the real binary and checks what it prints, so that a test reads as a script.
+//! Runs the real binary and checks its exit code and output.
 
 pub mod operator_api;
 
 use std::io::Write as _;
 use std::process::{Command, Output, Stdio};
 
-/// One run of the program to come.
+/// A run of the program, being prepared.
 #[derive(Debug)]
 pub struct Run {
     command: Command,
     stdin: String,
 }
 
-/// What a run left.
+/// The output of a run.
 #[derive(Debug)]
 pub struct RunOutput {
     output: Output,
@@ -33,51 +33,51 @@
 }
 
 impl Run {
-    /// Adds the arguments in `line`, with spaces between them.
+    /// Adds the arguments in `line`, separated by whitespace.
     pub fn args(mut self, line: &str) -> Self {
         self.command.args(line.split_whitespace());
         self
     }
 
-    /// Adds one argument as it is.
+    /// Adds one argument unchanged.
     pub fn arg(mut self, arg: &str) -> Self {
         self.command.arg(arg);
         self
     }
 
-    /// Sets the operators' key.
+    /// Sets the operator key.
     pub fn key(mut self, key: &str) -> Self {
         self.command.env("CHIVEWAY_OPERATOR_KEY", key);
         self
     }
 
-    /// Sets what the program reads from standard input.
+    /// Sets the program's standard input.
     pub fn stdin(mut self, text: &str) -> Self {
         self.stdin = text.into();
         self
     }
 
-    /// Runs to the end, which must be success.
+    /// Runs the program and checks that it succeeds.
     pub fn succeeds(self) -> RunOutput {
         self.exits_with(0)
     }
 
-    /// Runs to the end, which must have this exit code.
+    /// Runs the program and checks its exit code.
     pub fn exits_with(mut self, code: i32) -> RunOutput {
         let mut child = self.command.spawn().expect("the program starts");
         let mut stdin = child.stdin.take().expect("standard input is piped");
-        // A program that reads nothing may have closed its end.
+        // Fails if the program exited without reading its input.
         let _ = stdin.write_all(self.stdin.as_bytes());
         drop(stdin);
-        let output = child.wait_with_output().expect("the program ends");
-        let done = RunOutput { output };
-        assert_eq!(done.output.status.code(), Some(code), "{}", done.all());
-        done
+        let output = child.wait_with_output().expect("the program exits");
+        let run = RunOutput { output };
+        assert_eq!(run.output.status.code(), Some(code), "{}", run.all());
+        run
     }
 }
 
 impl RunOutput {
-    /// Checks that standard output holds `text`.
+    /// Checks that standard output contains `text`.
     pub fn stdout_contains(self, text: &str) -> Self {
         assert!(
             self.stdout().contains(text),
@@ -87,14 +87,14 @@
         self
     }
 
-    /// Checks that standard error holds `text`.
+    /// Checks that standard error contains `text`.
     pub fn stderr_contains(self, text: &str) -> Self {
         let stderr = String::from_utf8_lossy(&self.output.stderr);
         assert!(stderr.contains(text), "no {text:?} in {}", self.all());
         self
     }
 
-    /// Returns standard output.
+    /// Returns standard output as text.
     pub fn stdout(&self) -> String {
         String::from_utf8_lossy(&self.output.stdout).into()
     }
--- a/tests/common/operator_api.rs
+++ b/tests/common/operator_api.rs
@@ -1,4 +1,4 @@
-//! A small fake of the operators' listener of a host: two lists under one revision.
+//! A fake of a host's operator API: two lists under one revision.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,23 +16,23 @@
 use serde_json::{Value, json};
 use tokio::sync::watch;
 
-/// Key that the fake takes.
+/// Operator key that the fake accepts.
 pub const KEY: &str = "operators-key";
-/// Polls until the last host has the revision.
-const POLLS: u32 = 2;
-const MAX_BODY: usize = 1 << 20;
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Number of the poll at which all hosts have the revision.
+const POLLS_UNTIL_IN_FORCE: u32 = 2;
+const MAX_BODY_BYTES: usize = 1 << 20;
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How the fake answers the first edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// As it should.
+    /// Without a fault.
     None,
-    /// It takes the edit, and the answer breaks off.
+    /// Applies the edit and cuts its answer off.
     LostAnswer,
-    /// It finds faults.
+    /// Refuses the edit with faults in the list.
     InvalidLists,
-    /// The key-value service is down.
+    /// Refuses the edit because the key-value service is down.
     StoreDown,
 }
 
@@ -57,7 +57,7 @@
     pub fn start(plans: &str, uses: &str, fault: Fault) -> Self {
         let (plans, uses) = (plans.into(), uses.into());
         let (stop, stopped) = watch::channel(false);
-        let (tell, told) = mpsc::channel();
+        let (addr_sender, addr_receiver) = mpsc::channel();
         let serve = move || {
             let state = State {
                 revision: 1,
@@ -72,7 +72,7 @@
                 let addr = SocketAddr::from(([127, 0, 0, 1], 0));
                 let listener = web::listen(addr).await.expect("a port is free");
                 let addr = listener.local_addr().expect("the listener is bound");
-                tell.send(addr).expect("the test waits");
+                addr_sender.send(addr).expect("the test waits");
                 web::serve(listener, web::CONNECTION_GRACE, stopped, move |req| {
                     answer(Rc::clone(&state), req)
                 })
@@ -80,11 +80,11 @@
             });
         };
         let thread = Some(thread::spawn(serve));
-        let addr = told.recv().expect("the fake starts");
+        let addr = addr_receiver.recv().expect("the fake starts");
         Self { addr, stop, thread }
     }
 
-    /// Returns the options that lead the program here.
+    /// Returns the command line options that select this fake.
     pub fn cli_args(&self) -> String {
         format!("--operators {}", self.addr)
     }
@@ -94,7 +94,7 @@
     fn drop(&mut self) {
         self.stop.send_replace(true);
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("the fake ends well");
+            thread.join().expect("the fake does not panic");
         }
     }
 }
@@ -108,18 +108,18 @@
         value.unwrap_or_default().to_owned()
     };
     if header(&req, "authorization") != format!("Bearer {KEY}") {
-        web::discard_body(&mut req, MAX_BODY, BODY_TIME).await;
+        web::discard_body(&mut req, MAX_BODY_BYTES, BODY_TIMEOUT).await;
         return Response::new(StatusCode::UNAUTHORIZED);
     }
     let tag = header(&req, "if-match");
-    let body = web::read_body(&mut req, MAX_BODY, BODY_TIME).await;
+    let body = web::read_body(&mut req, MAX_BODY_BYTES, BODY_TIMEOUT).await;
     let body = String::from_utf8_lossy(&body.unwrap_or_default()).into_owned();
     let mut state = state.borrow_mut();
     match (req.method(), req.path()) {
         (&Method::GET, "/lists/plans") => list(&state, &state.plans),
         (&Method::GET, "/lists/use") => list(&state, &state.uses),
         (&Method::PUT, "/lists/plans") => edit(&mut state, &tag, &body),
-        (&Method::GET, "/lists/force") => force(&mut state),
+        (&Method::GET, "/lists/force") => in_force(&mut state),
         (&Method::GET, "/explain/r%C3%B8d%2F7") => {
             let attempt = json!({"backend": "raadgiver-1", "reason": "least work", "ended_ms": 12});
             let value =
@@ -149,28 +149,28 @@
         let problem = json!({"title": "Edits are paused.", "detail": "The store is down."});
         return reply(StatusCode::SERVICE_UNAVAILABLE, &problem);
     }
-    let parse = |text: &str| Plans::parse(text, "plans").expect("the program sends good lists");
+    let parse = |text: &str| Plans::parse(text, "plans").expect("the program sends valid lists");
     if tag != format!("\"{}\"", state.revision) {
         let diff = diff_plans(&parse(text), &parse(&state.plans)).join("\n");
-        let raced = json!({"revision": state.revision, "diff": diff});
-        return reply(StatusCode::CONFLICT, &raced);
+        let conflict = json!({"revision": state.revision, "diff": diff});
+        return reply(StatusCode::CONFLICT, &conflict);
     }
     state.revision += 1;
     state.plans = text.into();
     if fault == Fault::LostAnswer {
         let cut = std::io::Error::other("cut off");
-        let parts = stream::iter([Ok(Bytes::from_static(b"{\"rev")), Err(cut)]);
-        return Response::build(StatusCode::OK).streaming(parts);
+        let chunks = stream::iter([Ok(Bytes::from_static(b"{\"rev")), Err(cut)]);
+        return Response::build(StatusCode::OK).streaming(chunks);
     }
     reply(StatusCode::OK, &json!({"revision": state.revision}))
 }
 
-/// Reports one host as late until the last poll.
-fn force(state: &mut State) -> Response {
+/// Reports one host as missing the revision until poll number [`POLLS_UNTIL_IN_FORCE`].
+fn in_force(state: &mut State) -> Response {
     state.polls += 1;
-    let late = state.polls < POLLS;
-    let second = state.revision - u64::from(late);
-    let missing: &[&str] = if late { &["dk-øst-2"] } else { &[] };
+    let behind = state.polls < POLLS_UNTIL_IN_FORCE;
+    let second = state.revision - u64::from(behind);
+    let missing: &[&str] = if behind { &["dk-øst-2"] } else { &[] };
     let value = json!({
         "revision": state.revision,
         "hosts": [
--- a/tests/fleet/access.rs
+++ b/tests/fleet/access.rs
@@ -10,7 +10,7 @@
 use crate::support::http::{Answer, Raw, send};
 use crate::support::{
     CUSTOMER_KEY, Fleet, FleetConfig, MODEL, OPERATOR_KEY, PEER_SECRET, call_service, complete,
-    runs, wait_for,
+    service_runs, wait_for,
 };
 
 /// A prompt that must not be seen in any log.
@@ -215,7 +215,7 @@
         assert!(complete(addr, PRIVATE, 8, true).is_some());
         assert!(complete(addr, PRIVATE, 8, false).is_some());
         assert!(call_service(addr, "POST", "/extensions", "private-key", PRIVATE).is_some());
-        assert_eq!(runs(&fleet, "private-key"), 1);
+        assert_eq!(service_runs(&fleet, "private-key"), 1);
         post(addr, Some("a wrong caller's key"), &body(PRIVATE));
         post(addr, Some(CUSTOMER_KEY), PRIVATE.as_bytes());
         fleet.backends[0].process.kill();
--- a/tests/fleet/end_to_end.rs
+++ b/tests/fleet/end_to_end.rs
@@ -9,7 +9,8 @@
 
 use crate::support::http::send;
 use crate::support::{
-    CUSTOMER, CUSTOMER_KEY, Fleet, FleetConfig, MODEL, call_service, complete, runs, wait_for,
+    CUSTOMER, CUSTOMER_KEY, Fleet, FleetConfig, MODEL, call_service, complete, service_runs,
+    wait_for,
 };
 
 /// Everything works: a streamed and a collected answer, a call of the service, and each is
@@ -28,7 +29,7 @@
 
     let called = call_service(fleet.hosts[2].callers, "POST", "/extensions", "k-1", "{}");
     assert_eq!(called.as_ref().map(|answer| answer.status), Some(200));
-    assert_eq!(runs(&fleet, "k-1"), 1);
+    assert_eq!(service_runs(&fleet, "k-1"), 1);
 
     for (answer, other) in [
         (streamed, 2),
--- a/tests/fleet/once.rs
+++ b/tests/fleet/once.rs
@@ -6,7 +6,7 @@
 
 use crate::support::account::retry_while_throttled;
 use crate::support::http::Answer;
-use crate::support::{Fleet, FleetConfig, call_service, inject_fault, runs, wait_for};
+use crate::support::{Fleet, FleetConfig, call_service, inject_fault, service_runs, wait_for};
 
 /// Statuses that settle a repeat: the first answer, or that the call may have run.
 const SETTLED: [u16; 2] = [200, 409];
@@ -51,7 +51,7 @@
         assert_eq!(answer.status, 200, "{}", answer.text());
         assert_eq!(answer.json()["count"], 1);
     }
-    assert_eq!(runs(&fleet, "k-1"), 1);
+    assert_eq!(service_runs(&fleet, "k-1"), 1);
 }
 
 /// The key-value service takes the record of the start and its answer is lost. The caller is told
@@ -64,10 +64,10 @@
     assert_eq!(answer.status, 503, "{}", answer.text());
     assert_eq!(answer.json()["ran"], "no");
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(runs(&fleet, "k-1"), 0);
+    assert_eq!(service_runs(&fleet, "k-1"), 0);
     let again = settle(&fleet, 1, "k-1");
     assert_eq!(again.status, 200, "{}", again.text());
-    assert_eq!(runs(&fleet, "k-1"), 1);
+    assert_eq!(service_runs(&fleet, "k-1"), 1);
 }
 
 /// The key-value service is down. A filing is refused at once and has not run, a question about a
@@ -80,12 +80,12 @@
     let answer = file(&fleet, 0, "k-1").expect("an answer");
     assert_eq!((answer.status, &answer.json()["ran"]), (503, &json!("no")));
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(runs(&fleet, "k-1"), 0);
+    assert_eq!(service_runs(&fleet, "k-1"), 0);
     let status = call_service(fleet.hosts[0].callers, "GET", "/deadlines", "", "");
     assert_eq!(status.map(|answer| answer.status), Some(200));
     fleet.inject_kv_fault(&json!({"down": false}));
     assert_eq!(settle(&fleet, 0, "k-1").status, 200);
-    assert_eq!(runs(&fleet, "k-1"), 1);
+    assert_eq!(service_runs(&fleet, "k-1"), 1);
 }
 
 /// The service refuses before it runs a call, at one instance or at all. Where one takes it the
@@ -98,16 +98,16 @@
         inject_fault(first, &json!({"fail_next": 1}));
         let key = format!("k-{number}");
         assert_eq!(file(&fleet, 0, &key).map(|a| a.status), Some(200));
-        assert_eq!(runs(&fleet, &key), 1);
+        assert_eq!(service_runs(&fleet, &key), 1);
     }
     services(&fleet, &json!({"fail_next": 100}));
     let refused = file(&fleet, 1, "none").expect("an answer");
     assert_eq!(refused.json()["ran"], "no", "{}", refused.text());
-    assert_eq!(runs(&fleet, "none"), 0);
+    assert_eq!(service_runs(&fleet, "none"), 0);
     services(&fleet, &json!({"fail_next": 0}));
     let answer = settle(&fleet, 2, "none");
     assert_eq!(answer.status, 200, "{}", answer.text());
-    assert_eq!(runs(&fleet, "none"), 1);
+    assert_eq!(service_runs(&fleet, "none"), 1);
 }
 
 /// A rule lets deadline questions repeat. A path that the rule reads as such a question and the
@@ -126,7 +126,7 @@
     }
     let small = call_service(fleet.hosts[0].callers, "get", "/extensions", "", "");
     assert!(small.is_none_or(|answer| answer.status >= 400));
-    assert_eq!(runs(&fleet, "extensions"), 0);
+    assert_eq!(service_runs(&fleet, "extensions"), 0);
 }
 
 /// What is done to a host while a call is on its way through it.
@@ -175,16 +175,16 @@
     fleet.inject_kv_fault(&json!({"slow_ms": 0}));
     let other = if victim == 1 { 2 } else { 1 };
     let answer = settle(&fleet, other, "k-1");
-    assert!(runs(&fleet, "k-1") <= 1, "{}", answer.text());
+    assert!(service_runs(&fleet, "k-1") <= 1, "{}", answer.text());
     if let Blow::Freeze = blow {
         fleet.hosts[victim].process.thaw();
         wait_for("the host is back", || fleet.status(victim)["ready"] == true);
     }
     drop(first.join());
     let last = settle(&fleet, other, "k-1");
-    assert!(runs(&fleet, "k-1") <= 1, "{}", last.text());
+    assert!(service_runs(&fleet, "k-1") <= 1, "{}", last.text());
     if answer.status == 200 {
-        assert_eq!(runs(&fleet, "k-1"), 1);
+        assert_eq!(service_runs(&fleet, "k-1"), 1);
         assert_eq!(last.status, 200);
     }
 }
@@ -246,10 +246,13 @@
         answered.extend(client.join().expect("a client ends"));
     }
     for number in 0..20 {
-        assert!(runs(&fleet, &format!("k-{number}-")) <= 1, "k-{number}-");
+        assert!(
+            service_runs(&fleet, &format!("k-{number}-")) <= 1,
+            "k-{number}-"
+        );
     }
     assert!(!answered.is_empty());
     for key in answered {
-        assert_eq!(runs(&fleet, &key), 1, "{key}");
+        assert_eq!(service_runs(&fleet, &key), 1, "{key}");
     }
 }
--- a/tests/fleet/outage.rs
+++ b/tests/fleet/outage.rs
@@ -4,7 +4,7 @@
 
 use crate::support::http::{Answer, send};
 use crate::support::{
-    CUSTOMER_KEY, Fleet, FleetConfig, OPERATOR_KEY, call_service, complete, runs, wait_for,
+    CUSTOMER_KEY, Fleet, FleetConfig, OPERATOR_KEY, call_service, complete, service_runs, wait_for,
 };
 
 /// Puts a list on top of a revision.
@@ -67,7 +67,7 @@
         assert_eq!(filing.status, 503, "{}", filing.text());
         assert_eq!(filing.json()["ran"], "no");
         assert!(filing.header("retry-after").is_some());
-        assert_eq!(runs(&fleet, &key), 0);
+        assert_eq!(service_runs(&fleet, &key), 0);
     }
     let edit = put(&fleet, 0, 2, &plans("Another", "other-key")).expect("an answer");
     assert!(edit.status >= 500, "{} {}", edit.status, edit.text());
@@ -79,7 +79,7 @@
             call_service(fleet.hosts[at].callers, "POST", "/extensions", &key, "{}")
                 .is_some_and(|answer| answer.status == 200)
         });
-        assert_eq!(runs(&fleet, &key), 1);
+        assert_eq!(service_runs(&fleet, &key), 1);
     }
 }
 
--- a/tests/fleet/stop.rs
+++ b/tests/fleet/stop.rs
@@ -9,7 +9,7 @@
 use chiveway::trial::stream_text;
 
 use crate::support::http::{Raw, send};
-use crate::support::{Fleet, FleetConfig, MODEL, open_completion, runs, wait_for};
+use crate::support::{Fleet, FleetConfig, MODEL, open_completion, service_runs, wait_for};
 
 fn paced(hosts: usize) -> FleetConfig {
     FleetConfig {
@@ -139,7 +139,7 @@
         let prompt = format!("clause {number} {count}");
         let filing = number.is_multiple_of(3);
         if filing {
-            raw.filing(&format!("filing-{number}-{count}"));
+            raw.call(&format!("filing-{number}-{count}"));
         } else {
             raw.completion(&prompt, 30, false);
         }
@@ -206,5 +206,5 @@
         answered += whole;
     }
     assert!(answered > 50, "only {answered} were answered");
-    assert!(runs(&fleet, "filing") > 0);
+    assert!(service_runs(&fleet, "filing") > 0);
 }
--- a/tests/fleet/support/http.rs
+++ b/tests/fleet/support/http.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP/1.1 client, and connections on which a test writes what it likes.
+//! A plain HTTP/1.1 client, and raw connections for arbitrary bytes.
 
 #[path = "../../common/http.rs"]
 mod base;
@@ -9,10 +9,10 @@
 
 pub use base::{Answer, OpenAnswer, open, send};
 
-/// Bound of any single read or write; far above what a test waits for.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of connecting and of each read; far above what a test waits for.
+const IO_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A connection on which a test writes what it likes.
+/// A connection on which a test writes arbitrary bytes.
 #[derive(Debug)]
 pub struct Raw {
     stream: TcpStream,
@@ -20,15 +20,18 @@
 
 impl Raw {
     pub fn connect(addr: SocketAddr) -> Self {
-        let stream = TcpStream::connect_timeout(&addr, LIMIT).expect("a connection");
-        stream.set_read_timeout(Some(LIMIT)).expect("a time");
+        let stream =
+            TcpStream::connect_timeout(&addr, IO_TIMEOUT).expect("the connection is accepted");
+        stream
+            .set_read_timeout(Some(IO_TIMEOUT))
+            .expect("the timeout is not zero");
         Self { stream }
     }
 
-    /// Connects, unless the connection is refused.
+    /// Connects; `None` if the connection fails.
     pub fn try_connect(addr: SocketAddr) -> Option<Self> {
-        let stream = TcpStream::connect_timeout(&addr, LIMIT).ok()?;
-        stream.set_read_timeout(Some(LIMIT)).ok()?;
+        let stream = TcpStream::connect_timeout(&addr, IO_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(IO_TIMEOUT)).ok()?;
         Some(Self { stream })
     }
 
@@ -36,7 +39,7 @@
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// Asks for a completion without waiting for anything.
+    /// Sends a request for a completion without waiting for the answer.
     pub fn completion(&mut self, prompt: &str, tokens: u64, stream: bool) {
         let body = serde_json::json!({
             "model": super::MODEL, "prompt": prompt, "max_tokens": tokens, "stream": stream,
@@ -51,25 +54,25 @@
         self.write([head.as_bytes(), body.as_bytes()].concat().as_slice());
     }
 
-    /// Sends a call that may not repeat without waiting for anything.
-    pub fn filing(&mut self, name: &str) {
+    /// Sends a call that may not be retried, without waiting for the answer.
+    pub fn call(&mut self, idempotency_key: &str) {
         let (service, key) = (super::SERVICE, super::CUSTOMER_KEY);
         let head = format!(
             "POST /services/{service}/extensions HTTP/1.1\r\nhost: h\r\n\
-             authorization: Bearer {key}\r\nidempotency-key: {name}\r\n\
+             authorization: Bearer {key}\r\nidempotency-key: {idempotency_key}\r\n\
              content-length: 2\r\n\r\n{{}}"
         );
         self.write(head.as_bytes());
     }
 
-    /// Reads until the other side closes.
+    /// Reads until the peer closes the connection.
     pub fn rest(mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         drop(self.stream.read_to_end(&mut bytes));
         bytes
     }
 
-    /// Reads one answer with a length, and keeps the connection.
+    /// Reads one answer that has a content length, and keeps the connection open.
     pub fn answer(&mut self) -> Option<Answer> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
--- a/tests/fleet/support/mod.rs
+++ b/tests/fleet/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment of real processes on loopback, with kernel-chosen ports.
+//! A deployment of real processes on loopback, on ports chosen by the kernel.
 
 pub mod account;
 pub mod http;
@@ -14,10 +14,10 @@
 use http::{Answer, send};
 use process::{Process, TempDir};
 
-/// Generous bound of any wait.
-const LIMIT: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(10);
+/// Timeout of any wait; far above what a test waits for.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 pub const OPERATOR_KEY: &str = "operator-key";
 pub const CUSTOMER: &str = "Ærø Museumsforening";
@@ -26,30 +26,30 @@
 pub const SERVICE: &str = "fristportal";
 pub const PEER_SECRET: &str = "a secret for these tests only";
 
-/// Waits until `look` holds, and fails with `what` after a generous bound.
-pub fn wait_for(what: &str, mut look: impl FnMut() -> bool) {
-    let end = Instant::now() + LIMIT;
-    while !look() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
-        thread::sleep(LOOK);
+/// Waits until `condition` holds; fails with `what` after [`WAIT_TIMEOUT`].
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// What a deployment consists of.
+/// Sizes and settings of a deployment.
 #[derive(Debug, Clone)]
 pub struct FleetConfig {
     pub hosts: usize,
     pub engines: usize,
     pub services: usize,
-    /// More arguments of every stand-in engine.
+    /// Additional arguments of every stand-in engine.
     pub engine_args: Vec<String>,
-    /// `checks` or `ignores`.
+    /// Whether engines check fencing numbers: `checks` or `ignores`.
     pub fencing: &'static str,
-    /// More lines for the hosts' settings, by section.
+    /// Additional lines of the hosts' settings, by section.
     pub platform: String,
     pub limits: String,
     pub pool: String,
-    /// Text of the second list.
+    /// Text of the list `use`: what each plan may use.
     pub use_list: String,
 }
 
@@ -82,7 +82,7 @@
     pub peers: SocketAddr,
 }
 
-/// A running stand-in for a back end.
+/// A running stand-in for a backend server.
 #[derive(Debug)]
 pub struct Backend {
     pub name: String,
@@ -94,7 +94,7 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Fleet {
-    pub plan: FleetConfig,
+    pub config: FleetConfig,
     pub kv: Process,
     pub kv_addr: SocketAddr,
     pub backends: Vec<Backend>,
@@ -103,31 +103,31 @@
 }
 
 impl Fleet {
-    /// Starts everything, puts the lists in force and waits until every host is ready.
-    pub fn start(plan: FleetConfig) -> Self {
+    /// Starts all processes, uploads the lists and waits until every host is ready.
+    pub fn start(config: FleetConfig) -> Self {
         let kv = Process::start(&["standin", "kv", "--listen", "127.0.0.1:0"], None);
         let kv_addr = kv.addr("on");
         let mut fleet = Self {
-            plan,
+            config,
             kv,
             kv_addr,
             backends: Vec::new(),
             hosts: Vec::new(),
             folder: TempDir::new(),
         };
-        for at in 0..fleet.plan.engines {
-            fleet.add_engine(&format!("{MODEL}-{}", at + 1));
+        for index in 0..fleet.config.engines {
+            fleet.add_engine(&format!("{MODEL}-{}", index + 1));
         }
-        for at in 0..fleet.plan.services {
-            fleet.add_service(&format!("{SERVICE}-{}", at + 1));
+        for index in 0..fleet.config.services {
+            fleet.add_service(&format!("{SERVICE}-{}", index + 1));
         }
         fleet.publish_listing(|_| "live");
-        for at in 0..fleet.plan.hosts {
-            fleet.add_host(&format!("host-{}", at + 1));
+        for index in 0..fleet.config.hosts {
+            fleet.add_host(&format!("host-{}", index + 1));
         }
         fleet.put_lists();
-        for at in 0..fleet.hosts.len() {
-            fleet.wait_until_ready(at);
+        for index in 0..fleet.hosts.len() {
+            fleet.wait_until_ready(index);
         }
         fleet
     }
@@ -135,10 +135,10 @@
     pub fn add_engine(&mut self, name: &str) {
         let mut args = vec!["standin", "engine", "--listen", "127.0.0.1:0"];
         args.extend(["--name", name, "--model", MODEL]);
-        args.extend(["--fencing", self.plan.fencing]);
-        args.extend(self.plan.engine_args.iter().map(String::as_str));
+        args.extend(["--fencing", self.config.fencing]);
+        args.extend(self.config.engine_args.iter().map(String::as_str));
         let process = Process::start(&args, None);
-        self.add("engine", name, process);
+        self.add_backend("engine", name, process);
     }
 
     pub fn add_service(&mut self, name: &str) {
@@ -153,10 +153,10 @@
             ],
             None,
         );
-        self.add("service", name, process);
+        self.add_backend("service", name, process);
     }
 
-    fn add(&mut self, kind: &'static str, name: &str, process: Process) {
+    fn add_backend(&mut self, kind: &'static str, name: &str, process: Process) {
         self.backends.push(Backend {
             name: name.into(),
             kind,
@@ -173,7 +173,8 @@
         self.backends.iter().filter(|b| b.kind == "service")
     }
 
-    /// Sets the platform's list; `state` gives `live`, `leaving` or `gone` for a name.
+    /// Sets the platform's listing. `state` returns `live` or `leaving` for a backend server's
+    /// name, or `gone` to leave it out.
     pub fn publish_listing(&self, state: impl Fn(&str) -> &'static str) {
         let entries: Vec<Value> = self
             .backends
@@ -195,7 +196,7 @@
         assert!(answer.is_some_and(|answer| answer.status < 300));
     }
 
-    /// Returns the settings of a host.
+    /// Returns the text of a host's settings.
     pub fn settings(&self, name: &str) -> String {
         let operator = blake3::hash(OPERATOR_KEY.as_bytes()).to_hex();
         let FleetConfig {
@@ -204,7 +205,7 @@
             pool,
             fencing,
             ..
-        } = &self.plan;
+        } = &self.config;
         let kv = self.kv_addr;
         format!(
             "[host]\nname = {name}\nregion = dk-east\ndomain = {domain}\n\
@@ -228,11 +229,11 @@
         self.folder.read(&format!("{name}.log"))
     }
 
-    /// Starts a host with settings of its own.
+    /// Starts a host with the given settings.
     pub fn add_host_with(&mut self, name: &str, settings: &str) {
         let path = self.folder.write(&format!("{name}.ini"), settings);
         let log = path.with_extension("log");
-        let path = path.to_str().expect("a path of plain letters");
+        let path = path.to_str().expect("the path is valid UTF-8");
         let process = Process::start(&["host", "-c", path], Some(&log));
         self.hosts.push(Host {
             name: name.into(),
@@ -245,15 +246,15 @@
 
     fn put_lists(&self) {
         let host = &self.hosts[0];
-        wait_for("the store is up", || {
+        wait_for("the first host reaches the store", || {
             self.status(0)["store"].as_str() == Some("up")
         });
         let key = blake3::hash(CUSTOMER_KEY.as_bytes()).to_hex();
         let plans = format!("[customer {CUSTOMER}]\nplan = medlem\nkeys = {key}\n");
-        let uses = self.plan.use_list.clone();
-        for (base, list, text) in [("\"0\"", "use", uses), ("\"1\"", "plans", plans)] {
+        let use_list = self.config.use_list.clone();
+        for (revision, list, text) in [("\"0\"", "use", use_list), ("\"1\"", "plans", plans)] {
             let auth = format!("Bearer {OPERATOR_KEY}");
-            let headers = [("authorization", auth.as_str()), ("if-match", base)];
+            let headers = [("authorization", auth.as_str()), ("if-match", revision)];
             let path = format!("/lists/{list}");
             let answer = send(host.operators, "PUT", &path, &headers, text.as_bytes());
             let answer = answer.expect("the host answers");
@@ -261,67 +262,67 @@
         }
     }
 
-    /// Waits until a host serves callers and knows all others.
-    pub fn wait_until_ready(&self, at: usize) {
-        wait_for(&format!("{} is ready", self.hosts[at].name), || {
-            let status = self.status(at);
+    /// Waits until a host is ready and lists all hosts and backend servers.
+    pub fn wait_until_ready(&self, host: usize) {
+        wait_for(&format!("{} is ready", self.hosts[host].name), || {
+            let status = self.status(host);
             let hosts = status["hosts"].as_array().map_or(0, Vec::len);
             let backends = status["backends"].as_array().map_or(0, Vec::len);
             status["ready"] == true && hosts >= self.hosts.len() && backends == self.backends.len()
         });
     }
 
-    /// Asks a host's operators' listener.
-    pub fn get_operator(&self, at: usize, path: &str) -> Option<Answer> {
+    /// Sends a GET request to a host's operator API.
+    pub fn get_operator(&self, host: usize, path: &str) -> Option<Answer> {
         let auth = format!("Bearer {OPERATOR_KEY}");
         let headers = [("authorization", auth.as_str())];
-        send(self.hosts[at].operators, "GET", path, &headers, &[])
+        send(self.hosts[host].operators, "GET", path, &headers, &[])
     }
 
-    pub fn status(&self, at: usize) -> Value {
-        self.get_operator(at, "/status")
+    pub fn status(&self, host: usize) -> Value {
+        self.get_operator(host, "/status")
             .map(|answer| answer.json())
             .unwrap_or_default()
     }
 
-    /// Returns the record of a request as a host tells it.
-    pub fn explain(&self, at: usize, id: &str) -> Value {
-        self.get_operator(at, &format!("/explain/{id}"))
+    /// Returns the record of a request, as reported by a host.
+    pub fn explain(&self, host: usize, id: &str) -> Value {
+        self.get_operator(host, &format!("/explain/{id}"))
             .map(|answer| answer.json())
             .unwrap_or_default()
     }
 
-    /// Sets switches of the key-value service.
+    /// Sets fault switches of the stand-in key-value service.
     pub fn inject_kv_fault(&self, fault: &Value) {
         inject_fault(self.kv_addr, fault);
     }
 
-    /// Returns the key-value service's counts of calls.
+    /// Returns the stand-in key-value service's counts of calls.
     pub fn kv_calls(&self) -> Value {
         let answer = send(self.kv_addr, "GET", "/calls", &[], &[]);
-        answer.expect("the stand-in answers").json()
+        answer.expect("the stand-in responds").json()
     }
 }
 
-/// Sets switches of a stand-in.
+/// Sets fault switches of a stand-in.
 pub fn inject_fault(addr: SocketAddr, fault: &Value) {
     let answer = send(addr, "POST", "/fault", &[], fault.to_string().as_bytes());
-    let answer = answer.expect("the stand-in answers");
+    let answer = answer.expect("the stand-in responds");
     assert!(answer.status < 300, "{}", answer.text());
 }
 
-/// Returns the failure domain that a name's last digit stands for.
+/// Returns the failure domain of a name, chosen by its last digit.
 pub fn domain(name: &str) -> &'static str {
-    let digits = name.bytes().rev().find(u8::is_ascii_digit).unwrap_or(b'1');
-    ["dk-east-c", "dk-east-a", "dk-east-b"][usize::from(digits - b'0') % 3]
+    let digit = name.bytes().rev().find(u8::is_ascii_digit).unwrap_or(b'1');
+    ["dk-east-c", "dk-east-a", "dk-east-b"][usize::from(digit - b'0') % 3]
 }
 
-/// Asks for a completion.
+/// Requests a completion and reads the whole answer.
 pub fn complete(addr: SocketAddr, prompt: &str, tokens: u64, stream: bool) -> Option<Answer> {
     open_completion(addr, prompt, tokens, stream).map(http::OpenAnswer::rest)
 }
 
-/// Asks for a completion and leaves its body to be read.
+/// Requests a completion and reads only the head of the answer.
 pub fn open_completion(
     addr: SocketAddr,
     prompt: &str,
@@ -335,7 +336,7 @@
     http::open(addr, "POST", "/v1/completions", &headers, body.as_bytes())
 }
 
-/// Calls the plain service.
+/// Calls the service; an empty `key` sends no idempotency key.
 pub fn call_service(
     addr: SocketAddr,
     method: &str,
@@ -352,11 +353,11 @@
     send(addr, method, &path, &headers, body.as_bytes())
 }
 
-/// Returns how often the service's instances ran the calls whose name contains `part`.
-pub fn runs(fleet: &Fleet, part: &str) -> u64 {
+/// Returns how often all instances of the service ran calls whose name contains `part`.
+pub fn service_runs(fleet: &Fleet, part: &str) -> u64 {
     let counts = fleet.services().map(|service| {
         let answer = send(service.addr, "GET", "/counts", &[], &[]);
-        let counts = answer.expect("the stand-in answers").json();
+        let counts = answer.expect("the stand-in responds").json();
         let counts = counts.as_object().cloned().unwrap_or_default();
         counts
             .iter()
--- a/tests/fleet/support/process.rs
+++ b/tests/fleet/support/process.rs
@@ -1,4 +1,4 @@
-//! The real program as a process: started, frozen, killed and stopped by its id.
+//! The real program as a child process that tests start, suspend, stop and kill.
 
 use std::io::{BufRead, BufReader, Write as _};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use super::wait_for;
 
-/// A folder that is removed when it is dropped.
+/// A temporary directory, removed on drop.
 #[derive(Debug)]
 pub struct TempDir(PathBuf);
 
@@ -20,23 +20,23 @@
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("chiveway-test-{}-{count}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a folder for the test");
+        std::fs::create_dir_all(&path).expect("the temporary directory can be created");
         Self(path)
     }
 
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        let mut file = std::fs::File::create(&path).expect("a file for the test");
+        let mut file = std::fs::File::create(&path).expect("the file can be created");
         file.write_all(text.as_bytes())
-            .expect("a text for the test");
+            .expect("the file can be written");
         path
     }
 }
 
 impl TempDir {
-    /// Returns what a file holds, as far as it was written.
+    /// Returns the contents of a file so far.
     pub fn read(&self, name: &str) -> String {
-        let bytes = std::fs::read(self.0.join(name)).expect("a file of the test");
+        let bytes = std::fs::read(self.0.join(name)).expect("the file can be read");
         String::from_utf8_lossy(&bytes).into_owned()
     }
 }
@@ -47,16 +47,17 @@
     }
 }
 
-/// A running process; dropping it kills it.
+/// A child process, killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// First line it printed.
+    /// First line of its standard output.
     pub first_line: String,
 }
 
 impl Process {
-    /// Starts the program and waits for its first line, which tells where it listens.
+    /// Starts the program and waits for its first line, which gives its addresses. Standard error
+    /// goes to the file `log` if there is one.
     pub fn start(args: &[&str], log: Option<&Path>) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_chiveway"));
         command
@@ -65,7 +66,7 @@
             .stdout(Stdio::piped());
         match log {
             Some(path) => {
-                let file = std::fs::File::create(path).expect("a log file");
+                let file = std::fs::File::create(path).expect("the log file can be created");
                 command.stderr(file);
             }
             None => {
@@ -77,16 +78,16 @@
         let mut line = String::new();
         BufReader::new(stdout)
             .read_line(&mut line)
-            .expect("the program says where it listens");
+            .expect("the program prints its addresses");
         Self {
             child,
             first_line: line,
         }
     }
 
-    /// Starts the program with its standard output in a file, and waits for its first line there.
+    /// Starts the program with standard output to a file, and waits for its first line there.
     pub fn start_with_stdout(args: &[&str], log: &Path) -> Self {
-        let file = std::fs::File::create(log).expect("a log file");
+        let file = std::fs::File::create(log).expect("the log file can be created");
         let mut command = Command::new(env!("CARGO_BIN_EXE_chiveway"));
         let command = command.args(args).stdin(Stdio::null());
         let child = command.stdout(file).stderr(Stdio::null()).spawn();
@@ -94,7 +95,7 @@
             child: child.expect("the program starts"),
             first_line: String::new(),
         };
-        wait_for("the program says where it listens", || {
+        wait_for("the program prints its addresses", || {
             let text = std::fs::read_to_string(log).unwrap_or_default();
             let line = text.split_inclusive('\n').next().unwrap_or_default();
             line.clone_into(&mut process.first_line);
@@ -103,66 +104,66 @@
         process
     }
 
-    /// Returns the address after `word` in the first line.
-    pub fn addr(&self, word: &str) -> SocketAddr {
+    /// Returns the address after `label` in the first line.
+    pub fn addr(&self, label: &str) -> SocketAddr {
         let mut words = self
             .first_line
             .split_whitespace()
-            .skip_while(|w| *w != word);
+            .skip_while(|word| *word != label);
         let addr = words.nth(1).map(|addr| addr.trim_end_matches(','));
         addr.and_then(|addr| addr.parse().ok())
-            .unwrap_or_else(|| panic!("no address after {word} in {:?}", self.first_line))
+            .unwrap_or_else(|| panic!("no address after {label} in {:?}", self.first_line))
     }
 
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns whether the process has ended by itself or was killed.
+    /// Returns whether the process has exited or was killed.
     pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().is_ok_and(|status| status.is_some())
     }
 
     fn signal(&self, signal: Signal) {
-        let pid = i32::try_from(self.child.id()).expect("a process id");
-        let pid = Pid::from_raw(pid).expect("a process id");
-        kill_process(pid, signal).expect("the process takes the signal");
+        let pid = i32::try_from(self.child.id()).expect("the process id fits an i32");
+        let pid = Pid::from_raw(pid).expect("the process id is not zero");
+        kill_process(pid, signal).expect("the process can be signalled");
     }
 
-    /// Suspends the process.
+    /// Suspends the process with SIGSTOP.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a suspended process go on.
+    /// Resumes a suspended process with SIGCONT.
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks for a planned stop.
+    /// Requests a planned stop with SIGTERM.
     pub fn term(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Asks it to read its settings again.
+    /// Requests a reload of the settings with SIGHUP.
     pub fn hup(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Kills the process and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process exits by itself.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_for("the process ends", || {
-            status = self.child.try_wait().expect("the process can be asked");
+        wait_for("the process exits", || {
+            status = self.child.try_wait().expect("the process can be polled");
             status.is_some()
         });
-        status.expect("waited for")
+        status.expect("the process has exited")
     }
 }
 
--- a/tests/fleet/support/proxy.rs
+++ b/tests/fleet/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A small fake of the network between two processes: passes bytes on, or loses track of them.
+//! A TCP proxy between two processes that injects network faults.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,135 +7,141 @@
 use std::thread;
 use std::time::Duration;
 
-const PASS: u8 = 0;
-const SILENT: u8 = 1;
-const REFUSE: u8 = 2;
-/// What goes to the target passes, what comes back does not.
-const ONE_WAY: u8 = 3;
-/// Everything passes late.
-const DELAY: u8 = 4;
+/// Forwards all bytes.
+const MODE_PASS: u8 = 0;
+/// Holds all bytes back.
+const MODE_SILENT: u8 = 1;
+/// Closes connections.
+const MODE_REFUSE: u8 = 2;
+/// Forwards bytes to the target and holds back its replies.
+const MODE_ONE_WAY: u8 = 3;
+/// Delays all bytes.
+const MODE_DELAY: u8 = 4;
 
-/// Delay of each piece.
-const LATE: Duration = Duration::from_millis(60);
+/// Delay of each read in [`MODE_DELAY`].
+const FORWARD_DELAY: Duration = Duration::from_millis(60);
 
-/// Time between two looks at the switch.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time between two checks of the mode.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A forwarder in front of one address.
+/// A proxy in front of one address.
 #[derive(Debug, Clone)]
 pub struct FaultProxy {
-    /// Where to connect instead of the address behind it.
+    /// The address to connect to in place of the target's.
     pub addr: SocketAddr,
     state: Arc<AtomicU8>,
-    /// Grows with each time that all open connections are closed.
+    /// Number of times that all open connections were closed.
     resets: Arc<AtomicU32>,
 }
 
-/// The switches of one forwarder, as its connections see them.
+/// The proxy's mode as one connection sees it.
 #[derive(Debug, Clone)]
-struct Switch {
+struct ConnectionMode {
     state: Arc<AtomicU8>,
     resets: Arc<AtomicU32>,
-    /// Resets that had been when the connection was opened.
-    born: u32,
+    /// Value of `resets` when the connection was opened.
+    resets_at_open: u32,
 }
 
-impl Switch {
+impl ConnectionMode {
     fn state(&self) -> u8 {
-        if self.resets.load(Ordering::SeqCst) == self.born {
+        if self.resets.load(Ordering::SeqCst) == self.resets_at_open {
             self.state.load(Ordering::SeqCst)
         } else {
-            REFUSE
+            MODE_REFUSE
         }
     }
 
-    /// Waits while bytes that way are held back.
-    fn wait(&self, back: bool) {
-        while matches!((self.state(), back), (SILENT, _) | (ONE_WAY, true)) {
-            thread::sleep(LOOK);
+    /// Waits while bytes in this direction are held back; `reply` is the direction from the target.
+    fn wait(&self, reply: bool) {
+        while matches!(
+            (self.state(), reply),
+            (MODE_SILENT, _) | (MODE_ONE_WAY, true)
+        ) {
+            thread::sleep(POLL_INTERVAL);
         }
-        if self.state() == DELAY {
-            thread::sleep(LATE);
+        if self.state() == MODE_DELAY {
+            thread::sleep(FORWARD_DELAY);
         }
     }
 }
 
 impl FaultProxy {
-    /// Puts a forwarder in front of `target`.
+    /// Starts a proxy in front of `target`.
     pub fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback can be bound");
         let addr = listener.local_addr().expect("an address");
-        let state = Arc::new(AtomicU8::new(PASS));
+        let state = Arc::new(AtomicU8::new(MODE_PASS));
         let resets = Arc::new(AtomicU32::new(0));
-        let cut = Self {
+        let proxy = Self {
             addr,
             state,
             resets,
         };
-        let shared = cut.clone();
+        let shared = proxy.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let switch = Switch {
+                let mode = ConnectionMode {
                     state: Arc::clone(&shared.state),
                     resets: Arc::clone(&shared.resets),
-                    born: shared.resets.load(Ordering::SeqCst),
+                    resets_at_open: shared.resets.load(Ordering::SeqCst),
                 };
-                thread::spawn(move || join(stream, target, &switch));
+                thread::spawn(move || forward(stream, target, &mode));
             }
         });
-        cut
+        proxy
     }
 
-    /// Holds back what comes from the target.
+    /// Holds back all bytes from the target.
     pub fn block_replies(&self) {
-        self.state.store(ONE_WAY, Ordering::SeqCst);
+        self.state.store(MODE_ONE_WAY, Ordering::SeqCst);
     }
 
-    /// Passes everything on late.
+    /// Delays all bytes.
     pub fn delay(&self) {
-        self.state.store(DELAY, Ordering::SeqCst);
+        self.state.store(MODE_DELAY, Ordering::SeqCst);
     }
 
-    /// Closes all open connections; new ones work.
+    /// Closes all open connections; new ones are forwarded.
     pub fn reset(&self) {
         self.resets.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Passes everything on; what was held back meanwhile goes too.
+    /// Forwards everything again, including the bytes that were held back.
     pub fn restore(&self) {
-        self.state.store(PASS, Ordering::SeqCst);
+        self.state.store(MODE_PASS, Ordering::SeqCst);
     }
 
-    /// Holds everything back, on open and new connections, without closing any.
+    /// Holds all bytes back on open and new connections, without closing any.
     pub fn silence(&self) {
-        self.state.store(SILENT, Ordering::SeqCst);
+        self.state.store(MODE_SILENT, Ordering::SeqCst);
     }
 
     /// Closes open connections and refuses new ones.
     pub fn refuse(&self) {
-        self.state.store(REFUSE, Ordering::SeqCst);
+        self.state.store(MODE_REFUSE, Ordering::SeqCst);
     }
 }
 
-fn join(stream: TcpStream, target: SocketAddr, switch: &Switch) {
-    if switch.state() == REFUSE {
+fn forward(stream: TcpStream, target: SocketAddr, mode: &ConnectionMode) {
+    if mode.state() == MODE_REFUSE {
         return;
     }
-    switch.wait(false);
-    let Ok(other) = TcpStream::connect(target) else {
+    mode.wait(false);
+    let Ok(upstream) = TcpStream::connect(target) else {
         return;
     };
-    let (Ok(from), Ok(to)) = (stream.try_clone(), other.try_clone()) else {
+    let (Ok(from), Ok(to)) = (stream.try_clone(), upstream.try_clone()) else {
         return;
     };
-    let there = switch.clone();
-    let up = thread::spawn(move || pump(from, to, &there, false));
-    pump(other, stream, switch, true);
-    drop(up.join());
+    let request_mode = mode.clone();
+    let requests = thread::spawn(move || copy_bytes(from, to, &request_mode, false));
+    copy_bytes(upstream, stream, mode, true);
+    drop(requests.join());
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, switch: &Switch, back: bool) {
-    drop(from.set_read_timeout(Some(LOOK)));
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, mode: &ConnectionMode, reply: bool) {
+    drop(from.set_read_timeout(Some(POLL_INTERVAL)));
     let mut buffer = [0; 16 * 1024];
     loop {
         let read = match from.read(&mut buffer) {
@@ -145,8 +151,8 @@
             Err(err) if err.kind() == std::io::ErrorKind::TimedOut => 0,
             Err(_) => break,
         };
-        switch.wait(back);
-        if switch.state() == REFUSE || to.write_all(&buffer[..read]).is_err() {
+        mode.wait(reply);
+        if mode.state() == MODE_REFUSE || to.write_all(&buffer[..read]).is_err() {
             break;
         }
     }
