--- a/tests/fleet/drain.rs
+++ b/tests/fleet/drain.rs
@@ -1,4 +1,5 @@
-//! Back ends that leave: no new work from any host, and nothing that runs is cut.
+//! Draining of backend servers: they get no new requests from any host, and running requests
+//! finish.
 
 use serde_json::json;
 
@@ -8,10 +9,10 @@
     Fleet, FleetConfig, MODEL, call_service, complete, open_completion, wait_for,
 };
 
-/// Returns the attempts that an engine's log names for a prompt.
-fn runs(fleet: &Fleet, engine: usize, prompt: &str) -> usize {
-    let engine = fleet.engines().nth(engine).expect("an engine");
-    let log = send(engine.addr, "GET", "/log", &[], &[]).expect("the stand-in answers");
+/// Returns the number of attempts with a prompt in an engine's log.
+fn attempts(fleet: &Fleet, engine: usize, prompt: &str) -> usize {
+    let engine = fleet.engines().nth(engine).expect("the engine exists");
+    let log = send(engine.addr, "GET", "/log", &[], &[]).expect("the stand-in responds");
     let hash = blake3::hash(prompt.as_bytes()).to_hex();
     let log = log.json();
     let runs = log["runs"].as_array().into_iter().flatten();
@@ -19,18 +20,18 @@
         .count()
 }
 
-fn listed(fleet: &Fleet, host: usize, name: &str) -> String {
+fn listing_state(fleet: &Fleet, host: usize, name: &str) -> String {
     let status = fleet.status(host);
     let backends = status["backends"].as_array().cloned().unwrap_or_default();
-    let one = backends.iter().find(|one| one["name"] == name);
-    one.map_or("gone".into(), |one| {
-        one["listed"].as_str().unwrap_or_default().into()
+    let backend = backends.iter().find(|backend| backend["name"] == name);
+    backend.map_or("gone".into(), |backend| {
+        backend["listed"].as_str().unwrap_or_default().into()
     })
 }
 
-/// The platform's list calls an engine and a service leaving, late; one host is cut off from the
-/// list and learns it from its peers. A caller's running answer is whole, and nobody's new
-/// request goes there.
+/// The platform's list marks an engine and a service as leaving. One host cannot reach the list
+/// and must learn it from its peers. No host may send them new requests, and running answers must
+/// be complete.
 #[test]
 fn leaving_backend_gets_no_new_work_and_finishes_running() {
     let mut fleet = Fleet::start(FleetConfig {
@@ -39,22 +40,22 @@
         engine_args: vec!["--decode-cost".into(), "5ms".into()],
         ..FleetConfig::default()
     });
-    // It takes effect at once, and the list it then gives may be empty for as long as it lags.
+    // The lag applies at once; until it has passed, the served list may be empty.
     fleet.inject_kv_fault(&json!({"lag_ms": 300}));
-    let list = FaultProxy::start(fleet.kv_addr);
-    let own = format!("list = {}", fleet.kv_addr);
-    let text = fleet.settings("host-3");
-    let text = text.replace(&own, &format!("list = {}", list.addr));
-    fleet.add_host_with("host-3", &text);
+    let list_proxy = FaultProxy::start(fleet.kv_addr);
+    let direct = format!("list = {}", fleet.kv_addr);
+    let settings = fleet.settings("host-3");
+    let settings = settings.replace(&direct, &format!("list = {}", list_proxy.addr));
+    fleet.add_host_with("host-3", &settings);
     fleet.wait_until_ready(2);
 
     let prompt = "a long briefing";
     let running: Vec<_> = (0..6)
-        .map(|at| open_completion(fleet.hosts[at % 3].callers, prompt, 300, true))
+        .map(|index| open_completion(fleet.hosts[index % 3].callers, prompt, 300, true))
         .map(|answer| answer.expect("the host answers"))
         .collect();
 
-    list.refuse();
+    list_proxy.refuse();
     fleet.publish_listing(|name| {
         if name.ends_with("-1") {
             "leaving"
@@ -64,42 +65,45 @@
     });
     for host in 0..3 {
         for name in ["raadgiver-1", "fristportal-1"] {
-            wait_for("the host knows that it is leaving", || {
-                listed(&fleet, host, name) == "leaving"
+            wait_for("the host lists the backend server as leaving", || {
+                listing_state(&fleet, host, name) == "leaving"
             });
         }
     }
-    for (at, host) in fleet.hosts.iter().enumerate() {
-        for turn in 0..5 {
-            let text = format!("a clause {at} {turn}");
-            let answer = complete(host.callers, &text, 5, false).expect("an answer");
+    for (index, host) in fleet.hosts.iter().enumerate() {
+        for round in 0..5 {
+            let text = format!("a clause {index} {round}");
+            let answer = complete(host.callers, &text, 5, false).expect("the host answers");
             assert_eq!(answer.status, 200, "{}", answer.text());
-            assert_eq!((runs(&fleet, 0, &text), runs(&fleet, 1, &text)), (0, 1));
-            let key = format!("key {at} {turn}");
+            assert_eq!(
+                (attempts(&fleet, 0, &text), attempts(&fleet, 1, &text)),
+                (0, 1)
+            );
+            let key = format!("key {index} {round}");
             let answer = call_service(host.callers, "POST", "/extensions", &key, "{}");
             assert_eq!(answer.map(|answer| answer.status), Some(200));
         }
     }
-    let leaving = fleet.services().next().expect("a service");
-    let counts = send(leaving.addr, "GET", "/counts", &[], &[]).expect("the stand-in answers");
+    let leaving = fleet.services().next().expect("the service exists");
+    let counts = send(leaving.addr, "GET", "/counts", &[], &[]).expect("the stand-in responds");
     assert_eq!(counts.json(), json!({}));
 
-    let wanted = chiveway::standin::engine::expected(MODEL, prompt, 300);
+    let expected = chiveway::standin::engine::expected(MODEL, prompt, 300);
     for answer in running {
         let answer = answer.rest();
         assert_eq!(
             chiveway::trial::stream_text(&answer.body),
-            Some(wanted.clone())
+            Some(expected.clone())
         );
     }
     assert!(
-        runs(&fleet, 0, prompt) > 0,
-        "nothing ran on the leaving engine"
+        attempts(&fleet, 0, prompt) > 0,
+        "no request ran at the leaving engine"
     );
 }
 
-/// The list no longer names an engine at all. It gets no new work either, and its running answer
-/// is whole.
+/// The platform's list no longer names an engine. The host must send it no new requests, and
+/// running answers must be complete.
 #[test]
 fn delisted_backend_gets_no_new_work_and_finishes_running() {
     let fleet = Fleet::start(FleetConfig {
@@ -115,19 +119,19 @@
         .map(|answer| answer.expect("the host answers"))
         .collect();
     fleet.publish_listing(|name| if name.ends_with("-1") { "gone" } else { "live" });
-    wait_for("the host knows that it is gone", || {
-        listed(&fleet, 0, "raadgiver-1") != "serving"
+    wait_for("the host no longer lists the engine as serving", || {
+        listing_state(&fleet, 0, "raadgiver-1") != "serving"
     });
     let text = "a clause";
-    let answer = complete(fleet.hosts[0].callers, text, 5, false).expect("an answer");
+    let answer = complete(fleet.hosts[0].callers, text, 5, false).expect("the host answers");
     assert_eq!(answer.status, 200);
-    assert_eq!(runs(&fleet, 0, text), 0);
-    let wanted = chiveway::standin::engine::expected(MODEL, prompt, 200);
+    assert_eq!(attempts(&fleet, 0, text), 0);
+    let expected = chiveway::standin::engine::expected(MODEL, prompt, 200);
     for answer in running {
         let answer = answer.rest();
         assert_eq!(
             chiveway::trial::stream_text(&answer.body),
-            Some(wanted.clone())
+            Some(expected.clone())
         );
     }
 }
--- a/tests/fleet/end_to_end.rs
+++ b/tests/fleet/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path through separate processes.
+//! End-to-end requests through separate processes.
 
 use std::process::Command;
 
@@ -13,19 +13,21 @@
     wait_for,
 };
 
-/// Everything works: a streamed and a collected answer, a call of the service, and each is
-/// explained by a host that did not serve it.
+/// A streamed completion, an unstreamed one and a call of the service must succeed, and another
+/// host must be able to explain each of them.
 #[test]
 fn requests_are_explained_by_another_host() {
     let fleet = Fleet::start(FleetConfig::default());
-    let wanted = expected(MODEL, "a clause", 40);
+    let completion = expected(MODEL, "a clause", 40);
 
-    let streamed = complete(fleet.hosts[0].callers, "a clause", 40, true).expect("an answer");
+    let streamed =
+        complete(fleet.hosts[0].callers, "a clause", 40, true).expect("the host answers");
     assert_eq!(streamed.status, 200, "{}", streamed.text());
-    assert_eq!(stream_text(&streamed.body), Some(wanted.clone()));
+    assert_eq!(stream_text(&streamed.body), Some(completion.clone()));
 
-    let collected = complete(fleet.hosts[1].callers, "a clause", 40, false).expect("an answer");
-    assert_eq!(collected.json()["choices"][0]["text"], wanted.as_str());
+    let unstreamed =
+        complete(fleet.hosts[1].callers, "a clause", 40, false).expect("the host answers");
+    assert_eq!(unstreamed.json()["choices"][0]["text"], completion.as_str());
 
     let called = call_service(fleet.hosts[2].callers, "POST", "/extensions", "k-1", "{}");
     assert_eq!(called.as_ref().map(|answer| answer.status), Some(200));
@@ -33,18 +35,18 @@
 
     for (answer, other) in [
         (streamed, 2),
-        (collected, 0),
-        (called.expect("an answer"), 1),
+        (unstreamed, 0),
+        (called.expect("the host answers"), 1),
     ] {
         let id = answer.id();
-        wait_for("the record is at another host", || {
+        wait_for("another host explains the request", || {
             let record = fleet.explain(other, &id);
             record["outcome"] == "answered" && record["customer"] == CUSTOMER
         });
     }
 }
 
-/// The one command of the README's first page, on a machine with nothing else set up.
+/// The README's `try --once` must work on a machine without further setup.
 #[test]
 fn trial_command_succeeds() {
     let output = Command::new(env!("CARGO_BIN_EXE_chiveway"))
@@ -56,15 +58,15 @@
     assert_eq!(text.matches("Explained by host-3").count(), 2, "{text}");
 }
 
-/// The users' hosts forbid `io_uring`; a library that falls back to it would open a ring.
+/// Users' machines forbid `io_uring`, so a library that opens a ring would fail there.
 #[test]
 fn host_opens_no_io_uring() {
     let fleet = Fleet::start(FleetConfig::default());
-    let answer = complete(fleet.hosts[0].callers, "a clause", 4, true).expect("an answer");
+    let answer = complete(fleet.hosts[0].callers, "a clause", 4, true).expect("the host answers");
     assert_eq!(answer.status, 200);
-    let folder = format!("/proc/{}/fd", fleet.hosts[0].process.id());
-    let targets: Vec<String> = std::fs::read_dir(folder)
-        .expect("the process can be looked at")
+    let dir = format!("/proc/{}/fd", fleet.hosts[0].process.id());
+    let targets: Vec<String> = std::fs::read_dir(dir)
+        .expect("the process's descriptors can be read")
         .filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok())
         .map(|target| target.to_string_lossy().into_owned())
         .collect();
@@ -75,7 +77,7 @@
     );
 }
 
-/// Client libraries of the usual kind ask for the models first and then chat.
+/// Common client libraries list the models first and then request chat completions.
 #[test]
 fn models_are_listed_and_chats_are_answered() {
     let fleet = Fleet::start(FleetConfig::default());
@@ -83,10 +85,10 @@
     let auth = format!("Bearer {CUSTOMER_KEY}");
     let headers = [("authorization", auth.as_str())];
 
-    let models = send(host.callers, "GET", "/v1/models", &headers, &[]).expect("an answer");
+    let models = send(host.callers, "GET", "/v1/models", &headers, &[]).expect("the host answers");
     assert_eq!(models.json()["data"][0]["id"], MODEL);
 
-    let wanted = expected(MODEL, "user: Hvad mangler vi?\n", 12);
+    let completion = expected(MODEL, "user: Hvad mangler vi?\n", 12);
     for stream in [true, false] {
         let body = json!({
             "model": MODEL,
@@ -97,24 +99,27 @@
         let body = body.to_string();
         let path = "/v1/chat/completions";
         let answer = send(host.callers, "POST", path, &headers, body.as_bytes());
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("the host answers");
         assert_eq!(answer.status, 200, "{}", answer.text());
         let text = if stream {
-            stream_text(&answer.body).expect("an end marker")
+            stream_text(&answer.body).expect("the stream has an end marker")
         } else {
             let text = &answer.json()["choices"][0]["message"]["content"];
             text.as_str().unwrap_or_default().to_owned()
         };
-        assert_eq!(text, wanted);
+        assert_eq!(text, completion);
     }
 }
 
-/// A request leaves its traces in the histograms that operators look at.
+/// A served request must appear in the metrics that operators watch.
 #[test]
 fn metrics_include_a_served_request() {
     let fleet = Fleet::start(FleetConfig::default());
-    complete(fleet.hosts[0].callers, "a clause", 4, true).expect("an answer");
-    let metrics = fleet.get_operator(0, "/metrics").expect("an answer").text();
+    complete(fleet.hosts[0].callers, "a clause", 4, true).expect("the host answers");
+    let metrics = fleet
+        .get_operator(0, "/metrics")
+        .expect("the host answers")
+        .text();
     for name in [
         "chiveway_first_token_seconds_count",
         "chiveway_between_tokens_seconds_count",
--- a/tests/fleet/outage.rs
+++ b/tests/fleet/outage.rs
@@ -1,4 +1,4 @@
-//! Outages of the key-value service: what goes on, what stops, what a caller sees, and the return.
+//! Outages of the key-value service: what hosts still serve, what they refuse, and recovery.
 
 use serde_json::{Value, json};
 
@@ -7,13 +7,13 @@
     CUSTOMER_KEY, Fleet, FleetConfig, OPERATOR_KEY, call_service, complete, service_runs, wait_for,
 };
 
-/// Puts a list on top of a revision.
-fn put(fleet: &Fleet, at: usize, base: u64, text: &str) -> Option<Answer> {
+/// Uploads the list of plans at a host, on condition that the current revision is `revision`.
+fn put_plans(fleet: &Fleet, host: usize, revision: u64, text: &str) -> Option<Answer> {
     let auth = format!("Bearer {OPERATOR_KEY}");
-    let base = format!("\"{base}\"");
-    let headers = [("authorization", auth.as_str()), ("if-match", &base)];
+    let tag = format!("\"{revision}\"");
+    let headers = [("authorization", auth.as_str()), ("if-match", &tag)];
     send(
-        fleet.hosts[at].operators,
+        fleet.hosts[host].operators,
         "PUT",
         "/lists/plans",
         &headers,
@@ -26,58 +26,65 @@
     format!("[customer {customer}]\nplan = medlem\nkeys = {key}\n")
 }
 
-fn store_state(fleet: &Fleet, at: usize, state: &str) -> bool {
-    fleet.status(at)["store"] == state
+fn store_state(fleet: &Fleet, host: usize, state: &str) -> bool {
+    fleet.status(host)["store"] == state
 }
 
-fn fault(fleet: &Fleet, switches: &Value) {
-    fleet.inject_kv_fault(switches);
+fn inject(fleet: &Fleet, fault: &Value) {
+    fleet.inject_kv_fault(fault);
 }
 
-/// Waits until every host has seen that the service is gone.
-fn wait_down(fleet: &Fleet) {
-    wait_for("every host misses the service", || {
-        (0..fleet.hosts.len()).all(|at| store_state(fleet, at, "down"))
+/// Waits until every host reports that the service is down.
+fn wait_until_down(fleet: &Fleet) {
+    wait_for("every host reports the store as down", || {
+        (0..fleet.hosts.len()).all(|host| store_state(fleet, host, "down"))
     });
 }
 
-fn wait_up(fleet: &Fleet) {
-    wait_for("every host has the service again", || {
+fn wait_until_up(fleet: &Fleet) {
+    wait_for("every host is ready and reports the store as up", || {
         (0..fleet.hosts.len())
-            .all(|at| store_state(fleet, at, "up") && fleet.status(at)["ready"] == true)
+            .all(|host| store_state(fleet, host, "up") && fleet.status(host)["ready"] == true)
     });
 }
 
-/// The service goes down, by refusing or by falling silent. Completions and calls that may repeat
-/// go on; a filing is refused at once, as not run, with a time to come back; an edit is refused.
-/// On return everything works again, also the filing that was refused.
-fn goes_on(down: &Value) {
+/// The service answers 503 to every call, or not at all. Completions and retryable calls must
+/// still be served. Calls that may not be retried must be refused at once as not run, with a
+/// `retry-after`, and edits must be refused. After recovery the refused calls must run once.
+fn check_outage(down: &Value) {
     let fleet = Fleet::start(FleetConfig::default());
-    fault(&fleet, &json!({"down": down}));
-    wait_down(&fleet);
-    for at in 0..3 {
-        let host = &fleet.hosts[at];
-        let answer = complete(host.callers, "a clause", 10, true).expect("an answer");
+    inject(&fleet, &json!({"down": down}));
+    wait_until_down(&fleet);
+    for index in 0..3 {
+        let host = &fleet.hosts[index];
+        let answer = complete(host.callers, "a clause", 10, true).expect("the host answers");
         assert_eq!(answer.status, 200, "{}", answer.text());
-        let read = call_service(host.callers, "GET", "/deadlines", "", "").expect("an answer");
-        assert_eq!(read.status, 200, "{}", read.text());
-        let key = format!("filing-{at}");
-        let filing =
-            call_service(host.callers, "POST", "/extensions", &key, "{}").expect("an answer");
-        assert_eq!(filing.status, 503, "{}", filing.text());
-        assert_eq!(filing.json()["ran"], "no");
-        assert!(filing.header("retry-after").is_some());
+        let retryable =
+            call_service(host.callers, "GET", "/deadlines", "", "").expect("the host answers");
+        assert_eq!(retryable.status, 200, "{}", retryable.text());
+        let key = format!("filing-{index}");
+        let refused = call_service(host.callers, "POST", "/extensions", &key, "{}")
+            .expect("the host answers");
+        assert_eq!(refused.status, 503, "{}", refused.text());
+        assert_eq!(refused.json()["ran"], "no");
+        assert!(refused.header("retry-after").is_some());
         assert_eq!(service_runs(&fleet, &key), 0);
     }
-    let edit = put(&fleet, 0, 2, &plans("Another", "other-key")).expect("an answer");
+    let edit = put_plans(&fleet, 0, 2, &plans("Another", "other-key")).expect("the host answers");
     assert!(edit.status >= 500, "{} {}", edit.status, edit.text());
-    fault(&fleet, &json!({"down": false}));
-    wait_up(&fleet);
-    for at in 0..3 {
-        let key = format!("filing-{at}");
-        wait_for("the filing is taken", || {
-            call_service(fleet.hosts[at].callers, "POST", "/extensions", &key, "{}")
-                .is_some_and(|answer| answer.status == 200)
+    inject(&fleet, &json!({"down": false}));
+    wait_until_up(&fleet);
+    for index in 0..3 {
+        let key = format!("filing-{index}");
+        wait_for("the call is accepted", || {
+            call_service(
+                fleet.hosts[index].callers,
+                "POST",
+                "/extensions",
+                &key,
+                "{}",
+            )
+            .is_some_and(|answer| answer.status == 200)
         });
         assert_eq!(service_runs(&fleet, &key), 1);
     }
@@ -87,104 +94,111 @@
     ($($name:ident: $down:expr;)+) => {
         $(#[test]
         fn $name() {
-            goes_on(&json!($down));
+            check_outage(&json!($down));
         })+
     };
 }
 
 outages! {
-    store_refuses_connections: "refuse";
+    store_answers_503: "refuse";
     store_hangs: "hang";
 }
 
-/// A host starts while the service is down. It knows neither lists nor peers, and must not look
-/// ready: the balancer would send it callers that it can only turn away.
+/// A host starts while the service is down and has neither lists nor peers. If it reported ready,
+/// the load balancer would send it requests that it can only refuse.
 #[test]
 fn host_started_during_store_outage_is_not_ready() {
     let mut fleet = Fleet::start(FleetConfig::default());
-    fault(&fleet, &json!({"down": "refuse"}));
-    wait_down(&fleet);
+    inject(&fleet, &json!({"down": "refuse"}));
+    wait_until_down(&fleet);
     fleet.add_host("host-4");
     wait_for("the new host answers", || {
         fleet.get_operator(3, "/status").is_some()
     });
-    let ready = fleet.get_operator(3, "/readyz").expect("an answer");
+    let ready = fleet.get_operator(3, "/readyz").expect("the host answers");
     assert_eq!(ready.status, 503);
     assert_eq!(fleet.status(3)["revision"], 0);
-    let early = complete(fleet.hosts[3].callers, "a clause", 5, false).expect("an answer");
+    let early = complete(fleet.hosts[3].callers, "a clause", 5, false).expect("the host answers");
     assert_ne!(early.status, 200);
-    fault(&fleet, &json!({"down": false}));
-    wait_up(&fleet);
+    inject(&fleet, &json!({"down": false}));
+    wait_until_up(&fleet);
     assert_eq!(fleet.status(3)["revision"], 2);
-    // Leases that lapsed meanwhile are taken anew, and shares settle again: until then a caller is
-    // told when to come back.
+    // Until expired leases are renewed and shares are lent again, requests are refused with a
+    // `retry-after`.
     wait_for("the new host serves", || {
-        let answer = complete(fleet.hosts[3].callers, "a clause", 5, false).expect("an answer");
-        let waits = answer.status == 429 && answer.header("retry-after").is_some();
-        assert!(waits || answer.status == 200, "{}", answer.text());
+        let answer =
+            complete(fleet.hosts[3].callers, "a clause", 5, false).expect("the host answers");
+        let throttled = answer.status == 429 && answer.header("retry-after").is_some();
+        assert!(throttled || answer.status == 200, "{}", answer.text());
         answer.status == 200
     });
 }
 
-/// Every watch open now falls silent for good while the service works. An edit must be in force
-/// everywhere all the same, and a customer that lost access must be refused everywhere.
+/// All open watches of the service stop delivering while its other calls work. An edit must still
+/// reach every host, else a customer without access would still be served.
 #[test]
 fn edit_reaches_hosts_with_frozen_watches() {
     let fleet = Fleet::start(FleetConfig::default());
-    fault(&fleet, &json!({"freeze_watches": true}));
-    let edit = put(&fleet, 0, 2, &plans("Another", "other-key")).expect("an answer");
+    inject(&fleet, &json!({"freeze_watches": true}));
+    let edit = put_plans(&fleet, 0, 2, &plans("Another", "other-key")).expect("the host answers");
     assert_eq!(edit.status, 200, "{}", edit.text());
-    wait_for("the edit is in force everywhere", || {
-        let force = fleet.get_operator(0, "/lists/force?revision=3");
-        force.is_some_and(|answer| answer.json()["missing"] == json!([]))
+    wait_for("every host has the edit in force", || {
+        let in_force = fleet.get_operator(0, "/lists/force?revision=3");
+        in_force.is_some_and(|answer| answer.json()["missing"] == json!([]))
     });
     for host in &fleet.hosts {
-        let answer = complete(host.callers, "a clause", 5, false).expect("an answer");
+        let answer = complete(host.callers, "a clause", 5, false).expect("the host answers");
         assert_eq!(
             answer.status, 401,
-            "{} still lets {CUSTOMER_KEY} in",
+            "{} still accepts {CUSTOMER_KEY}",
             host.name
         );
     }
 }
 
-/// The service is slow. Completions do not wait for it, and nobody is registered anew.
+/// Each answer of the service is delayed by 300 ms. Completions and edits must still succeed.
 #[test]
 fn slow_store_fails_no_completion() {
     let fleet = Fleet::start(FleetConfig::default());
-    fault(&fleet, &json!({"slow_ms": 300}));
-    for at in [0, 1, 2, 0, 1, 2] {
-        let answer = complete(fleet.hosts[at].callers, "a clause", 10, false).expect("an answer");
+    inject(&fleet, &json!({"slow_ms": 300}));
+    for host in [0, 1, 2, 0, 1, 2] {
+        let answer =
+            complete(fleet.hosts[host].callers, "a clause", 10, false).expect("the host answers");
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
-    let edit = put(&fleet, 1, 2, &plans("Another", "other-key")).expect("an answer");
+    let edit = put_plans(&fleet, 1, 2, &plans("Another", "other-key")).expect("the host answers");
     assert_eq!(edit.status, 200, "{}", edit.text());
 }
 
-/// All hosts lose the service at the same moment and find it again at the same moment. The calls
-/// they make on return are counted: they must fit the budget of the service.
+/// All hosts lose the service and reconnect at the same moment. If they all called it at once,
+/// they could overload it again: the calls in any second must stay within a budget.
 #[test]
 fn store_recovery_stays_within_call_budget() {
     let fleet = Fleet::start(FleetConfig {
         hosts: 4,
         ..FleetConfig::default()
     });
-    fault(&fleet, &json!({"down": "refuse"}));
-    wait_down(&fleet);
+    inject(&fleet, &json!({"down": "refuse"}));
+    wait_until_down(&fleet);
     let reset = send(fleet.kv_addr, "POST", "/calls/reset", &[], &[]);
     assert!(reset.is_some_and(|answer| answer.status < 300));
-    fault(&fleet, &json!({"down": false}));
-    wait_up(&fleet);
+    inject(&fleet, &json!({"down": false}));
+    wait_until_up(&fleet);
     wait_for("every host has renewed its lease twice", || {
         fleet.kv_calls()["keepalive"].as_u64() >= Some(2 * fleet.hosts.len() as u64)
     });
     let calls = fleet.kv_calls();
-    println!("calls on return: {calls}");
-    let busiest = calls["busiest_second"].as_u64().expect("a count");
-    assert!(busiest <= CALLS * fleet.hosts.len() as u64, "{calls}");
+    println!("calls after recovery: {calls}");
+    let busiest = calls["busiest_second"]
+        .as_u64()
+        .expect("the count is a number");
+    assert!(
+        busiest <= MAX_CALLS_PER_SECOND * fleet.hosts.len() as u64,
+        "{calls}"
+    );
 }
 
-/// Calls that one host may make in a second: the list five times, as these settings ask, its
-/// lease, watch and registration, and the holder's keys. At 370 hosts that read the list once a
-/// second the same return is five calls a host over five seconds of jitter, 370 a second.
-const CALLS: u64 = 8;
+/// Bound of one host's calls in a second: five reads of the list, due to the `refresh` of these
+/// tests, and the lease, watch, registration and holder's keys. 370 hosts that read the list once
+/// a second make five calls each after an outage, over five seconds of jitter: 370 a second.
+const MAX_CALLS_PER_SECOND: u64 = 8;
--- a/tests/fleet/shares.rs
+++ b/tests/fleet/shares.rs
@@ -1,4 +1,4 @@
-//! One share over all hosts, through real processes.
+//! One customer's share, enforced by all hosts together.
 
 use std::thread;
 use std::time::Instant;
@@ -6,9 +6,10 @@
 use crate::support::http::send;
 use crate::support::{CUSTOMER_KEY, Fleet, FleetConfig, MODEL, SERVICE, call_service, wait_for};
 
-const RATE: f64 = 40.0;
+/// Requests per second in the share of these tests.
+const SHARE_PER_SECOND: f64 = 40.0;
 
-fn plan(hosts: usize) -> FleetConfig {
+fn config(hosts: usize) -> FleetConfig {
     FleetConfig {
         hosts,
         use_list: format!(
@@ -19,72 +20,79 @@
     }
 }
 
-/// Asks a host `count` times, one after the other; returns how many were let in.
-fn ask(fleet: &Fleet, at: usize, count: usize) -> usize {
+/// Sends `count` calls to a host, one after the other; returns how many were admitted.
+fn count_admitted(fleet: &Fleet, host: usize, count: usize) -> usize {
     let answers =
-        (0..count).map(|_| call_service(fleet.hosts[at].callers, "GET", "/deadlines", "", ""));
+        (0..count).map(|_| call_service(fleet.hosts[host].callers, "GET", "/deadlines", "", ""));
     let statuses = answers.map(|answer| answer.map(|answer| answer.status));
-    let mut let_in = 0;
+    let mut admitted = 0;
     for status in statuses {
         assert!(matches!(status, Some(200 | 429)), "{status:?}");
-        let_in += usize::from(status == Some(200));
+        admitted += usize::from(status == Some(200));
     }
-    let_in
+    admitted
 }
 
-/// The requests of one customer come by every host at once. Each host that let in the whole share
-/// would let in three times what was sold.
+/// One customer sends requests to every host at once. If each host admitted the whole share, the
+/// three would admit three times the plan's quota.
 #[test]
 fn hosts_together_admit_one_share() {
-    let fleet = Fleet::start(plan(3));
-    let began = Instant::now();
-    let let_in: usize = thread::scope(|scope| {
-        let askers: Vec<_> = (0..3)
-            .map(|at| {
+    let fleet = Fleet::start(config(3));
+    let start = Instant::now();
+    let admitted: usize = thread::scope(|scope| {
+        let clients: Vec<_> = (0..3)
+            .map(|host| {
                 scope.spawn({
                     let fleet = &fleet;
-                    move || ask(fleet, at, 60)
+                    move || count_admitted(fleet, host, 60)
                 })
             })
             .collect();
-        askers
+        clients
             .into_iter()
-            .map(|asker| asker.join().expect("an asker"))
+            .map(|client| client.join().expect("the client does not panic"))
             .sum()
     });
-    // The bound grows with the time it took, so that a slow machine changes nothing.
-    let most = RATE * began.elapsed().as_secs_f64() + 1.5 * RATE + 1.0;
-    println!("{let_in} let in, at most {most:.0}");
+    // The bound grows with the elapsed time, so it also holds on a slow machine.
+    let limit = SHARE_PER_SECOND * start.elapsed().as_secs_f64() + 1.5 * SHARE_PER_SECOND + 1.0;
+    println!("{admitted} admitted, limit {limit:.0}");
     assert!(
-        let_in as f64 <= most,
-        "{let_in} were let in, more than {most}"
+        admitted as f64 <= limit,
+        "{admitted} requests were admitted, limit {limit}"
+    );
+    assert!(
+        admitted > 20,
+        "only {admitted} requests were admitted, expected more than 20"
     );
-    assert!(let_in > 20, "only {let_in} were let in");
 }
 
-/// A host that holds a part of the share is killed. The others go on with what is theirs, and with
-/// all of it once the host's place is taken.
+/// A host that holds a part of the share is killed. The other hosts must go on admitting requests,
+/// and so must all three after the host is replaced.
 #[test]
 fn share_survives_host_crash() {
-    let mut fleet = Fleet::start(plan(3));
-    let gone = fleet.hosts.remove(0);
-    let name = gone.name.clone();
-    let mut process = gone.process;
+    let mut fleet = Fleet::start(config(3));
+    let killed = fleet.hosts.remove(0);
+    let name = killed.name.clone();
+    let mut process = killed.process;
     process.kill();
-    for at in 0..2 {
-        wait_for("the share is lent again", || ask(&fleet, at, 1) == 1);
+    for host in 0..2 {
+        wait_for("the host admits a request again", || {
+            count_admitted(&fleet, host, 1) == 1
+        });
     }
     fleet.add_host(&name);
     fleet.wait_until_ready(2);
-    for at in 0..3 {
-        wait_for("the share is lent by all", || ask(&fleet, at, 1) == 1);
+    for host in 0..3 {
+        wait_for("every host admits a request", || {
+            count_admitted(&fleet, host, 1) == 1
+        });
     }
 }
 
-/// An edit takes a customer's key away. What runs goes on; what comes is refused at every host.
+/// An edit removes a customer's key. Every host must then refuse requests with that key.
 #[test]
 fn revoked_key_is_refused_by_every_host() {
-    let fleet = Fleet::start(plan(2));
+    let fleet = Fleet::start(config(2));
     let auth = format!("Bearer {}", crate::support::OPERATOR_KEY);
     let headers = [("authorization", auth.as_str()), ("if-match", "\"2\"")];
     let text = "[customer Nobody]\nplan = medlem\n";
