--- a/tests/fleet/killer.rs
+++ b/tests/fleet/killer.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each engine that runs it.
+//! Poison requests: requests that crash each engine that runs them.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -10,7 +10,7 @@
 use crate::support::http::Answer;
 use crate::support::{Fleet, FleetConfig, MODEL, complete, inject_fault, open_completion};
 
-const POISON: &str = "a clause that no engine survives";
+const POISON_PROMPT: &str = "a clause that no engine survives";
 
 fn start(hosts: usize, engines: usize) -> Fleet {
     let fleet = Fleet::start(FleetConfig {
@@ -21,30 +21,34 @@
         ..FleetConfig::default()
     });
     for engine in fleet.engines() {
-        inject_fault(engine.addr, &json!({"crash_on": POISON}));
+        inject_fault(engine.addr, &json!({"crash_on": POISON_PROMPT}));
     }
     fleet
 }
 
-/// Returns how many engines have died.
-fn dead(fleet: &mut Fleet) -> usize {
+/// Returns the number of crashed engines.
+fn crashed(fleet: &mut Fleet) -> usize {
     let engines = fleet.backends.iter_mut();
     engines
         .filter_map(|engine| engine.process.has_exited().then_some(()))
         .count()
 }
 
-/// Sends the same request to hosts at once, `copies` to each.
-fn at_once(addrs: &[SocketAddr], copies: usize) -> Vec<Answer> {
+/// Sends copies of the poison request to hosts at the same moment, `copies` to each.
+fn send_poison(addrs: &[SocketAddr], copies: usize) -> Vec<Answer> {
     let callers: Vec<_> = addrs
         .iter()
         .cycle()
         .take(addrs.len() * copies)
-        .map(|&addr| thread::spawn(move || complete(addr, POISON, 20, true)))
+        .map(|&addr| thread::spawn(move || complete(addr, POISON_PROMPT, 20, true)))
         .collect();
     let answers = callers.into_iter().map(thread::JoinHandle::join);
     answers
-        .map(|answer| answer.expect("no panic").expect("an answer"))
+        .map(|answer| {
+            answer
+                .expect("no thread panicked")
+                .expect("the host answers")
+        })
         .collect()
 }
 
@@ -52,37 +56,41 @@
     answer.status == 422 && answer.text().contains("engine-killer")
 }
 
-/// One request crashes each engine that runs it, and its caller sends it again and again, to
-/// whatever host the balancer picks, while other callers read long answers from the same
-/// engines. Without a bound the whole pool is gone within seconds and every caller sees errors.
+/// A caller sends a poison request repeatedly to all hosts while other callers read long streams
+/// from the same engines. At most two engines may crash, and the other streams must be complete;
+/// without a bound the whole pool would crash within seconds.
 #[test]
 fn killer_takes_two_engines_and_no_answer() {
     let mut fleet = start(3, 5);
     let addrs: Vec<SocketAddr> = fleet.hosts.iter().map(|host| host.callers).collect();
-    let innocent: Vec<_> = (0..15)
-        .map(|at| {
-            let prompt = format!("an innocent clause {at}");
-            let mut open = open_completion(addrs[at % 3], &prompt, 250, true).expect("an answer");
+    let streams: Vec<_> = (0..15)
+        .map(|index| {
+            let prompt = format!("an innocent clause {index}");
+            let mut open =
+                open_completion(addrs[index % 3], &prompt, 250, true).expect("the host answers");
             let first = open
                 .next_chunk()
-                .expect("the stream goes on")
-                .expect("a part");
+                .expect("the stream is not cut")
+                .expect("the stream has a chunk");
             (prompt, first, open)
         })
         .collect();
-    let answers = at_once(&addrs, 2);
+    let answers = send_poison(&addrs, 2);
     assert!(
         answers
             .iter()
             .all(|answer| stream_text(&answer.body).is_none())
     );
-    for answer in at_once(&addrs, 2) {
+    for answer in send_poison(&addrs, 2) {
         assert!(refused(&answer), "{}", answer.text());
         assert!(answer.header("retry-after").is_some());
     }
-    let gone = dead(&mut fleet);
-    assert!((1..=2).contains(&gone), "{gone} engines died");
-    for (prompt, first, open) in innocent {
+    let crashes = crashed(&mut fleet);
+    assert!(
+        (1..=2).contains(&crashes),
+        "{crashes} engines crashed, expected 1 or 2"
+    );
+    for (prompt, first, open) in streams {
         let answer = open.rest();
         let body = [first, answer.body].concat();
         let text = String::from_utf8_lossy(&body).into_owned();
@@ -95,21 +103,22 @@
     }
 }
 
-/// The host that saw the engines die is gone, and its place is taken by one that keeps nothing.
-/// The caller tries again there, and would take two more engines.
+/// The host that received a poison request is replaced by one without any state. If the new host
+/// did not learn of the request from its peers, it would crash two more engines.
 #[test]
 fn new_host_refuses_a_known_poison_request() {
     let mut fleet = start(2, 4);
-    let first = complete(fleet.hosts[0].callers, POISON, 20, true).expect("an answer");
+    let first =
+        complete(fleet.hosts[0].callers, POISON_PROMPT, 20, true).expect("the host answers");
     assert!(refused(&first), "{}", first.text());
-    assert_eq!(dead(&mut fleet), 2);
+    assert_eq!(crashed(&mut fleet), 2);
     fleet.hosts.remove(0).process.kill();
     fleet.add_host("host-3");
     let new = fleet.hosts.len() - 1;
     fleet.wait_until_ready(new);
     for host in &fleet.hosts {
-        let again = complete(host.callers, POISON, 20, true).expect("an answer");
+        let again = complete(host.callers, POISON_PROMPT, 20, true).expect("the host answers");
         assert!(refused(&again), "{}", again.text());
     }
-    assert_eq!(dead(&mut fleet), 2);
+    assert_eq!(crashed(&mut fleet), 2);
 }
--- a/tests/fleet/not_run.rs
+++ b/tests/fleet/not_run.rs
@@ -1,5 +1,5 @@
-//! "Not run" is true: for every refusal that says so, the counters of engines and services stand
-//! still, and the caller has its answer at once with the time to come back where that helps.
+//! A refusal that says "not run" is true: the counters of engines and services do not change, and
+//! the answer has a `retry-after` where a later try can succeed.
 
 use std::thread;
 
@@ -11,8 +11,8 @@
     open_completion, wait_for,
 };
 
-/// Returns how many attempts engines logged and calls services counted.
-fn total(fleet: &Fleet) -> u64 {
+/// Returns the number of attempts that engines logged and calls that services counted.
+fn total_runs(fleet: &Fleet) -> u64 {
     let get = |addr, path| {
         let answer = send(addr, "GET", path, &[], &[]);
         answer.map(|answer| answer.json()).unwrap_or_default()
@@ -29,17 +29,19 @@
     engines.sum::<u64>() + services.sum::<u64>()
 }
 
-/// Checks a refusal: its kind, that it says "not run", and when to come back.
-fn refused(answer: Option<Answer>, code: &str) {
+/// Checks a refusal: its kind, that it says "not run", and that it has a `retry-after` if its kind
+/// has one.
+fn check_refusal(answer: Option<Answer>, code: &str) {
     let answer = answer.unwrap_or_else(|| panic!("{code}: no answer"));
     let document = answer.json();
     let kind = document["type"].as_str().unwrap_or_default();
     assert_eq!(kind, format!("urn:chiveway:{code}"), "{}", answer.text());
     assert_eq!(document["ran"], "no", "{code}: {}", answer.text());
-    let back = chiveway::error::Kind::from_code(code).and_then(|kind| kind.answer().retry_after);
+    let retry_after =
+        chiveway::error::Kind::from_code(code).and_then(|kind| kind.answer().retry_after);
     assert_eq!(
         answer.header("retry-after").is_some(),
-        back.is_some(),
+        retry_after.is_some(),
         "{code}"
     );
 }
@@ -56,8 +58,8 @@
     )
 }
 
-/// Requests that are at fault themselves: the caller is told at once what to correct, and no
-/// engine or service sees them.
+/// Invalid requests: each must be refused with its kind of error, and none may reach an engine or
+/// service.
 #[test]
 fn invalid_requests_do_not_run() {
     let fleet = Fleet::start(FleetConfig {
@@ -69,43 +71,46 @@
         call_service(host, "POST", "/x", "used", "{}").map(|a| a.status),
         Some(200)
     );
-    let before = total(&fleet);
+    let before = total_runs(&fleet);
     let completions = "/v1/completions";
-    let ask = |model: &str| json!({"model": model, "prompt": "p"}).to_string();
-    refused(post(&fleet, completions, CUSTOMER_KEY, "{"), "malformed");
-    refused(call_service(host, "GET", "/a/../x", "", ""), "malformed");
-    refused(
+    let completion = |model: &str| json!({"model": model, "prompt": "p"}).to_string();
+    check_refusal(post(&fleet, completions, CUSTOMER_KEY, "{"), "malformed");
+    check_refusal(call_service(host, "GET", "/a/../x", "", ""), "malformed");
+    check_refusal(
         call_service(host, "POST", "/x", &"k".repeat(300), "{}"),
         "malformed",
     );
     let long = "x".repeat(4096);
-    refused(post(&fleet, completions, CUSTOMER_KEY, &long), "too-large");
-    refused(call_service(host, "POST", "/x", "k", &long), "too-large");
-    refused(post(&fleet, completions, "nobody", &ask(MODEL)), "bad-key");
-    refused(
-        post(&fleet, completions, CUSTOMER_KEY, &ask("none")),
+    check_refusal(post(&fleet, completions, CUSTOMER_KEY, &long), "too-large");
+    check_refusal(call_service(host, "POST", "/x", "k", &long), "too-large");
+    check_refusal(
+        post(&fleet, completions, "nobody", &completion(MODEL)),
+        "bad-key",
+    );
+    check_refusal(
+        post(&fleet, completions, CUSTOMER_KEY, &completion("none")),
         "not-found",
     );
-    refused(
+    check_refusal(
         post(&fleet, "/services/none/x", CUSTOMER_KEY, "{}"),
         "not-found",
     );
-    refused(call_service(host, "POST", "/x", "", "{}"), "key-missing");
-    refused(
+    check_refusal(call_service(host, "POST", "/x", "", "{}"), "key-missing");
+    check_refusal(
         call_service(host, "POST", "/x", "used", "{\"other\":1}"),
         "key-reused",
     );
-    let mut slow = Raw::connect(host);
+    let mut slow_sender = Raw::connect(host);
     let head = format!(
         "POST /services/{SERVICE}/x HTTP/1.1\r\nhost: h\r\nauthorization: Bearer {CUSTOMER_KEY}\r\n\
          idempotency-key: k\r\ncontent-length: 100\r\n\r\nhalf"
     );
-    assert!(slow.write(head.as_bytes()));
-    refused(slow.answer(), "too-slow");
-    assert_eq!(total(&fleet), before);
+    assert!(slow_sender.write(head.as_bytes()));
+    check_refusal(slow_sender.answer(), "too-slow");
+    assert_eq!(total_runs(&fleet), before);
 }
 
-/// The plan does not allow it, or has used its share.
+/// Requests that the plan does not include or whose share is used up must not run.
 #[test]
 fn requests_beyond_the_plan_do_not_run() {
     let fleet = Fleet::start(FleetConfig {
@@ -117,23 +122,23 @@
         ..FleetConfig::default()
     });
     let host = fleet.hosts[0].callers;
-    let before = total(&fleet);
-    refused(call_service(host, "POST", "/x", "k", "{}"), "not-allowed");
-    assert_eq!(total(&fleet), before);
-    // What the plan has saved up is used up first.
+    let before = total_runs(&fleet);
+    check_refusal(call_service(host, "POST", "/x", "k", "{}"), "not-allowed");
+    assert_eq!(total_runs(&fleet), before);
+    // The share that accumulated until now has to be used up first.
     let mut before = before;
     let mut answer = None;
     wait_for("the share is used up", || {
-        before = total(&fleet);
+        before = total_runs(&fleet);
         answer = complete(host, "p", 5, false);
         answer.as_ref().is_some_and(|answer| answer.status != 200)
     });
-    refused(answer, "share-spent");
-    assert_eq!(total(&fleet), before);
+    check_refusal(answer, "share-spent");
+    assert_eq!(total_runs(&fleet), before);
 }
 
-/// Nothing can take the request: the host is full, engines and services are gone, the key-value
-/// service is down, and in the end the host is cut off from everyone.
+/// Requests that cannot be served must not run: the host is at its limit, the key-value service is
+/// down, all backend servers are leaving, or the host is cut off from the service and its peers.
 #[test]
 fn requests_without_capacity_do_not_run() {
     let mut fleet = Fleet::start(FleetConfig {
@@ -145,38 +150,45 @@
     for service in fleet.services() {
         inject_fault(service.addr, &json!({"slow_ms": 500}));
     }
-    let full = thread::spawn(move || call_service(host, "GET", "/slow", "", ""));
-    wait_for("a request is open", || fleet.status(0)["requests"] == 1);
-    refused(call_service(host, "GET", "/x", "", ""), "overloaded");
-    drop(full.join());
-    let before = total(&fleet);
+    let slow_call = thread::spawn(move || call_service(host, "GET", "/slow", "", ""));
+    wait_for("the host has one open request", || {
+        fleet.status(0)["requests"] == 1
+    });
+    check_refusal(call_service(host, "GET", "/x", "", ""), "overloaded");
+    drop(slow_call.join());
+    let before = total_runs(&fleet);
     fleet.inject_kv_fault(&json!({"down": true}));
-    wait_for("the host notices", || fleet.status(0)["store"] == "down");
-    refused(call_service(host, "POST", "/x", "k", "{}"), "store-down");
+    wait_for("the host reports the store as down", || {
+        fleet.status(0)["store"] == "down"
+    });
+    check_refusal(call_service(host, "POST", "/x", "k", "{}"), "store-down");
     fleet.inject_kv_fault(&json!({"down": false}));
-    wait_for("the host notices", || fleet.status(0)["store"] == "up");
+    wait_for("the host reports the store as up", || {
+        fleet.status(0)["store"] == "up"
+    });
     fleet.publish_listing(|_| "leaving");
-    wait_for("the list is read", || {
+    wait_for("the host lists all backend servers as leaving", || {
         let status = fleet.status(0);
         let backends = status["backends"].as_array().cloned().unwrap_or_default();
         backends
             .iter()
             .all(|backend| backend["listed"] == "leaving")
     });
-    refused(complete(host, "p", 5, false), "no-engine");
-    refused(call_service(host, "POST", "/x", "k", "{}"), "service-down");
+    check_refusal(complete(host, "p", 5, false), "no-engine");
+    check_refusal(call_service(host, "POST", "/x", "k", "{}"), "service-down");
     fleet.inject_kv_fault(&json!({"down": true}));
     fleet.hosts[1].process.kill();
-    wait_for("the host is cut off", || {
+    wait_for("the host reports that it is cut off", || {
         fleet.status(0)["why"]
             .as_str()
-            .is_some_and(|why| why.contains("cut off"))
+            .is_some_and(|reason| reason.contains("cut off"))
     });
-    refused(complete(host, "p", 5, false), "cut-off");
-    assert_eq!(total(&fleet), before);
+    check_refusal(complete(host, "p", 5, false), "cut-off");
+    assert_eq!(total_runs(&fleet), before);
 }
 
-/// A service instance dies; a call that was never sent to it is told so.
+/// The only engine and the only service instance have crashed. Requests must be refused as not
+/// run.
 #[test]
 fn calls_to_a_crashed_service_do_not_run() {
     let mut fleet = Fleet::start(FleetConfig {
@@ -185,19 +197,18 @@
         ..FleetConfig::default()
     });
     let host = fleet.hosts[0].callers;
-    let before = total(&fleet);
+    let before = total_runs(&fleet);
     for backend in &mut fleet.backends {
         backend.process.kill();
     }
-    refused(call_service(host, "POST", "/x", "k", "{}"), "service-down");
-    let answer = complete(host, "p", 5, false).expect("an answer");
+    check_refusal(call_service(host, "POST", "/x", "k", "{}"), "service-down");
+    let answer = complete(host, "p", 5, false).expect("the host answers");
     assert_eq!(answer.json()["ran"], "no", "{}", answer.text());
     assert_eq!(before, 0);
 }
 
-/// A planned stop has begun while a connection is open. A request that was on its way on it is
-/// served whole, refused, or never read; it must not run and be called "not run", and the running
-/// one is finished.
+/// A request arrives on an open connection after a planned stop began. It may be served, refused or
+/// not read, but a request that is refused as not run must not run. The running one must finish.
 #[test]
 fn request_to_a_stopping_host_runs_or_reports_not_run() {
     let fleet = Fleet::start(FleetConfig {
@@ -205,31 +216,31 @@
         ..FleetConfig::default()
     });
     let host = &fleet.hosts[0];
-    let mut kept = Raw::connect(host.callers);
+    let mut connection = Raw::connect(host.callers);
     let models = format!(
         "GET /v1/models HTTP/1.1\r\nhost: h\r\nauthorization: Bearer {CUSTOMER_KEY}\r\n\r\n"
     );
-    assert!(kept.write(models.as_bytes()));
-    assert_eq!(kept.answer().map(|answer| answer.status), Some(200));
-    let running = open_completion(host.callers, "p", 200, true).expect("a stream");
-    let before = total(&fleet);
+    assert!(connection.write(models.as_bytes()));
+    assert_eq!(connection.answer().map(|answer| answer.status), Some(200));
+    let running = open_completion(host.callers, "p", 200, true).expect("the host answers");
+    let before = total_runs(&fleet);
     host.process.term();
-    wait_for("the stop has begun", || {
+    wait_for("the host is stopping", || {
         fleet.status(0)["why"] == "stopping"
     });
-    kept.completion("another", 5, false);
-    let ran = match kept.answer() {
+    connection.completion("another", 5, false);
+    let ran = match connection.answer() {
         Some(answer) if answer.status == 200 => {
-            let wanted = chiveway::standin::engine::expected(MODEL, "another", 5);
-            assert_eq!(answer.json()["choices"][0]["text"], wanted.as_str());
+            let completion = chiveway::standin::engine::expected(MODEL, "another", 5);
+            assert_eq!(answer.json()["choices"][0]["text"], completion.as_str());
             1
         }
         Some(answer) => {
-            refused(Some(answer), "stopping");
+            check_refusal(Some(answer), "stopping");
             0
         }
         None => 0,
     };
     assert!(running.rest().text().contains("[DONE]"));
-    assert_eq!(total(&fleet), before + ran);
+    assert_eq!(total_runs(&fleet), before + ran);
 }
--- a/tests/fleet/streams.rs
+++ b/tests/fleet/streams.rs
@@ -1,4 +1,4 @@
-//! The whole answer to its own request, whatever becomes of engines, connections and callers.
+//! Each request gets its own complete answer despite failures of engines, connections and callers.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -12,7 +12,7 @@
     Fleet, FleetConfig, MODEL, complete, inject_fault, open_completion, wait_for,
 };
 
-/// A deployment of one host whose engines take their time.
+/// One host with engines that take time for each token.
 fn paced(engines: usize) -> FleetConfig {
     FleetConfig {
         hosts: 1,
@@ -23,6 +23,7 @@
     }
 }
 
+/// One host with engines that generate tokens without delay.
 fn instant(engines: usize) -> FleetConfig {
     FleetConfig {
         engine_args: vec!["--instant".into()],
@@ -32,27 +33,27 @@
 
 fn stats(engine: SocketAddr) -> Value {
     send(engine, "GET", "/stats", &[], &[])
-        .expect("the stand-in answers")
+        .expect("the stand-in responds")
         .json()
 }
 
-/// Reads until some of the answer has come.
-fn begun(open: &mut OpenAnswer) -> Vec<u8> {
+/// Waits for the first chunk of an answer.
+fn first_chunk(open: &mut OpenAnswer) -> Vec<u8> {
     open.next_chunk()
-        .expect("the stream goes on")
-        .expect("a part")
+        .expect("the stream is not cut")
+        .expect("the stream has a chunk")
 }
 
-/// Reads the rest of a stream that has begun and puts it together.
-fn whole(first: Vec<u8>, open: OpenAnswer) -> Option<String> {
+/// Reads the rest of a stream; returns its text, or `None` if it is not complete.
+fn full_text(first: Vec<u8>, open: OpenAnswer) -> Option<String> {
     let rest = open.rest();
     let mut body = first;
     body.extend(rest.body);
     stream_text(&body).filter(|_| rest.complete)
 }
 
-/// Returns the number of events in a stream that carry a finish reason.
-fn finishes(answer: &Answer) -> usize {
+/// Returns the number of events in a stream that have a finish reason.
+fn finish_count(answer: &Answer) -> usize {
     let text = answer.text();
     let lines = text.lines().filter_map(|line| line.strip_prefix("data: "));
     lines
@@ -61,8 +62,9 @@
         .count()
 }
 
-/// Makes one test of each fault of an engine's stream: streamed and collected answers are whole.
-macro_rules! whole_despite {
+/// Makes one test of each fault of an engine's stream: streamed and unstreamed answers must be
+/// complete.
+macro_rules! complete_despite {
     ($($(#[$about:meta])* $name:ident: $fault:expr,)*) => {$(
         $(#[$about])*
         #[test]
@@ -73,65 +75,64 @@
                     inject_fault(engine.addr, &$fault);
                 }
                 let prompt = format!("a clause, {stream}");
-                let wanted = expected(MODEL, &prompt, 40);
+                let completion = expected(MODEL, &prompt, 40);
                 let answer = complete(fleet.hosts[0].callers, &prompt, 40, stream)
-                    .expect("an answer");
+                    .expect("the host answers");
                 assert_eq!(answer.status, 200, "{}", answer.text());
                 if stream {
-                    assert_eq!(stream_text(&answer.body), Some(wanted));
-                    assert_eq!(finishes(&answer), 1);
+                    assert_eq!(stream_text(&answer.body), Some(completion));
+                    assert_eq!(finish_count(&answer), 1);
                 } else {
-                    assert_eq!(answer.json()["choices"][0]["text"], wanted.as_str());
+                    assert_eq!(answer.json()["choices"][0]["text"], completion.as_str());
                 }
             }
         }
     )*};
 }
 
-whole_despite! {
-    /// An engine sends each chunk twice, as one does whose buffer was flushed again. The caller
-    /// would read every word twice.
+complete_despite! {
+    /// An engine sends each chunk twice, as after a repeated flush of its buffer. The caller would
+    /// receive all text twice.
     duplicated_chunks: json!({"repeat_chunk": true}),
-    /// Chunks overtake each other inside the engine. The caller would read a scrambled answer,
-    /// or none at all.
+    /// An engine sends chunks out of order. The caller would receive scrambled text or no answer.
     chunks_out_of_order: json!({"reorder_chunks": true}),
-    /// A chunk of another attempt strays into the stream. The caller would read another
-    /// customer's words.
+    /// A stream contains a chunk of another attempt. The caller would receive text of another
+    /// customer.
     chunk_of_another_attempt: json!({"wrong_attempt": true}),
-    /// The connection breaks after a few tokens while the engine goes on.
+    /// The connection to the engine breaks after 5 tokens, while the engine goes on generating.
     stream_dropped_early: json!({"drop_after": 5}),
-    /// The connection breaks after the last token, before the end marker: the answer looks
-    /// whole and is not known to be.
+    /// The connection to the engine breaks after the last token and before the end marker, so the
+    /// host cannot tell that the answer is complete.
     stream_dropped_before_its_end: json!({"drop_after": 40}),
 }
 
-/// An engine dies while it streams to several callers. Each of them would be left with half an
-/// answer; another engine goes on from the prompt and the text that each has seen.
+/// An engine is killed while it streams to several callers. Another engine must continue from each
+/// prompt and the text already sent, else the answers would be truncated.
 #[test]
 fn engine_killed_during_stream() {
     let mut fleet = Fleet::start(paced(2));
     let addr = fleet.hosts[0].callers;
     let mut open: Vec<_> = (0..20)
-        .map(|at| {
-            let prompt = format!("clause {at}");
-            let open = open_completion(addr, &prompt, 60, true).expect("an answer");
+        .map(|index| {
+            let prompt = format!("clause {index}");
+            let open = open_completion(addr, &prompt, 60, true).expect("the host answers");
             (prompt, open)
         })
         .collect();
-    let firsts: Vec<_> = open.iter_mut().map(|(_, open)| begun(open)).collect();
+    let first_chunks: Vec<_> = open.iter_mut().map(|(_, open)| first_chunk(open)).collect();
     let running = stats(fleet.backends[0].addr)["started"].as_u64();
-    assert!(running > Some(0), "the engine has streams");
+    assert!(running > Some(0), "the engine has no streams");
     fleet.backends[0].process.kill();
-    for (first, (prompt, open)) in firsts.into_iter().zip(open) {
-        assert_eq!(whole(first, open), Some(expected(MODEL, &prompt, 60)));
+    for (first, (prompt, open)) in first_chunks.into_iter().zip(open) {
+        assert_eq!(full_text(first, open), Some(expected(MODEL, &prompt, 60)));
     }
-    let other = stats(fleet.backends[1].addr);
-    assert_eq!(other["continue_mismatch"], 0, "{other}");
+    let survivor = stats(fleet.backends[1].addr);
+    assert_eq!(survivor["continue_mismatch"], 0, "{survivor}");
 }
 
-/// Something between host and engine loses track of every connection that is open: they stay
-/// open and carry nothing, while new ones work. Streams would hang for ever, and so would each
-/// request that is written to a connection kept from before.
+/// All open connections to an engine stay open but carry no data, while new ones work, as after a
+/// middlebox lost its state. Without time-outs, running streams and requests sent on reused
+/// connections would hang forever.
 #[test]
 fn silent_connections() {
     let fleet = Fleet::start(FleetConfig {
@@ -139,51 +140,57 @@
         ..paced(1)
     });
     let (addr, engine) = (fleet.hosts[0].callers, fleet.backends[0].addr);
-    // Leaves several idle connections behind.
-    let warm: Vec<_> = (0..6)
-        .map(|at| thread::spawn(move || complete(addr, &format!("warm {at}"), 20, true)))
+    // Leaves several idle connections to the engine.
+    let callers: Vec<_> = (0..6)
+        .map(|index| thread::spawn(move || complete(addr, &format!("warm {index}"), 20, true)))
         .collect();
-    for caller in warm {
+    for caller in callers {
         assert!(caller.join().is_ok_and(|answer| answer.is_some()));
     }
-    let mut open = open_completion(addr, "a long one", 100, true).expect("an answer");
-    let first = begun(&mut open);
+    let mut open = open_completion(addr, "a long one", 100, true).expect("the host answers");
+    let first = first_chunk(&mut open);
     inject_fault(engine, &json!({"silent": true}));
-    let after = complete(addr, "after it", 20, true).expect("an answer");
+    let after = complete(addr, "after it", 20, true).expect("the host answers");
     assert_eq!(
         stream_text(&after.body),
         Some(expected(MODEL, "after it", 20))
     );
-    assert_eq!(whole(first, open), Some(expected(MODEL, "a long one", 100)));
-    let explained = fleet.explain(0, &after.id());
-    assert!(explained.to_string().contains("silent for"), "{explained}");
+    assert_eq!(
+        full_text(first, open),
+        Some(expected(MODEL, "a long one", 100))
+    );
+    let record = fleet.explain(0, &after.id());
+    assert!(record.to_string().contains("silent for"), "{record}");
 }
 
-/// Two callers send the same prompt at the same moment. Each gets an answer of its own, and
-/// neither the other's.
+/// Callers send the same prompt at the same moment. Each must get its own answer under its own
+/// request id.
 #[test]
 fn concurrent_equal_prompts() {
     let fleet = Fleet::start(paced(2));
     let addr = fleet.hosts[0].callers;
     let callers: Vec<_> = (0..6)
-        .map(|at| thread::spawn(move || complete(addr, "the same clause", 30, at % 2 == 0)))
+        .map(|index| thread::spawn(move || complete(addr, "the same clause", 30, index % 2 == 0)))
         .collect();
-    let wanted = expected(MODEL, "the same clause", 30);
+    let completion = expected(MODEL, "the same clause", 30);
     let mut ids = Vec::new();
-    for (at, caller) in callers.into_iter().enumerate() {
-        let answer = caller.join().expect("no panic").expect("an answer");
+    for (index, caller) in callers.into_iter().enumerate() {
+        let answer = caller
+            .join()
+            .expect("the caller does not panic")
+            .expect("the host answers");
         ids.push(answer.id());
-        let text = if at % 2 == 0 {
+        let text = if index % 2 == 0 {
             stream_text(&answer.body)
         } else {
             let document = answer.json();
             document["choices"][0]["text"].as_str().map(str::to_owned)
         };
-        assert_eq!(text.as_deref(), Some(wanted.as_str()));
+        assert_eq!(text.as_deref(), Some(completion.as_str()));
     }
     ids.sort();
     ids.dedup();
-    assert_eq!(ids.len(), 6, "each request has an id of its own");
+    assert_eq!(ids.len(), 6, "two requests have the same id");
 }
 
 fn cancelled(fleet: &Fleet) -> u64 {
@@ -191,18 +198,20 @@
     fleet.engines().map(|engine| count(engine.addr)).sum()
 }
 
-/// An angler's phone loses its signal while the answer is read. The engine would go on to
-/// generate for nobody, and the places of those who wait would be taken.
+/// A caller disconnects while it reads a stream. The engine must stop generating, else it would
+/// occupy capacity that other requests wait for.
 #[test]
 fn caller_leaves_during_stream() {
     let fleet = Fleet::start(paced(1));
-    let mut open = open_completion(fleet.hosts[0].callers, "long", 5000, true).expect("an answer");
-    begun(&mut open);
+    let mut open =
+        open_completion(fleet.hosts[0].callers, "long", 5000, true).expect("the host answers");
+    first_chunk(&mut open);
     drop(open);
-    wait_for("the engine stops", || cancelled(&fleet) == 1);
+    wait_for("the engine cancels the request", || cancelled(&fleet) == 1);
 }
 
-/// The caller is gone before the first token came: nothing is written to it yet that could fail.
+/// A caller disconnects before the first token, when no write to it can fail. The host must still
+/// notice and cancel the request.
 #[test]
 fn caller_leaves_before_the_first_byte() {
     let fleet = Fleet::start(FleetConfig {
@@ -212,41 +221,50 @@
     let addr = fleet.hosts[0].callers;
     let mut caller = crate::support::http::Raw::connect(addr);
     caller.completion("a prompt that takes long", 5000, true);
-    wait_for("the engine works", || {
+    wait_for("the engine starts the request", || {
         stats(fleet.backends[0].addr)["started"] == 1
     });
     drop(caller);
-    wait_for("the host lets go", || fleet.status(0)["requests"] == 0);
-    wait_for("the engine stops", || cancelled(&fleet) == 1);
+    wait_for("the host has no open request", || {
+        fleet.status(0)["requests"] == 0
+    });
+    wait_for("the engine cancels the request", || cancelled(&fleet) == 1);
 }
 
-fn memory(pid: u32) -> u64 {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/statm")).expect("a process");
+/// Returns a process's resident memory, in bytes.
+fn resident_bytes(pid: u32) -> u64 {
+    let text = std::fs::read_to_string(format!("/proc/{pid}/statm")).expect("the process runs");
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse().ok());
     pages.map_or(0, |pages: u64| pages * 4096)
 }
 
-/// A caller on a weak signal takes its long answer slowly while the engine is fast. What the
-/// caller has not taken would pile up in the host, and a few such callers end it.
+/// A caller reads a long answer slowly while the engine generates it fast. If the host buffered the
+/// whole answer, a few such callers would exhaust its memory.
 #[test]
 fn slow_caller_does_not_fill_host_memory() {
     const TOKENS: u64 = 100_000;
-    const ROOM: u64 = 24 << 20;
+    const MAX_GROWTH_BYTES: u64 = 24 << 20;
     let fleet = Fleet::start(instant(1));
     let host = &fleet.hosts[0];
-    let before = memory(host.process.id());
-    let mut open = open_completion(host.callers, "slow", TOKENS, true).expect("an answer");
-    let first = begun(&mut open);
-    wait_for("the engine has made all of it", || {
+    let before = resident_bytes(host.process.id());
+    let mut open = open_completion(host.callers, "slow", TOKENS, true).expect("the host answers");
+    let first = first_chunk(&mut open);
+    wait_for("the engine has generated all tokens", || {
         stats(fleet.backends[0].addr)["done"] == 1
     });
-    // Another request passes through meanwhile, so that what was to be read has been read.
-    let other = complete(host.callers, "other", 20_000, true).expect("an answer");
+    // By the end of another request, the host has read from the engine all that it accepts.
+    let other = complete(host.callers, "other", 20_000, true).expect("the host answers");
     assert!(other.complete);
-    let grown = memory(host.process.id()).saturating_sub(before);
-    assert!(grown < ROOM, "the host grew by {grown} bytes");
-    let text = whole(first, open).expect("a whole answer");
-    let wanted = expected(MODEL, "slow", TOKENS);
-    let differs = text.bytes().zip(wanted.bytes()).position(|(a, b)| a != b);
-    assert_eq!((differs, text.len()), (None, wanted.len()));
+    let growth = resident_bytes(host.process.id()).saturating_sub(before);
+    assert!(
+        growth < MAX_GROWTH_BYTES,
+        "the host grew by {growth} bytes, limit {MAX_GROWTH_BYTES}"
+    );
+    let text = full_text(first, open).expect("the answer is complete");
+    let completion = expected(MODEL, "slow", TOKENS);
+    let mismatch = text
+        .bytes()
+        .zip(completion.bytes())
+        .position(|(a, b)| a != b);
+    assert_eq!((mismatch, text.len()), (None, completion.len()));
 }
