--- a/tests/common/operator_api.rs
+++ b/tests/common/operator_api.rs
@@ -158,8 +158,8 @@
     state.revision += 1;
     state.plans = text.into();
     if fault == Fault::LostAnswer {
-        let cut = std::io::Error::other("cut off");
-        let chunks = stream::iter([Ok(Bytes::from_static(b"{\"rev")), Err(cut)]);
+        let err = std::io::Error::other("cut off");
+        let chunks = stream::iter([Ok(Bytes::from_static(b"{\"rev")), Err(err)]);
         return Response::build(StatusCode::OK).streaming(chunks);
     }
     reply(StatusCode::OK, &json!({"revision": state.revision}))
--- a/tests/fleet/access.rs
+++ b/tests/fleet/access.rs
@@ -7,7 +7,7 @@
 use chiveway::trial::stream_text;
 use serde_json::json;
 
-use crate::support::http::{Answer, Raw, send};
+use crate::support::http::{Answer, RawConnection, send};
 use crate::support::{
     CUSTOMER_KEY, Fleet, FleetConfig, MODEL, OPERATOR_KEY, PEER_SECRET, call_service, complete,
     service_runs, wait_for,
@@ -50,7 +50,7 @@
 
 /// Writes raw bytes and returns the status of the answer, or 0 if there is none.
 fn raw(addr: SocketAddr, bytes: &[u8]) -> u16 {
-    let mut connection = Raw::connect(addr);
+    let mut connection = RawConnection::connect(addr);
     connection.write(bytes);
     connection.answer().map_or(0, |answer| answer.status)
 }
--- a/tests/fleet/drain.rs
+++ b/tests/fleet/drain.rs
@@ -40,7 +40,7 @@
         engine_args: vec!["--decode-cost".into(), "5ms".into()],
         ..FleetConfig::default()
     });
-    // The lag applies at once; until it has passed, the served list may be empty.
+    // The lag applies immediately; until it has passed, the served list may be empty.
     fleet.inject_kv_fault(&json!({"lag_ms": 300}));
     let list_proxy = FaultProxy::start(fleet.kv_addr);
     let direct = format!("list = {}", fleet.kv_addr);
--- a/tests/fleet/killer.rs
+++ b/tests/fleet/killer.rs
@@ -70,7 +70,7 @@
                 open_completion(addrs[index % 3], &prompt, 250, true).expect("the host answers");
             let first = open
                 .next_chunk()
-                .expect("the stream is not cut")
+                .expect("the stream is not truncated")
                 .expect("the stream has a chunk");
             (prompt, first, open)
         })
--- a/tests/fleet/not_run.rs
+++ b/tests/fleet/not_run.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-use crate::support::http::{Answer, Raw, send};
+use crate::support::http::{Answer, RawConnection, send};
 use crate::support::{
     CUSTOMER_KEY, Fleet, FleetConfig, MODEL, SERVICE, call_service, complete, inject_fault,
     open_completion, wait_for,
@@ -72,23 +72,20 @@
         Some(200)
     );
     let before = total_runs(&fleet);
-    let completions = "/v1/completions";
+    let path = "/v1/completions";
     let completion = |model: &str| json!({"model": model, "prompt": "p"}).to_string();
-    check_refusal(post(&fleet, completions, CUSTOMER_KEY, "{"), "malformed");
+    check_refusal(post(&fleet, path, CUSTOMER_KEY, "{"), "malformed");
     check_refusal(call_service(host, "GET", "/a/../x", "", ""), "malformed");
     check_refusal(
         call_service(host, "POST", "/x", &"k".repeat(300), "{}"),
         "malformed",
     );
     let long = "x".repeat(4096);
-    check_refusal(post(&fleet, completions, CUSTOMER_KEY, &long), "too-large");
+    check_refusal(post(&fleet, path, CUSTOMER_KEY, &long), "too-large");
     check_refusal(call_service(host, "POST", "/x", "k", &long), "too-large");
+    check_refusal(post(&fleet, path, "nobody", &completion(MODEL)), "bad-key");
     check_refusal(
-        post(&fleet, completions, "nobody", &completion(MODEL)),
-        "bad-key",
-    );
-    check_refusal(
-        post(&fleet, completions, CUSTOMER_KEY, &completion("none")),
+        post(&fleet, path, CUSTOMER_KEY, &completion("none")),
         "not-found",
     );
     check_refusal(
@@ -100,7 +97,7 @@
         call_service(host, "POST", "/x", "used", "{\"other\":1}"),
         "key-reused",
     );
-    let mut slow_sender = Raw::connect(host);
+    let mut slow_sender = RawConnection::connect(host);
     let head = format!(
         "POST /services/{SERVICE}/x HTTP/1.1\r\nhost: h\r\nauthorization: Bearer {CUSTOMER_KEY}\r\n\
          idempotency-key: k\r\ncontent-length: 100\r\n\r\nhalf"
@@ -216,7 +213,7 @@
         ..FleetConfig::default()
     });
     let host = &fleet.hosts[0];
-    let mut connection = Raw::connect(host.callers);
+    let mut connection = RawConnection::connect(host.callers);
     let models = format!(
         "GET /v1/models HTTP/1.1\r\nhost: h\r\nauthorization: Bearer {CUSTOMER_KEY}\r\n\r\n"
     );
--- a/tests/fleet/once.rs
+++ b/tests/fleet/once.rs
@@ -70,8 +70,8 @@
     assert_eq!(service_runs(&fleet, "k-1"), 1);
 }
 
-/// The key-value service is down. A call that may not be retried must be refused at once and not
-/// run, a retryable call must be served, and after recovery the refused call must run.
+/// The key-value service is down. A call that may not be retried must be refused and not run, a
+/// retryable call must be served, and after recovery the refused call must run.
 #[test]
 fn store_outage_refuses_only_non_retryable_calls() {
     let fleet = Fleet::start(FleetConfig::default());
--- a/tests/fleet/outage.rs
+++ b/tests/fleet/outage.rs
@@ -49,8 +49,8 @@
 }
 
 /// The service answers 503 to every call, or not at all. Completions and retryable calls must
-/// still be served. Calls that may not be retried must be refused at once as not run, with a
-/// `retry-after`, and edits must be refused. After recovery the refused calls must run once.
+/// still be served. Calls that may not be retried must be refused as not run, with a `retry-after`,
+/// and edits must be refused. After recovery the refused calls must run once.
 fn check_outage(down: &Value) {
     let fleet = Fleet::start(FleetConfig::default());
     inject(&fleet, &json!({"down": down}));
@@ -170,8 +170,8 @@
     assert_eq!(edit.status, 200, "{}", edit.text());
 }
 
-/// All hosts lose the service and reconnect at the same moment. If they all called it at once,
-/// they could overload it again: the calls in any second must stay within a budget.
+/// All hosts lose the service and reconnect at the same moment. A burst of calls could overload it
+/// again, so the calls in any second must stay within a budget.
 #[test]
 fn store_recovery_stays_within_call_budget() {
     let fleet = Fleet::start(FleetConfig {
--- a/tests/fleet/shares.rs
+++ b/tests/fleet/shares.rs
@@ -33,7 +33,7 @@
     admitted
 }
 
-/// One customer sends requests to every host at once. If each host admitted the whole share, the
+/// One customer sends requests to all hosts in parallel. If each host admitted the full share, the
 /// three would admit three times the plan's quota.
 #[test]
 fn hosts_together_admit_one_share() {
--- a/tests/fleet/stop.rs
+++ b/tests/fleet/stop.rs
@@ -8,7 +8,7 @@
 use chiveway::standin::engine::expected;
 use chiveway::trial::stream_text;
 
-use crate::support::http::{Raw, send};
+use crate::support::http::{RawConnection, send};
 use crate::support::{Fleet, FleetConfig, MODEL, open_completion, service_runs, wait_for};
 
 /// Hosts with engines that take time for each token.
@@ -39,16 +39,16 @@
 fn stop_finishes_running_requests() {
     let mut fleet = Fleet::start(paced(2));
     let (addr, operators) = (fleet.hosts[0].callers, fleet.hosts[0].operators);
-    let mut reused = Raw::connect(addr);
+    let mut reused = RawConnection::connect(addr);
     reused.completion("first on a kept connection", 5, false);
     assert_eq!(reused.answer().map(|answer| answer.status), Some(200));
-    let mut idle = Raw::connect(addr);
+    let mut idle = RawConnection::connect(addr);
     idle.completion("first on an idle connection", 5, false);
     assert_eq!(idle.answer().map(|answer| answer.status), Some(200));
     let mut open = open_completion(addr, "a long briefing", 600, true).expect("the host answers");
     let first = open
         .next_chunk()
-        .expect("the stream is not cut")
+        .expect("the stream is not truncated")
         .expect("the stream has a chunk");
 
     fleet.hosts[0].process.term();
@@ -86,7 +86,7 @@
 fn idle_connections_do_not_delay_stop() {
     let mut fleet = Fleet::start(paced(1));
     let addr = fleet.hosts[0].callers;
-    let mut idle = Raw::connect(addr);
+    let mut idle = RawConnection::connect(addr);
     idle.completion("then idle", 5, false);
     assert_eq!(idle.answer().map(|answer| answer.status), Some(200));
     let unused = TcpStream::connect(addr).expect("the connection is accepted");
@@ -106,7 +106,7 @@
     let mut open =
         open_completion(addr, "longer than the bound", 50_000, true).expect("the host answers");
     open.next_chunk()
-        .expect("the stream is not cut")
+        .expect("the stream is not truncated")
         .expect("the stream has a chunk");
     fleet.hosts[0].process.term();
     assert!(fleet.hosts[0].process.wait_for_exit().success());
@@ -123,7 +123,7 @@
     let host = &fleet.hosts[0];
     let mut open = open_completion(host.callers, "long", 50_000, true).expect("the host answers");
     open.next_chunk()
-        .expect("the stream is not cut")
+        .expect("the stream is not truncated")
         .expect("the stream has a chunk");
     host.process.term();
     let operators = host.operators;
@@ -145,7 +145,7 @@
             addrs[count % addrs.len()]
         };
         // A load balancer would try the next host after a refused connection.
-        let Some(mut raw) = Raw::try_connect(addr) else {
+        let Some(mut raw) = RawConnection::try_connect(addr) else {
             continue;
         };
         let prompt = format!("clause {number} {count}");
--- a/tests/fleet/streams.rs
+++ b/tests/fleet/streams.rs
@@ -40,7 +40,7 @@
 /// Waits for the first chunk of an answer.
 fn first_chunk(open: &mut OpenAnswer) -> Vec<u8> {
     open.next_chunk()
-        .expect("the stream is not cut")
+        .expect("the stream is not truncated")
         .expect("the stream has a chunk")
 }
 
@@ -102,7 +102,7 @@
     /// The connection to the engine breaks after 5 tokens, while the engine goes on generating.
     stream_dropped_early: json!({"drop_after": 5}),
     /// The connection to the engine breaks after the last token and before the end marker, so the
-    /// host cannot tell that the answer is complete.
+    /// host cannot determine whether the answer is complete.
     stream_dropped_before_its_end: json!({"drop_after": 40}),
 }
 
@@ -219,7 +219,7 @@
         ..paced(1)
     });
     let addr = fleet.hosts[0].callers;
-    let mut caller = crate::support::http::Raw::connect(addr);
+    let mut caller = crate::support::http::RawConnection::connect(addr);
     caller.completion("a prompt that takes long", 5000, true);
     wait_for("the engine starts the request", || {
         stats(fleet.backends[0].addr)["started"] == 1
--- a/tests/fleet/support/http.rs
+++ b/tests/fleet/support/http.rs
@@ -14,11 +14,11 @@
 
 /// A connection on which a test writes arbitrary bytes.
 #[derive(Debug)]
-pub struct Raw {
+pub struct RawConnection {
     stream: TcpStream,
 }
 
-impl Raw {
+impl RawConnection {
     pub fn connect(addr: SocketAddr) -> Self {
         let stream =
             TcpStream::connect_timeout(&addr, IO_TIMEOUT).expect("the connection is accepted");
--- a/tests/fleet/support/proxy.rs
+++ b/tests/fleet/support/proxy.rs
@@ -29,7 +29,7 @@
 pub struct FaultProxy {
     /// The address to connect to in place of the target's.
     pub addr: SocketAddr,
-    state: Arc<AtomicU8>,
+    mode: Arc<AtomicU8>,
     /// Number of times that all open connections were closed.
     resets: Arc<AtomicU32>,
 }
@@ -37,16 +37,16 @@
 /// The proxy's mode as one connection sees it.
 #[derive(Debug, Clone)]
 struct ConnectionMode {
-    state: Arc<AtomicU8>,
+    mode: Arc<AtomicU8>,
     resets: Arc<AtomicU32>,
     /// Value of `resets` when the connection was opened.
     resets_at_open: u32,
 }
 
 impl ConnectionMode {
-    fn state(&self) -> u8 {
+    fn current(&self) -> u8 {
         if self.resets.load(Ordering::SeqCst) == self.resets_at_open {
-            self.state.load(Ordering::SeqCst)
+            self.mode.load(Ordering::SeqCst)
         } else {
             MODE_REFUSE
         }
@@ -55,12 +55,12 @@
     /// Waits while bytes in this direction are held back; `reply` is the direction from the target.
     fn wait(&self, reply: bool) {
         while matches!(
-            (self.state(), reply),
+            (self.current(), reply),
             (MODE_SILENT, _) | (MODE_ONE_WAY, true)
         ) {
             thread::sleep(POLL_INTERVAL);
         }
-        if self.state() == MODE_DELAY {
+        if self.current() == MODE_DELAY {
             thread::sleep(FORWARD_DELAY);
         }
     }
@@ -70,19 +70,15 @@
     /// Starts a proxy in front of `target`.
     pub fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback can be bound");
-        let addr = listener.local_addr().expect("an address");
-        let state = Arc::new(AtomicU8::new(MODE_PASS));
+        let addr = listener.local_addr().expect("the listener has an address");
+        let mode = Arc::new(AtomicU8::new(MODE_PASS));
         let resets = Arc::new(AtomicU32::new(0));
-        let proxy = Self {
-            addr,
-            state,
-            resets,
-        };
+        let proxy = Self { addr, mode, resets };
         let shared = proxy.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let mode = ConnectionMode {
-                    state: Arc::clone(&shared.state),
+                    mode: Arc::clone(&shared.mode),
                     resets: Arc::clone(&shared.resets),
                     resets_at_open: shared.resets.load(Ordering::SeqCst),
                 };
@@ -94,12 +90,12 @@
 
     /// Holds back all bytes from the target.
     pub fn block_replies(&self) {
-        self.state.store(MODE_ONE_WAY, Ordering::SeqCst);
+        self.mode.store(MODE_ONE_WAY, Ordering::SeqCst);
     }
 
     /// Delays all bytes.
     pub fn delay(&self) {
-        self.state.store(MODE_DELAY, Ordering::SeqCst);
+        self.mode.store(MODE_DELAY, Ordering::SeqCst);
     }
 
     /// Closes all open connections; new ones are forwarded.
@@ -109,22 +105,22 @@
 
     /// Forwards everything again, including the bytes that were held back.
     pub fn restore(&self) {
-        self.state.store(MODE_PASS, Ordering::SeqCst);
+        self.mode.store(MODE_PASS, Ordering::SeqCst);
     }
 
     /// Holds all bytes back on open and new connections, without closing any.
     pub fn silence(&self) {
-        self.state.store(MODE_SILENT, Ordering::SeqCst);
+        self.mode.store(MODE_SILENT, Ordering::SeqCst);
     }
 
     /// Closes open connections and refuses new ones.
     pub fn refuse(&self) {
-        self.state.store(MODE_REFUSE, Ordering::SeqCst);
+        self.mode.store(MODE_REFUSE, Ordering::SeqCst);
     }
 }
 
 fn forward(stream: TcpStream, target: SocketAddr, mode: &ConnectionMode) {
-    if mode.state() == MODE_REFUSE {
+    if mode.current() == MODE_REFUSE {
         return;
     }
     mode.wait(false);
@@ -152,7 +148,7 @@
             Err(_) => break,
         };
         mode.wait(reply);
-        if mode.state() == MODE_REFUSE || to.write_all(&buffer[..read]).is_err() {
+        if mode.current() == MODE_REFUSE || to.write_all(&buffer[..read]).is_err() {
             break;
         }
     }
