--- a/tests/fleet/accounting.rs
+++ b/tests/fleet/accounting.rs
@@ -1,4 +1,4 @@
-//! After a scenario every request is accounted for; and the checker that says so is tested.
+//! Accounting for every request after a scenario with failures, and tests of the check itself.
 
 use std::fmt::Write as _;
 use std::thread;
@@ -7,173 +7,180 @@
 use chiveway::standin::engine::expected;
 use serde_json::json;
 
-use crate::support::account::{Books, Fault, Sent, Wanted, patient};
+use crate::support::account::{
+    Exchange, Observations, RequestKind, Violation, retry_while_throttled,
+};
 use crate::support::http::Answer;
-use crate::support::{Fleet, MODEL, Plan, call, complete, wait_for};
+use crate::support::{Fleet, FleetConfig, MODEL, call_service, complete, wait_for};
 
-fn streamed(id: &str, prompt: &str, tokens: u64) -> Sent {
+fn streamed(id: &str, prompt: &str, tokens: u64) -> Exchange {
     let mut body = String::new();
-    for piece in expected(MODEL, prompt, tokens).split_inclusive(' ') {
-        let event = json!({"choices": [{"text": piece}]});
+    for token in expected(MODEL, prompt, tokens).split_inclusive(' ') {
+        let event = json!({"choices": [{"text": token}]});
         writeln!(body, "data: {event}\n").expect("a string takes it");
     }
     body += "data: [DONE]\n\n";
-    let wanted = Wanted::Text(prompt.into(), tokens);
-    answered(id, wanted, 200, body)
+    let request = RequestKind::Completion(prompt.into(), tokens);
+    answered(id, request, 200, body)
 }
 
-fn called(id: &str, key: &str, status: u16, ran: &str) -> Sent {
+fn called(id: &str, key: &str, status: u16, ran: &str) -> Exchange {
     let body = json!({"key": key, "ran": ran}).to_string();
-    answered(id, Wanted::Call(key.into()), status, body)
+    answered(id, RequestKind::Call(key.into()), status, body)
 }
 
-fn answered(id: &str, wanted: Wanted, status: u16, body: String) -> Sent {
+fn answered(id: &str, request: RequestKind, status: u16, body: String) -> Exchange {
     let answer = Answer {
         status,
         headers: vec![("x-request-id".into(), id.into())],
         body: body.into_bytes(),
-        whole: true,
+        complete: true,
     };
-    Sent {
-        wanted,
+    Exchange {
+        request,
         answer: Some(answer),
     }
 }
 
-/// Books in which everything adds up: a stream, a call and a call that was refused.
-fn books() -> Books {
-    let mut books = Books {
-        sent: vec![
+/// Consistent observations: a stream, a call and a refused call.
+fn consistent() -> Observations {
+    let mut observations = Observations {
+        exchanges: vec![
             streamed("s", "a clause", 8),
             called("c", "k-1", 200, ""),
             called("r", "k-2", 503, "no"),
         ],
-        ..Books::default()
+        ..Observations::default()
     };
-    books.attempts.insert("s".into(), 1);
-    books.runs.insert("k-1".into(), 1);
+    observations.attempts.insert("s".into(), 1);
+    observations.runs.insert("k-1".into(), 1);
     for (id, ran) in [("s", "yes"), ("c", "yes"), ("r", "no")] {
         let record = json!({"id": id, "ran": ran, "outcome": "x", "attempts": []});
-        books.records.insert(id.into(), record);
+        observations.records.insert(id.into(), record);
     }
-    books
+    observations
 }
 
 #[test]
-fn books_that_add_up_have_no_fault() {
-    assert_eq!(books().faults(), []);
+fn consistent_observations_have_no_violation() {
+    assert_eq!(consistent().violations(), []);
 }
 
-/// Names each case: a fault planted into books that add up, and what the checker must find.
+/// Makes one test of each case: a violation planted in consistent observations must be found.
 ///
-/// A checker that finds nothing is worth nothing: a scenario would pass with a lost answer in it.
+/// A check that misses one would let a scenario pass with a lost answer.
 macro_rules! planted {
-    ($($name:ident: $plant:expr => [$($fault:ident $id:literal),+];)+) => {
+    ($($name:ident: $plant:expr => [$($violation:ident $id:literal),+];)+) => {
         $(#[test]
         fn $name() {
-            let mut books = books();
-            let plant: fn(&mut Books) = $plant;
-            plant(&mut books);
-            assert_eq!(books.faults(), [$(Fault::$fault($id.into())),+]);
+            let mut observations = consistent();
+            let plant: fn(&mut Observations) = $plant;
+            plant(&mut observations);
+            assert_eq!(observations.violations(), [$(Violation::$violation($id.into())),+]);
         })+
     };
 }
 
-fn body(books: &mut Books, at: usize) -> &mut Vec<u8> {
-    &mut books.sent[at].answer.as_mut().expect("an answer").body
+fn body(observations: &mut Observations, index: usize) -> &mut Vec<u8> {
+    &mut observations.exchanges[index]
+        .answer
+        .as_mut()
+        .expect("the exchange has an answer")
+        .body
 }
 
 planted! {
-    anothers_answer: |b| b.sent[0].wanted = Wanted::Text("another".into(), 8) => [WrongAnswer "s"];
+    answer_of_another_request: |b| b.exchanges[0].request = RequestKind::Completion("another".into(), 8) => [WrongAnswer "s"];
     lost_token: |b| { let text = body(b, 0); let cut = text.len() / 2; *text = text.split_off(cut); }
         => [WrongAnswer "s"];
     missing_end_marker: |b| { let text = body(b, 0); text.truncate(text.len() - 14); }
-        => [Unfinished "s"];
-    anothers_call: |b| *body(b, 1) = json!({"key": "k-9"}).to_string().into_bytes()
+        => [MissingEndMarker "s"];
+    answer_of_another_call: |b| *body(b, 1) = json!({"key": "k-9"}).to_string().into_bytes()
         => [WrongAnswer "c"];
     ran_after_not_run: |b| {
         b.runs.insert("k-2".into(), 1);
-        b.records.get_mut("r").expect("a record")["attempts"] = json!([{"ran": "yes"}]);
-    } => [RanAfterAll "r"];
+        b.records.get_mut("r").expect("the request has a record")["attempts"] = json!([{"ran": "yes"}]);
+    } => [RanAfterNotRun "r"];
     stream_ran_after_not_run: |b| {
         *body(b, 0) = b"event: error\ndata: {\"ran\":\"no\"}\n\n".to_vec();
-        b.records.get_mut("s").expect("a record")["ran"] = json!("no");
-    } => [RanAfterAll "s"];
-    answered_without_a_run: |b| { b.runs.clear(); } => [NeverRan "c"];
-    stream_without_a_run: |b| { b.attempts.clear(); } => [NeverRan "s"];
+        b.records.get_mut("s").expect("the request has a record")["ran"] = json!("no");
+    } => [RanAfterNotRun "s"];
+    call_answered_without_run: |b| { b.runs.clear(); } => [NeverRan "c"];
+    stream_answered_without_run: |b| { b.attempts.clear(); } => [NeverRan "s"];
     call_ran_twice: |b| { b.runs.insert("k-1".into(), 2); } => [RanTwice "k-1"];
-    no_explanation: |b| { b.records.remove("c"); } => [Unexplained "c"];
-    other_explanation: |b| b.records.get_mut("r").expect("a record")["ran"] = json!("yes")
-        => [ToldOtherwise "r"];
-    run_that_nobody_asked_for: |b| { b.runs.insert("k-7".into(), 1); } => [Unasked "k-7"];
+    missing_record: |b| { b.records.remove("c"); } => [Unexplained "c"];
+    contradicting_record: |b| b.records.get_mut("r").expect("the request has a record")["ran"] = json!("yes")
+        => [ContradictingRecord "r"];
+    run_without_request: |b| { b.runs.insert("k-7".into(), 1); } => [RunWithoutRequest "k-7"];
 }
 
-fn traffic(fleet: &Fleet) -> Vec<thread::JoinHandle<Vec<Sent>>> {
+fn traffic(fleet: &Fleet) -> Vec<thread::JoinHandle<Vec<Exchange>>> {
     let addrs: Vec<_> = fleet.hosts.iter().map(|host| host.callers).collect();
-    let client = |client: usize| {
+    let spawn = |client: usize| {
         let addrs = addrs.clone();
         thread::spawn(move || {
-            let one = |number: usize| {
+            let exchange = |number: usize| {
                 let addr = addrs[(client + number) % addrs.len()];
-                let wanted = if number.is_multiple_of(2) {
-                    Wanted::Text(format!("clause {client} {number}"), 60)
+                let request = if number.is_multiple_of(2) {
+                    RequestKind::Completion(format!("clause {client} {number}"), 60)
                 } else {
-                    // Each filing is sent by two clients, as a member's portal does.
-                    Wanted::Call(format!("k-{}-{number}", client / 2))
+                    // Two clients send each key.
+                    RequestKind::Call(format!("k-{}-{number}", client / 2))
                 };
-                let answers = patient(|| match &wanted {
-                    Wanted::Text(prompt, tokens) => complete(addr, prompt, *tokens, true),
-                    Wanted::Call(key) => call(addr, "POST", "/extensions", key, "{}"),
+                let answers = retry_while_throttled(|| match &request {
+                    RequestKind::Completion(prompt, tokens) => {
+                        complete(addr, prompt, *tokens, true)
+                    }
+                    RequestKind::Call(key) => call_service(addr, "POST", "/extensions", key, "{}"),
                 });
-                let sent = answers.into_iter().map(|answer| Sent {
-                    wanted: wanted.clone(),
+                let exchanges = answers.into_iter().map(|answer| Exchange {
+                    request: request.clone(),
                     answer,
                 });
-                sent.collect::<Vec<_>>()
+                exchanges.collect::<Vec<_>>()
             };
-            (0..40).flat_map(one).collect()
+            (0..40).flat_map(exchange).collect()
         })
     };
-    (0..8).map(client).collect()
+    (0..8).map(spawn).collect()
 }
 
-/// Hosts are frozen, thawed and killed, an engine dies and the key-value service goes down and
-/// loses an answer, all while members read answers and file. Afterwards every answer, refusal,
-/// run and explanation is held against the others.
+/// Under traffic, hosts are frozen, thawed and killed, an engine is killed, and the key-value
+/// service loses answers and goes down. All answers, runs and records must then agree.
 #[test]
 fn everything_is_accounted_for_after_kills_and_freezes() {
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetConfig {
         hosts: 4,
-        engine: vec!["--speed".into(), "4".into()],
-        ..Plan::default()
+        engine_args: vec!["--speed".into(), "4".into()],
+        ..FleetConfig::default()
     });
     let clients = traffic(&fleet);
     let pause = || thread::sleep(Duration::from_millis(150));
-    fleet.kv_fault(&json!({"lose_answers": 2, "lose_key": "chiveway/d/once/"}));
+    fleet.inject_kv_fault(&json!({"lose_answers": 2, "lose_key": "chiveway/d/once/"}));
     pause();
     fleet.hosts[1].process.freeze();
     pause();
     fleet.backends[0].process.kill();
-    fleet.kv_fault(&json!({"down": true}));
+    fleet.inject_kv_fault(&json!({"down": true}));
     pause();
-    fleet.kv_fault(&json!({"down": false}));
+    fleet.inject_kv_fault(&json!({"down": false}));
     fleet.hosts[1].process.thaw();
     fleet.hosts[2].process.kill();
-    let mut sent = Vec::new();
+    let mut exchanges = Vec::new();
     for client in clients {
-        sent.extend(client.join().expect("a client ends"));
+        exchanges.extend(client.join().expect("the client does not panic"));
     }
-    let whole = |sent: &&Sent| sent.answer.as_ref().is_some_and(|a| a.status == 200);
+    let served = |exchange: &&Exchange| exchange.answer.as_ref().is_some_and(|a| a.status == 200);
     assert!(
-        sent.iter().filter(whole).count() > 100,
-        "the fleet went on serving"
+        exchanges.iter().filter(served).count() > 100,
+        "at most 100 answers had status 200"
     );
-    wait_for("the dead host is known to be gone", || {
+    wait_for("host-4 lists three hosts", || {
         let status = fleet.status(3);
         status["hosts"]
             .as_array()
             .is_some_and(|hosts| hosts.len() == 3)
     });
-    let books = Books::collect(&fleet, 3, sent);
-    assert_eq!(books.faults(), []);
+    let observations = Observations::collect(&fleet, 3, exchanges);
+    assert_eq!(observations.violations(), []);
 }
--- /dev/null
+++ b/tests/fleet/support/proxy.rs
@@ -0,0 +1,157 @@
+//! A TCP proxy between two processes that injects network faults.
+
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU8, AtomicU32, Ordering};
+use std::thread;
+use std::time::Duration;
+
+/// Forwards all bytes.
+const MODE_PASS: u8 = 0;
+/// Holds all bytes back.
+const MODE_SILENT: u8 = 1;
+/// Closes connections.
+const MODE_REFUSE: u8 = 2;
+/// Forwards bytes to the target and holds back its replies.
+const MODE_ONE_WAY: u8 = 3;
+/// Delays all bytes.
+const MODE_DELAY: u8 = 4;
+
+/// Delay of each read in [`MODE_DELAY`].
+const FORWARD_DELAY: Duration = Duration::from_millis(60);
+
+/// Time between two checks of the mode.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A proxy in front of one address.
+#[derive(Debug, Clone)]
+pub struct FaultProxy {
+    /// The address to connect to in place of the target's.
+    pub addr: SocketAddr,
+    mode: Arc<AtomicU8>,
+    /// Number of times that all open connections were closed.
+    resets: Arc<AtomicU32>,
+}
+
+/// The proxy's mode as one connection sees it.
+#[derive(Debug, Clone)]
+struct ConnectionMode {
+    mode: Arc<AtomicU8>,
+    resets: Arc<AtomicU32>,
+    /// Value of `resets` when the connection was opened.
+    resets_at_open: u32,
+}
+
+impl ConnectionMode {
+    fn current(&self) -> u8 {
+        if self.resets.load(Ordering::SeqCst) == self.resets_at_open {
+            self.mode.load(Ordering::SeqCst)
+        } else {
+            MODE_REFUSE
+        }
+    }
+
+    /// Waits while bytes in this direction are held back; `reply` is the direction from the target.
+    fn wait(&self, reply: bool) {
+        while matches!(
+            (self.current(), reply),
+            (MODE_SILENT, _) | (MODE_ONE_WAY, true)
+        ) {
+            thread::sleep(POLL_INTERVAL);
+        }
+        if self.current() == MODE_DELAY {
+            thread::sleep(FORWARD_DELAY);
+        }
+    }
+}
+
+impl FaultProxy {
+    /// Starts a proxy in front of `target`.
+    pub fn start(target: SocketAddr) -> Self {
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback can be bound");
+        let addr = listener.local_addr().expect("the listener has an address");
+        let mode = Arc::new(AtomicU8::new(MODE_PASS));
+        let resets = Arc::new(AtomicU32::new(0));
+        let proxy = Self { addr, mode, resets };
+        let shared = proxy.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let mode = ConnectionMode {
+                    mode: Arc::clone(&shared.mode),
+                    resets: Arc::clone(&shared.resets),
+                    resets_at_open: shared.resets.load(Ordering::SeqCst),
+                };
+                thread::spawn(move || forward(stream, target, &mode));
+            }
+        });
+        proxy
+    }
+
+    /// Holds back all bytes from the target.
+    pub fn block_replies(&self) {
+        self.mode.store(MODE_ONE_WAY, Ordering::SeqCst);
+    }
+
+    /// Delays all bytes.
+    pub fn delay(&self) {
+        self.mode.store(MODE_DELAY, Ordering::SeqCst);
+    }
+
+    /// Closes all open connections; new ones are forwarded.
+    pub fn reset(&self) {
+        self.resets.fetch_add(1, Ordering::SeqCst);
+    }
+
+    /// Forwards everything again, including the bytes that were held back.
+    pub fn restore(&self) {
+        self.mode.store(MODE_PASS, Ordering::SeqCst);
+    }
+
+    /// Holds all bytes back on open and new connections, without closing any.
+    pub fn silence(&self) {
+        self.mode.store(MODE_SILENT, Ordering::SeqCst);
+    }
+
+    /// Closes open connections and refuses new ones.
+    pub fn refuse(&self) {
+        self.mode.store(MODE_REFUSE, Ordering::SeqCst);
+    }
+}
+
+fn forward(stream: TcpStream, target: SocketAddr, mode: &ConnectionMode) {
+    if mode.current() == MODE_REFUSE {
+        return;
+    }
+    mode.wait(false);
+    let Ok(upstream) = TcpStream::connect(target) else {
+        return;
+    };
+    let (Ok(from), Ok(to)) = (stream.try_clone(), upstream.try_clone()) else {
+        return;
+    };
+    let request_mode = mode.clone();
+    let requests = thread::spawn(move || copy_bytes(from, to, &request_mode, false));
+    copy_bytes(upstream, stream, mode, true);
+    drop(requests.join());
+}
+
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, mode: &ConnectionMode, reply: bool) {
+    drop(from.set_read_timeout(Some(POLL_INTERVAL)));
+    let mut buffer = [0; 16 * 1024];
+    loop {
+        let read = match from.read(&mut buffer) {
+            Ok(0) => break,
+            Ok(read) => read,
+            Err(err) if err.kind() == std::io::ErrorKind::WouldBlock => 0,
+            Err(err) if err.kind() == std::io::ErrorKind::TimedOut => 0,
+            Err(_) => break,
+        };
+        mode.wait(reply);
+        if mode.current() == MODE_REFUSE || to.write_all(&buffer[..read]).is_err() {
+            break;
+        }
+    }
+    drop(from.shutdown(Shutdown::Both));
+    drop(to.shutdown(Shutdown::Both));
+}
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -21,7 +21,7 @@
 
 use serde_json::Value;
 
-use process::{Folder, Process};
+use process::{Process, TempDir};
 use standin::{Engine, LONG_PROMPT, SHORT_PROMPT, Store, config, settings};
 
 /// Time limit of any wait; far above what a test needs.
@@ -63,7 +63,7 @@
     host: Process,
     callers: SocketAddr,
     readiness: SocketAddr,
-    folder: Folder,
+    folder: TempDir,
 }
 
 /// File name of a host's log.
@@ -77,13 +77,13 @@
     /// Starts a host with this grace period for a stop.
     fn with_grace(grace: &str) -> Self {
         let store = Store::start();
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let settings = settings("host-1", store.addr).replace("8s", grace);
         let config = folder.write("host.ini", &settings);
         let config = config.to_str().expect("a path").to_owned();
         let log = folder.write(LOG_FILE, "");
-        let host = Process::logged(&["host", "-c", &config], &log);
-        let line: Value = serde_json::from_str(&host.line).expect("a JSON line");
+        let host = Process::start_with_stdout(&["host", "-c", &config], &log);
+        let line: Value = serde_json::from_str(&host.first_line).expect("a JSON line");
         let addr = |name: &str| line[name].as_str().and_then(|addr| addr.parse().ok());
         Self {
             callers: addr("callers").expect("the callers' listener"),
@@ -175,7 +175,7 @@
     let answer = site
         .send("/long/x", "id-2", &LONG_PROMPT)
         .expect("an answer");
-    assert_eq!((answer.status, answer.whole), (200, true));
+    assert_eq!((answer.status, answer.complete), (200, true));
     assert_eq!(answer.text(), standin::events("d-1", 1..=4));
     assert_eq!(
         prefill.request_heads("/long/x").len(),
@@ -187,7 +187,7 @@
     let answer = site
         .send("/short/x", "id-3", &SHORT_PROMPT)
         .expect("an answer");
-    assert!(answer.whole && answer.text().contains("id: 4"));
+    assert!(answer.complete && answer.text().contains("id: 4"));
 }
 
 /// A caller sends headers that hosts use internally towards engines. Guards against forwarding them: the
@@ -295,14 +295,14 @@
     let answer = site
         .send("/long/x", "id-1", &LONG_PROMPT)
         .expect("an answer");
-    assert_eq!((answer.status, answer.whole), (200, false));
+    assert_eq!((answer.status, answer.complete), (200, false));
     // The host may choose either engine; a resumed stream does not break off again.
     one.break_after(2);
     two.break_after(2);
     let answer = site
         .send("/short/x", "id-2", &SHORT_PROMPT)
         .expect("an answer");
-    assert!(answer.whole, "{}", answer.text());
+    assert!(answer.complete, "{}", answer.text());
     let text = answer.text();
     let ids: Vec<&str> = text
         .lines()
@@ -339,8 +339,8 @@
     });
     decode.release_streams();
     let answer = running.join().expect("a caller").expect("an answer");
-    assert!(answer.whole && answer.status == 200);
-    wait_for("the process to exit", || site.host.is_over());
+    assert!(answer.complete && answer.status == 200);
+    wait_for("the process to exit", || site.host.has_exited());
 }
 
 /// A host receives SIGHUP just after its start. Guards against the signal ending the process, which would cut
@@ -352,7 +352,7 @@
         site.host.hup();
         let answer = site.send("/once/x", "id-1", &[]).expect("an answer");
         assert_eq!(answer.status, 503, "the host runs without a configuration");
-        assert!(!site.host.is_over());
+        assert!(!site.host.has_exited());
     }
 }
 
--- a/tests/relay/stop.rs
+++ b/tests/relay/stop.rs
@@ -42,7 +42,7 @@
 
     /// Reads an answer with its body; `None` if the connection was closed without one.
     fn read_answer(&mut self) -> Option<Response> {
-        let first = http::line(&mut self.reader)?;
+        let first = http::read_line(&mut self.reader)?;
         let status = first.split(' ').nth(1)?.parse().ok()?;
         let mut response = Response {
             status,
@@ -50,7 +50,7 @@
         };
         let mut length = 0;
         loop {
-            let line = http::line(&mut self.reader)?.to_lowercase();
+            let line = http::read_line(&mut self.reader)?.to_lowercase();
             if line.is_empty() {
                 break;
             }
@@ -106,7 +106,7 @@
         connection.closes_without_data(),
         "the host sent data without a request"
     );
-    assert!(site.host.ended().success());
+    assert!(site.host.wait_for_exit().success());
     let stopped = events(&site, "host.stopped");
     assert_eq!(stopped.len(), 1, "{}", site.log());
     assert_eq!(stopped[0]["why"], "every request is finished");
@@ -131,8 +131,8 @@
     }
     decode.release_streams();
     let answer = running.join().expect("a caller").expect("an answer");
-    assert!(answer.whole && answer.status == 200);
-    assert!(site.host.ended().success());
+    assert!(answer.complete && answer.status == 200);
+    assert!(site.host.wait_for_exit().success());
     assert_eq!(
         plain.request_heads("/once/x").len(),
         1,
@@ -150,9 +150,9 @@
     decode.hold_streams();
     let running = site.stream("endless", &decode);
     site.host.term();
-    assert!(site.host.ended().success());
+    assert!(site.host.wait_for_exit().success());
     let answer = running.join().expect("a caller");
-    assert!(answer.is_none_or(|answer| !answer.whole));
+    assert!(answer.is_none_or(|answer| !answer.complete));
     let time_limit = events(&site, "host.stop_bound");
     assert_eq!(time_limit.len(), 1, "{}", site.log());
     assert_eq!(time_limit[0]["running"], "1");
@@ -189,7 +189,7 @@
     decode.release_streams();
     for caller in running {
         let answer = caller.join().expect("a caller").expect("an answer");
-        assert!(answer.whole, "{:?}", answer.status);
+        assert!(answer.complete, "{:?}", answer.status);
     }
-    assert!(site.host.ended().success());
+    assert!(site.host.wait_for_exit().success());
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -83,7 +83,7 @@
             answered_id: header("x-chiveway-attempt-id"),
             server_stamp: header("x-chiveway-server-stamp"),
             body: answer.as_ref().map_or(String::new(), http::Answer::text),
-            is_complete: answer.as_ref().is_some_and(|answer| answer.whole),
+            is_complete: answer.as_ref().is_some_and(|answer| answer.complete),
             planned_only: before.0 == 0 && before == after,
         };
         let served = observation.status == Some(200) && observation.is_complete;
@@ -108,7 +108,11 @@
                     break;
                 }
                 if start.elapsed() > limit {
-                    let ended = self.hosts[host].lock().expect("no panic").process.is_over();
+                    let ended = self.hosts[host]
+                        .lock()
+                        .expect("no panic")
+                        .process
+                        .has_exited();
                     let state = if ended { "has ended" } else { "is running" };
                     missing.push(format!(
                         "{} {}, its process {state}",
--- a/tests/soak/cluster.rs
+++ b/tests/soak/cluster.rs
@@ -11,9 +11,9 @@
 use serde_json::{Value, json};
 
 use crate::check::{self, Observation};
-use crate::cut::Cut;
+use crate::cut::FaultProxy;
 use crate::faults::{Fault, FaultKind, series, with_hang, with_restores};
-use crate::process::{Folder, Process};
+use crate::process::{Process, TempDir};
 use crate::standin::{Engine, Store, config, settings};
 use crate::{SEEDS_WITHOUT_HANG, SEEDS_WITHOUT_RESTORES, WAIT_TIMEOUT};
 
@@ -51,16 +51,16 @@
 /// A server, its forwarder, and the configuration version written after its drain.
 pub struct Server {
     pub engine: Engine,
-    pub forwarder: Cut,
+    pub forwarder: FaultProxy,
     pub drain_version: Option<u64>,
 }
 
 pub struct Cluster {
-    pub folder: Folder,
+    pub folder: TempDir,
     pub logs: PathBuf,
     pub store: Store,
     /// A forwarder to the store for each host.
-    pub store_forwarders: Vec<Cut>,
+    pub store_forwarders: Vec<FaultProxy>,
     pub hosts: Vec<Mutex<Host>>,
     pub incarnations: Mutex<Vec<Incarnation>>,
     pub servers: Mutex<Vec<Server>>,
@@ -142,9 +142,9 @@
         let logs = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&logs).expect("a folder for logs");
         let store = Store::start();
-        let store_forwarders: Vec<Cut> = (0..HOST_COUNT).map(|_| Cut::before(store.addr)).collect();
+        let store_forwarders: Vec<FaultProxy> = (0..HOST_COUNT).map(|_| FaultProxy::start(store.addr)).collect();
         let mut cluster = Self {
-            folder: Folder::new(),
+            folder: TempDir::new(),
             logs,
             store,
             store_forwarders,
@@ -187,8 +187,8 @@
         let path = self.folder.write(&format!("{name}.ini"), &text);
         let log = self.logs.join(format!("{name}.{starts}.log"));
         let path = path.to_str().expect("a path");
-        let process = Process::logged(&["host", "-c", path], &log);
-        let line: Value = serde_json::from_str(&process.line).expect("a JSON line");
+        let process = Process::start_with_stdout(&["host", "-c", path], &log);
+        let line: Value = serde_json::from_str(&process.first_line).expect("a JSON line");
         let callers = line["callers"].as_str().and_then(|addr| addr.parse().ok());
         let incarnation = Incarnation {
             callers: callers.expect("the callers' listener"),
@@ -229,7 +229,7 @@
         let id = format!("s-{}", servers.len() + 1);
         let engine = stage.map_or_else(|| Engine::plain(&id), |stage| Engine::model(&id, stage));
         engine.set_delay(SERVER_DELAY);
-        let forwarder = Cut::before(engine.addr());
+        let forwarder = FaultProxy::start(engine.addr());
         let server = Server {
             engine,
             forwarder,
@@ -275,10 +275,10 @@
     }
 
     fn apply(&self, fault: Fault) {
-        let lasting = |forwarder: &Cut, begin: fn(&Cut)| {
+        let lasting = |forwarder: &FaultProxy, begin: fn(&FaultProxy)| {
             begin(forwarder);
             thread::sleep(fault.duration);
-            forwarder.heal();
+            forwarder.restore();
         };
         let forwarder = |position| self.with_server(position, |server| server.forwarder.clone());
         match fault.kind {
@@ -287,7 +287,7 @@
             FaultKind::Stop(index) => {
                 let mut host = self.hosts[index].lock().expect("no panic");
                 host.process.term();
-                host.process.ended();
+                host.process.wait_for_exit();
                 self.restart(index, &mut host);
             }
             FaultKind::Freeze(host) => {
@@ -297,9 +297,9 @@
                 host.process.thaw();
             }
             FaultKind::Reload(host) => self.hosts[host].lock().expect("no panic").process.hup(),
-            FaultKind::StoreLinkSilent(host) => lasting(&self.store_forwarders[host], Cut::silence),
-            FaultKind::StoreLinkOneWay(host) => lasting(&self.store_forwarders[host], Cut::one_way),
-            FaultKind::StoreLinkRefuses(host) => lasting(&self.store_forwarders[host], Cut::refuse),
+            FaultKind::StoreLinkSilent(host) => lasting(&self.store_forwarders[host], FaultProxy::silence),
+            FaultKind::StoreLinkOneWay(host) => lasting(&self.store_forwarders[host], FaultProxy::block_replies),
+            FaultKind::StoreLinkRefuses(host) => lasting(&self.store_forwarders[host], FaultProxy::refuse),
             FaultKind::StoreLinkReset(host) => self.store_forwarders[host].reset(),
             FaultKind::StoreDown => {
                 self.store.go_down();
@@ -324,9 +324,9 @@
                 self.store.rewrite_lost();
             }
             FaultKind::StoreDropsReplies => self.store.drop_replies(DROPPED_REPLIES),
-            FaultKind::ServerSilent(position) => lasting(&forwarder(position), Cut::silence),
-            FaultKind::ServerOneWay(position) => lasting(&forwarder(position), Cut::one_way),
-            FaultKind::ServerDelay(position) => lasting(&forwarder(position), Cut::delay),
+            FaultKind::ServerSilent(position) => lasting(&forwarder(position), FaultProxy::silence),
+            FaultKind::ServerOneWay(position) => lasting(&forwarder(position), FaultProxy::block_replies),
+            FaultKind::ServerDelay(position) => lasting(&forwarder(position), FaultProxy::delay),
             FaultKind::ServerReset(position) => forwarder(position).reset(),
             FaultKind::ServerCrash(position) => {
                 let id = self.with_server(position, |server| {
