--- a/benches/core/main.rs
+++ b/benches/core/main.rs
@@ -18,14 +18,14 @@
 use site::Site;
 
 #[global_allocator]
-static COUNTED: memory::Counted = memory::Counted;
+static ALLOCATOR: memory::CountingAllocator = memory::CountingAllocator;
 
 /// Engines of the sites measured: a small one, a middle one, and the size designed for.
-const ENGINES: [usize; 3] = [21, 200, 1_300];
+const ENGINE_COUNTS: [usize; 3] = [21, 200, 1_300];
 /// Accounts of the sites measured.
-const ACCOUNTS: [usize; 3] = [100, 3_000, 31_000];
+const ACCOUNT_COUNTS: [usize; 3] = [100, 3_000, 31_000];
 /// Hosts of the sites measured, beside this one.
-const PEERS: [usize; 3] = [8, 39, 369];
+const PEER_COUNTS: [usize; 3] = [8, 39, 369];
 
 fn main() {
     memory::print();
@@ -36,23 +36,23 @@
         .warm_up_time(Duration::from_millis(100))
         .measurement_time(Duration::from_millis(400))
         .configure_from_args();
-    by_engines(&mut criterion);
-    by_accounts(&mut criterion);
-    by_peers(&mut criterion);
+    bench_engines(&mut criterion);
+    bench_accounts(&mut criterion);
+    bench_peers(&mut criterion);
     criterion.final_summary();
 }
 
-fn by_engines(criterion: &mut Criterion) {
+fn bench_engines(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("engines");
-    for count in ENGINES {
+    for count in ENGINE_COUNTS {
         let mut site = Site::new(count, 100, 8);
         let need = need();
         group.bench_function(BenchmarkId::new("route", count), |bench| {
             bench.iter(|| route::choose_engine(&mut site.core, &need));
         });
         group.bench_function(BenchmarkId::new("admit", count), |bench| {
-            let print = chiveway::core::event::Fingerprint::default();
-            bench.iter(|| admit::check(&mut site.core, &need, print));
+            let fingerprint = chiveway::core::event::Fingerprint::default();
+            bench.iter(|| admit::check(&mut site.core, &need, fingerprint));
         });
         let mut out = Effects::new();
         group.bench_function(BenchmarkId::new("report", count), |bench| {
@@ -80,9 +80,9 @@
     group.finish();
 }
 
-fn by_accounts(criterion: &mut Criterion) {
+fn bench_accounts(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("accounts");
-    for count in ACCOUNTS {
+    for count in ACCOUNT_COUNTS {
         let mut site = Site::new(21, count, 8);
         group.bench_function(BenchmarkId::new("request", count), |bench| {
             let mut tag = 0;
@@ -110,9 +110,9 @@
     group.finish();
 }
 
-fn by_peers(criterion: &mut Criterion) {
+fn bench_peers(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("peers");
-    for count in PEERS {
+    for count in PEER_COUNTS {
         let mut site = Site::new(21, 100, count);
         let mut out = Effects::new();
         let mut bytes = BytesMut::new();
@@ -126,12 +126,12 @@
             bench.iter(|| {
                 out.clear();
                 number += 1;
-                let beat = Heartbeat {
+                let heartbeat = Heartbeat {
                     number,
                     revision: 1,
                     ..Heartbeat::default()
                 };
-                let event = from_peer(Message::Heartbeat(beat));
+                let event = from_peer(Message::Heartbeat(heartbeat));
                 site.core.reduce(Time::from_millis(10), event, &mut out);
             });
         });
--- a/benches/core/memory.rs
+++ b/benches/core/memory.rs
@@ -5,22 +5,22 @@
 
 use crate::site::Site;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 /// The system's allocator, with the bytes held counted.
 #[derive(Debug)]
-pub struct Counted;
+pub struct CountingAllocator;
 
 // SAFETY: every call is passed on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counted {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         // SAFETY: the caller keeps the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         // SAFETY: the caller keeps the contract of `dealloc`.
         unsafe { System.dealloc(ptr, layout) }
     }
@@ -33,14 +33,26 @@
         "memory of one", "count", "bytes each"
     );
     let rows = [
-        ("engine", 1_279, grown(|site| site.set_engines(1_300))),
-        ("account", 30_900, grown(|site| site.set_accounts(31_000))),
-        ("peer", 361, grown(|site| site.set_peers(369))),
-        ("live request", 1_000, grown(|site| open(site, 1_000))),
+        (
+            "engine",
+            1_279,
+            growth_bytes(|site| site.set_engines(1_300)),
+        ),
+        (
+            "account",
+            30_900,
+            growth_bytes(|site| site.set_accounts(31_000)),
+        ),
+        ("peer", 361, growth_bytes(|site| site.set_peers(369))),
+        (
+            "live request",
+            1_000,
+            growth_bytes(|site| open(site, 1_000)),
+        ),
         (
             "ended request's record",
             1_000,
-            grown(|site| serve(site, 1_000)),
+            growth_bytes(|site| serve(site, 1_000)),
         ),
     ];
     for (name, count, bytes) in rows {
@@ -52,11 +64,13 @@
 }
 
 /// Returns the bytes by which a small site grows.
-fn grown(grow: impl FnOnce(&mut Site)) -> usize {
+fn growth_bytes(grow: impl FnOnce(&mut Site)) -> usize {
     let mut site = Site::new(21, 100, 8);
-    let before = HELD.load(Ordering::Relaxed);
+    let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
     grow(&mut site);
-    HELD.load(Ordering::Relaxed).saturating_sub(before)
+    ALLOCATED_BYTES
+        .load(Ordering::Relaxed)
+        .saturating_sub(before)
 }
 
 fn open(site: &mut Site, count: u64) {
--- a/benches/core/site.rs
+++ b/benches/core/site.rs
@@ -40,7 +40,7 @@
     format!("host-{at:03}").into()
 }
 
-fn caller(at: usize) -> KeyHash {
+fn account_key(at: usize) -> KeyHash {
     KeyHash::of(&format!("key-{at}"))
 }
 
@@ -62,7 +62,7 @@
     /// Puts lists with this many accounts in force.
     pub fn set_accounts(&mut self, count: usize) {
         let customers = (0..count).map(|at| {
-            let key = caller(at);
+            let key = account_key(at);
             format!("[customer Account number {at}]\nplan = plan\nkeys = {key}\n")
         });
         let text: String = customers.collect();
@@ -123,11 +123,11 @@
     /// Takes in a request up to its first token.
     pub fn open(&mut self, tag: u64, account: usize) -> Stream {
         let mut out = Effects::new();
-        let mut print = [0; 16];
-        print[..8].copy_from_slice(&tag.to_le_bytes());
+        let mut fingerprint = [0; 16];
+        fingerprint[..8].copy_from_slice(&tag.to_le_bytes());
         let arrival = Arrival {
             tag,
-            key_hash: caller(account),
+            key_hash: account_key(account),
             spec: RequestSpec::Model(ModelRequest {
                 model: MODEL.into(),
                 prompt_tokens: 1,
@@ -135,7 +135,7 @@
                 prefix_hashes: Vec::new(),
             }),
             idempotency_key: None,
-            fingerprint: Fingerprint(print),
+            fingerprint: Fingerprint(fingerprint),
         };
         let at = Time::from_millis(20);
         let event = RequestEvent::Arrived(Box::new(arrival));
@@ -173,8 +173,8 @@
             };
             self.core.reduce(at, Event::Request(event), &mut out);
         }
-        let whole = Event::Request(RequestEvent::StreamCompleted(stream.attempt));
-        self.core.reduce(at, whole, &mut out);
+        let completed = Event::Request(RequestEvent::StreamCompleted(stream.attempt));
+        self.core.reduce(at, completed, &mut out);
         assert!(!self.core.requests.arena.contains_key(stream.request));
     }
 }
--- a/benches/policy/baseline.rs
+++ b/benches/policy/baseline.rs
@@ -5,24 +5,24 @@
 
 use chiveway::core::event::Role;
 
-use crate::engine::{BETWEEN, PREFILL, SLOTS, gap};
+use crate::engine::{BATCH_SLOTS, PREFILL_TOKENS_PER_SEC, TOKEN_GAP_US, token_gap_us};
 
 /// How a baseline chooses engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Router {
     /// Each in turn, by host.
-    Turn,
+    RoundRobin,
     /// Any.
     Random,
     /// Least by the last report, whatever its age.
-    Report,
+    LeastReported,
     /// Knows everything; refuses what would come late.
     Exact,
 }
 
 /// One engine as a baseline sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct Candidate {
     /// Position.
     pub at: usize,
     /// Role.
@@ -30,11 +30,11 @@
     /// Speed.
     pub speed: f64,
     /// Prompt tokens waiting, by report or exactly.
-    pub prefill: u64,
+    pub prefill_tokens: u64,
     /// Streams and waiting jobs, by report or exactly.
     pub streams: u32,
     /// Prompt tokens that its cache saves for the request.
-    pub cached: u64,
+    pub cached_tokens: u64,
 }
 
 /// Engines chosen for one request; `None` where it is refused.
@@ -45,68 +45,84 @@
     router: Router,
     turn: usize,
     rng: &mut SmallRng,
-    seen: &[Seen],
-    prompt: u32,
+    candidates: &[Candidate],
+    prompt_tokens: u32,
 ) -> Choice {
-    let of = |role: Role| -> Vec<Seen> {
-        let fits = seen.iter().filter(|seen| seen.role == role);
-        fits.copied().collect()
+    let with_role = |role: Role| -> Vec<Candidate> {
+        let matching = candidates.iter().filter(|candidate| candidate.role == role);
+        matching.copied().collect()
     };
-    let both = of(Role::Both);
-    if !both.is_empty() {
-        return pick(router, turn, rng, &both, prompt).map(|seen| (None, seen.at));
+    let combined = with_role(Role::Both);
+    if !combined.is_empty() {
+        return choose_prefill(router, turn, rng, &combined, prompt_tokens)
+            .map(|candidate| (None, candidate.at));
     }
-    let prefill = pick(router, turn, rng, &of(Role::Prefill), prompt)?;
-    let decode = pick_decode(router, turn, rng, &of(Role::Decode))?;
+    let prefill = choose_prefill(router, turn, rng, &with_role(Role::Prefill), prompt_tokens)?;
+    let decode = choose_decode(router, turn, rng, &with_role(Role::Decode))?;
     Some((Some(prefill.at), decode.at))
 }
 
-fn pick(
+fn choose_prefill(
     router: Router,
     turn: usize,
     rng: &mut SmallRng,
-    seen: &[Seen],
-    prompt: u32,
-) -> Option<Seen> {
-    if seen.is_empty() {
+    candidates: &[Candidate],
+    prompt_tokens: u32,
+) -> Option<Candidate> {
+    if candidates.is_empty() {
         return None;
     }
     match router {
-        Router::Turn => Some(seen[turn % seen.len()]),
-        Router::Random => Some(seen[rng.random_range(0..seen.len())]),
-        Router::Report => seen.iter().copied().min_by_key(|seen| seen.prefill),
+        Router::RoundRobin => Some(candidates[turn % candidates.len()]),
+        Router::Random => Some(candidates[rng.random_range(0..candidates.len())]),
+        Router::LeastReported => candidates
+            .iter()
+            .copied()
+            .min_by_key(|candidate| candidate.prefill_tokens),
         Router::Exact => {
-            let time = |seen: &Seen| {
-                let tokens = seen.prefill + u64::from(prompt) - seen.cached.min(prompt.into());
-                tokens as f64 / PREFILL / seen.speed
+            let prefill_secs = |candidate: &Candidate| {
+                let tokens = candidate.prefill_tokens + u64::from(prompt_tokens)
+                    - candidate.cached_tokens.min(prompt_tokens.into());
+                tokens as f64 / PREFILL_TOKENS_PER_SEC / candidate.speed
             };
-            let best = seen
+            let best = candidates
                 .iter()
                 .copied()
-                .min_by(|one, other| time(one).total_cmp(&time(other)))?;
+                .min_by(|one, other| prefill_secs(one).total_cmp(&prefill_secs(other)))?;
             // What is left of the wanted time once the answer has reached a decode engine.
-            (time(&best) < EXACT_BOUND).then_some(best)
+            (prefill_secs(&best) < EXACT_MAX_PREFILL_SECS).then_some(best)
         }
     }
 }
 
 /// Prefill time that the exact router takes, in seconds.
-const EXACT_BOUND: f64 = 0.70;
+const EXACT_MAX_PREFILL_SECS: f64 = 0.70;
 
-fn pick_decode(router: Router, turn: usize, rng: &mut SmallRng, seen: &[Seen]) -> Option<Seen> {
-    if seen.is_empty() {
+fn choose_decode(
+    router: Router,
+    turn: usize,
+    rng: &mut SmallRng,
+    candidates: &[Candidate],
+) -> Option<Candidate> {
+    if candidates.is_empty() {
         return None;
     }
     match router {
-        Router::Turn => Some(seen[turn % seen.len()]),
-        Router::Random => Some(seen[rng.random_range(0..seen.len())]),
-        Router::Report => seen.iter().copied().min_by_key(|seen| seen.streams),
+        Router::RoundRobin => Some(candidates[turn % candidates.len()]),
+        Router::Random => Some(candidates[rng.random_range(0..candidates.len())]),
+        Router::LeastReported => candidates
+            .iter()
+            .copied()
+            .min_by_key(|candidate| candidate.streams),
         Router::Exact => {
-            let gap = |seen: &Seen| gap(seen.streams as usize + 1, seen.speed);
-            let free = seen.iter().copied().filter(|seen| {
-                (seen.streams as usize) < SLOTS && gap(seen) <= BETWEEN as f64 * 0.9
+            let gap_us = |candidate: &Candidate| {
+                token_gap_us(candidate.streams as usize + 1, candidate.speed)
+            };
+            let free = candidates.iter().copied().filter(|candidate| {
+                (candidate.streams as usize) < BATCH_SLOTS
+                    && gap_us(candidate) <= TOKEN_GAP_US as f64 * 0.9
             });
-            free.min_by(|one, other| gap(one).total_cmp(&gap(other)))
+            free.min_by(|one, other| gap_us(one).total_cmp(&gap_us(other)))
         }
     }
 }
--- a/benches/policy/bounds.rs
+++ b/benches/policy/bounds.rs
@@ -3,20 +3,20 @@
 use chiveway::form::Form;
 use chiveway::sections::{Document, KeySpec, Label, SectionKind};
 
-use crate::table::{Row, find, of_oracle};
+use crate::table::{Row, find_row, oracle_fraction};
 use crate::{POLICIES, Policy};
 
-const fn key(key: &'static str, about: &'static str) -> KeySpec {
+const fn key(name: &'static str, description: &'static str) -> KeySpec {
     KeySpec {
-        name: key,
+        name,
         form: Form::Number(0.0, 1e6),
         default: Some(""),
-        description: about,
+        description,
     }
 }
 
 /// One section a case.
-const KINDS: &[SectionKind] = &[SectionKind {
+const SECTION_KINDS: &[SectionKind] = &[SectionKind {
     keyword: "case",
     label: Label::Name,
     keys: &[
@@ -37,35 +37,35 @@
 
 /// Returns a line for each figure beyond its bound.
 pub fn check(text: &str, rows: &[Row]) -> Vec<String> {
-    let doc = Document::parse(text, "bounds.ini", KINDS);
-    let mut broken: Vec<String> = doc.faults.iter().map(ToString::to_string).collect();
+    let doc = Document::parse(text, "bounds.ini", SECTION_KINDS);
+    let mut violations: Vec<String> = doc.faults.iter().map(ToString::to_string).collect();
     for section in &doc.sections {
-        let Some(ours) = find(rows, &section.name, Policy::Ours) else {
+        let Some(row) = find_row(rows, &section.name, Policy::Chiveway) else {
             continue;
         };
-        let tally = &ours.tally;
-        let fixed = find(rows, &section.name, Policy::Static);
-        let fixed = fixed.map_or(1.0, |row| row.tally.goodput());
+        let tally = &row.tally;
+        let static_row = find_row(rows, &section.name, Policy::Static);
+        let static_goodput = static_row.map_or(1.0, |fixed| fixed.tally.goodput());
         let figures = [
-            ("oracle", of_oracle(rows, ours), Side::Least),
-            ("static", tally.goodput() / fixed, Side::Least),
-            ("changes", f64::from(tally.changes), Side::Most),
-            ("kept", tally.truth(), Side::Least),
-            ("retries", tally.repeats(), Side::Most),
-            ("fair", tally.fairness(), Side::Least),
+            ("oracle", oracle_fraction(rows, row), BoundKind::Min),
+            ("static", tally.goodput() / static_goodput, BoundKind::Min),
+            ("changes", f64::from(tally.role_changes), BoundKind::Max),
+            ("kept", tally.admitted_fraction(), BoundKind::Min),
+            ("retries", tally.retry_ratio(), BoundKind::Max),
+            ("fair", tally.fairness(), BoundKind::Min),
         ];
-        for (key, figure, side) in figures {
+        for (key, figure, kind) in figures {
             let Ok(bound) = section.get(key).parse::<f64>() else {
                 continue;
             };
-            let (beyond, word) = match side {
-                Side::Least => (figure < bound, "least"),
-                Side::Most => (figure > bound, "most"),
+            let (exceeded, wording) = match kind {
+                BoundKind::Min => (figure < bound, "least"),
+                BoundKind::Max => (figure > bound, "most"),
             };
-            if beyond {
+            if exceeded {
                 let name = &section.name;
-                broken.push(format!(
-                    "{name}: {key} is {figure:.4}, {word} {bound} allowed"
+                violations.push(format!(
+                    "{name}: {key} is {figure:.4}, {wording} {bound} allowed"
                 ));
             }
         }
@@ -77,16 +77,16 @@
                 .iter()
                 .any(|section| *section.name == *case.name)
             {
-                broken.push(format!("{}: has no bounds", case.name));
+                violations.push(format!("{}: has no bounds", case.name));
             }
         }
     }
-    broken
+    violations
 }
 
 /// On which side of a bound figures must lie.
 #[derive(Debug, Clone, Copy)]
-enum Side {
-    Least,
-    Most,
+enum BoundKind {
+    Min,
+    Max,
 }
--- a/benches/policy/engine.rs
+++ b/benches/policy/engine.rs
@@ -7,37 +7,38 @@
 use chiveway::core::event::Role;
 
 /// Streams in the batch at most.
-pub const SLOTS: usize = 32;
+pub const BATCH_SLOTS: usize = 32;
 /// Prompt tokens an engine of full speed prefills a second.
-pub const PREFILL: f64 = 16_000.0;
+pub const PREFILL_TOKENS_PER_SEC: f64 = 16_000.0;
 /// Tokens an engine of full speed generates a second over a full batch.
-pub const DECODE: f64 = 2_000.0;
+pub const DECODE_TOKENS_PER_SEC: f64 = 2_000.0;
 /// Tokens in one piece of the prefix cache.
-pub const PIECE: u64 = 2_000;
+pub const TOKENS_PER_BLOCK: u64 = 2_000;
 /// Wanted time between tokens in microseconds.
-pub const BETWEEN: u64 = 49_000;
+pub const TOKEN_GAP_US: u64 = 49_000;
 /// Time of every step in microseconds, whatever is in it.
-const BASE: f64 = 4_000.0;
+const STEP_BASE_US: f64 = 4_000.0;
 /// Prompt tokens worked through in one step at most.
-const CHUNK: u64 = 2_048;
+const PREFILL_CHUNK_TOKENS: u64 = 2_048;
 /// Pieces that the prefix cache holds.
-const PIECES: usize = 96;
+const CACHE_BLOCKS: usize = 96;
 
 /// Returns the microseconds between tokens at an engine that decodes this many streams.
-pub fn gap(streams: usize, speed: f64) -> f64 {
-    let stream = (SLOTS as f64 * 1e6 / DECODE - BASE) / SLOTS as f64;
-    (BASE + streams as f64 * stream) / speed
+pub fn token_gap_us(streams: usize, speed: f64) -> f64 {
+    let stream =
+        (BATCH_SLOTS as f64 * 1e6 / DECODE_TOKENS_PER_SEC - STEP_BASE_US) / BATCH_SLOTS as f64;
+    (STEP_BASE_US + streams as f64 * stream) / speed
 }
 
 /// Which part of a request a job is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum JobKind {
     /// Prompt and answer.
-    Whole,
+    Full,
     /// Prompt only, for another engine.
     Prefill,
     /// Answer only; the KV cache comes from another engine.
-    Imported,
+    Decode,
 }
 
 /// One job.
@@ -46,30 +47,30 @@
     /// Number of the attempt that it belongs to.
     pub id: usize,
     /// Which part it is.
-    pub part: Part,
+    pub kind: JobKind,
     /// Prompt tokens left.
     pub prompt: u64,
     /// Tokens to generate.
     pub output: u64,
     /// Pieces of the prompt.
-    pub pieces: Rc<[u64]>,
+    pub blocks: Rc<[u64]>,
     /// Higher goes first.
     pub priority: u8,
 }
 
 /// What an engine brought about in one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Made {
+pub enum StepEvent {
     /// The prompt is worked through and kept for another engine.
     Prefilled(usize),
     /// The first token.
-    First(usize),
+    FirstToken(usize),
     /// The last token; `slow` of the `gaps` between tokens were longer than wanted.
-    Last {
+    Completed {
         /// Attempt.
         id: usize,
         /// Gaps longer than wanted.
-        slow: u64,
+        slow_gaps: u64,
         /// Gaps.
         gaps: u64,
     },
@@ -94,13 +95,13 @@
     /// Jobs waiting.
     pub waiting: u32,
     /// Prompt tokens not worked through.
-    pub prefill: u64,
+    pub queued_prefill: u64,
 }
 
 #[derive(Debug)]
 struct Stream {
-    first: u64,
-    slow: u64,
+    first_step: u64,
+    slow_before: u64,
 }
 
 /// One engine.
@@ -113,17 +114,17 @@
     /// What it is doing.
     pub state: State,
     /// Prompt tokens that came from the cache.
-    pub hits: u64,
+    pub cached_tokens: u64,
     waiting: BTreeMap<(Reverse<u8>, u64), Job>,
-    places: BTreeMap<usize, (Reverse<u8>, u64)>,
-    queued: u64,
-    filling: Vec<Job>,
+    queue_keys: BTreeMap<usize, (Reverse<u8>, u64)>,
+    queued_tokens: u64,
+    prefilling: Vec<Job>,
     decoding: BTreeMap<(u64, usize), Stream>,
-    work: u64,
+    step_tokens: u64,
     arrivals: u64,
     step: u64,
-    slow: u64,
-    length: u64,
+    slow_steps: u64,
+    step_us: u64,
     busy: bool,
     cache: Cache,
 }
@@ -134,28 +135,28 @@
             speed,
             role,
             state: State::Up,
-            hits: 0,
+            cached_tokens: 0,
             waiting: BTreeMap::new(),
-            places: BTreeMap::new(),
-            queued: 0,
-            filling: Vec::new(),
+            queue_keys: BTreeMap::new(),
+            queued_tokens: 0,
+            prefilling: Vec::new(),
             decoding: BTreeMap::new(),
-            work: 0,
+            step_tokens: 0,
             arrivals: 0,
             step: 0,
-            slow: 0,
-            length: 0,
+            slow_steps: 0,
+            step_us: 0,
             busy: false,
             cache: Cache::default(),
         }
     }
 
     /// Tells whether the engine takes this part of a request.
-    pub fn takes(&self, part: Part) -> bool {
+    pub fn accepts(&self, kind: JobKind) -> bool {
         let fits = match self.role {
             Role::Both => true,
-            Role::Prefill => part == Part::Prefill,
-            Role::Decode => part == Part::Imported,
+            Role::Prefill => kind == JobKind::Prefill,
+            Role::Decode => kind == JobKind::Decode,
         };
         self.state == State::Up && fits
     }
@@ -163,88 +164,100 @@
     /// Takes in a job.
     pub fn push(&mut self, job: Job) {
         self.arrivals += 1;
-        let place = (Reverse(job.priority), self.arrivals);
-        self.places.insert(job.id, place);
-        self.queued += job.prompt;
-        self.waiting.insert(place, job);
+        let queue_key = (Reverse(job.priority), self.arrivals);
+        self.queue_keys.insert(job.id, queue_key);
+        self.queued_tokens += job.prompt;
+        self.waiting.insert(queue_key, job);
     }
 
     /// Begins a step if none is under way and there is work; returns its length in microseconds.
-    pub fn begin(&mut self) -> Option<u64> {
+    pub fn begin_step(&mut self) -> Option<u64> {
         if self.busy || self.state != State::Up {
             return None;
         }
-        while self.filling.len() + self.decoding.len() < SLOTS {
+        while self.prefilling.len() + self.decoding.len() < BATCH_SLOTS {
             let Some((_, mut job)) = self.waiting.pop_first() else {
                 break;
             };
-            self.places.remove(&job.id);
-            self.queued -= job.prompt;
-            if job.part != Part::Imported {
-                let cached = self.cache.reuse(&job.pieces).min(job.prompt);
+            self.queue_keys.remove(&job.id);
+            self.queued_tokens -= job.prompt;
+            if job.kind != JobKind::Decode {
+                let cached = self.cache.reuse(&job.blocks).min(job.prompt);
                 job.prompt -= cached;
-                self.hits += cached;
+                self.cached_tokens += cached;
             }
-            self.filling.push(job);
+            self.prefilling.push(job);
         }
-        if self.filling.is_empty() && self.decoding.is_empty() {
+        if self.prefilling.is_empty() && self.decoding.is_empty() {
             return None;
         }
-        let left: u64 = self.filling.iter().map(|job| job.prompt).sum();
-        self.work = left.min(CHUNK);
-        let time = gap(self.decoding.len(), 1.0) + self.work as f64 * 1e6 / PREFILL;
-        self.length = (time / self.speed).round() as u64;
+        let left: u64 = self.prefilling.iter().map(|job| job.prompt).sum();
+        self.step_tokens = left.min(PREFILL_CHUNK_TOKENS);
+        let time = token_gap_us(self.decoding.len(), 1.0)
+            + self.step_tokens as f64 * 1e6 / PREFILL_TOKENS_PER_SEC;
+        self.step_us = (time / self.speed).round() as u64;
         self.busy = true;
-        Some(self.length)
+        Some(self.step_us)
     }
 
     /// Ends the step under way.
-    pub fn finish(&mut self, out: &mut Vec<Made>) {
+    pub fn finish_step(&mut self, out: &mut Vec<StepEvent>) {
         self.busy = false;
         self.step += 1;
-        self.slow += u64::from(self.length > BETWEEN);
+        self.slow_steps += u64::from(self.step_us > TOKEN_GAP_US);
         let step = self.step;
         while let Some(entry) = self.decoding.first_entry() {
             if entry.key().0 > step {
                 break;
             }
             let ((_, id), stream) = entry.remove_entry();
-            let (slow, gaps) = (self.slow - stream.slow, step - stream.first);
-            out.push(Made::Last { id, slow, gaps });
+            let (slow_gaps, gaps) = (
+                self.slow_steps - stream.slow_before,
+                step - stream.first_step,
+            );
+            out.push(StepEvent::Completed {
+                id,
+                slow_gaps,
+                gaps,
+            });
         }
-        let mut budget = self.work;
+        let mut budget = self.step_tokens;
         let mut at = 0;
-        while at < self.filling.len() {
-            let job = &mut self.filling[at];
-            let part = job.prompt.min(budget);
-            job.prompt -= part;
-            budget -= part;
+        while at < self.prefilling.len() {
+            let job = &mut self.prefilling[at];
+            let done = job.prompt.min(budget);
+            job.prompt -= done;
+            budget -= done;
             if job.prompt > 0 {
                 at += 1;
                 continue;
             }
-            let job = self.filling.remove(at);
-            self.filled(&job, out);
+            let job = self.prefilling.remove(at);
+            self.complete_prefill(&job, out);
         }
     }
 
-    fn filled(&mut self, job: &Job, out: &mut Vec<Made>) {
-        if job.part != Part::Imported {
-            self.cache.store(&job.pieces);
+    fn complete_prefill(&mut self, job: &Job, out: &mut Vec<StepEvent>) {
+        if job.kind != JobKind::Decode {
+            self.cache.store(&job.blocks);
         }
-        if job.part == Part::Prefill {
-            out.push(Made::Prefilled(job.id));
+        if job.kind == JobKind::Prefill {
+            out.push(StepEvent::Prefilled(job.id));
             return;
         }
-        out.push(Made::First(job.id));
+        out.push(StepEvent::FirstToken(job.id));
         if job.output <= 1 {
-            let (id, slow, gaps) = (job.id, 0, 0);
-            out.push(Made::Last { id, slow, gaps });
+            let (id, slow_gaps, gaps) = (job.id, 0, 0);
+            out.push(StepEvent::Completed {
+                id,
+                slow_gaps,
+                gaps,
+            });
             return;
         }
         let stream = Stream {
-            first: self.step,
-            slow: self.slow,
+            first_step: self.step,
+            slow_before: self.slow_steps,
         };
         let last = self.step + job.output - 1;
         self.decoding.insert((last, job.id), stream);
@@ -253,27 +266,27 @@
     /// Forgets a job.
     pub fn cancel(&mut self, id: usize) {
         if let Some(job) = self
-            .places
+            .queue_keys
             .remove(&id)
             .and_then(|at| self.waiting.remove(&at))
         {
-            self.queued -= job.prompt;
+            self.queued_tokens -= job.prompt;
             return;
         }
-        self.filling.retain(|job| job.id != id);
+        self.prefilling.retain(|job| job.id != id);
         self.decoding.retain(|(_, stream), _| *stream != id);
     }
 
     /// Forgets every job, and returns each with the tokens it made.
     pub fn clear(&mut self) -> Vec<(usize, u64)> {
         let step = self.step;
-        self.places.clear();
-        self.queued = 0;
+        self.queue_keys.clear();
+        self.queued_tokens = 0;
         let waiting = std::mem::take(&mut self.waiting).into_values();
-        let filling = std::mem::take(&mut self.filling).into_iter();
+        let prefilling = std::mem::take(&mut self.prefilling).into_iter();
         let decoding = std::mem::take(&mut self.decoding).into_iter();
-        let streams = decoding.map(|((_, id), stream)| (id, step - stream.first + 1));
-        let mut all: Vec<(usize, u64)> = waiting.chain(filling).map(|job| (job.id, 0)).collect();
+        let streams = decoding.map(|((_, id), stream)| (id, step - stream.first_step + 1));
+        let mut all: Vec<(usize, u64)> = waiting.chain(prefilling).map(|job| (job.id, 0)).collect();
         all.extend(streams);
         self.cache = Cache::default();
         self.busy = false;
@@ -282,58 +295,60 @@
 
     /// Returns the load now.
     pub fn load(&self) -> Load {
-        let filling: u64 = self.filling.iter().map(|job| job.prompt).sum();
+        let prefilling: u64 = self.prefilling.iter().map(|job| job.prompt).sum();
         Load {
-            running: u32::try_from(self.decoding.len() + self.filling.len()).unwrap_or(u32::MAX),
+            running: u32::try_from(self.decoding.len() + self.prefilling.len()).unwrap_or(u32::MAX),
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
-            prefill: self.queued + filling,
+            queued_prefill: self.queued_tokens + prefilling,
         }
     }
 
     /// Returns the prompt tokens that the cache would save.
-    pub fn cached(&self, pieces: &[u64]) -> u64 {
-        self.cache.leading(pieces) * PIECE
+    pub fn cached(&self, blocks: &[u64]) -> u64 {
+        self.cache.prefix_blocks(blocks) * TOKENS_PER_BLOCK
     }
 }
 
 /// Prefix cache that evicts the pieces not used for longest.
 #[derive(Debug, Default)]
 struct Cache {
-    held: BTreeMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
+    last_used: BTreeMap<u64, u64>,
+    by_age: BTreeMap<u64, u64>,
     clock: u64,
 }
 
 impl Cache {
-    fn leading(&self, pieces: &[u64]) -> u64 {
-        let held = pieces.iter().take_while(|p| self.held.contains_key(p));
-        held.count() as u64
+    fn prefix_blocks(&self, blocks: &[u64]) -> u64 {
+        let matching = blocks
+            .iter()
+            .take_while(|block| self.last_used.contains_key(block));
+        matching.count() as u64
     }
 
-    fn reuse(&mut self, pieces: &[u64]) -> u64 {
-        let count = self.leading(pieces);
-        for &piece in pieces.iter().take(usize::try_from(count).unwrap_or(0)) {
-            self.touch(piece);
+    fn reuse(&mut self, blocks: &[u64]) -> u64 {
+        let count = self.prefix_blocks(blocks);
+        for &block in blocks.iter().take(usize::try_from(count).unwrap_or(0)) {
+            self.touch(block);
         }
-        count * PIECE
+        count * TOKENS_PER_BLOCK
     }
 
-    fn store(&mut self, pieces: &[u64]) {
-        for &piece in pieces {
-            self.touch(piece);
+    fn store(&mut self, blocks: &[u64]) {
+        for &block in blocks {
+            self.touch(block);
         }
-        while self.held.len() > PIECES {
-            if let Some((_, old)) = self.order.pop_first() {
-                self.held.remove(&old);
+        while self.last_used.len() > CACHE_BLOCKS {
+            if let Some((_, oldest)) = self.by_age.pop_first() {
+                self.last_used.remove(&oldest);
             }
         }
     }
 
-    fn touch(&mut self, piece: u64) {
+    fn touch(&mut self, block: u64) {
         self.clock += 1;
-        if let Some(before) = self.held.insert(piece, self.clock) {
-            self.order.remove(&before);
+        if let Some(before) = self.last_used.insert(block, self.clock) {
+            self.by_age.remove(&before);
         }
-        self.order.insert(self.clock, piece);
+        self.by_age.insert(self.clock, block);
     }
 }
--- a/benches/policy/hosts.rs
+++ b/benches/policy/hosts.rs
@@ -10,15 +10,17 @@
 use chiveway::lists::{KeyHash, KeyIndex, Lists, Plans, Uses};
 use chiveway::settings::Settings;
 
-use crate::engine::{DECODE, Load, PIECE, PREFILL, SLOTS};
-use crate::trace::{CUSTOMERS, Case, PLANS};
+use crate::engine::{
+    BATCH_SLOTS, DECODE_TOKENS_PER_SEC, Load, PREFILL_TOKENS_PER_SEC, TOKENS_PER_BLOCK,
+};
+use crate::trace::{CUSTOMER_COUNT, Case, PLANS};
 
 /// Wall clock at the start of a run; any will do.
-const EPOCH: u64 = 1_700_000_000_000;
+const EPOCH_MS: u64 = 1_700_000_000_000;
 /// Requests a second that the plan of the hot customer may use.
-const HOT_LIMIT: f64 = 16.0;
+const HOT_REQUESTS_PER_SEC: f64 = 16.0;
 /// Failure domains.
-const DOMAINS: usize = 3;
+const FAILURE_DOMAINS: usize = 3;
 
 /// Returns the name of a host.
 pub fn host_name(at: usize) -> String {
@@ -42,13 +44,13 @@
 }
 
 /// Returns the key hash of a customer.
-pub fn key(customer: usize) -> KeyHash {
+pub fn key_hash(customer: usize) -> KeyHash {
     KeyHash::of(&format!("customer-{customer}-key"))
 }
 
 /// Returns the position of a customer's plan.
-pub fn plan(customer: usize) -> usize {
-    if customer + 1 == CUSTOMERS {
+pub fn plan_index(customer: usize) -> usize {
+    if customer + 1 == CUSTOMER_COUNT {
         PLANS.len() - 1
     } else {
         customer % (PLANS.len() - 1)
@@ -56,7 +58,7 @@
 }
 
 fn domain(at: usize) -> String {
-    format!("domain-{}", at % DOMAINS)
+    format!("domain-{}", at % FAILURE_DOMAINS)
 }
 
 /// Creates the settings of one host.
@@ -68,7 +70,7 @@
          secret = a-secret-for-one-process-only\noperator-key-hash = {}\n\
          [platform]\nkv = 127.0.0.1:2379\nlist = 127.0.0.1:8500\n\
          [pool {}]\nmodel = {}\nfencing = checks\nsplit = yes\ngoodput = {}\nchange = {}\n\
-         prefill = {PREFILL}\ndecode = {DECODE}\nslots = {SLOTS}\npiece = {PIECE}\n",
+         prefill = {PREFILL_TOKENS_PER_SEC}\ndecode = {DECODE_TOKENS_PER_SEC}\nslots = {BATCH_SLOTS}\npiece = {TOKENS_PER_BLOCK}\n",
         host_name(at),
         domain(at),
         10_000 + at,
@@ -77,22 +79,22 @@
         KeyHash::of("operator"),
         site.model,
         site.model,
-        site.goodput,
-        site.change,
+        site.goodput_weight,
+        site.change_weight,
     );
     Settings::parse(&text, "bench").expect("the bench writes sound settings")
 }
 
 /// Creates the two lists.
 pub fn lists(case: &Case) -> Lists {
-    let customers = (0..CUSTOMERS).map(|at| {
-        let (plan, key) = (PLANS[plan(at)], key(at));
+    let customers = (0..CUSTOMER_COUNT).map(|at| {
+        let (plan, key) = (PLANS[plan_index(at)], key_hash(at));
         format!("[customer c{at}]\nplan = {plan}\nkeys = {key}\n")
     });
     let plans = PLANS.iter().enumerate().map(|(at, name)| {
         let model = case.site.model;
-        let limit = if case.hot > 0.0 && at == plan(CUSTOMERS - 1) {
-            format!("requests = {HOT_LIMIT}/s\n")
+        let limit = if case.hot_fraction > 0.0 && at == plan_index(CUSTOMER_COUNT - 1) {
+            format!("requests = {HOT_REQUESTS_PER_SEC}/s\n")
         } else {
             String::new()
         };
@@ -106,12 +108,12 @@
 }
 
 /// Starts the cores of all hosts; their effects go to `out` with the host's position.
-pub fn start(case: &Case, seed: u64, out: &mut Vec<(usize, Effects)>) -> Vec<Core> {
+pub fn start_cores(case: &Case, seed: u64, out: &mut Vec<(usize, Effects)>) -> Vec<Core> {
     let lists = lists(case);
     let mut cores: Vec<Core> = (0..case.site.hosts)
         .map(|at| {
             let settings = settings(case, at);
-            let mut core = Core::new(settings, Time::default(), EPOCH, seed + at as u64);
+            let mut core = Core::new(settings, Time::default(), EPOCH_MS, seed + at as u64);
             core.config.index = KeyIndex::new(&lists);
             core.config.lists = lists.clone();
             core
@@ -164,13 +166,13 @@
 }
 
 /// Returns an engine's report.
-pub fn report(at: usize, load: Load, role: Role, age: u32) -> FleetEvent {
+pub fn load_report(at: usize, load: Load, role: Role, age_ms: u32) -> FleetEvent {
     let report = Report {
         running: load.running,
         waiting: load.waiting,
-        queued_prefill: load.prefill,
+        queued_prefill: load.queued_prefill,
         role,
-        age_ms: age,
+        age_ms,
         ..Report::default()
     };
     FleetEvent::Report {
@@ -180,7 +182,7 @@
 }
 
 /// Puts a pool's routing state for one engine in force at a host.
-pub fn route(core: &mut Core, engine: usize, routed: ServingState, role: Role) {
+pub fn set_route(core: &mut Core, engine: usize, routed: ServingState, role: Role) {
     if let Some(key) = core.fleet.find(&engine_name(engine)) {
         let engine = &mut core.fleet.arena[key];
         engine.routed = routed;
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -17,10 +17,10 @@
 mod engine;
 mod hosts;
 mod roles;
+mod simulation;
 mod table;
 mod tally;
 mod trace;
-mod world;
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -28,34 +28,34 @@
 use std::thread;
 
 use baseline::Router;
-use roles::{Roles, schedule};
+use roles::{RoleController, schedule};
+use simulation::{Frontend, Setup, Simulation};
 use table::Row;
 use tally::Tally;
 use trace::{Case, calls};
-use world::{Front, Setup, World};
 
 /// Seed of the traces; any other gives another table.
 const SEED: u64 = 20_240;
 /// Runs at the same time at most.
-const THREADS: usize = 4;
+const MAX_THREADS: usize = 4;
 /// Seconds that the schedules of the oracle look ahead.
-const WINDOWS: [f64; 2] = [20.0, 60.0];
+const LOOKAHEAD_SECS: [f64; 2] = [20.0, 60.0];
 
 /// What is run for one case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Policy {
     /// The project's own decisions.
-    Ours,
+    Chiveway,
     /// Our routing with the best fixed split in hindsight.
     Static,
     /// Our routing with a threshold controller of roles.
     Threshold,
     /// Round robin over the split that suits the first minute.
-    Turn,
+    RoundRobin,
     /// Random over that split.
     Random,
     /// Least reported load over that split.
-    Report,
+    LeastReported,
     /// Exact routing and the best of several plans of roles that know the trace.
     Oracle,
 }
@@ -63,26 +63,26 @@
 /// All policies, in the order of the table.
 pub const POLICIES: [Policy; 7] = [
     Policy::Oracle,
-    Policy::Ours,
+    Policy::Chiveway,
     Policy::Static,
     Policy::Threshold,
-    Policy::Report,
-    Policy::Turn,
+    Policy::LeastReported,
+    Policy::RoundRobin,
     Policy::Random,
 ];
 
 fn main() -> ExitCode {
     // Words narrow the table down: a part of a case's name, then a part of a policy's.
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let mut words = words.iter().filter(|word| !word.starts_with('-'));
-    let (case, policy) = (words.next(), words.next());
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let mut filters = args.iter().filter(|arg| !arg.starts_with('-'));
+    let (case, policy) = (filters.next(), filters.next());
     let cases: Vec<&Case> = cases::CASES
         .iter()
-        .filter(|known| case.is_none_or(|word| known.name.contains(&**word)))
+        .filter(|known| case.is_none_or(|filter| known.name.contains(&**filter)))
         .collect();
     let policies = POLICIES.into_iter();
     let policies: Vec<Policy> = policies
-        .filter(|known| policy.is_none_or(|word| known.word().contains(&**word)))
+        .filter(|known| policy.is_none_or(|filter| known.name().contains(&**filter)))
         .collect();
     let groups: Vec<(&Case, Policy)> = cases
         .iter()
@@ -91,19 +91,23 @@
     let jobs: Vec<(usize, Setup)> = groups
         .iter()
         .enumerate()
-        .flat_map(|(at, &(case, policy))| setups(case, policy).into_iter().map(move |s| (at, s)))
+        .flat_map(|(at, &(case, policy))| {
+            setups(case, policy)
+                .into_iter()
+                .map(move |setup| (at, setup))
+        })
         .collect();
-    let tallies = all(&jobs, |(at, setup)| {
+    let tallies = run_all(&jobs, |(at, setup)| {
         let case = groups[*at].0;
-        World::new(case, &calls(case, SEED), setup.clone(), SEED).run(SEED)
+        Simulation::new(case, &calls(case, SEED), setup.clone(), SEED).run(SEED)
     });
-    let rows = rows(&groups, &jobs, &tallies);
+    let rows = best_rows(&groups, &jobs, &tallies);
     table::print(&rows);
-    let broken = bounds::check(include_str!("bounds.ini"), &rows);
-    for line in &broken {
+    let violations = bounds::check(include_str!("bounds.ini"), &rows);
+    for line in &violations {
         eprintln!("{line}");
     }
-    if broken.is_empty() {
+    if violations.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -111,11 +115,11 @@
 }
 
 /// Carries out jobs on a few threads; results stand in the order of the jobs.
-fn all<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
+fn run_all<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
-    let done = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for _ in 0..THREADS {
+        for _ in 0..MAX_THREADS {
             scope.spawn(|| {
                 loop {
                     let at = next.fetch_add(1, Ordering::Relaxed);
@@ -123,19 +127,19 @@
                         return;
                     };
                     let result = work(job);
-                    let mut done = done.lock().unwrap_or_else(PoisonError::into_inner);
-                    done.push((at, result));
+                    let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
+                    results.push((at, result));
                 }
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
-    done.sort_by_key(|&(at, _)| at);
-    done.into_iter().map(|(_, result)| result).collect()
+    let mut results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    results.sort_by_key(|&(at, _)| at);
+    results.into_iter().map(|(_, result)| result).collect()
 }
 
 /// Returns one row a group: of several variants, the best counts.
-fn rows(groups: &[(&Case, Policy)], jobs: &[(usize, Setup)], tallies: &[Tally]) -> Vec<Row> {
+fn best_rows(groups: &[(&Case, Policy)], jobs: &[(usize, Setup)], tallies: &[Tally]) -> Vec<Row> {
     let row = |at: usize| {
         let (case, policy) = groups[at];
         let variants = jobs
@@ -146,7 +150,7 @@
             .map(|(_, tally)| tally)
             // Of equal goodput, the one with fewer role changes.
             .max_by(|one, other| {
-                let fewer = other.changes.cmp(&one.changes);
+                let fewer = other.role_changes.cmp(&one.role_changes);
                 one.goodput().total_cmp(&other.goodput()).then(fewer)
             });
         Row {
@@ -161,28 +165,40 @@
 /// Returns the variants of one policy on one case.
 fn setups(case: &Case, policy: Policy) -> Vec<Setup> {
     let calls = calls(case, SEED);
-    let first = schedule(case, &calls, 60.0)[0];
-    let fixed = |front, roles| Setup {
-        front,
-        roles,
-        prefill: first,
+    let initial = schedule(case, &calls, 60.0)[0];
+    let setup = |frontend, controller| Setup {
+        frontend,
+        controller,
+        prefill_engines: initial,
     };
     match policy {
-        Policy::Ours => vec![fixed(Front::Cores, Roles::Ours(<_>::default()))],
-        Policy::Threshold => vec![fixed(Front::Cores, Roles::Threshold)],
-        Policy::Turn => vec![fixed(Front::Plain(Router::Turn), Roles::Fixed)],
-        Policy::Random => vec![fixed(Front::Plain(Router::Random), Roles::Fixed)],
-        Policy::Report => vec![fixed(Front::Plain(Router::Report), Roles::Fixed)],
-        Policy::Static => statics(case, Front::Cores),
+        Policy::Chiveway => vec![setup(
+            Frontend::Cores,
+            RoleController::Chiveway(<_>::default()),
+        )],
+        Policy::Threshold => vec![setup(Frontend::Cores, RoleController::Threshold)],
+        Policy::RoundRobin => vec![setup(
+            Frontend::Baseline(Router::RoundRobin),
+            RoleController::Fixed,
+        )],
+        Policy::Random => vec![setup(
+            Frontend::Baseline(Router::Random),
+            RoleController::Fixed,
+        )],
+        Policy::LeastReported => vec![setup(
+            Frontend::Baseline(Router::LeastReported),
+            RoleController::Fixed,
+        )],
+        Policy::Static => fixed_splits(case, Frontend::Cores),
         Policy::Oracle => {
-            let front = Front::Plain(Router::Exact);
-            let mut setups = statics(case, front);
-            setups.extend(WINDOWS.map(|window| {
+            let frontend = Frontend::Baseline(Router::Exact);
+            let mut setups = fixed_splits(case, frontend);
+            setups.extend(LOOKAHEAD_SECS.map(|window| {
                 let wanted = schedule(case, &calls, window);
                 Setup {
-                    front,
-                    prefill: wanted[0],
-                    roles: Roles::Schedule(wanted),
+                    frontend,
+                    prefill_engines: wanted[0],
+                    controller: RoleController::Schedule(wanted),
                 }
             }));
             setups
@@ -191,11 +207,11 @@
 }
 
 /// Returns every fixed split up to two thirds of the engines for prefill; no case needs more.
-fn statics(case: &Case, front: Front) -> Vec<Setup> {
-    let setup = |prefill| Setup {
-        front,
-        roles: Roles::Fixed,
-        prefill,
+fn fixed_splits(case: &Case, frontend: Frontend) -> Vec<Setup> {
+    let setup = |prefill_engines| Setup {
+        frontend,
+        controller: RoleController::Fixed,
+        prefill_engines,
     };
     (1..=case.site.engines * 2 / 3).map(setup).collect()
 }
--- a/benches/policy/roles.rs
+++ b/benches/policy/roles.rs
@@ -6,23 +6,23 @@
 use chiveway::core::role::{self, DecisionState, View};
 use chiveway::settings::PoolSettings;
 
-use crate::engine::{Load, PREFILL, SLOTS};
+use crate::engine::{BATCH_SLOTS, Load, PREFILL_TOKENS_PER_SEC};
 use crate::trace::{Call, Case};
 
 /// Seconds by which the schedule that knows the trace goes ahead of a shift.
-const LEAD: f64 = 6.0;
+const SCHEDULE_LEAD_SECS: f64 = 6.0;
 /// Part of the engines' work above which the threshold controller changes a role.
-const HIGH: f64 = 0.85;
+const BUSY_FRACTION: f64 = 0.85;
 /// Seconds between two looks of the threshold controller.
-const LOOK: u64 = 5;
+const THRESHOLD_INTERVAL_SECS: u64 = 5;
 
 /// Who decides.
 #[derive(Debug, Clone)]
-pub enum Roles {
+pub enum RoleController {
     /// Nobody.
     Fixed,
     /// [`role::decide`].
-    Ours(DecisionState),
+    Chiveway(DecisionState),
     /// Changes one engine when one side is busy and the other is not, by the last reports.
     Threshold,
     /// Prefill engines wanted at each second, worked out from the trace.
@@ -31,9 +31,9 @@
 
 /// One engine as deciders see it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct Candidate {
     /// As the project's own decision sees it.
-    pub own: role::Engine,
+    pub engine: role::Engine,
     /// Last report.
     pub load: Load,
 }
@@ -46,68 +46,75 @@
     /// Settings.
     pub settings: &'a PoolSettings,
     /// Engines.
-    pub engines: &'a [Seen],
+    pub engines: &'a [Candidate],
     /// Prompt tokens a second that the hosts took in over the last second.
-    pub prompt: f64,
+    pub prompt_rate: f64,
     /// Output tokens a second that the hosts took in over the last second.
-    pub output: f64,
+    pub output_rate: f64,
 }
 
-impl Roles {
+impl RoleController {
     /// Returns the change to make now.
     pub fn decide(&mut self, pool: &Pool<'_>) -> Option<(BackendKey, Role)> {
         match self {
             Self::Fixed => None,
-            Self::Ours(memory) => {
-                let engines: Vec<role::Engine> =
-                    pool.engines.iter().map(|seen| seen.own.clone()).collect();
+            Self::Chiveway(state) => {
+                let engines: Vec<role::Engine> = pool
+                    .engines
+                    .iter()
+                    .map(|candidate| candidate.engine.clone())
+                    .collect();
                 let view = View {
                     now: Time::from_millis(pool.second * 1000),
                     settings: pool.settings,
                     engines: &engines,
-                    prompt: pool.prompt,
-                    output: pool.output,
+                    prompt: pool.prompt_rate,
+                    output: pool.output_rate,
                 };
-                role::decide(&view, memory).map(|change| (change.engine, change.role))
+                role::decide(&view, state).map(|change| (change.engine, change.role))
             }
-            Self::Threshold => threshold(pool),
+            Self::Threshold => decide_by_threshold(pool),
             Self::Schedule(wanted) => {
                 let second = usize::try_from(pool.second).unwrap_or(usize::MAX);
-                follow(pool, *wanted.get(second)?)
+                follow_schedule(pool, *wanted.get(second)?)
             }
         }
     }
 }
 
 /// Changes one engine as soon as one side passes the threshold while the other is below it.
-fn threshold(pool: &Pool<'_>) -> Option<(BackendKey, Role)> {
-    let quiet = pool.engines.iter().all(|seen| seen.own.serving);
-    if !pool.second.is_multiple_of(LOOK) || !quiet {
+fn decide_by_threshold(pool: &Pool<'_>) -> Option<(BackendKey, Role)> {
+    let all_serving = pool
+        .engines
+        .iter()
+        .all(|candidate| candidate.engine.serving);
+    if !pool.second.is_multiple_of(THRESHOLD_INTERVAL_SECS) || !all_serving {
         return None;
     }
     let wanted = pool.settings.first_token.as_secs_f64() / 2.0;
-    let of = |role: Role| {
+    let with_role = |role: Role| {
         pool.engines
             .iter()
-            .filter(move |seen| seen.own.role == role)
+            .filter(move |candidate| candidate.engine.role == role)
     };
     let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len().max(1) as f64;
     let prefill = mean(
-        of(Role::Prefill)
-            .map(|seen| seen.load.prefill as f64)
+        with_role(Role::Prefill)
+            .map(|candidate| candidate.load.queued_prefill as f64)
             .collect(),
     );
-    let prefill = prefill / PREFILL / wanted;
-    let streams = of(Role::Decode).map(|seen| f64::from(seen.load.running + seen.load.waiting));
-    let decode = mean(streams.collect()) / SLOTS as f64;
+    let prefill = prefill / PREFILL_TOKENS_PER_SEC / wanted;
+    let streams = with_role(Role::Decode)
+        .map(|candidate| f64::from(candidate.load.running + candidate.load.waiting));
+    let decode = mean(streams.collect()) / BATCH_SLOTS as f64;
     let change = |from: Role, to: Role| {
-        let few = of(from).count() < 2;
-        let idle = of(from).min_by_key(|seen| seen.own.streams)?;
-        (!few).then_some((idle.own.key, to))
+        let is_last = with_role(from).count() < 2;
+        let least_busy = with_role(from).min_by_key(|candidate| candidate.engine.streams)?;
+        (!is_last).then_some((least_busy.engine.key, to))
     };
-    if prefill > HIGH && decode < HIGH {
+    if prefill > BUSY_FRACTION && decode < BUSY_FRACTION {
         change(Role::Decode, Role::Prefill)
-    } else if decode > HIGH && prefill < HIGH {
+    } else if decode > BUSY_FRACTION && prefill < BUSY_FRACTION {
         change(Role::Prefill, Role::Decode)
     } else {
         None
@@ -115,14 +122,19 @@
 }
 
 /// Goes one engine towards the number of prefill engines wanted.
-fn follow(pool: &Pool<'_>, wanted: usize) -> Option<(BackendKey, Role)> {
-    let of = |role: Role| {
+fn follow_schedule(pool: &Pool<'_>, wanted: usize) -> Option<(BackendKey, Role)> {
+    let with_role = |role: Role| {
         pool.engines
             .iter()
-            .filter(move |seen| seen.own.role == role)
+            .filter(move |candidate| candidate.engine.role == role)
     };
-    let now = of(Role::Prefill).count();
-    if pool.engines.iter().any(|seen| !seen.own.serving) || now == wanted {
+    let now = with_role(Role::Prefill).count();
+    if pool
+        .engines
+        .iter()
+        .any(|candidate| !candidate.engine.serving)
+        || now == wanted
+    {
         return None;
     }
     let (from, to) = if now < wanted {
@@ -130,39 +142,39 @@
     } else {
         (Role::Prefill, Role::Decode)
     };
-    let idle = of(from).min_by_key(|seen| seen.own.streams)?;
-    Some((idle.own.key, to))
+    let least_busy = with_role(from).min_by_key(|candidate| candidate.engine.streams)?;
+    Some((least_busy.engine.key, to))
 }
 
 /// Returns the prefill engines that suit this work best: the busier side is least busy.
-pub fn suited(prefill: f64, decode: f64, engines: usize) -> usize {
-    let worst = |count: usize| {
+pub fn balanced_split(prefill: f64, decode: f64, engines: usize) -> usize {
+    let max_load = |count: usize| {
         let prefill = prefill / count as f64;
         prefill.max(decode / (engines - count) as f64)
     };
     let counts = 1..engines;
     counts
-        .min_by(|&one, &other| worst(one).total_cmp(&worst(other)))
+        .min_by(|&one, &other| max_load(one).total_cmp(&max_load(other)))
         .unwrap_or(1)
 }
 
 /// Works out from the trace how many prefill engines to have at each second, looking `window`
 /// seconds ahead.
-pub fn schedule(case: &Case, calls: &[Call], window: f64) -> Vec<usize> {
-    let seconds = case.length as usize;
+pub fn schedule(case: &Case, calls: &[Call], window_secs: f64) -> Vec<usize> {
+    let seconds = case.length_secs as usize;
     let mut work = vec![(0.0, 0.0); seconds + 1];
     for call in calls {
-        let cell = &mut work[(call.at / 1_000_000) as usize];
-        cell.0 += f64::from(call.prompt) / PREFILL;
-        cell.1 += f64::from(call.output) / crate::engine::DECODE;
+        let cell = &mut work[(call.at_us / 1_000_000) as usize];
+        cell.0 += f64::from(call.prompt) / PREFILL_TOKENS_PER_SEC;
+        cell.1 += f64::from(call.output) / crate::engine::DECODE_TOKENS_PER_SEC;
     }
     let wanted = (0..seconds).map(|second| {
-        let from = (second + LEAD as usize).min(seconds);
-        let to = (from + window as usize).min(seconds);
-        let ahead = &work[from.min(to.saturating_sub(window as usize))..to];
+        let from = (second + SCHEDULE_LEAD_SECS as usize).min(seconds);
+        let to = (from + window_secs as usize).min(seconds);
+        let ahead = &work[from.min(to.saturating_sub(window_secs as usize))..to];
         let prefill = ahead.iter().map(|cell| cell.0).sum();
         let decode = ahead.iter().map(|cell| cell.1).sum();
-        suited(prefill, decode, case.site.engines)
+        balanced_split(prefill, decode, case.site.engines)
     });
     wanted.collect()
 }
--- a/benches/policy/world/front.rs
+++ b/benches/policy/simulation/effects.rs
@@ -7,37 +7,43 @@
 use chiveway::core::{Effects, Time};
 use chiveway::error::Ran;
 
-use super::{Ev, Front, HOP, HostEv, World};
+use super::{Frontend, HOP_US, HostEvent, SimEvent, Simulation};
 use crate::engine::State;
 use crate::hosts;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn reduce(&mut self, host: usize, event: Event) {
         let mut effects = Effects::new();
         let at = Time::from_micros(self.now);
         self.cores[host].reduce(at, event, &mut effects);
-        self.carry_out(host, effects);
+        self.apply_effects(host, effects);
     }
 
-    pub(super) fn carry_out(&mut self, host: usize, effects: Effects) {
+    pub(super) fn apply_effects(&mut self, host: usize, effects: Effects) {
         for effect in effects {
             match effect {
                 Effect::Opened { tag, request, .. } => {
                     self.requests.insert((host, request), tag as usize);
                     self.callers[tag as usize].request = Some(request);
                 }
-                Effect::OpenStream(open) => self.open(host, &open),
-                Effect::Cancel(key) => self.cancelled(host, key),
+                Effect::OpenStream(open) => self.open_stream(host, &open),
+                Effect::Cancel(key) => self.cancel_stream(host, key),
                 Effect::Refuse { request, refusal } => self.refuse(host, request, &refusal),
-                Effect::Send { to, message } => self.send(host, to, message),
+                Effect::Send { to, message } => self.send_message(host, to, message),
                 Effect::SetTimer { at, timer } => {
                     let at = at.micros().max(self.now);
-                    self.push(at, Ev::Host(host, HostEv::Wake(timer)));
+                    self.schedule(at, SimEvent::Host(host, HostEvent::Timer(timer)));
                 }
-                Effect::ReadListing => self.push(self.now + 2 * HOP, Ev::Host(host, HostEv::List)),
+                Effect::ReadListing => self.schedule(
+                    self.now + 2 * HOP_US,
+                    SimEvent::Host(host, HostEvent::Listing),
+                ),
                 Effect::ReadLoad { addr, .. } => {
                     let engine = hosts::engine_at(addr);
-                    self.push(self.now + 2 * HOP, Ev::Host(host, HostEv::Load(engine)));
+                    self.schedule(
+                        self.now + 2 * HOP_US,
+                        SimEvent::Host(host, HostEvent::LoadReport(engine)),
+                    );
                 }
                 Effect::Meter(Meter::Retried { .. }) => self.tally.retries += 1,
                 _ => {}
@@ -45,7 +51,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, host: usize, to: HostKey, message: Message) {
+    pub(super) fn send_message(&mut self, host: usize, to: HostKey, message: Message) {
         let Some(peer) = self.cores[host].members.arena.get(to) else {
             return;
         };
@@ -54,90 +60,93 @@
         if let Some(to) = to {
             let from = hosts::host_name(host).into();
             let event = Event::Peer(PeerEvent::Message { from, message });
-            self.push(self.now + HOP, Ev::Host(to, HostEv::Event(Box::new(event))));
+            self.schedule(
+                self.now + HOP_US,
+                SimEvent::Host(to, HostEvent::Event(Box::new(event))),
+            );
         }
     }
 
-    pub(super) fn host(&mut self, host: usize, ev: HostEv) {
-        match ev {
-            HostEv::Wake(timer) => self.reduce(host, Event::Timer(timer)),
-            HostEv::Event(event) => self.reduce(host, *event),
-            HostEv::List => {
+    pub(super) fn host_event(&mut self, host: usize, event: HostEvent) {
+        match event {
+            HostEvent::Timer(timer) => self.reduce(host, Event::Timer(timer)),
+            HostEvent::Event(event) => self.reduce(host, *event),
+            HostEvent::Listing => {
                 let event = hosts::listing(self.case, &self.leaving);
                 self.reduce(host, Event::Fleet(event));
                 for at in 0..self.engines.len() {
-                    self.tell(host, at);
+                    self.update_route(host, at);
                 }
             }
-            HostEv::Load(engine) => {
+            HostEvent::LoadReport(engine) => {
                 if self.engines[engine].state != State::Down {
-                    let (load, age) = self.lagging(engine);
+                    let (load, age_ms) = self.reported_load(engine);
                     let role = self.engines[engine].role;
-                    let event = hosts::report(engine, load, role, age);
+                    let event = hosts::load_report(engine, load, role, age_ms);
                     self.reduce(host, Event::Fleet(event));
                 }
             }
-            HostEv::Began(run) => {
-                if let Some(key) = self.runs[run].key {
+            HostEvent::Began(id) => {
+                if let Some(key) = self.attempts[id].key {
                     self.reduce(host, Event::Request(RequestEvent::Began(key)));
                 }
             }
-            HostEv::First(run) => self.tokens(run, 0, 1),
-            HostEv::Last(run, slow, gaps) => self.last(run, slow, gaps),
-            HostEv::Broke(run, ran, end) => self.broke(run, ran, end),
+            HostEvent::FirstToken(id) => self.stream_tokens(id, 0, 1),
+            HostEvent::Completed(id, slow_gaps, gaps) => self.complete_attempt(id, slow_gaps, gaps),
+            HostEvent::Failed(id, ran, end) => self.attempt_failed(id, ran, end),
         }
     }
 
     /// Brings a host's routing state for one engine up to date.
-    pub(super) fn tell(&mut self, host: usize, engine: usize) {
+    pub(super) fn update_route(&mut self, host: usize, engine: usize) {
         let role = self.engines[engine].role;
-        hosts::route(&mut self.cores[host], engine, self.routed[engine], role);
+        hosts::set_route(&mut self.cores[host], engine, self.routed[engine], role);
     }
 
-    pub(super) fn tell_all(&mut self, engine: usize) {
+    pub(super) fn update_routes(&mut self, engine: usize) {
         for host in 0..self.cores.len() {
-            self.tell(host, engine);
+            self.update_route(host, engine);
         }
     }
 
-    pub(super) fn tokens(&mut self, run: usize, from: u64, count: u64) {
-        let (call, host, skip) = {
-            let run = &self.runs[run];
-            (run.call, run.host, run.skip)
+    pub(super) fn stream_tokens(&mut self, id: usize, offset: u64, count: u64) {
+        let (call, host, delivered) = {
+            let attempt = &self.attempts[id];
+            (attempt.call, attempt.host, attempt.delivered)
         };
         self.first_token(call);
-        if let Some(attempt) = self.runs[run].key {
+        if let Some(attempt) = self.attempts[id].key {
             let event = RequestEvent::StreamEvent {
                 attempt,
-                offset: skip + from,
+                offset: delivered + offset,
                 tokens: u32::try_from(count).unwrap_or(u32::MAX),
             };
             self.reduce(host, Event::Request(event));
         }
     }
 
-    pub(super) fn last(&mut self, run: usize, slow: u64, gaps: u64) {
-        let (call, host) = (self.runs[run].call, self.runs[run].host);
+    pub(super) fn complete_attempt(&mut self, id: usize, slow_gaps: u64, gaps: u64) {
+        let (call, host) = (self.attempts[id].call, self.attempts[id].host);
         if gaps > 0 {
-            self.tokens(run, 1, gaps);
+            self.stream_tokens(id, 1, gaps);
         }
-        if let Some(key) = self.runs[run].key {
-            self.tokens(run, gaps + 1, 0);
+        if let Some(key) = self.attempts[id].key {
+            self.stream_tokens(id, gaps + 1, 0);
             self.reduce(host, Event::Request(RequestEvent::StreamCompleted(key)));
         }
-        self.answered(call, slow, gaps);
+        self.answered(call, slow_gaps, gaps);
     }
 
-    pub(super) fn broke(&mut self, run: usize, ran: Ran, end: AttemptFailure) {
+    pub(super) fn attempt_failed(&mut self, id: usize, ran: Ran, end: AttemptFailure) {
         let (call, host, key) = {
-            let run = &self.runs[run];
-            (run.call, run.host, run.key)
+            let attempt = &self.attempts[id];
+            (attempt.call, attempt.host, attempt.key)
         };
         let Some(attempt) = key else {
             // A baseline tries once more, anywhere.
-            if let Front::Plain(router) = self.setup.front {
+            if let Frontend::Baseline(router) = self.setup.frontend {
                 self.tally.retries += 1;
-                self.plain(router, call, host);
+                self.route_by_baseline(router, call, host);
             }
             return;
         };
@@ -156,9 +165,9 @@
         }
     }
 
-    pub(super) fn cancelled(&mut self, host: usize, key: AttemptKey) {
-        if let Some(&run) = self.attempts.get(&(host, key)) {
-            self.cancel(run);
+    pub(super) fn cancel_stream(&mut self, host: usize, key: AttemptKey) {
+        if let Some(&id) = self.attempt_ids.get(&(host, key)) {
+            self.cancel_attempt(id);
         }
     }
 }
--- a/benches/policy/table.rs
+++ b/benches/policy/table.rs
@@ -18,28 +18,28 @@
 impl Policy {
     /// Returns the name in the table and the bounds.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
-            Self::Ours => "ours",
+            Self::Chiveway => "ours",
             Self::Static => "static",
             Self::Threshold => "threshold",
-            Self::Turn => "round-robin",
+            Self::RoundRobin => "round-robin",
             Self::Random => "random",
-            Self::Report => "least-report",
+            Self::LeastReported => "least-report",
             Self::Oracle => "oracle",
         }
     }
 }
 
 /// Returns the row of one policy on one case.
-pub fn find<'a>(rows: &'a [Row], case: &str, policy: Policy) -> Option<&'a Row> {
+pub fn find_row<'a>(rows: &'a [Row], case: &str, policy: Policy) -> Option<&'a Row> {
     rows.iter()
         .find(|row| row.case == case && row.policy == policy)
 }
 
 /// Returns a policy's goodput as a part of the oracle's.
-pub fn of_oracle(rows: &[Row], row: &Row) -> f64 {
-    let oracle = find(rows, row.case, Policy::Oracle).map_or(1.0, |row| row.tally.goodput());
+pub fn oracle_fraction(rows: &[Row], row: &Row) -> f64 {
+    let oracle = find_row(rows, row.case, Policy::Oracle).map_or(1.0, |row| row.tally.goodput());
     row.tally.goodput() / oracle
 }
 
@@ -64,24 +64,24 @@
     );
     for row in rows {
         let tally = &row.tally;
-        let asked: u32 = tally.asked.iter().sum();
+        let requests: u32 = tally.requests.iter().sum();
         println!(
-            "{:<18} {:<12} {asked:>6} {:>7.2} {:>6.3} {:>6.3} {:>6.3} {:>7} {:>7.1} {:>6} {:>6} \
+            "{:<18} {:<12} {requests:>6} {:>7.2} {:>6.3} {:>6.3} {:>6.3} {:>7} {:>7.1} {:>6} {:>6} \
              {:>6.1} {:>6.3} {:>6.1} r{:.3}",
             row.case,
-            row.policy.word(),
+            row.policy.name(),
             tally.goodput() * 100.0,
-            of_oracle(rows, row),
-            tally.class(Class::Long),
-            tally.class(Class::Short),
-            tally.changes,
-            tally.lost,
-            tally.refused,
-            tally.named,
-            tally.truth() * 100.0,
+            oracle_fraction(rows, row),
+            tally.class_goodput(Class::Long),
+            tally.class_goodput(Class::Short),
+            tally.role_changes,
+            tally.lost_secs,
+            tally.refusals,
+            tally.with_retry_after,
+            tally.admitted_fraction() * 100.0,
             tally.fairness(),
-            tally.hit_part() * 100.0,
-            tally.repeats(),
+            tally.cache_hit_fraction() * 100.0,
+            tally.retry_ratio(),
         );
     }
 }
--- a/benches/policy/tally.rs
+++ b/benches/policy/tally.rs
@@ -3,62 +3,69 @@
 use crate::trace::{Class, PLANS};
 
 /// Wanted time to the first token in microseconds.
-const FIRST: u64 = 780_000;
+const FIRST_TOKEN_LIMIT_US: u64 = 780_000;
 /// Of this many gaps between tokens, one may be longer than wanted.
-const GAPS: u64 = 20;
+const GAPS_PER_SLOW_GAP: u64 = 20;
 
 /// Counts of one run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tally {
     /// Requests, by class.
-    pub asked: [u32; 2],
+    pub requests: [u32; 2],
     /// Requests answered in time, by class.
     pub good: [u32; 2],
     /// Requests by plan.
-    pub plan_asked: [u32; PLANS.len()],
+    pub plan_requests: [u32; PLANS.len()],
     /// Requests answered in time by plan.
     pub plan_good: [u32; PLANS.len()],
     /// Requests answered, in time or late.
-    pub whole: u32,
+    pub answered: u32,
     /// Role changes made.
-    pub changes: u32,
+    pub role_changes: u32,
     /// Engine seconds during which an engine took no new work for a change.
-    pub lost: f64,
+    pub lost_secs: f64,
     /// Refusals.
-    pub refused: u32,
+    pub refusals: u32,
     /// Refusals that named a time to come back.
-    pub named: u32,
+    pub with_retry_after: u32,
     /// Callers who came back when they were told to.
-    pub back: u32,
+    pub returned: u32,
     /// Those of them who were then taken.
-    pub kept: u32,
+    pub returned_admitted: u32,
     /// Attempts after the first within one try of a caller.
     pub retries: u32,
     /// Tries of callers.
     pub tries: u32,
     /// Prompt tokens of attempts.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Prompt tokens that came from engines' caches.
-    pub hits: u64,
+    pub cached_tokens: u64,
 }
 
 impl Tally {
     /// Counts a request; what a hot customer asks beyond its share is nobody's goodput.
-    pub fn ask(&mut self, class: Class, plan: usize) {
+    pub fn record_request(&mut self, class: Class, plan: usize) {
         if plan + 1 == PLANS.len() {
             return;
         }
-        self.asked[class as usize] += 1;
-        self.plan_asked[plan] += 1;
+        self.requests[class as usize] += 1;
+        self.plan_requests[plan] += 1;
     }
 
     /// Counts an answer.
-    pub fn answer(&mut self, class: Class, plan: usize, first: u64, slow: u64, gaps: u64) {
+    pub fn record_answer(
+        &mut self,
+        class: Class,
+        plan: usize,
+        first_token_us: u64,
+        slow_gaps: u64,
+        gaps: u64,
+    ) {
         if plan + 1 == PLANS.len() {
             return;
         }
-        self.whole += 1;
-        if first <= FIRST && slow * GAPS <= gaps {
+        self.answered += 1;
+        if first_token_us <= FIRST_TOKEN_LIMIT_US && slow_gaps * GAPS_PER_SLOW_GAP <= gaps {
             self.good[class as usize] += 1;
             self.plan_good[plan] += 1;
         }
@@ -66,43 +73,45 @@
 
     /// Returns the part of all requests that was answered in time.
     pub fn goodput(&self) -> f64 {
-        part(self.good.iter().sum(), self.asked.iter().sum())
+        fraction(self.good.iter().sum(), self.requests.iter().sum())
     }
 
     /// Returns the part of one class that was answered in time.
-    pub fn class(&self, class: Class) -> f64 {
-        part(self.good[class as usize], self.asked[class as usize])
+    pub fn class_goodput(&self, class: Class) -> f64 {
+        fraction(self.good[class as usize], self.requests[class as usize])
     }
 
     /// Returns how the worst-served of the plans in `plans` fares against the best-served.
     pub fn fairness(&self) -> f64 {
-        let parts = self.plan_good.iter().zip(&self.plan_asked);
-        let parts = parts.filter(|(_, asked)| **asked > 0);
-        let parts: Vec<f64> = parts.map(|(&good, &asked)| part(good, asked)).collect();
-        let least = parts.iter().copied().fold(f64::INFINITY, f64::min);
-        let most = parts.iter().copied().fold(0.0, f64::max);
-        if most > 0.0 { least / most } else { 1.0 }
+        let fractions = self.plan_good.iter().zip(&self.plan_requests);
+        let fractions = fractions.filter(|(_, requests)| **requests > 0);
+        let fractions: Vec<f64> = fractions
+            .map(|(&good, &requests)| fraction(good, requests))
+            .collect();
+        let lowest = fractions.iter().copied().fold(f64::INFINITY, f64::min);
+        let highest = fractions.iter().copied().fold(0.0, f64::max);
+        if highest > 0.0 { lowest / highest } else { 1.0 }
     }
 
     /// Returns the part of callers who came back as told that were taken.
-    pub fn truth(&self) -> f64 {
-        part(self.kept, self.back)
+    pub fn admitted_fraction(&self) -> f64 {
+        fraction(self.returned_admitted, self.returned)
     }
 
     /// Returns our own repeats per try of a caller.
-    pub fn repeats(&self) -> f64 {
-        part(self.retries, self.tries)
+    pub fn retry_ratio(&self) -> f64 {
+        fraction(self.retries, self.tries)
     }
 
     /// Returns the part of the prompt tokens that came from caches.
-    pub fn hit_part(&self) -> f64 {
-        self.hits as f64 / self.prompt.max(1) as f64
+    pub fn cache_hit_fraction(&self) -> f64 {
+        self.cached_tokens as f64 / self.prompt_tokens.max(1) as f64
     }
 }
 
-fn part(some: u32, all: u32) -> f64 {
-    if all == 0 {
+fn fraction(count: u32, total: u32) -> f64 {
+    if total == 0 {
         return 1.0;
     }
-    f64::from(some) / f64::from(all)
+    f64::from(count) / f64::from(total)
 }
