--- a/benches/core/main.rs
+++ b/benches/core/main.rs
@@ -1,7 +1,8 @@
-//! What one decision costs, and what the state of one thing takes.
+//! Time per decision of the core, and memory per object.
 //!
-//! `cargo bench --bench core` prints the time of each decision by criterion at several sizes and,
-//! first, the memory of one engine, account, live request and peer, counted by the allocator.
+//! `cargo bench --bench core` first prints the memory per engine, account, peer, live request and
+//! record, counted by the allocator, and then the time of each decision at several sizes, measured
+//! by criterion.
 
 mod memory;
 mod site;
@@ -20,16 +21,16 @@
 #[global_allocator]
 static ALLOCATOR: memory::CountingAllocator = memory::CountingAllocator;
 
-/// Engines of the sites measured: a small one, a middle one, and the size designed for.
+/// Numbers of engines: a small site, a medium one, and the largest size that the design covers.
 const ENGINE_COUNTS: [usize; 3] = [21, 200, 1_300];
-/// Accounts of the sites measured.
+/// Numbers of accounts.
 const ACCOUNT_COUNTS: [usize; 3] = [100, 3_000, 31_000];
-/// Hosts of the sites measured, beside this one.
+/// Numbers of hosts, without this one.
 const PEER_COUNTS: [usize; 3] = [8, 39, 369];
 
 fn main() {
     memory::print();
-    // Slopes over sizes matter here, not the last digit: samples are few and short.
+    // Growth over the sizes matters more than precision: few and short samples suffice.
     let mut criterion = Criterion::default()
         .without_plots()
         .sample_size(20)
--- a/benches/core/memory.rs
+++ b/benches/core/memory.rs
@@ -1,4 +1,4 @@
-//! Memory by a counting allocator.
+//! Memory per object, measured by a counting allocator.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,26 +7,26 @@
 
 static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-/// The system's allocator, with the bytes held counted.
+/// System allocator that counts the allocated bytes.
 #[derive(Debug)]
 pub struct CountingAllocator;
 
-// SAFETY: every call is passed on to the system's allocator unchanged.
+// SAFETY: every call is forwarded to the system allocator unchanged.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
         ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `dealloc`.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
 
-/// Prints the bytes that one more of each thing takes.
+/// Prints the memory in bytes per object.
 pub fn print() {
     println!(
         "{:<24} {:>8} {:>12}",
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns the bytes by which a small site grows.
+/// Returns the number of bytes that `grow` adds to a small site.
 fn growth_bytes(grow: impl FnOnce(&mut Site)) -> usize {
     let mut site = Site::new(21, 100, 8);
     let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
--- a/benches/core/site.rs
+++ b/benches/core/site.rs
@@ -1,4 +1,4 @@
-//! A host's core in a site of a given size.
+//! Core of a host in a site of a given size.
 
 use std::net::SocketAddr;
 
@@ -11,22 +11,22 @@
 use chiveway::lists::{KeyHash, KeyIndex, Lists, Plans, Uses};
 use chiveway::settings::Settings;
 
-/// Model of every request.
+/// Model of all requests.
 pub const MODEL: &str = "model";
 
-/// A core and what is around it.
+/// Core of one host, with its engines, accounts and peers.
 pub struct Site {
-    /// The core.
+    /// Core of the host.
     pub core: Core,
 }
 
-/// A stream that is being answered.
+/// Open stream of a request.
 pub struct Stream {
-    /// Request.
+    /// Key of the request.
     pub request: RequestKey,
-    /// Attempt.
+    /// Key of the attempt.
     pub attempt: AttemptKey,
-    /// Position of the next token.
+    /// Offset of the next token.
     pub offset: u64,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Site {
-    /// Starts a core that knows this many engines, accounts and peers.
+    /// Starts a core with this many engines, accounts and peers.
     pub fn new(engines: usize, accounts: usize, peers: usize) -> Self {
         let mut core = Core::new(settings(), Time::default(), 1_700_000_000_000, 1);
         let mut out = Effects::new();
@@ -59,7 +59,7 @@
         site
     }
 
-    /// Puts lists with this many accounts in force.
+    /// Applies lists with this many accounts.
     pub fn set_accounts(&mut self, count: usize) {
         let customers = (0..count).map(|at| {
             let key = account_key(at);
@@ -69,8 +69,8 @@
         let uses = format!("[plan plan]\nmodels = {MODEL}\npriority = 5\n");
         let lists = Lists {
             revision: 1,
-            plans: Plans::parse(&text, "bench").expect("sound plans"),
-            uses: Uses::parse(&uses, "bench").expect("sound uses"),
+            plans: Plans::parse(&text, "bench").expect("the generated plans are valid"),
+            uses: Uses::parse(&uses, "bench").expect("the generated uses are valid"),
         };
         self.core.config.index = KeyIndex::new(&lists);
         self.core.config.lists = lists;
@@ -98,7 +98,7 @@
             .reduce(Time::default(), event, &mut Effects::new());
     }
 
-    /// Lists this many engines, a third of them for prefill.
+    /// Registers this many engines, a third of them for prefill.
     pub fn set_engines(&mut self, count: usize) {
         let entries = (0..count).map(|at| Entry {
             name: engine(at),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Takes in a request up to its first token.
+    /// Sends a request to the core, up to the start of its stream.
     pub fn open(&mut self, tag: u64, account: usize) -> Stream {
         let mut out = Effects::new();
         let mut fingerprint = [0; 16];
@@ -148,7 +148,7 @@
             _ => None,
         });
         let Some((request, attempt)) = open else {
-            panic!("the request is not taken: {refused:?}");
+            panic!("the core did not open a stream; refusal: {refused:?}");
         };
         out.clear();
         let began = Event::Request(RequestEvent::Began(attempt));
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Takes in a request, gives it one token and its end.
+    /// Sends a request to the core, and completes it after one token.
     pub fn serve(&mut self, tag: u64, account: usize) {
         let stream = self.open(tag, account);
         let mut out = Effects::new();
@@ -190,5 +190,5 @@
          decode = 1000000\nprefill = 1000000\n",
         KeyHash::of("operator")
     );
-    Settings::parse(&text, "bench").expect("the bench writes sound settings")
+    Settings::parse(&text, "bench").expect("the generated settings are valid")
 }
--- a/benches/policy/baseline.rs
+++ b/benches/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Routing to compare with: round robin, random, least reported load, and exact knowledge.
+//! Baseline routers: round robin, random, least reported load, and exact knowledge of the engines.
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
@@ -10,37 +10,37 @@
 /// How a baseline chooses engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Router {
-    /// Each in turn, by host.
+    /// Round robin, counted by each host.
     RoundRobin,
-    /// Any.
+    /// Uniformly random.
     Random,
-    /// Least by the last report, whatever its age.
+    /// Least load in the last report, whatever its age.
     LeastReported,
-    /// Knows everything; refuses what would come late.
+    /// Uses the exact state of all engines, and refuses requests that would be late.
     Exact,
 }
 
-/// One engine as a baseline sees it.
+/// State of one engine that a baseline routes by.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// Position.
+    /// Index of the engine.
     pub at: usize,
     /// Role.
     pub role: Role,
-    /// Speed.
+    /// Speed, 1.0 for a nominal engine.
     pub speed: f64,
-    /// Prompt tokens waiting, by report or exactly.
+    /// Prompt tokens not yet prefilled, as reported or exact.
     pub prefill_tokens: u64,
-    /// Streams and waiting jobs, by report or exactly.
+    /// Running streams and waiting jobs, as reported or exact.
     pub streams: u32,
-    /// Prompt tokens that its cache saves for the request.
+    /// Prompt tokens of the request that are in the prefix cache.
     pub cached_tokens: u64,
 }
 
-/// Engines chosen for one request; `None` where it is refused.
+/// Prefill engine, if the request is split, and decode engine; `None` if the request is refused.
 pub type Choice = Option<(Option<usize>, usize)>;
 
-/// Chooses the engines for a request of this many prompt tokens.
+/// Chooses the engines for a request with this many prompt tokens.
 pub fn choose(
     router: Router,
     turn: usize,
@@ -89,13 +89,13 @@
                 .iter()
                 .copied()
                 .min_by(|one, other| prefill_secs(one).total_cmp(&prefill_secs(other)))?;
-            // What is left of the wanted time once the answer has reached a decode engine.
+            // The rest of the time-to-first-token target is for the handover to the decode engine.
             (prefill_secs(&best) < EXACT_MAX_PREFILL_SECS).then_some(best)
         }
     }
 }
 
-/// Prefill time that the exact router takes, in seconds.
+/// Prefill time in seconds from which the exact router refuses a request.
 const EXACT_MAX_PREFILL_SECS: f64 = 0.70;
 
 fn choose_decode(
--- a/benches/policy/bounds.rs
+++ b/benches/policy/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds that the figures are checked against.
+//! Checks the figures against the bounds in `bounds.ini`.
 
 use chiveway::form::Form;
 use chiveway::sections::{Document, KeySpec, Label, SectionKind};
@@ -15,27 +15,30 @@
     }
 }
 
-/// One section a case.
+/// One section per case.
 const SECTION_KINDS: &[SectionKind] = &[SectionKind {
     keyword: "case",
     label: Label::Name,
     keys: &[
-        key("oracle", "least part of the oracle's goodput"),
-        key("static", "least part of the best static split's goodput"),
-        key("changes", "most role changes"),
+        key("oracle", "minimum goodput as a fraction of the oracle's"),
+        key(
+            "static",
+            "minimum goodput as a fraction of the best static split's",
+        ),
+        key("changes", "maximum number of role changes"),
         key(
             "kept",
-            "least part of callers who come back as told and are taken",
+            "minimum fraction admitted of the callers that honor retry-after",
         ),
-        key("retries", "most repeats of our own per try"),
+        key("retries", "maximum retries by hosts per try of a caller"),
         key(
             "fair",
-            "least part of the best-served plan's goodput that each plan has",
+            "minimum goodput of each plan as a fraction of the best-served plan's",
         ),
     ],
 }];
 
-/// Returns a line for each figure beyond its bound.
+/// Returns a line for each figure that violates its bound, and for each case without bounds.
 pub fn check(text: &str, rows: &[Row]) -> Vec<String> {
     let doc = Document::parse(text, "bounds.ini", SECTION_KINDS);
     let mut violations: Vec<String> = doc.faults.iter().map(ToString::to_string).collect();
@@ -59,13 +62,13 @@
                 continue;
             };
             let (exceeded, wording) = match kind {
-                BoundKind::Min => (figure < bound, "least"),
-                BoundKind::Max => (figure > bound, "most"),
+                BoundKind::Min => (figure < bound, "at least"),
+                BoundKind::Max => (figure > bound, "at most"),
             };
             if exceeded {
                 let name = &section.name;
                 violations.push(format!(
-                    "{name}: {key} is {figure:.4}, {wording} {bound} allowed"
+                    "{name}: {key} is {figure:.4}, expected {wording} {bound}"
                 ));
             }
         }
@@ -77,14 +80,14 @@
                 .iter()
                 .any(|section| *section.name == *case.name)
             {
-                violations.push(format!("{}: has no bounds", case.name));
+                violations.push(format!("{}: no section in bounds.ini", case.name));
             }
         }
     }
     violations
 }
 
-/// On which side of a bound figures must lie.
+/// Whether a bound is a minimum or a maximum.
 #[derive(Debug, Clone, Copy)]
 enum BoundKind {
     Min,
--- a/benches/policy/cases.rs
+++ b/benches/policy/cases.rs
@@ -1,12 +1,12 @@
-//! The cases that are run.
+//! Cases of the benchmark.
 
 use std::f64::consts::TAU;
 
 use crate::trace::{BUZKULUBE, Case, FRISTVAGT, Fault, Site};
 
-/// Work asked for in most cases, against what all engines can do.
+/// Offered load in most cases, as a fraction of the capacity of all engines.
 const USUAL_LOAD: f64 = 0.7;
-/// Length of most cases in seconds.
+/// Duration of most cases in seconds.
 const LENGTH_SECS: f64 = 180.0;
 
 const fn case(name: &'static str, site: &'static Site) -> Case {
@@ -28,7 +28,7 @@
     USUAL_LOAD
 }
 
-/// Long requests are a sixth: prefill is about 28 % of the work.
+/// A sixth of the requests are long: prefill is about 28 % of the work.
 fn steady_mix(_: f64) -> f64 {
     0.17
 }
@@ -41,7 +41,7 @@
     0.05 + 0.5 * (at / LENGTH_SECS)
 }
 
-/// Turns over faster than an engine changes its role.
+/// Alternates faster than an engine changes its role.
 fn oscillating(at: f64) -> f64 {
     if ((at / 10.0) as u64).is_multiple_of(2) {
         0.05
@@ -58,12 +58,12 @@
     }
 }
 
-/// A day in four minutes: prefill goes from 14 % to 42 % of the work and back.
+/// A daily cycle in four minutes: prefill goes from 14 % to 42 % of the work and back.
 fn daily_cycle(at: f64) -> f64 {
     0.20 - 0.17 * (at / 240.0 * TAU).cos()
 }
 
-/// The late-night peak: more of everything, and more long requests.
+/// Late-night peak: higher load and a larger fraction of long requests.
 fn night_mix(at: f64) -> f64 {
     0.1 + 0.35 * peak(at)
 }
@@ -93,7 +93,7 @@
     if (60.0..80.0).contains(&at) { 1.6 } else { 0.6 }
 }
 
-/// All cases.
+/// All cases, in the order of the table.
 pub const CASES: &[Case] = &[
     case("frist-steady", &FRISTVAGT),
     Case {
--- a/benches/policy/engine.rs
+++ b/benches/policy/engine.rs
@@ -1,4 +1,4 @@
-//! A small fake engine in virtual time: one batch, with separate costs of prefill and decode.
+//! Model of an engine in virtual time: one batch, with separate costs of prefill and decode.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,95 +6,95 @@
 
 use chiveway::core::event::Role;
 
-/// Streams in the batch at most.
+/// Maximum number of jobs in the batch.
 pub const BATCH_SLOTS: usize = 32;
-/// Prompt tokens an engine of full speed prefills a second.
+/// Prompt tokens that an engine of speed 1.0 prefills per second.
 pub const PREFILL_TOKENS_PER_SEC: f64 = 16_000.0;
-/// Tokens an engine of full speed generates a second over a full batch.
+/// Tokens that an engine of speed 1.0 generates per second with a full batch.
 pub const DECODE_TOKENS_PER_SEC: f64 = 2_000.0;
-/// Tokens in one piece of the prefix cache.
+/// Tokens in one block of the prefix cache.
 pub const TOKENS_PER_BLOCK: u64 = 2_000;
-/// Wanted time between tokens in microseconds.
+/// Target time between tokens in microseconds.
 pub const TOKEN_GAP_US: u64 = 49_000;
-/// Time of every step in microseconds, whatever is in it.
+/// Fixed cost of a step in microseconds, whatever its batch.
 const STEP_BASE_US: f64 = 4_000.0;
-/// Prompt tokens worked through in one step at most.
+/// Maximum number of prompt tokens prefilled in one step.
 const PREFILL_CHUNK_TOKENS: u64 = 2_048;
-/// Pieces that the prefix cache holds.
+/// Capacity of the prefix cache in blocks.
 const CACHE_BLOCKS: usize = 96;
 
-/// Returns the microseconds between tokens at an engine that decodes this many streams.
+/// Returns the time between tokens, in microseconds, of an engine that decodes this many streams.
 pub fn token_gap_us(streams: usize, speed: f64) -> f64 {
     let stream =
         (BATCH_SLOTS as f64 * 1e6 / DECODE_TOKENS_PER_SEC - STEP_BASE_US) / BATCH_SLOTS as f64;
     (STEP_BASE_US + streams as f64 * stream) / speed
 }
 
-/// Which part of a request a job is.
+/// Phases of a request that a job covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobKind {
-    /// Prompt and answer.
+    /// Prefill and decode.
     Full,
-    /// Prompt only, for another engine.
+    /// Prefill only; another engine decodes.
     Prefill,
-    /// Answer only; the KV cache comes from another engine.
+    /// Decode only; the KV cache comes from another engine.
     Decode,
 }
 
-/// One job.
+/// Work of one attempt at one engine.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Number of the attempt that it belongs to.
+    /// Index of the attempt.
     pub id: usize,
-    /// Which part it is.
+    /// Phases that it covers.
     pub kind: JobKind,
-    /// Prompt tokens left.
+    /// Prompt tokens left to prefill.
     pub prompt: u64,
     /// Tokens to generate.
     pub output: u64,
-    /// Pieces of the prompt.
+    /// Hashes of the prompt's prefix blocks.
     pub blocks: Rc<[u64]>,
-    /// Higher goes first.
+    /// Higher values are served first.
     pub priority: u8,
 }
 
-/// What an engine brought about in one step.
+/// Result of a step for one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepEvent {
-    /// The prompt is worked through and kept for another engine.
+    /// Prefill is complete, and the KV cache is ready for another engine.
     Prefilled(usize),
-    /// The first token.
+    /// The first token was generated.
     FirstToken(usize),
-    /// The last token; `slow` of the `gaps` between tokens were longer than wanted.
+    /// The last token was generated; `slow_gaps` of the `gaps` between tokens exceeded the target.
     Completed {
         /// Attempt.
         id: usize,
-        /// Gaps longer than wanted.
+        /// Gaps longer than the target.
         slow_gaps: u64,
-        /// Gaps.
+        /// Gaps between tokens.
         gaps: u64,
     },
 }
 
-/// What an engine is doing.
+/// State of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It works.
+    /// Serves jobs.
     Up,
-    /// It changes its role and does nothing else.
+    /// Changes its role and serves no jobs.
     Changing,
-    /// It is gone.
+    /// Crashed.
     Down,
 }
 
-/// Load as a report shows it.
+/// Load in a load report.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Load {
-    /// Streams in the batch.
+    /// Jobs in the batch.
     pub running: u32,
     /// Jobs waiting.
     pub waiting: u32,
-    /// Prompt tokens not worked through.
+    /// Prompt tokens not yet prefilled.
     pub queued_prefill: u64,
 }
 
@@ -107,13 +107,13 @@
 /// One engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// Speed against a nominal engine.
+    /// Speed, 1.0 for a nominal engine.
     pub speed: f64,
-    /// Present role.
+    /// Current role.
     pub role: Role,
-    /// What it is doing.
+    /// Current state.
     pub state: State,
-    /// Prompt tokens that came from the cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u64,
     waiting: BTreeMap<(Reverse<u8>, u64), Job>,
     queue_keys: BTreeMap<usize, (Reverse<u8>, u64)>,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Tells whether the engine takes this part of a request.
+    /// Returns whether the engine accepts jobs of this kind.
     pub fn accepts(&self, kind: JobKind) -> bool {
         let fits = match self.role {
             Role::Both => true,
@@ -161,7 +161,7 @@
         self.state == State::Up && fits
     }
 
-    /// Takes in a job.
+    /// Queues a job.
     pub fn push(&mut self, job: Job) {
         self.arrivals += 1;
         let queue_key = (Reverse(job.priority), self.arrivals);
@@ -170,7 +170,7 @@
         self.waiting.insert(queue_key, job);
     }
 
-    /// Begins a step if none is under way and there is work; returns its length in microseconds.
+    /// Starts a step if none is running and there are jobs; returns its duration in microseconds.
     pub fn begin_step(&mut self) -> Option<u64> {
         if self.busy || self.state != State::Up {
             return None;
@@ -200,7 +200,7 @@
         Some(self.step_us)
     }
 
-    /// Ends the step under way.
+    /// Ends the running step.
     pub fn finish_step(&mut self, out: &mut Vec<StepEvent>) {
         self.busy = false;
         self.step += 1;
@@ -263,7 +263,7 @@
         self.decoding.insert((last, job.id), stream);
     }
 
-    /// Forgets a job.
+    /// Removes a job.
     pub fn cancel(&mut self, id: usize) {
         if let Some(job) = self
             .queue_keys
@@ -277,7 +277,7 @@
         self.decoding.retain(|(_, stream), _| *stream != id);
     }
 
-    /// Forgets every job, and returns each with the tokens it made.
+    /// Removes all jobs, and returns each attempt with the number of tokens generated.
     pub fn clear(&mut self) -> Vec<(usize, u64)> {
         let step = self.step;
         self.queue_keys.clear();
@@ -293,7 +293,7 @@
         all
     }
 
-    /// Returns the load now.
+    /// Returns the current load.
     pub fn load(&self) -> Load {
         let prefilling: u64 = self.prefilling.iter().map(|job| job.prompt).sum();
         Load {
@@ -303,13 +303,13 @@
         }
     }
 
-    /// Returns the prompt tokens that the cache would save.
+    /// Returns the prompt tokens that the prefix cache holds.
     pub fn cached(&self, blocks: &[u64]) -> u64 {
         self.cache.prefix_blocks(blocks) * TOKENS_PER_BLOCK
     }
 }
 
-/// Prefix cache that evicts the pieces not used for longest.
+/// Prefix cache with eviction of the least recently used blocks.
 #[derive(Debug, Default)]
 struct Cache {
     last_used: BTreeMap<u64, u64>,
--- a/benches/policy/hosts.rs
+++ b/benches/policy/hosts.rs
@@ -1,4 +1,4 @@
-//! The real core of each host, started and fed at its interface.
+//! Set-up of the real cores of the hosts, and the events that they receive.
 
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
 };
 use crate::trace::{CUSTOMER_COUNT, Case, PLANS};
 
-/// Wall clock at the start of a run; any will do.
+/// Wall clock at the start of a run, in milliseconds since the Unix epoch.
 const EPOCH_MS: u64 = 1_700_000_000_000;
-/// Requests a second that the plan of the hot customer may use.
+/// Request quota per second of the hot customer's plan.
 const HOT_REQUESTS_PER_SEC: f64 = 16.0;
-/// Failure domains.
+/// Number of failure domains.
 const FAILURE_DOMAINS: usize = 3;
 
 /// Returns the name of a host.
@@ -29,11 +29,11 @@
 
 /// Returns the address of an engine.
 pub fn engine_addr(at: usize) -> SocketAddr {
-    let port = u16::try_from(9000 + at).expect("few engines");
+    let port = u16::try_from(9000 + at).expect("ports of all engines fit in 16 bits");
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Returns the engine at an address.
+/// Returns the index of the engine with this address.
 pub fn engine_at(addr: SocketAddr) -> usize {
     usize::from(addr.port()) - 9000
 }
@@ -48,7 +48,7 @@
     KeyHash::of(&format!("customer-{customer}-key"))
 }
 
-/// Returns the position of a customer's plan.
+/// Returns the index of a customer's plan; the hot customer has the last plan to itself.
 pub fn plan_index(customer: usize) -> usize {
     if customer + 1 == CUSTOMER_COUNT {
         PLANS.len() - 1
@@ -80,12 +80,12 @@
         site.model,
         site.model,
         site.goodput_weight,
-        site.change_weight,
+        site.change_cost,
     );
-    Settings::parse(&text, "bench").expect("the bench writes sound settings")
+    Settings::parse(&text, "bench").expect("the generated settings are valid")
 }
 
-/// Creates the two lists.
+/// Creates the lists of customers and of plans.
 pub fn lists(case: &Case) -> Lists {
     let customers = (0..CUSTOMER_COUNT).map(|at| {
         let (plan, key) = (PLANS[plan_index(at)], key_hash(at));
@@ -102,12 +102,14 @@
     });
     Lists {
         revision: 1,
-        plans: Plans::parse(&customers.collect::<String>(), "bench").expect("sound plans"),
-        uses: Uses::parse(&plans.collect::<String>(), "bench").expect("sound uses"),
+        plans: Plans::parse(&customers.collect::<String>(), "bench")
+            .expect("the generated plans are valid"),
+        uses: Uses::parse(&plans.collect::<String>(), "bench")
+            .expect("the generated uses are valid"),
     }
 }
 
-/// Starts the cores of all hosts; their effects go to `out` with the host's position.
+/// Starts the cores of all hosts; appends their effects to `out` with the index of the host.
 pub fn start_cores(case: &Case, seed: u64, out: &mut Vec<(usize, Effects)>) -> Vec<Core> {
     let lists = lists(case);
     let mut cores: Vec<Core> = (0..case.site.hosts)
@@ -152,7 +154,7 @@
     }
 }
 
-/// Returns the platform's list.
+/// Returns the event with the platform's list of engines.
 pub fn listing(case: &Case, leaving: &[bool]) -> FleetEvent {
     let entries = leaving.iter().enumerate().map(|(at, &leaving)| Entry {
         name: engine_name(at).into(),
@@ -165,7 +167,7 @@
     FleetEvent::Listed(entries.collect())
 }
 
-/// Returns an engine's report.
+/// Returns the event with an engine's load report.
 pub fn load_report(at: usize, load: Load, role: Role, age_ms: u32) -> FleetEvent {
     let report = Report {
         running: load.running,
@@ -181,7 +183,7 @@
     }
 }
 
-/// Puts a pool's routing state for one engine in force at a host.
+/// Sets the serving state and the role by which a host routes to an engine.
 pub fn set_route(core: &mut Core, engine: usize, routed: ServingState, role: Role) {
     if let Some(key) = core.fleet.find(&engine_name(engine)) {
         let engine = &mut core.fleet.arena[key];
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -1,14 +1,14 @@
-//! The policy under load and a shifting mix, measured in virtual time.
+//! Simulates the policy in virtual time under load and a changing mix of requests.
 //!
-//! The real decisions of every host's core (admission, routing, retries) and of a pool's holder
-//! (role changes) meet small fake engines at the interface. Everything is drawn from seeds, so
-//! that each figure is the same on every run. Prints one table and ends with an error where a
-//! figure lies beyond its bound in `bounds.ini`.
+//! The real decisions of each host's core (admission, routing, retries) and of a pool's holder
+//! (role changes) run against small models of engines. All random values are drawn from fixed
+//! seeds, so that each figure is the same on every run. Prints one table, and exits with an error
+//! if a figure violates its bound in `bounds.ini`.
 
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "virtual times and draws are positive and far below the bounds of the types"
+    reason = "virtual times and random values are positive and far below the limits of the types"
 )]
 
 mod baseline;
@@ -34,29 +34,29 @@
 use tally::Tally;
 use trace::{Case, calls};
 
-/// Seed of the traces; any other gives another table.
+/// Seed of the traces and runs; the figures depend on it.
 const SEED: u64 = 20_240;
-/// Runs at the same time at most.
+/// Maximum number of concurrent runs.
 const MAX_THREADS: usize = 4;
-/// Seconds that the schedules of the oracle look ahead.
+/// Seconds of the trace that the oracle's schedules of roles look ahead.
 const LOOKAHEAD_SECS: [f64; 2] = [20.0, 60.0];
 
-/// What is run for one case.
+/// Policy under test, or one that it is compared with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Policy {
-    /// The project's own decisions.
+    /// Routing and role changes of this project.
     Chiveway,
-    /// Our routing with the best fixed split in hindsight.
+    /// Routing of this project with the fixed split that turns out best.
     Static,
-    /// Our routing with a threshold controller of roles.
+    /// Routing of this project with a threshold controller of roles.
     Threshold,
-    /// Round robin over the split that suits the first minute.
+    /// Round robin over the split that balances the first minute.
     RoundRobin,
-    /// Random over that split.
+    /// Random routing over that split.
     Random,
     /// Least reported load over that split.
     LeastReported,
-    /// Exact routing and the best of several plans of roles that know the trace.
+    /// Exact routing with the best of the fixed splits and the schedules computed from the trace.
     Oracle,
 }
 
@@ -72,7 +72,7 @@
 ];
 
 fn main() -> ExitCode {
-    // Words narrow the table down: a part of a case's name, then a part of a policy's.
+    // The arguments select rows: a part of a case's name, then a part of a policy's name.
     let args: Vec<String> = std::env::args().skip(1).collect();
     let mut filters = args.iter().filter(|arg| !arg.starts_with('-'));
     let (case, policy) = (filters.next(), filters.next());
@@ -114,7 +114,7 @@
     }
 }
 
-/// Carries out jobs on a few threads; results stand in the order of the jobs.
+/// Runs jobs on up to `MAX_THREADS` threads, and returns the results in the order of the jobs.
 fn run_all<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
@@ -138,7 +138,7 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Returns one row a group: of several variants, the best counts.
+/// Returns one row per group, with the best of its variants.
 fn best_rows(groups: &[(&Case, Policy)], jobs: &[(usize, Setup)], tallies: &[Tally]) -> Vec<Row> {
     let row = |at: usize| {
         let (case, policy) = groups[at];
@@ -148,7 +148,7 @@
             .filter(|((group, _), _)| *group == at);
         let best = variants
             .map(|(_, tally)| tally)
-            // Of equal goodput, the one with fewer role changes.
+            // At equal goodput, the variant with fewer role changes wins.
             .max_by(|one, other| {
                 let fewer = other.role_changes.cmp(&one.role_changes);
                 one.goodput().total_cmp(&other.goodput()).then(fewer)
@@ -156,13 +156,13 @@
         Row {
             case: case.name,
             policy,
-            tally: best.expect("each policy has a variant").clone(),
+            tally: best.expect("each policy has at least one variant").clone(),
         }
     };
     (0..groups.len()).map(row).collect()
 }
 
-/// Returns the variants of one policy on one case.
+/// Returns the variants of a policy to run for a case.
 fn setups(case: &Case, policy: Policy) -> Vec<Setup> {
     let calls = calls(case, SEED);
     let initial = schedule(case, &calls, 60.0)[0];
@@ -206,7 +206,7 @@
     }
 }
 
-/// Returns every fixed split up to two thirds of the engines for prefill; no case needs more.
+/// Returns all fixed splits with up to two thirds of the engines for prefill; no case needs more.
 fn fixed_splits(case: &Case, frontend: Frontend) -> Vec<Setup> {
     let setup = |prefill_engines| Setup {
         frontend,
--- a/benches/policy/roles.rs
+++ b/benches/policy/roles.rs
@@ -1,4 +1,4 @@
-//! Who decides role changes: the project's own decision, and what it is compared with.
+//! Controllers of role changes: the decision of this project, and those that it is compared with.
 
 use chiveway::core::Time;
 use chiveway::core::event::Role;
@@ -9,36 +9,36 @@
 use crate::engine::{BATCH_SLOTS, Load, PREFILL_TOKENS_PER_SEC};
 use crate::trace::{Call, Case};
 
-/// Seconds by which the schedule that knows the trace goes ahead of a shift.
+/// Seconds by which the schedule computed from the trace precedes a change of the mix.
 const SCHEDULE_LEAD_SECS: f64 = 6.0;
-/// Part of the engines' work above which the threshold controller changes a role.
+/// Utilization of a role from which the threshold controller moves an engine to it.
 const BUSY_FRACTION: f64 = 0.85;
-/// Seconds between two looks of the threshold controller.
+/// Seconds between decisions of the threshold controller.
 const THRESHOLD_INTERVAL_SECS: u64 = 5;
 
-/// Who decides.
+/// Controller of role changes.
 #[derive(Debug, Clone)]
 pub enum RoleController {
-    /// Nobody.
+    /// No role changes.
     Fixed,
     /// [`role::decide`].
     Chiveway(DecisionState),
-    /// Changes one engine when one side is busy and the other is not, by the last reports.
+    /// Moves one engine when the last reports show that one role is busy and the other is not.
     Threshold,
-    /// Prefill engines wanted at each second, worked out from the trace.
+    /// Wanted number of prefill engines at each second, computed from the trace.
     Schedule(Vec<usize>),
 }
 
-/// One engine as deciders see it.
+/// State of one engine that the controllers decide by.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// As the project's own decision sees it.
+    /// Input of [`role::decide`].
     pub engine: role::Engine,
-    /// Last report.
+    /// Last load report.
     pub load: Load,
 }
 
-/// What deciders see.
+/// State of the pool that the controllers decide by.
 #[derive(Debug)]
 pub struct Pool<'a> {
     /// Second of the decision.
@@ -47,14 +47,14 @@
     pub settings: &'a PoolSettings,
     /// Engines.
     pub engines: &'a [Candidate],
-    /// Prompt tokens a second that the hosts took in over the last second.
+    /// Prompt tokens per second accepted by the hosts over the last second.
     pub prompt_rate: f64,
-    /// Output tokens a second that the hosts took in over the last second.
+    /// Output tokens per second accepted by the hosts over the last second.
     pub output_rate: f64,
 }
 
 impl RoleController {
-    /// Returns the change to make now.
+    /// Returns the role change to start now, if any.
     pub fn decide(&mut self, pool: &Pool<'_>) -> Option<(BackendKey, Role)> {
         match self {
             Self::Fixed => None,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Changes one engine as soon as one side passes the threshold while the other is below it.
+/// Moves one engine when one role is above the threshold and the other is below it.
 fn decide_by_threshold(pool: &Pool<'_>) -> Option<(BackendKey, Role)> {
     let all_serving = pool
         .engines
@@ -91,7 +91,7 @@
     if !pool.second.is_multiple_of(THRESHOLD_INTERVAL_SECS) || !all_serving {
         return None;
     }
-    let wanted = pool.settings.first_token.as_secs_f64() / 2.0;
+    let target_secs = pool.settings.first_token.as_secs_f64() / 2.0;
     let with_role = |role: Role| {
         pool.engines
             .iter()
@@ -103,7 +103,7 @@
             .map(|candidate| candidate.load.queued_prefill as f64)
             .collect(),
     );
-    let prefill = prefill / PREFILL_TOKENS_PER_SEC / wanted;
+    let prefill = prefill / PREFILL_TOKENS_PER_SEC / target_secs;
     let streams = with_role(Role::Decode)
         .map(|candidate| f64::from(candidate.load.running + candidate.load.waiting));
     let decode = mean(streams.collect()) / BATCH_SLOTS as f64;
@@ -121,7 +121,7 @@
     }
 }
 
-/// Goes one engine towards the number of prefill engines wanted.
+/// Moves one engine towards the wanted number of prefill engines.
 fn follow_schedule(pool: &Pool<'_>, wanted: usize) -> Option<(BackendKey, Role)> {
     let with_role = |role: Role| {
         pool.engines
@@ -146,7 +146,7 @@
     Some((least_busy.engine.key, to))
 }
 
-/// Returns the prefill engines that suit this work best: the busier side is least busy.
+/// Returns the number of prefill engines that minimizes the load of the busier role.
 pub fn balanced_split(prefill: f64, decode: f64, engines: usize) -> usize {
     let max_load = |count: usize| {
         let prefill = prefill / count as f64;
@@ -158,8 +158,8 @@
         .unwrap_or(1)
 }
 
-/// Works out from the trace how many prefill engines to have at each second, looking `window`
-/// seconds ahead.
+/// Computes the wanted number of prefill engines at each second from the `window_secs` of the trace
+/// that follow.
 pub fn schedule(case: &Case, calls: &[Call], window_secs: f64) -> Vec<usize> {
     let seconds = case.length_secs as usize;
     let mut work = vec![(0.0, 0.0); seconds + 1];
--- a/benches/policy/simulation/callers.rs
+++ b/benches/policy/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: how they ask, leave, come back and take an answer.
+//! Callers: requests, time-outs, retries and answers.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 use crate::hosts;
 use crate::trace::{Call, Case, RetryBehavior};
 
-/// Part of a refused request that counts as demand; its caller asks again.
+/// Weight of a refused request in the demand, below 1.0 because its caller may retry.
 const REFUSED_DEMAND_FRACTION: f64 = 0.5;
-/// Time without a first token after which an eager caller sends again.
+/// Time without a first token after which an eager caller retries.
 const EAGER_WAIT_US: u64 = 2_000_000;
-/// Tries of one caller.
+/// Maximum number of tries of a caller.
 const MAX_TRIES: u8 = 4;
-/// Longest time to come back that a caller waits.
+/// Longest retry-after time that a caller waits for.
 const MAX_RETRY_AFTER_SECS: u64 = 60;
-/// Part of what is known of answers' lengths that one more answer leaves in force.
+/// Factor by which each answer reduces the weight of earlier answers in the output ratio.
 const RATIO_DECAY: f64 = 0.99;
 
 impl Simulation<'_> {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// An eager caller without a first token leaves and sends again.
+    /// Cancels the request of an eager caller that has no first token, and schedules its retry.
     pub(super) fn give_up(&mut self, at: usize) {
         let caller = &self.callers[at];
         let timed_out = self.now >= caller.sent + EAGER_WAIT_US;
@@ -96,7 +96,7 @@
         self.schedule(self.now + delay_us, SimEvent::Send(at));
     }
 
-    /// Counts what is asked for, as hosts do.
+    /// Adds a request to the demand, as hosts do.
     fn count_demand(&mut self, at: usize, weight: f64) {
         let call = &self.calls[at];
         self.prompt_demand += weight * f64::from(call.prompt);
@@ -104,7 +104,7 @@
             weight * f64::from(call.max_output) * self.output_ratio.0 / self.output_ratio.1;
     }
 
-    /// A request was taken: an engine has it.
+    /// Counts a request that was sent to an engine.
     pub(super) fn admitted(&mut self, at: usize) {
         self.count_demand(at, 1.0);
         if std::mem::take(&mut self.callers[at].returning) {
--- a/benches/policy/simulation/effects.rs
+++ b/benches/policy/simulation/effects.rs
@@ -1,4 +1,4 @@
-//! Hosts: the effects of their cores carried out, and events brought to them.
+//! Hosts: applies the effects of their cores, and passes events to them.
 
 use chiveway::core::effect::{Effect, Meter, Refusal};
 use chiveway::core::event::{AttemptFailure, Event, PeerEvent, RequestEvent};
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Brings a host's routing state for one engine up to date.
+    /// Updates the routing state of an engine at a host.
     pub(super) fn update_route(&mut self, host: usize, engine: usize) {
         let role = self.engines[engine].role;
         hosts::set_route(&mut self.cores[host], engine, self.routed[engine], role);
@@ -143,7 +143,7 @@
             (attempt.call, attempt.host, attempt.key)
         };
         let Some(attempt) = key else {
-            // A baseline tries once more, anywhere.
+            // A baseline retries on any engine.
             if let Frontend::Baseline(router) = self.setup.frontend {
                 self.tally.retries += 1;
                 self.route_by_baseline(router, call, host);
@@ -154,7 +154,7 @@
             attempt,
             ran,
             end,
-            detail: "the engine broke off".into(),
+            detail: "the engine cut the stream".into(),
         };
         self.reduce(host, Event::Request(event));
     }
--- a/benches/policy/simulation/engines.rs
+++ b/benches/policy/simulation/engines.rs
@@ -1,4 +1,4 @@
-//! Engines: jobs on their way to them, their steps, their loads and their end.
+//! Engines: arriving jobs, steps, load samples and faults.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::hosts;
 use crate::trace::Fault;
 
-/// Time a KV cache of one token takes to another engine, in microseconds.
+/// Transfer time of the KV cache to another engine, in microseconds per token.
 const TRANSFER_US_PER_TOKEN: u64 = 2;
 
 impl Simulation<'_> {
@@ -104,7 +104,7 @@
         id
     }
 
-    /// A job reaches an engine.
+    /// Queues a job at an engine, or fails the attempt if the engine does not accept it.
     pub(super) fn job_arrived(&mut self, engine: usize, id: usize, kind: JobKind) {
         if !self.attempts[id].active {
             return;
@@ -193,7 +193,7 @@
         self.begin_step(engine);
     }
 
-    /// The prompt of a run is worked through at its prefill engine.
+    /// Removes a prefilled attempt from the load of its prefill engine.
     pub(super) fn prefill_done(&mut self, id: usize) {
         self.remove_backlog(id);
         if let Some(prefill) = self.attempts[id].prefill.take() {
@@ -209,7 +209,7 @@
         self.backlog_tokens[first] = self.backlog_tokens[first].saturating_sub(prompt);
     }
 
-    /// No engine has or will get a run any more.
+    /// Removes an attempt that no engine has or will receive from the loads of its engines.
     pub(super) fn release_attempt(&mut self, id: usize) {
         if !std::mem::take(&mut self.attempts[id].active) {
             return;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Returns the load that an engine reports now, and its age in milliseconds.
+    /// Returns the last load reported by an engine, and its age in milliseconds.
     pub(super) fn reported_load(&self, engine: usize) -> (Load, u32) {
         if self.case.report_lag_secs == 0.0 {
             return (self.engines[engine].load(), 0);
--- a/benches/policy/simulation/mod.rs
+++ b/benches/policy/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! One run: callers, hosts and engines in virtual time.
+//! Simulation of one run: callers, hosts and engines in virtual time.
 
 mod callers;
 mod effects;
@@ -24,32 +24,32 @@
 use crate::tally::Tally;
 use crate::trace::{self, Call, Case, Fault};
 
-/// Time from any process to another, in microseconds.
+/// Network latency between any two processes, in microseconds.
 const HOP_US: u64 = 1_000;
-/// Time between two looks at engines that are changing.
+/// Time between checks of the running role changes.
 const CHANGE_CHECK_INTERVAL_US: u64 = 100_000;
-/// Time between two samples of engines' loads.
+/// Time between samples of the engines' loads.
 const SAMPLE_INTERVAL_US: u64 = 100_000;
-/// Time after the last request until the run ends.
+/// Time from the end of the trace to the end of the run.
 const TAIL_US: u64 = 30_000_000;
 
 const SECOND_US: u64 = 1_000_000;
 
-/// Who routes and admits.
+/// Implementation of routing and admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Frontend {
     /// The real core of each host.
     Cores,
-    /// A baseline.
+    /// A baseline router.
     Baseline(Router),
 }
 
-/// How one run is set up.
+/// Configuration of a run.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Who routes and admits.
+    /// Implementation of routing and admission.
     pub frontend: Frontend,
-    /// Who changes roles.
+    /// Controller of role changes.
     pub controller: RoleController,
     /// Prefill engines at the start.
     pub prefill_engines: usize,
@@ -104,7 +104,7 @@
     }
 }
 
-/// One caller with one request.
+/// State of a caller and its request.
 #[derive(Debug, Clone, Default)]
 struct Caller {
     tries: u8,
@@ -117,7 +117,7 @@
     attempt: Option<usize>,
 }
 
-/// One attempt at engines.
+/// One attempt of a request at one or two engines.
 #[derive(Debug)]
 struct Attempt {
     call: usize,
@@ -130,7 +130,7 @@
     priority: u8,
 }
 
-/// Change of one engine's role.
+/// Running role change of an engine.
 #[derive(Debug)]
 struct RoleChange {
     engine: usize,
@@ -139,7 +139,7 @@
     ordered_at: Option<u64>,
 }
 
-/// The state of one run.
+/// State of a run.
 pub struct Simulation<'a> {
     case: &'a Case,
     calls: &'a [Call],
@@ -151,9 +151,9 @@
     cores: Vec<Core>,
     settings: PoolSettings,
     engines: Vec<Engine>,
-    /// Runs that an engine has or will get.
+    /// Attempts that an engine has or will receive.
     active_attempts: Vec<u32>,
-    /// Prompt tokens on their way to or at an engine.
+    /// Prompt tokens not yet prefilled, at an engine or on their way to it.
     backlog_tokens: Vec<u64>,
     routed: Vec<ServingState>,
     leaving: Vec<bool>,
@@ -166,13 +166,13 @@
     round_robin: Vec<usize>,
     prompt_demand: f64,
     output_demand: f64,
-    /// Part of the tokens allowed that answers have, by the answers so far.
+    /// Output tokens of recent answers, and the output tokens allowed for them.
     output_ratio: (f64, f64),
     tally: Tally,
 }
 
 impl<'a> Simulation<'a> {
-    /// Sets a run up.
+    /// Creates a run.
     pub fn new(case: &'a Case, calls: &'a [Call], setup: Setup, seed: u64) -> Self {
         let speeds = trace::speeds(case);
         let engines: Vec<Engine> = speeds
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Runs to the end.
+    /// Runs to the end, and returns the counts.
     pub fn run(mut self, seed: u64) -> Tally {
         self.sample_loads();
         self.schedule(self.now + SAMPLE_INTERVAL_US, SimEvent::LoadSample);
--- a/benches/policy/simulation/role_changes.rs
+++ b/benches/policy/simulation/role_changes.rs
@@ -1,4 +1,4 @@
-//! Role changes: when one is decided, how it goes on and when it is called off.
+//! Role changes: decision, drain, completion and cancellation.
 
 use chiveway::core::event::Role;
 use chiveway::core::fleet::ServingState;
@@ -9,9 +9,9 @@
 use crate::engine::State;
 use crate::roles::{Candidate, Pool};
 
-/// Time a role change takes.
+/// Duration of a role change once the engine is drained.
 const ROLE_CHANGE_US: u64 = 5_000_000;
-/// Time a withdrawn engine may finish its work before the change is called off.
+/// Time for a withdrawn engine to finish its work, after which the change is cancelled.
 const DRAIN_TIMEOUT_US: u64 = 30_000_000;
 
 impl Simulation<'_> {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Goes on with the changes under way.
+    /// Advances the running role changes.
     pub(super) fn advance_changes(&mut self) {
         self.schedule(self.now + CHANGE_CHECK_INTERVAL_US, SimEvent::ChangeCheck);
         let mut changes = std::mem::take(&mut self.changes);
@@ -62,7 +62,7 @@
         self.changes.extend(changes);
     }
 
-    /// Goes on with a change; returns whether it has ended.
+    /// Advances a role change; returns whether it has ended.
     pub(super) fn advance_change(&mut self, change: &mut RoleChange) -> bool {
         let engine = change.engine;
         let is_down = self.engines[engine].state == State::Down;
@@ -87,13 +87,13 @@
     }
 }
 
-/// Returns the key by which deciders know an engine.
+/// Returns the key of an engine for the role controllers.
 fn backend_key(at: usize) -> BackendKey {
     slotmap::KeyData::from_ffi(1 << 32 | (at as u64 + 1)).into()
 }
 
 pub(super) fn initial_role(at: usize, setup: &Setup, count: usize) -> Role {
-    // Spread over positions, so that both roles stand in each failure domain.
+    // Spreads the prefill engines over the indices, so that each failure domain has both roles.
     let before = at * setup.prefill_engines / count;
     let after = (at + 1) * setup.prefill_engines / count;
     if after > before {
--- a/benches/policy/table.rs
+++ b/benches/policy/table.rs
@@ -1,22 +1,22 @@
-//! The table of results.
+//! Table of results.
 
 use crate::Policy;
 use crate::tally::Tally;
 use crate::trace::Class;
 
-/// Result of one policy on one case.
+/// Result of a policy for a case.
 #[derive(Debug)]
 pub struct Row {
     /// Name of the case.
     pub case: &'static str,
     /// Policy.
     pub policy: Policy,
-    /// Counts.
+    /// Counts of the run.
     pub tally: Tally,
 }
 
 impl Policy {
-    /// Returns the name in the table and the bounds.
+    /// Returns the name in the table.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -31,13 +31,13 @@
     }
 }
 
-/// Returns the row of one policy on one case.
+/// Returns the row of a policy for a case.
 pub fn find_row<'a>(rows: &'a [Row], case: &str, policy: Policy) -> Option<&'a Row> {
     rows.iter()
         .find(|row| row.case == case && row.policy == policy)
 }
 
-/// Returns a policy's goodput as a part of the oracle's.
+/// Returns a policy's goodput as a fraction of the oracle's.
 pub fn oracle_fraction(rows: &[Row], row: &Row) -> f64 {
     let oracle = find_row(rows, row.case, Policy::Oracle).map_or(1.0, |row| row.tally.goodput());
     row.tally.goodput() / oracle
--- a/benches/policy/tally.rs
+++ b/benches/policy/tally.rs
@@ -1,10 +1,10 @@
-//! What came of a run.
+//! Counts of a run, and the figures computed from them.
 
 use crate::trace::{Class, PLANS};
 
-/// Wanted time to the first token in microseconds.
+/// Target time to first token in microseconds.
 const FIRST_TOKEN_LIMIT_US: u64 = 780_000;
-/// Of this many gaps between tokens, one may be longer than wanted.
+/// One of this many gaps between tokens may exceed the target.
 const GAPS_PER_SLOW_GAP: u64 = 20;
 
 /// Counts of one run.
@@ -12,38 +12,38 @@
 pub struct Tally {
     /// Requests, by class.
     pub requests: [u32; 2],
-    /// Requests answered in time, by class.
+    /// Requests answered within the targets, by class.
     pub good: [u32; 2],
-    /// Requests by plan.
+    /// Requests, by plan.
     pub plan_requests: [u32; PLANS.len()],
-    /// Requests answered in time by plan.
+    /// Requests answered within the targets, by plan.
     pub plan_good: [u32; PLANS.len()],
-    /// Requests answered, in time or late.
+    /// Requests answered, within the targets or late.
     pub answered: u32,
-    /// Role changes made.
+    /// Completed role changes.
     pub role_changes: u32,
-    /// Engine seconds during which an engine took no new work for a change.
+    /// Engine seconds without new work because of role changes.
     pub lost_secs: f64,
     /// Refusals.
     pub refusals: u32,
-    /// Refusals that named a time to come back.
+    /// Refusals with a retry-after time.
     pub with_retry_after: u32,
-    /// Callers who came back when they were told to.
+    /// Retries sent after the retry-after time.
     pub returned: u32,
-    /// Those of them who were then taken.
+    /// Those of them that were admitted.
     pub returned_admitted: u32,
-    /// Attempts after the first within one try of a caller.
+    /// Attempts after the first within a caller's try.
     pub retries: u32,
-    /// Tries of callers.
+    /// Tries of callers: first requests and retries.
     pub tries: u32,
-    /// Prompt tokens of attempts.
+    /// Prompt tokens of all attempts.
     pub prompt_tokens: u64,
-    /// Prompt tokens that came from engines' caches.
+    /// Prompt tokens found in prefix caches.
     pub cached_tokens: u64,
 }
 
 impl Tally {
-    /// Counts a request; what a hot customer asks beyond its share is nobody's goodput.
+    /// Counts a request, unless it is on the hot customer's plan, which exceeds its quota.
     pub fn record_request(&mut self, class: Class, plan: usize) {
         if plan + 1 == PLANS.len() {
             return;
@@ -52,7 +52,7 @@
         self.plan_requests[plan] += 1;
     }
 
-    /// Counts an answer.
+    /// Counts an answer, unless it is on the hot customer's plan.
     pub fn record_answer(
         &mut self,
         class: Class,
@@ -71,17 +71,17 @@
         }
     }
 
-    /// Returns the part of all requests that was answered in time.
+    /// Returns the fraction of all requests answered within the targets.
     pub fn goodput(&self) -> f64 {
         fraction(self.good.iter().sum(), self.requests.iter().sum())
     }
 
-    /// Returns the part of one class that was answered in time.
+    /// Returns the fraction of a class's requests answered within the targets.
     pub fn class_goodput(&self, class: Class) -> f64 {
         fraction(self.good[class as usize], self.requests[class as usize])
     }
 
-    /// Returns how the worst-served of the plans in `plans` fares against the best-served.
+    /// Returns the goodput of the worst-served plan as a fraction of the best-served plan's.
     pub fn fairness(&self) -> f64 {
         let fractions = self.plan_good.iter().zip(&self.plan_requests);
         let fractions = fractions.filter(|(_, requests)| **requests > 0);
@@ -93,17 +93,17 @@
         if highest > 0.0 { lowest / highest } else { 1.0 }
     }
 
-    /// Returns the part of callers who came back as told that were taken.
+    /// Returns the fraction admitted of the retries sent after the retry-after time.
     pub fn admitted_fraction(&self) -> f64 {
         fraction(self.returned_admitted, self.returned)
     }
 
-    /// Returns our own repeats per try of a caller.
+    /// Returns the retries by hosts per try of a caller.
     pub fn retry_ratio(&self) -> f64 {
         fraction(self.retries, self.tries)
     }
 
-    /// Returns the part of the prompt tokens that came from caches.
+    /// Returns the fraction of the prompt tokens found in prefix caches.
     pub fn cache_hit_fraction(&self) -> f64 {
         self.cached_tokens as f64 / self.prompt_tokens.max(1) as f64
     }
--- a/benches/policy/trace.rs
+++ b/benches/policy/trace.rs
@@ -1,4 +1,4 @@
-//! What callers ask, when, and what goes wrong meanwhile: drawn from a seed.
+//! Deployments, cases, and the requests of a case, drawn from a seed.
 
 use std::rc::Rc;
 
@@ -8,28 +8,28 @@
 
 use crate::engine::{DECODE_TOKENS_PER_SEC, PREFILL_TOKENS_PER_SEC, TOKENS_PER_BLOCK};
 
-/// The two jobs of a deployment.
+/// Class of a request; a deployment has two.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// Grant agreement, or lake briefing.
+    /// A grant agreement (Fristvagt) or a lake briefing (Buzkulübe).
     Long,
-    /// Clause, or hut question.
+    /// A clause (Fristvagt) or a question about a hut (Buzkulübe).
     Short,
 }
 
-/// One kind of job.
+/// Size of the requests of a class.
 #[derive(Debug, Clone, Copy)]
 pub struct Workload {
     /// Mean prompt tokens.
     pub prompt: u32,
-    /// Pieces at the start that a customer's prompts share.
+    /// Leading prefix blocks shared by all prompts of a customer.
     pub shared_blocks: u32,
-    /// Mean tokens generated.
+    /// Mean output tokens.
     pub output: u32,
 }
 
 impl Workload {
-    /// Returns the engine seconds of one request, prefill and decode, at full speed.
+    /// Returns the mean engine seconds of prefill and of decode at speed 1.0.
     pub fn engine_secs(&self) -> (f64, f64) {
         (
             f64::from(self.prompt) / PREFILL_TOKENS_PER_SEC,
@@ -47,19 +47,19 @@
     pub engines: usize,
     /// Hosts.
     pub hosts: usize,
-    /// The large job.
+    /// Long requests.
     pub long: Workload,
-    /// The small job.
+    /// Short requests.
     pub short: Workload,
-    /// Weight of goodput.
+    /// Weight of goodput in role decisions.
     pub goodput_weight: f64,
-    /// Weight of a role change in engine seconds.
-    pub change_weight: f64,
-    /// Part of the callers who send again at once and do not wait as told.
+    /// Cost of a role change in role decisions, in engine seconds.
+    pub change_cost: f64,
+    /// Fraction of eager callers, which retry without regard to the retry-after time.
     pub eager_fraction: f64,
 }
 
-/// Nine workers behind eight hosts; a grant agreement against a clause.
+/// Nine engines behind eight hosts; long grant agreements and short clauses.
 pub const FRISTVAGT: Site = Site {
     model: "raadgiver",
     engines: 9,
@@ -75,11 +75,11 @@
         output: 300,
     },
     goodput_weight: 4.0,
-    change_weight: 5.0,
+    change_cost: 5.0,
     eager_fraction: 0.1,
 };
 
-/// Twelve workers behind nine hosts; a lake briefing against a hut question.
+/// Twelve engines behind nine hosts; long lake briefings and short questions about huts.
 pub const BUZKULUBE: Site = Site {
     model: "buz-llm",
     engines: 12,
@@ -95,91 +95,91 @@
         output: 150,
     },
     goodput_weight: 1.0,
-    change_weight: 30.0,
+    change_cost: 30.0,
     eager_fraction: 0.5,
 };
 
-/// Something that goes wrong with one engine.
+/// Fault of engines during a case.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The platform's list calls an engine leaving at this second.
+    /// The platform's list marks an engine as leaving from this second.
     Leaving(f64),
-    /// Two engines die at this second.
+    /// Two engines crash at this second.
     Crash(f64),
 }
 
 /// One case.
 #[derive(Debug, Clone, Copy)]
 pub struct Case {
-    /// Name, as in the table and the bounds.
+    /// Name in the table and in the bounds.
     pub name: &'static str,
     /// Deployment.
     pub site: &'static Site,
-    /// Length in seconds.
+    /// Duration in seconds.
     pub length_secs: f64,
-    /// Part of the requests that are long, by second.
+    /// Fraction of the requests that are long, by second.
     pub long_fraction: fn(f64) -> f64,
-    /// Work asked for against what all engines can do, by second.
+    /// Offered load as a fraction of the capacity of all engines, by second.
     pub load: fn(f64) -> f64,
-    /// Lag of load reports in seconds.
+    /// Delay of load reports in seconds.
     pub report_lag_secs: f64,
     /// Speed of a fifth of the engines.
     pub slow_speed: f64,
-    /// What goes wrong.
+    /// Fault that is injected.
     pub fault: Fault,
-    /// Part of the requests that one customer sends on top of the others.
+    /// Fraction of the requests that the hot customer sends on top of the offered load.
     pub hot_fraction: f64,
-    /// Part of the callers who are eager, where it is not the site's.
+    /// Fraction of eager callers, if it differs from the deployment's.
     pub eager_fraction: Option<f64>,
 }
 
-/// How a caller takes a refusal or a long wait.
+/// Reaction of a caller to a refusal or a long wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryBehavior {
-    /// Comes back when it was told to.
+    /// Retries after the retry-after time.
     HonorsRetryAfter,
-    /// Sends again soon, whatever it was told.
+    /// Retries soon, without regard to the retry-after time.
     Eager,
 }
 
-/// One request as its caller means it.
+/// One request of a caller, with its retries.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Microseconds from the start.
+    /// Time of the first try, in microseconds from the start.
     pub at_us: u64,
-    /// Which job.
+    /// Class.
     pub class: Class,
-    /// Customer.
+    /// Index of the customer.
     pub customer: usize,
     /// Prompt tokens.
     pub prompt: u32,
-    /// Tokens that the answer will have.
+    /// Output tokens of the answer.
     pub output: u32,
-    /// Tokens that the caller allows.
+    /// Output tokens that the caller allows.
     pub max_output: u32,
-    /// Pieces of the prompt.
+    /// Hashes of the prompt's prefix blocks.
     pub blocks: Rc<[u64]>,
     /// Fingerprint.
     pub fingerprint: Fingerprint,
-    /// How the caller behaves.
+    /// Retry behavior of the caller.
     pub behavior: RetryBehavior,
 }
 
-/// Customers; the last one is the hot one.
+/// Number of customers; the last one is the hot customer.
 pub const CUSTOMER_COUNT: usize = 40;
-/// Plans; customers take turns, and the hot one has the last plan to itself.
+/// Plans, assigned to customers in turn; the hot customer has the last plan to itself.
 pub const PLANS: [&str; 4] = ["large", "middle", "small", "hot"];
 
 /// Returns the speeds of a case's engines.
 pub fn speeds(case: &Case) -> Vec<f64> {
-    // Every fifth engine, so that slow ones fall into different failure domains.
+    // Every fifth engine is slow, so that the slow engines are in different failure domains.
     let speed = |at: usize| if at % 5 == 2 { case.slow_speed } else { 1.0 };
     (0..case.site.engines).map(speed).collect()
 }
 
-/// Draws the calls of a case.
+/// Draws the requests of a case.
 pub fn calls(case: &Case, seed: u64) -> Vec<Call> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let total: f64 = speeds(case).iter().sum();
@@ -209,7 +209,7 @@
     let customer = if rng.random::<f64>() < case.hot_fraction {
         CUSTOMER_COUNT - 1
     } else {
-        // The square makes some customers busier than others.
+        // Squaring the draw makes some customers busier than others.
         let draw = rng.random::<f64>();
         (draw * draw * (CUSTOMER_COUNT - 1) as f64) as usize
     };
