--- a/benches/policy/engine.rs
+++ b/benches/policy/engine.rs
@@ -268,7 +268,7 @@
         if let Some(job) = self
             .queue_keys
             .remove(&id)
-            .and_then(|at| self.waiting.remove(&at))
+            .and_then(|queue_key| self.waiting.remove(&queue_key))
         {
             self.queued_tokens -= job.prompt;
             return;
--- a/benches/policy/hosts.rs
+++ b/benches/policy/hosts.rs
@@ -70,7 +70,8 @@
          secret = a-secret-for-one-process-only\noperator-key-hash = {}\n\
          [platform]\nkv = 127.0.0.1:2379\nlist = 127.0.0.1:8500\n\
          [pool {}]\nmodel = {}\nfencing = checks\nsplit = yes\ngoodput = {}\nchange = {}\n\
-         prefill = {PREFILL_TOKENS_PER_SEC}\ndecode = {DECODE_TOKENS_PER_SEC}\nslots = {BATCH_SLOTS}\npiece = {TOKENS_PER_BLOCK}\n",
+         prefill = {PREFILL_TOKENS_PER_SEC}\ndecode = {DECODE_TOKENS_PER_SEC}\n\
+         slots = {BATCH_SLOTS}\npiece = {TOKENS_PER_BLOCK}\n",
         host_name(at),
         domain(at),
         10_000 + at,
--- a/benches/policy/simulation/effects.rs
+++ b/benches/policy/simulation/effects.rs
@@ -154,7 +154,7 @@
             attempt,
             ran,
             end,
-            detail: "the engine cut the stream".into(),
+            detail: "the attempt failed at the engine".into(),
         };
         self.reduce(host, Event::Request(event));
     }
--- a/benches/policy/simulation/engines.rs
+++ b/benches/policy/simulation/engines.rs
@@ -126,7 +126,7 @@
             self.attempts[id].delivered,
         );
         let job = Job {
-            id: id,
+            id,
             kind,
             prompt: match kind {
                 JobKind::Decode => 0,
@@ -148,8 +148,8 @@
     }
 
     pub(super) fn begin_step(&mut self, engine: usize) {
-        if let Some(length) = self.engines[engine].begin_step() {
-            self.schedule(self.now + length, SimEvent::StepEnd(engine));
+        if let Some(step_us) = self.engines[engine].begin_step() {
+            self.schedule(self.now + step_us, SimEvent::StepEnd(engine));
         }
     }
 
@@ -185,8 +185,8 @@
                 } => {
                     self.release_attempt(id);
                     let host = self.attempts[id].host;
-                    let failure = HostEvent::Completed(id, slow_gaps, gaps);
-                    self.schedule(self.now + HOP_US, SimEvent::Host(host, failure));
+                    let completed = HostEvent::Completed(id, slow_gaps, gaps);
+                    self.schedule(self.now + HOP_US, SimEvent::Host(host, completed));
                 }
             }
         }
