--- a/benches/core/main.rs
+++ b/benches/core/main.rs
@@ -1,7 +1,8 @@
-//! What one decision costs, and what the state of one thing takes.
+//! Time per decision of the core, and memory per object.
 //!
-//! `cargo bench --bench core` prints the time of each decision by criterion at several sizes and,
-//! first, the memory of one engine, account, live request and peer, counted by the allocator.
+//! `cargo bench --bench core` first prints the memory per engine, account, peer, live request and
+//! record, counted by the allocator, and then the time of each decision at several sizes, measured
+//! by criterion.
 
 mod memory;
 mod site;
@@ -18,41 +19,41 @@
 use site::Site;
 
 #[global_allocator]
-static COUNTED: memory::Counted = memory::Counted;
+static ALLOCATOR: memory::CountingAllocator = memory::CountingAllocator;
 
-/// Engines of the sites measured: a small one, a middle one, and the size designed for.
-const ENGINES: [usize; 3] = [21, 200, 1_300];
-/// Accounts of the sites measured.
-const ACCOUNTS: [usize; 3] = [100, 3_000, 31_000];
-/// Hosts of the sites measured, beside this one.
-const PEERS: [usize; 3] = [8, 39, 369];
+/// Numbers of engines: a small site, a medium one, and the largest size that the design covers.
+const ENGINE_COUNTS: [usize; 3] = [21, 200, 1_300];
+/// Numbers of accounts.
+const ACCOUNT_COUNTS: [usize; 3] = [100, 3_000, 31_000];
+/// Numbers of hosts, without this one.
+const PEER_COUNTS: [usize; 3] = [8, 39, 369];
 
 fn main() {
     memory::print();
-    // Slopes over sizes matter here, not the last digit: samples are few and short.
+    // Growth over the sizes matters more than precision: few and short samples suffice.
     let mut criterion = Criterion::default()
         .without_plots()
         .sample_size(20)
         .warm_up_time(Duration::from_millis(100))
         .measurement_time(Duration::from_millis(400))
         .configure_from_args();
-    by_engines(&mut criterion);
-    by_accounts(&mut criterion);
-    by_peers(&mut criterion);
+    bench_engines(&mut criterion);
+    bench_accounts(&mut criterion);
+    bench_peers(&mut criterion);
     criterion.final_summary();
 }
 
-fn by_engines(criterion: &mut Criterion) {
+fn bench_engines(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("engines");
-    for count in ENGINES {
+    for count in ENGINE_COUNTS {
         let mut site = Site::new(count, 100, 8);
         let need = need();
         group.bench_function(BenchmarkId::new("route", count), |bench| {
             bench.iter(|| route::choose_engine(&mut site.core, &need));
         });
         group.bench_function(BenchmarkId::new("admit", count), |bench| {
-            let print = chiveway::core::event::Fingerprint::default();
-            bench.iter(|| admit::check(&mut site.core, &need, print));
+            let fingerprint = chiveway::core::event::Fingerprint::default();
+            bench.iter(|| admit::check(&mut site.core, &need, fingerprint));
         });
         let mut out = Effects::new();
         group.bench_function(BenchmarkId::new("report", count), |bench| {
@@ -80,9 +81,9 @@
     group.finish();
 }
 
-fn by_accounts(criterion: &mut Criterion) {
+fn bench_accounts(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("accounts");
-    for count in ACCOUNTS {
+    for count in ACCOUNT_COUNTS {
         let mut site = Site::new(21, count, 8);
         group.bench_function(BenchmarkId::new("request", count), |bench| {
             let mut tag = 0;
@@ -110,9 +111,9 @@
     group.finish();
 }
 
-fn by_peers(criterion: &mut Criterion) {
+fn bench_peers(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("peers");
-    for count in PEERS {
+    for count in PEER_COUNTS {
         let mut site = Site::new(21, 100, count);
         let mut out = Effects::new();
         let mut bytes = BytesMut::new();
@@ -126,12 +127,12 @@
             bench.iter(|| {
                 out.clear();
                 number += 1;
-                let beat = Heartbeat {
+                let heartbeat = Heartbeat {
                     number,
                     revision: 1,
                     ..Heartbeat::default()
                 };
-                let event = from_peer(Message::Heartbeat(beat));
+                let event = from_peer(Message::Heartbeat(heartbeat));
                 site.core.reduce(Time::from_millis(10), event, &mut out);
             });
         });
--- a/benches/policy/hosts.rs
+++ b/benches/policy/hosts.rs
@@ -1,4 +1,4 @@
-//! The real core of each host, started and fed at its interface.
+//! Set-up of the real cores of the hosts, and the events that they receive.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,17 @@
 use chiveway::lists::{KeyHash, KeyIndex, Lists, Plans, Uses};
 use chiveway::settings::Settings;
 
-use crate::engine::{DECODE, Load, PIECE, PREFILL, SLOTS};
-use crate::trace::{CUSTOMERS, Case, PLANS};
+use crate::engine::{
+    BATCH_SLOTS, DECODE_TOKENS_PER_SEC, Load, PREFILL_TOKENS_PER_SEC, TOKENS_PER_BLOCK,
+};
+use crate::trace::{CUSTOMER_COUNT, Case, PLANS};
 
-/// Wall clock at the start of a run; any will do.
-const EPOCH: u64 = 1_700_000_000_000;
-/// Requests a second that the plan of the hot customer may use.
-const HOT_LIMIT: f64 = 16.0;
-/// Failure domains.
-const DOMAINS: usize = 3;
+/// Wall clock at the start of a run, in milliseconds since the Unix epoch.
+const EPOCH_MS: u64 = 1_700_000_000_000;
+/// Request quota per second of the hot customer's plan.
+const HOT_REQUESTS_PER_SEC: f64 = 16.0;
+/// Number of failure domains.
+const FAILURE_DOMAINS: usize = 3;
 
 /// Returns the name of a host.
 pub fn host_name(at: usize) -> String {
@@ -27,11 +29,11 @@
 
 /// Returns the address of an engine.
 pub fn engine_addr(at: usize) -> SocketAddr {
-    let port = u16::try_from(9000 + at).expect("few engines");
+    let port = u16::try_from(9000 + at).expect("ports of all engines fit in 16 bits");
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Returns the engine at an address.
+/// Returns the index of the engine with this address.
 pub fn engine_at(addr: SocketAddr) -> usize {
     usize::from(addr.port()) - 9000
 }
@@ -42,13 +44,13 @@
 }
 
 /// Returns the key hash of a customer.
-pub fn key(customer: usize) -> KeyHash {
+pub fn key_hash(customer: usize) -> KeyHash {
     KeyHash::of(&format!("customer-{customer}-key"))
 }
 
-/// Returns the position of a customer's plan.
-pub fn plan(customer: usize) -> usize {
-    if customer + 1 == CUSTOMERS {
+/// Returns the index of a customer's plan; the hot customer has the last plan to itself.
+pub fn plan_index(customer: usize) -> usize {
+    if customer + 1 == CUSTOMER_COUNT {
         PLANS.len() - 1
     } else {
         customer % (PLANS.len() - 1)
@@ -56,7 +58,7 @@
 }
 
 fn domain(at: usize) -> String {
-    format!("domain-{}", at % DOMAINS)
+    format!("domain-{}", at % FAILURE_DOMAINS)
 }
 
 /// Creates the settings of one host.
@@ -68,7 +70,8 @@
          secret = a-secret-for-one-process-only\noperator-key-hash = {}\n\
          [platform]\nkv = 127.0.0.1:2379\nlist = 127.0.0.1:8500\n\
          [pool {}]\nmodel = {}\nfencing = checks\nsplit = yes\ngoodput = {}\nchange = {}\n\
-         prefill = {PREFILL}\ndecode = {DECODE}\nslots = {SLOTS}\npiece = {PIECE}\n",
+         prefill = {PREFILL_TOKENS_PER_SEC}\ndecode = {DECODE_TOKENS_PER_SEC}\n\
+         slots = {BATCH_SLOTS}\npiece = {TOKENS_PER_BLOCK}\n",
         host_name(at),
         domain(at),
         10_000 + at,
@@ -77,22 +80,22 @@
         KeyHash::of("operator"),
         site.model,
         site.model,
-        site.goodput,
-        site.change,
+        site.goodput_weight,
+        site.change_cost,
     );
-    Settings::parse(&text, "bench").expect("the bench writes sound settings")
+    Settings::parse(&text, "bench").expect("the generated settings are valid")
 }
 
-/// Creates the two lists.
+/// Creates the lists of customers and of plans.
 pub fn lists(case: &Case) -> Lists {
-    let customers = (0..CUSTOMERS).map(|at| {
-        let (plan, key) = (PLANS[plan(at)], key(at));
+    let customers = (0..CUSTOMER_COUNT).map(|at| {
+        let (plan, key) = (PLANS[plan_index(at)], key_hash(at));
         format!("[customer c{at}]\nplan = {plan}\nkeys = {key}\n")
     });
     let plans = PLANS.iter().enumerate().map(|(at, name)| {
         let model = case.site.model;
-        let limit = if case.hot > 0.0 && at == plan(CUSTOMERS - 1) {
-            format!("requests = {HOT_LIMIT}/s\n")
+        let limit = if case.hot_fraction > 0.0 && at == plan_index(CUSTOMER_COUNT - 1) {
+            format!("requests = {HOT_REQUESTS_PER_SEC}/s\n")
         } else {
             String::new()
         };
@@ -100,18 +103,20 @@
     });
     Lists {
         revision: 1,
-        plans: Plans::parse(&customers.collect::<String>(), "bench").expect("sound plans"),
-        uses: Uses::parse(&plans.collect::<String>(), "bench").expect("sound uses"),
+        plans: Plans::parse(&customers.collect::<String>(), "bench")
+            .expect("the generated plans are valid"),
+        uses: Uses::parse(&plans.collect::<String>(), "bench")
+            .expect("the generated uses are valid"),
     }
 }
 
-/// Starts the cores of all hosts; their effects go to `out` with the host's position.
-pub fn start(case: &Case, seed: u64, out: &mut Vec<(usize, Effects)>) -> Vec<Core> {
+/// Starts the cores of all hosts; appends their effects to `out` with the index of the host.
+pub fn start_cores(case: &Case, seed: u64, out: &mut Vec<(usize, Effects)>) -> Vec<Core> {
     let lists = lists(case);
     let mut cores: Vec<Core> = (0..case.site.hosts)
         .map(|at| {
             let settings = settings(case, at);
-            let mut core = Core::new(settings, Time::default(), EPOCH, seed + at as u64);
+            let mut core = Core::new(settings, Time::default(), EPOCH_MS, seed + at as u64);
             core.config.index = KeyIndex::new(&lists);
             core.config.lists = lists.clone();
             core
@@ -150,7 +155,7 @@
     }
 }
 
-/// Returns the platform's list.
+/// Returns the event with the platform's list of engines.
 pub fn listing(case: &Case, leaving: &[bool]) -> FleetEvent {
     let entries = leaving.iter().enumerate().map(|(at, &leaving)| Entry {
         name: engine_name(at).into(),
@@ -163,14 +168,14 @@
     FleetEvent::Listed(entries.collect())
 }
 
-/// Returns an engine's report.
-pub fn report(at: usize, load: Load, role: Role, age: u32) -> FleetEvent {
+/// Returns the event with an engine's load report.
+pub fn load_report(at: usize, load: Load, role: Role, age_ms: u32) -> FleetEvent {
     let report = Report {
         running: load.running,
         waiting: load.waiting,
-        queued_prefill: load.prefill,
+        queued_prefill: load.queued_prefill,
         role,
-        age_ms: age,
+        age_ms,
         ..Report::default()
     };
     FleetEvent::Report {
@@ -179,8 +184,8 @@
     }
 }
 
-/// Puts a pool's routing state for one engine in force at a host.
-pub fn route(core: &mut Core, engine: usize, routed: ServingState, role: Role) {
+/// Sets the serving state and the role by which a host routes to an engine.
+pub fn set_route(core: &mut Core, engine: usize, routed: ServingState, role: Role) {
     if let Some(key) = core.fleet.find(&engine_name(engine)) {
         let engine = &mut core.fleet.arena[key];
         engine.routed = routed;
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -1,14 +1,14 @@
-//! The policy under load and a shifting mix, measured in virtual time.
+//! Simulates the policy in virtual time under load and a changing mix of requests.
 //!
-//! The real decisions of every host's core (admission, routing, retries) and of a pool's holder
-//! (role changes) meet small fake engines at the interface. Everything is drawn from seeds, so
-//! that each figure is the same on every run. Prints one table and ends with an error where a
-//! figure lies beyond its bound in `bounds.ini`.
+//! The real decisions of each host's core (admission, routing, retries) and of a pool's holder
+//! (role changes) run against small models of engines. All random values are drawn from fixed
+//! seeds, so that each figure is the same on every run. Prints one table, and exits with an error
+//! if a figure violates its bound in `bounds.ini`.
 
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "virtual times and draws are positive and far below the bounds of the types"
+    reason = "virtual times and random values are positive and far below the limits of the types"
 )]
 
 mod baseline;
@@ -17,10 +17,10 @@
 mod engine;
 mod hosts;
 mod roles;
+mod simulation;
 mod table;
 mod tally;
 mod trace;
-mod world;
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -28,61 +28,61 @@
 use std::thread;
 
 use baseline::Router;
-use roles::{Roles, schedule};
+use roles::{RoleController, schedule};
+use simulation::{Frontend, Setup, Simulation};
 use table::Row;
 use tally::Tally;
 use trace::{Case, calls};
-use world::{Front, Setup, World};
 
-/// Seed of the traces; any other gives another table.
+/// Seed of the traces and runs; the figures depend on it.
 const SEED: u64 = 20_240;
-/// Runs at the same time at most.
-const THREADS: usize = 4;
-/// Seconds that the schedules of the oracle look ahead.
-const WINDOWS: [f64; 2] = [20.0, 60.0];
+/// Maximum number of concurrent runs.
+const MAX_THREADS: usize = 4;
+/// Seconds of the trace that the oracle's schedules of roles look ahead.
+const LOOKAHEAD_SECS: [f64; 2] = [20.0, 60.0];
 
-/// What is run for one case.
+/// Policy under test, or one that it is compared with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Policy {
-    /// The project's own decisions.
-    Ours,
-    /// Our routing with the best fixed split in hindsight.
+    /// Routing and role changes of this project.
+    Chiveway,
+    /// Routing of this project with the fixed split that turns out best.
     Static,
-    /// Our routing with a threshold controller of roles.
+    /// Routing of this project with a threshold controller of roles.
     Threshold,
-    /// Round robin over the split that suits the first minute.
-    Turn,
-    /// Random over that split.
+    /// Round robin over the split that balances the first minute.
+    RoundRobin,
+    /// Random routing over that split.
     Random,
     /// Least reported load over that split.
-    Report,
-    /// Exact routing and the best of several plans of roles that know the trace.
+    LeastReported,
+    /// Exact routing with the best of the fixed splits and the schedules computed from the trace.
     Oracle,
 }
 
 /// All policies, in the order of the table.
 pub const POLICIES: [Policy; 7] = [
     Policy::Oracle,
-    Policy::Ours,
+    Policy::Chiveway,
     Policy::Static,
     Policy::Threshold,
-    Policy::Report,
-    Policy::Turn,
+    Policy::LeastReported,
+    Policy::RoundRobin,
     Policy::Random,
 ];
 
 fn main() -> ExitCode {
-    // Words narrow the table down: a part of a case's name, then a part of a policy's.
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let mut words = words.iter().filter(|word| !word.starts_with('-'));
-    let (case, policy) = (words.next(), words.next());
+    // The arguments select rows: a part of a case's name, then a part of a policy's name.
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let mut filters = args.iter().filter(|arg| !arg.starts_with('-'));
+    let (case, policy) = (filters.next(), filters.next());
     let cases: Vec<&Case> = cases::CASES
         .iter()
-        .filter(|known| case.is_none_or(|word| known.name.contains(&**word)))
+        .filter(|known| case.is_none_or(|filter| known.name.contains(&**filter)))
         .collect();
     let policies = POLICIES.into_iter();
     let policies: Vec<Policy> = policies
-        .filter(|known| policy.is_none_or(|word| known.word().contains(&**word)))
+        .filter(|known| policy.is_none_or(|filter| known.name().contains(&**filter)))
         .collect();
     let groups: Vec<(&Case, Policy)> = cases
         .iter()
@@ -91,31 +91,35 @@
     let jobs: Vec<(usize, Setup)> = groups
         .iter()
         .enumerate()
-        .flat_map(|(at, &(case, policy))| setups(case, policy).into_iter().map(move |s| (at, s)))
+        .flat_map(|(at, &(case, policy))| {
+            setups(case, policy)
+                .into_iter()
+                .map(move |setup| (at, setup))
+        })
         .collect();
-    let tallies = all(&jobs, |(at, setup)| {
+    let tallies = run_all(&jobs, |(at, setup)| {
         let case = groups[*at].0;
-        World::new(case, &calls(case, SEED), setup.clone(), SEED).run(SEED)
+        Simulation::new(case, &calls(case, SEED), setup.clone(), SEED).run(SEED)
     });
-    let rows = rows(&groups, &jobs, &tallies);
+    let rows = best_rows(&groups, &jobs, &tallies);
     table::print(&rows);
-    let broken = bounds::check(include_str!("bounds.ini"), &rows);
-    for line in &broken {
+    let violations = bounds::check(include_str!("bounds.ini"), &rows);
+    for line in &violations {
         eprintln!("{line}");
     }
-    if broken.is_empty() {
+    if violations.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// Carries out jobs on a few threads; results stand in the order of the jobs.
-fn all<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
+/// Runs jobs on up to `MAX_THREADS` threads, and returns the results in the order of the jobs.
+fn run_all<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
-    let done = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for _ in 0..THREADS {
+        for _ in 0..MAX_THREADS {
             scope.spawn(|| {
                 loop {
                     let at = next.fetch_add(1, Ordering::Relaxed);
@@ -123,19 +127,19 @@
                         return;
                     };
                     let result = work(job);
-                    let mut done = done.lock().unwrap_or_else(PoisonError::into_inner);
-                    done.push((at, result));
+                    let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
+                    results.push((at, result));
                 }
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
-    done.sort_by_key(|&(at, _)| at);
-    done.into_iter().map(|(_, result)| result).collect()
+    let mut results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    results.sort_by_key(|&(at, _)| at);
+    results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Returns one row a group: of several variants, the best counts.
-fn rows(groups: &[(&Case, Policy)], jobs: &[(usize, Setup)], tallies: &[Tally]) -> Vec<Row> {
+/// Returns one row per group, with the best of its variants.
+fn best_rows(groups: &[(&Case, Policy)], jobs: &[(usize, Setup)], tallies: &[Tally]) -> Vec<Row> {
     let row = |at: usize| {
         let (case, policy) = groups[at];
         let variants = jobs
@@ -144,45 +148,57 @@
             .filter(|((group, _), _)| *group == at);
         let best = variants
             .map(|(_, tally)| tally)
-            // Of equal goodput, the one with fewer role changes.
+            // At equal goodput, the variant with fewer role changes wins.
             .max_by(|one, other| {
-                let fewer = other.changes.cmp(&one.changes);
+                let fewer = other.role_changes.cmp(&one.role_changes);
                 one.goodput().total_cmp(&other.goodput()).then(fewer)
             });
         Row {
             case: case.name,
             policy,
-            tally: best.expect("each policy has a variant").clone(),
+            tally: best.expect("each policy has at least one variant").clone(),
         }
     };
     (0..groups.len()).map(row).collect()
 }
 
-/// Returns the variants of one policy on one case.
+/// Returns the variants of a policy to run for a case.
 fn setups(case: &Case, policy: Policy) -> Vec<Setup> {
     let calls = calls(case, SEED);
-    let first = schedule(case, &calls, 60.0)[0];
-    let fixed = |front, roles| Setup {
-        front,
-        roles,
-        prefill: first,
+    let initial = schedule(case, &calls, 60.0)[0];
+    let setup = |frontend, controller| Setup {
+        frontend,
+        controller,
+        prefill_engines: initial,
     };
     match policy {
-        Policy::Ours => vec![fixed(Front::Cores, Roles::Ours(<_>::default()))],
-        Policy::Threshold => vec![fixed(Front::Cores, Roles::Threshold)],
-        Policy::Turn => vec![fixed(Front::Plain(Router::Turn), Roles::Fixed)],
-        Policy::Random => vec![fixed(Front::Plain(Router::Random), Roles::Fixed)],
-        Policy::Report => vec![fixed(Front::Plain(Router::Report), Roles::Fixed)],
-        Policy::Static => statics(case, Front::Cores),
+        Policy::Chiveway => vec![setup(
+            Frontend::Cores,
+            RoleController::Chiveway(<_>::default()),
+        )],
+        Policy::Threshold => vec![setup(Frontend::Cores, RoleController::Threshold)],
+        Policy::RoundRobin => vec![setup(
+            Frontend::Baseline(Router::RoundRobin),
+            RoleController::Fixed,
+        )],
+        Policy::Random => vec![setup(
+            Frontend::Baseline(Router::Random),
+            RoleController::Fixed,
+        )],
+        Policy::LeastReported => vec![setup(
+            Frontend::Baseline(Router::LeastReported),
+            RoleController::Fixed,
+        )],
+        Policy::Static => fixed_splits(case, Frontend::Cores),
         Policy::Oracle => {
-            let front = Front::Plain(Router::Exact);
-            let mut setups = statics(case, front);
-            setups.extend(WINDOWS.map(|window| {
+            let frontend = Frontend::Baseline(Router::Exact);
+            let mut setups = fixed_splits(case, frontend);
+            setups.extend(LOOKAHEAD_SECS.map(|window| {
                 let wanted = schedule(case, &calls, window);
                 Setup {
-                    front,
-                    prefill: wanted[0],
-                    roles: Roles::Schedule(wanted),
+                    frontend,
+                    prefill_engines: wanted[0],
+                    controller: RoleController::Schedule(wanted),
                 }
             }));
             setups
@@ -190,12 +206,12 @@
     }
 }
 
-/// Returns every fixed split up to two thirds of the engines for prefill; no case needs more.
-fn statics(case: &Case, front: Front) -> Vec<Setup> {
-    let setup = |prefill| Setup {
-        front,
-        roles: Roles::Fixed,
-        prefill,
+/// Returns all fixed splits with up to two thirds of the engines for prefill; no case needs more.
+fn fixed_splits(case: &Case, frontend: Frontend) -> Vec<Setup> {
+    let setup = |prefill_engines| Setup {
+        frontend,
+        controller: RoleController::Fixed,
+        prefill_engines,
     };
     (1..=case.site.engines * 2 / 3).map(setup).collect()
 }
