--- a/tests/soak/cluster.rs
+++ b/tests/soak/cluster.rs
@@ -142,7 +142,9 @@
         let logs = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&logs).expect("a folder for logs");
         let store = Store::start();
-        let store_forwarders: Vec<FaultProxy> = (0..HOST_COUNT).map(|_| FaultProxy::start(store.addr)).collect();
+        let store_forwarders: Vec<FaultProxy> = (0..HOST_COUNT)
+            .map(|_| FaultProxy::start(store.addr))
+            .collect();
         let mut cluster = Self {
             folder: TempDir::new(),
             logs,
@@ -297,9 +299,15 @@
                 host.process.thaw();
             }
             FaultKind::Reload(host) => self.hosts[host].lock().expect("no panic").process.hup(),
-            FaultKind::StoreLinkSilent(host) => lasting(&self.store_forwarders[host], FaultProxy::silence),
-            FaultKind::StoreLinkOneWay(host) => lasting(&self.store_forwarders[host], FaultProxy::block_replies),
-            FaultKind::StoreLinkRefuses(host) => lasting(&self.store_forwarders[host], FaultProxy::refuse),
+            FaultKind::StoreLinkSilent(host) => {
+                lasting(&self.store_forwarders[host], FaultProxy::silence);
+            }
+            FaultKind::StoreLinkOneWay(host) => {
+                lasting(&self.store_forwarders[host], FaultProxy::block_replies);
+            }
+            FaultKind::StoreLinkRefuses(host) => {
+                lasting(&self.store_forwarders[host], FaultProxy::refuse);
+            }
             FaultKind::StoreLinkReset(host) => self.store_forwarders[host].reset(),
             FaultKind::StoreDown => {
                 self.store.go_down();
@@ -325,7 +333,9 @@
             }
             FaultKind::StoreDropsReplies => self.store.drop_replies(DROPPED_REPLIES),
             FaultKind::ServerSilent(position) => lasting(&forwarder(position), FaultProxy::silence),
-            FaultKind::ServerOneWay(position) => lasting(&forwarder(position), FaultProxy::block_replies),
+            FaultKind::ServerOneWay(position) => {
+                lasting(&forwarder(position), FaultProxy::block_replies);
+            }
             FaultKind::ServerDelay(position) => lasting(&forwarder(position), FaultProxy::delay),
             FaultKind::ServerReset(position) => forwarder(position).reset(),
             FaultKind::ServerCrash(position) => {
