--- a/src/core/relay/instance.rs
+++ b/src/core/relay/instance.rs
@@ -21,9 +21,8 @@
 /// Initial backoff after a backend server refused a request, about the length of a short request; doubled with each
 /// further refusal.
 ///
-/// A server may report that it is healthy and refuse nearly every request. It then looks idle and attracts all
-/// requests, and each refusal uses up one of the few retries: 1,200 refusals of two engines in 12 s exhausted the retry
-/// budget of all requests.
+/// A server that reports itself healthy and refuses nearly every request looks idle and attracts all of them, and each
+/// refusal costs a retry: 1,200 refusals of two engines in 12 s exhausted the retry budget of all requests.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(30);
 /// Maximum doublings of that backoff, up to two seconds.
 const MAX_REFUSAL_DOUBLINGS: u32 = 6;
--- a/src/core/relay/prefix_cache.rs
+++ b/src/core/relay/prefix_cache.rs
@@ -203,10 +203,9 @@
 /// Drops the blocks that an engine has probably evicted: those not used while about as many tokens
 /// were added to its memory as it holds.
 ///
-/// Every prompt takes memory, mostly for tokens that no other request shares, and evicts the least
-/// recently used blocks. If an evicted block is assumed to be cached, its engine prefills it
-/// unexpectedly and all requests behind wait. A cached block that was dropped here costs a needless
-/// fetch.
+/// Every prompt evicts the least recently used blocks, mostly for tokens that no other request shares.
+/// A block wrongly assumed to be cached is prefilled unexpectedly, and all requests behind wait; one
+/// wrongly dropped costs a needless fetch.
 pub fn drop_evicted(instance: &mut Instance, memory: u64, now: Time) {
     let fill = instance.work().fill_rate as f64;
     if fill > 0.0 {
--- a/src/web.rs
+++ b/src/web.rs
@@ -86,10 +86,9 @@
 /// Serves connections of `listener` with `handler` until `stop` becomes true or its sender is
 /// dropped, and then until every connection is closed.
 ///
-/// Each connection runs as its own task on this thread. After the stop, new connections are
-/// refused. Open connections, and those that the kernel has already accepted, are served for
-/// another `grace`, so that a request sent at the moment of the stop is not lost; then each is
-/// closed as soon as it has no open request. Dropping this future closes no connection.
+/// Each connection is a task on this thread; dropping this future closes none. After the stop, new
+/// ones are refused. Those open or already accepted by the kernel are served for another `grace`,
+/// so that a request sent meanwhile is not lost, and then closed once they have no open request.
 pub async fn serve<H, F>(
     listener: TcpListener,
     grace: Duration,
